--- a/crates/controller/src/allocations/commands.rs
+++ b/crates/controller/src/allocations/commands.rs
@@ -1,14 +1,14 @@
 //! Commands that a machine's worker is sent: in answers to its reports, and directly.
 
 use super::{Attempt, Machine, ReportNumber, Stop, UnacknowledgedCommand};
-use crate::constants::{SECOND_MS, STOP_REPEAT_MS};
+use crate::constants::{SECOND_MS, STOP_RETRY_MS};
 use crate::model::Timestamp;
 use crate::protocol::{CommandKind, TaskState, WorkerCommand};
 
 impl Stop {
     /// It was not sent yet, or so long ago that it is repeated.
     fn is_due(&self, now: Timestamp) -> bool {
-        self.ordered_at.is_none_or(|at| now >= at + STOP_REPEAT_MS)
+        self.ordered_at.is_none_or(|at| now >= at + STOP_RETRY_MS)
     }
 }
 
@@ -54,7 +54,7 @@
         let state = self.seen.filter(|state| *state != TaskState::Exited)?;
         let stop = self.stop.as_mut()?;
         // A checkpoint that takes longer than was granted is ended.
-        let overdue = now >= stop.asked_at + (stop.grace_s * SECOND_MS as f64) as u64 + STOP_REPEAT_MS;
+        let overdue = now >= stop.asked_at + (stop.grace_s * SECOND_MS as f64) as u64 + STOP_RETRY_MS;
         let grace_s = if stop.ordered_at.is_some() && overdue {
             0.0
         } else {
--- a/crates/controller/src/allocations/image_fetches.rs
+++ b/crates/controller/src/allocations/image_fetches.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::proves_image;
 use super::{Attempt, Change, Machine};
-use crate::constants::MISSED_AFTER_MS;
+use crate::constants::IMAGE_MISS_AFTER_MS;
 use crate::model::Timestamp;
 use crate::protocol::{TaskState, TaskStatus};
 use indigopath_image_locality::{Cache, CacheState};
@@ -91,7 +91,7 @@
         let has_it = match reported.state {
             TaskState::Fetching => {
                 // The answer to its start may name it so, whatever lies there.
-                if !self.fetches && now >= self.planned_at + MISSED_AFTER_MS {
+                if !self.fetches && now >= self.planned_at + IMAGE_MISS_AFTER_MS {
                     self.fetches = true;
                     images.missed();
                 }
--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -8,8 +8,9 @@
 use super::plan::{Plan, plan};
 use super::{Accepted, Changed, History, Past, Refused, Seen, Told, jobs_prefix, open_key, released, site};
 use crate::constants::{
-    CLUSTER_ANSWER_MS, CLUSTER_BATCH, CLUSTER_OPERATIONS, CLUSTER_ROUNDS, CLUSTER_WRITE_SHARE, HISTORY_SHOWN,
-    PAGE_ITEMS, POLL_RESERVE, RETRY_AFTER_S, STATE_TIMEOUT_MS, TXN_BYTES,
+    CLUSTER_RESPONSE_MS, CLUSTER_TXN_KEYS, CLUSTER_WRITE_SHARE, HISTORY_CLUSTERS_SHOWN,
+    MAX_CLUSTER_OPERATIONS, MAX_CLUSTER_ROUNDS, MAX_TXN_BYTES, RETRY_AFTER_S, STATE_PAGE_ITEMS,
+    STATE_TIMEOUT_MS, USER_WRITE_RESERVE,
 };
 use crate::io::{CallId, Calls, FencedDestination, Io, Method, Outcome, RequestId, json};
 use crate::job_api::admission::TYPES_UNCERTAIN;
@@ -212,7 +213,7 @@
 impl Desk {
     pub fn new(settings: &Settings, now: Timestamp) -> Desk {
         let rate = settings.deployment.state.write_rps * CLUSTER_WRITE_SHARE;
-        let burst = CLUSTER_BATCH as f64;
+        let burst = CLUSTER_TXN_KEYS as f64;
         Desk {
             ops: BTreeMap::new(),
             next: 0,
@@ -246,7 +247,7 @@
                 if let Some(before) = op.request.replace(request) {
                     io.reply_later(before, RETRY_AFTER_S, "the same submission came again");
                 }
-                op.answer_at = io.now + CLUSTER_ANSWER_MS;
+                op.answer_at = io.now + CLUSTER_RESPONSE_MS;
                 return;
             }
             Some((_, false)) => return io.reply_error(request, 409, OTHER_KEY),
@@ -316,13 +317,13 @@
     }
 
     fn begin(&mut self, request: RequestId, work: Work, first: Step, context: &Context<'_>, io: &mut Io) {
-        if self.ops.len() >= CLUSTER_OPERATIONS || !io.state.take(1.0, POLL_RESERVE, io.now) {
+        if self.ops.len() >= MAX_CLUSTER_OPERATIONS || !io.state.take(1.0, USER_WRITE_RESERVE, io.now) {
             return io.reply_later(request, RETRY_AFTER_S, "too many requests, come back later");
         }
         self.next += 1;
         let op = Op {
             request: Some(request),
-            answer_at: io.now + CLUSTER_ANSWER_MS,
+            answer_at: io.now + CLUSTER_RESPONSE_MS,
             rounds: 0,
             work,
             waiting: None,
@@ -382,7 +383,7 @@
             Next::Paced(step, changes) => self.paced(id, step, changes as f64, context, io),
             Next::Again(step) => {
                 op.rounds += 1;
-                if op.rounds > CLUSTER_ROUNDS {
+                if op.rounds > MAX_CLUSTER_ROUNDS {
                     self.end(
                         id,
                         |request, io| {
@@ -456,7 +457,11 @@
 }
 
 fn page(prefix: &str, after: Option<&str>) -> Message {
-    (Method::Get, paths::page(prefix, after, PAGE_ITEMS), Vec::new())
+    (
+        Method::Get,
+        paths::page(prefix, after, STATE_PAGE_ITEMS),
+        Vec::new(),
+    )
 }
 
 fn transaction(conditions: Vec<(String, u64)>, changes: Vec<Change>) -> Message {
@@ -478,7 +483,7 @@
 
 /// Jobs that fit one transaction, if each takes so many changes.
 fn batch_size(context: &Context<'_>, changes_each: usize) -> usize {
-    let room = context.settings.deployment.state.txn_ops.min(CLUSTER_BATCH);
+    let room = context.settings.deployment.state.txn_ops.min(CLUSTER_TXN_KEYS);
     (room / changes_each).max(1)
 }
 
@@ -738,7 +743,7 @@
                 continue;
             }
             bytes += spec.to_text().get().len() + 256;
-            if positions.len() >= batch_size(context, 1) || (bytes > TXN_BYTES && !positions.is_empty()) {
+            if positions.len() >= batch_size(context, 1) || (bytes > MAX_TXN_BYTES && !positions.is_empty()) {
                 break;
             }
             positions.push(at);
@@ -820,7 +825,7 @@
         let most = batch_size(context, self.changes_each());
         let fitting = self.left.iter().take(most).take_while(|(_, spec, _)| {
             bytes += spec.to_text().get().len() + 256;
-            bytes <= TXN_BYTES
+            bytes <= MAX_TXN_BYTES
         });
         let count = fitting.count().max(1);
         &self.left[..count.min(self.left.len())]
@@ -1016,7 +1021,7 @@
                 return SILENT;
             };
             // A stand-in for where the page begins; it is replaced by what is read.
-            let before = next.next.saturating_sub(1 + HISTORY_SHOWN);
+            let before = next.next.saturating_sub(1 + HISTORY_CLUSTERS_SHOWN);
             if before > 0 {
                 found.clusters = vec![ClusterRecord {
                     cluster: before,
--- a/crates/controller/src/condor/plan.rs
+++ b/crates/controller/src/condor/plan.rs
@@ -1,7 +1,7 @@
 //! From a submission to the jobs that it becomes.
 
 use super::{Refused, Told, job_id};
-use crate::constants::{MAX_DURATION_S, MAX_NAME, VALUE_SHARE};
+use crate::constants::{MAX_DURATION_S, MAX_NAME_BYTES, MAX_VALUE_SHARE};
 use crate::model::{JobSpec, Resources};
 use crate::protocol::{Priority, Shape};
 use crate::storage::records::Record;
@@ -90,17 +90,17 @@
             holds: request.holds.clone(),
         }));
         for (what, name) in [("class", &spec.class), ("team", &spec.team)] {
-            if name.len() > MAX_NAME {
+            if name.len() > MAX_NAME_BYTES {
                 return Err(refused(format!("the name of its {what} is too long")));
             }
         }
-        if spec.image.is_empty() || spec.image.len() > MAX_NAME {
+        if spec.image.is_empty() || spec.image.len() > MAX_NAME_BYTES {
             return Err(refused("the name of its image is too long".to_owned()));
         }
         if !(0.0..=MAX_DURATION_S).contains(&spec.estimate_s) {
             return Err(refused("its estimate is out of range".to_owned()));
         }
-        if spec.to_text().get().len() as f64 > value_kb * 1024.0 * VALUE_SHARE {
+        if spec.to_text().get().len() as f64 > value_kb * 1024.0 * MAX_VALUE_SHARE {
             return Err(refused("a record of it would be too large".to_owned()));
         }
         jobs.push(spec);
--- a/crates/controller/src/election/candidate.rs
+++ b/crates/controller/src/election/candidate.rs
@@ -1,7 +1,7 @@
 //! The candidate's part: it asks for a lease and claims the leader's key under it.
 
 use super::{Election, ElectionEvent, Leadership, NextCall, PendingCall, RequestedLease};
-use crate::constants::{CLAIM_TIMEOUT_MS, FOLLOW_RETRY_MS, LEADER_LEASE_MS, LEADER_SLOW_LEASE_MS};
+use crate::constants::{CLAIM_TIMEOUT_MS, LEADER_LEASE_MS, LEADER_LOOKUP_RETRY_MS, LEADER_SLOW_LEASE_MS};
 use crate::io::{Io, Method, Outcome, json};
 use crate::model::Timestamp;
 use crate::protocol::{
@@ -86,7 +86,7 @@
             self.next_call_at = if outcome.status() == Some(409) {
                 io.now
             } else {
-                io.now + FOLLOW_RETRY_MS
+                io.now + LEADER_LOOKUP_RETRY_MS
             };
             return None;
         };
--- a/crates/controller/src/election/follower.rs
+++ b/crates/controller/src/election/follower.rs
@@ -3,8 +3,8 @@
 
 use super::{Election, NextCall, PendingCall};
 use crate::constants::{
-    CLAIM_JITTER_MS, ELECTION_BACKOFF_VACANT_MS, FOLLOW_RETRY_MS, RELEASED_PAUSE_MS, STATE_TIMEOUT_MS,
-    WATCH_HOLD_MS, WATCH_SLACK_MS,
+    CLAIM_JITTER_MS, ELECTION_BACKOFF_VACANT_MS, LEADER_LOOKUP_RETRY_MS, RELEASED_LEASE_BACKOFF_MS,
+    STATE_TIMEOUT_MS, WATCH_LONG_POLL_MS, WATCH_SLACK_MS,
 };
 use crate::io::{Io, Method, Outcome};
 use crate::model::Timestamp;
@@ -66,8 +66,8 @@
         let left_ms = |since: Timestamp| (since + ELECTION_BACKOFF_VACANT_MS).saturating_sub(io.now);
         let hold_ms = self
             .vacant_since
-            .map_or(WATCH_HOLD_MS, left_ms)
-            .min(WATCH_HOLD_MS);
+            .map_or(WATCH_LONG_POLL_MS, left_ms)
+            .min(WATCH_LONG_POLL_MS);
         let path = paths::watch(LEADER, self.revision, hold_ms);
         let call = io.state_call(Method::Get, path, Vec::new(), hold_ms + WATCH_SLACK_MS);
         self.calls.expect(call, PendingCall::WatchKey);
@@ -75,7 +75,7 @@
 
     pub(super) fn retry(&mut self, io: &mut Io) {
         self.next_call = NextCall::ReadKey;
-        self.next_call_at = io.now + FOLLOW_RETRY_MS + io.rng.random_range(0..FOLLOW_RETRY_MS);
+        self.next_call_at = io.now + LEADER_LOOKUP_RETRY_MS + io.rng.random_range(0..LEADER_LOOKUP_RETRY_MS);
     }
 
     pub(super) fn on_key_read(&mut self, outcome: &Outcome, io: &mut Io) {
@@ -139,7 +139,7 @@
         } else if self.known_leader.is_none() {
             // After a back-off, or a claim of its own that expires.
             self.next_call = NextCall::ReadKey;
-            self.next_call_at = io.now + FOLLOW_RETRY_MS;
+            self.next_call_at = io.now + LEADER_LOOKUP_RETRY_MS;
         }
     }
 
@@ -178,7 +178,7 @@
     pub(super) fn on_abandoned_lease_released(&mut self, io: &mut Io) {
         // Peers have seen the key go and know the fleet already: they go first.
         self.next_call = NextCall::ReadKey;
-        self.next_call_at = io.now + RELEASED_PAUSE_MS;
+        self.next_call_at = io.now + RELEASED_LEASE_BACKOFF_MS;
     }
 
     /// Nobody leads. A node that backs off leaves it to others, unless there are none.
--- a/crates/controller/src/election/tests.rs
+++ b/crates/controller/src/election/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::constants::{CLAIM_JITTER_MS, FOLLOW_RETRY_MS};
+use crate::constants::{CLAIM_JITTER_MS, LEADER_LOOKUP_RETRY_MS};
 use crate::io::Effect;
 use crate::protocol;
 use crate::settings::Settings;
@@ -51,7 +51,7 @@
     turn(&mut election, io, "/store/leader", &absent);
     turn(&mut election, io, "/holds", &answer(200, json!({ "Permit": 11 })));
     turn(&mut election, io, "/multi", &Outcome::NoAnswer);
-    io.now += FOLLOW_RETRY_MS;
+    io.now += LEADER_LOOKUP_RETRY_MS;
     turn(&mut election, io, "/store/leader", &absent);
     turn(&mut election, io, "/holds", &answer(200, json!({ "Permit": 12 })));
     let claimed = turn(&mut election, io, "/multi", &answer(200, json!({ "Ledger": 20 })));
--- a/crates/controller/src/expiring_cache.rs
+++ b/crates/controller/src/expiring_cache.rs
@@ -1,12 +1,12 @@
 //! What is remembered of jobs that ended lately: a bounded number, the oldest forgotten first.
 
-use crate::constants::ENDED_CACHE;
+use crate::constants::ENDED_JOB_CACHE_SIZE;
 use crate::model::JobId;
 use std::borrow::Borrow;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Values by job, at most [`ENDED_CACHE`] of them.
+/// Values by job, at most [`ENDED_JOB_CACHE_SIZE`] of them.
 #[derive(Debug)]
 pub struct ExpiringCache<V> {
     values: HashMap<JobId, V>,
@@ -28,7 +28,7 @@
         if self.values.insert(job.clone(), value).is_none() {
             self.order.push_back(job);
         }
-        while self.order.len() > ENDED_CACHE {
+        while self.order.len() > ENDED_JOB_CACHE_SIZE {
             if let Some(oldest) = self.order.pop_front() {
                 self.values.remove(&oldest);
             }
--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -9,7 +9,7 @@
 
 use crate::constants::{
     CLOUD_SHARE, CLOUD_TIMEOUT_MS, FOLLOWERS_STATE_SHARE, LEADER_STATE_SHARE, LEADER_WRITE_SHARE,
-    MAX_ERROR_CHARS, NEW_LEADER_WRITES, NEW_MS,
+    MAX_ERROR_CHARS, NEW_LEADER_WRITE_BURST, NODE_WARMUP_MS,
 };
 use crate::model::Timestamp;
 use crate::protocol::{ErrorResponse, paths};
@@ -42,7 +42,7 @@
     pub permits: Permits,
     /// Requests told to come back later, by the reason, since it was last taken.
     pub refusals: BTreeMap<String, u32>,
-    /// Until when this node is new: see [`NEW_MS`].
+    /// Until when this node is new: see [`NODE_WARMUP_MS`].
     new_until: Timestamp,
     state_rate: f64,
     follower_share: f64,
@@ -67,7 +67,7 @@
             effects: Vec::new(),
             permits: Permits::default(),
             refusals: BTreeMap::new(),
-            new_until: now + NEW_MS,
+            new_until: now + NODE_WARMUP_MS,
             state_rate: deployment.state.rps,
             follower_share,
             next_call: 1,
@@ -83,7 +83,7 @@
         };
         self.state.set_rate(self.state_rate * share, self.now);
         if leading {
-            self.writes.drain_to(NEW_LEADER_WRITES, self.now);
+            self.writes.drain_to(NEW_LEADER_WRITE_BURST, self.now);
         }
     }
 
--- a/crates/controller/src/job_api/admission.rs
+++ b/crates/controller/src/job_api/admission.rs
@@ -1,7 +1,7 @@
 //! What a submission must satisfy. Kept apart from HTTP, so that other ways of
 //! submitting can share it.
 
-use crate::constants::{MAX_AMOUNT, MAX_DURATION_S, MAX_NAME, MAX_TASKS};
+use crate::constants::{MAX_AMOUNT, MAX_DURATION_S, MAX_NAME_BYTES, MAX_TASKS_PER_JOB};
 use crate::model::{JobId, JobSpec, Resources};
 use crate::protocol::{JOB_PREFIX, JobSubmission, MachineType};
 use crate::settings::Deployment;
@@ -97,7 +97,7 @@
 }
 
 fn check_name(field: &str, value: &str) -> Result<(), Refusal> {
-    if value.is_empty() || value.len() > MAX_NAME {
+    if value.is_empty() || value.len() > MAX_NAME_BYTES {
         Err(Refusal::Invalid(format!("{field} is empty or too long")))
     } else {
         Ok(())
@@ -129,7 +129,7 @@
     check_name("Lane", &body.class)?;
     check_name("Crew", &body.team)?;
     check_name("Kit", &body.image)?;
-    if !(1..=MAX_TASKS).contains(&body.tasks) {
+    if !(1..=MAX_TASKS_PER_JOB).contains(&body.tasks) {
         return Err(invalid("Picks is out of range"));
     }
     let needs = Resources {
--- a/crates/controller/src/job_api/cache.rs
+++ b/crates/controller/src/job_api/cache.rs
@@ -1,7 +1,7 @@
 //! What a node remembers of jobs between requests: how ended jobs ended, and at which version live
 //! jobs were last seen. Everything here may be forgotten; it is then read from the state service.
 
-use crate::constants::LIVE_CACHE;
+use crate::constants::LIVE_JOB_CACHE_SIZE;
 use crate::expiring_cache::ExpiringCache;
 use crate::model::JobId;
 use crate::storage::records::{EndedRecord, Ending};
@@ -64,7 +64,7 @@
 
     /// Whether another live job can be kept without forgetting others.
     pub(super) fn has_room_for_live(&self) -> bool {
-        self.live.len() < LIVE_CACHE
+        self.live.len() < LIVE_JOB_CACHE_SIZE
     }
 
     /// Records that the job was read as live. A known end is final and stays.
@@ -92,7 +92,7 @@
 
     /// The job may have ended: its end is read first the next time.
     pub(super) fn suspect_ended(&mut self, job: JobId) {
-        if self.possibly_ended.len() >= LIVE_CACHE {
+        if self.possibly_ended.len() >= LIVE_JOB_CACHE_SIZE {
             self.possibly_ended.clear();
         }
         self.possibly_ended.insert(job);
--- a/crates/controller/src/job_api/end_visibility.rs
+++ b/crates/controller/src/job_api/end_visibility.rs
@@ -1,7 +1,9 @@
 //! Ends of jobs and when users may see them: an end that this node knows is announced to the peers, and
 //! requests that ask for it wait until no peer can answer with anything older (see `commit_wait.rs`).
 
-use crate::constants::{MAX_WAITING_REQUESTS, POLL_RESPONSE_MS, RETRY_AFTER_S, WRITE_RESPONSE_MS};
+use crate::constants::{
+    MAX_WAITING_REQUESTS, POLL_RESPONSE_DEADLINE_MS, RETRY_AFTER_S, WRITE_RESPONSE_DEADLINE_MS,
+};
 use crate::io::{Effect, Io, RequestId};
 use crate::job_api::cache::TerminalState;
 use crate::job_api::commit_wait::Visibility;
@@ -24,8 +26,8 @@
 /// How long after its arrival a request may wait for an end to become visible, in ms.
 fn response_ms(kind: &JobRequest) -> u64 {
     match kind {
-        JobRequest::Poll => POLL_RESPONSE_MS,
-        _ => WRITE_RESPONSE_MS,
+        JobRequest::Poll => POLL_RESPONSE_DEADLINE_MS,
+        _ => WRITE_RESPONSE_DEADLINE_MS,
     }
 }
 
--- a/crates/controller/src/job_api/peer_notices.rs
+++ b/crates/controller/src/job_api/peer_notices.rs
@@ -1,7 +1,7 @@
 //! What peers have announced about jobs lately. A reading that began before a peer's notice may be
 //! older than what that peer answers its users, so it is not given any more.
 
-use crate::constants::{PEER_NOTICES, USER_ACT_TIMEOUT_MS};
+use crate::constants::{MAX_PEER_NOTICES, USER_WRITE_TIMEOUT_MS};
 use crate::model::{JobId, Timestamp};
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
     ended_since: Option<Timestamp>,
 }
 
-/// The latest notice of each job, at most [`PEER_NOTICES`] of them.
+/// The latest notice of each job, at most [`MAX_PEER_NOTICES`] of them.
 #[derive(Debug, Default)]
 pub(super) struct PeerNotices {
     notices: HashMap<JobId, PeerNotice>,
@@ -22,11 +22,11 @@
 impl PeerNotices {
     /// Records a notice. False if there is no room: it must not be acknowledged then.
     pub(super) fn record(&mut self, job: JobId, ended: bool, now: Timestamp) -> bool {
-        if self.notices.len() >= PEER_NOTICES {
+        if self.notices.len() >= MAX_PEER_NOTICES {
             self.notices
-                .retain(|_, notice| now < notice.received_at + USER_ACT_TIMEOUT_MS);
+                .retain(|_, notice| now < notice.received_at + USER_WRITE_TIMEOUT_MS);
         }
-        if self.notices.len() >= PEER_NOTICES && !self.notices.contains_key(&job) {
+        if self.notices.len() >= MAX_PEER_NOTICES && !self.notices.contains_key(&job) {
             return false;
         }
         let notice = self.notices.entry(job).or_insert(PeerNotice {
--- a/crates/controller/src/job_api/pending.rs
+++ b/crates/controller/src/job_api/pending.rs
@@ -1,6 +1,6 @@
 //! Requests for which a call to the state service is in flight.
 
-use crate::constants::{MAX_WAITING_REQUESTS, USER_ACT_TIMEOUT_MS, USER_STATE_TIMEOUT_MS};
+use crate::constants::{MAX_WAITING_REQUESTS, USER_STATE_TIMEOUT_MS, USER_WRITE_TIMEOUT_MS};
 use crate::io::RequestId;
 use crate::job_api::JobRequest;
 use crate::model::{JobId, Timestamp};
@@ -55,7 +55,7 @@
         let within_ms = match self.kind {
             JobRequest::Poll => USER_STATE_TIMEOUT_MS,
             _ if self.calls <= 1 => USER_STATE_TIMEOUT_MS,
-            _ => USER_ACT_TIMEOUT_MS,
+            _ => USER_WRITE_TIMEOUT_MS,
         };
         self.since + within_ms
     }
--- a/crates/controller/src/job_api/poll.rs
+++ b/crates/controller/src/job_api/poll.rs
@@ -1,7 +1,7 @@
 //! Polls of jobs that were live when last seen. They gather for a moment, and one comparison of the
 //! records' versions then tells for all of them whether the jobs still are.
 
-use crate::constants::{MAX_WAITING_REQUESTS, POLL_GATHER_MS, USER_STATE_TIMEOUT_MS};
+use crate::constants::{MAX_WAITING_REQUESTS, POLL_BATCH_MS, USER_STATE_TIMEOUT_MS};
 use crate::io::{FencedDestination, Io, Method, Outcome, RequestId, json};
 use crate::job_api::pending::PendingRequest;
 use crate::job_api::state_call::{CallPurpose, StateCall};
@@ -53,7 +53,7 @@
     /// Whether a comparison of at most `max_polls` polls is to be sent now.
     fn is_due(&self, max_polls: usize, now: Timestamp) -> bool {
         let is_full = self.queue.len() >= max_polls;
-        !self.queue.is_empty() && (is_full || now >= self.gathering_since + POLL_GATHER_MS)
+        !self.queue.is_empty() && (is_full || now >= self.gathering_since + POLL_BATCH_MS)
     }
 
     fn take(&mut self, max_polls: usize) -> Vec<GatheredPoll> {
--- a/crates/controller/src/job_api/tests.rs
+++ b/crates/controller/src/job_api/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::constants::{
-    COMMIT_WAIT_MS, ENDED_CACHE, LIVE_CACHE, LIVE_READ_MAX_AGE_MS, PEER_NOTICES, POLL_GATHER_MS,
-    POLL_RESPONSE_MS, USER_ACT_TIMEOUT_MS, USER_STATE_TIMEOUT_MS,
+    COMMIT_WAIT_MS, ENDED_JOB_CACHE_SIZE, LIVE_JOB_CACHE_SIZE, LIVE_READ_MAX_AGE_MS, MAX_PEER_NOTICES,
+    POLL_BATCH_MS, POLL_RESPONSE_DEADLINE_MS, USER_STATE_TIMEOUT_MS, USER_WRITE_TIMEOUT_MS,
 };
 use crate::io::{CallId, Effect, Outcome};
 use crate::peers::Frame;
@@ -82,7 +82,7 @@
         JobRequest::Poll,
         &mut io,
     );
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     users.settle(48, &mut io);
     let (body, comparison) = comparison(&mut io);
     assert_eq!(
@@ -102,7 +102,7 @@
     let mut io = io();
     let mut users = polled(&mut io);
     cancel(&mut users);
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     users.settle(48, &mut io);
     let (body, comparison) = comparison(&mut io);
     assert_eq!(body["If"][0]["Stamp"], 7, "the job is compared all the same");
@@ -115,7 +115,7 @@
 fn a_job_that_is_over_elsewhere_is_read_again() {
     let mut io = io();
     let mut users = polled(&mut io);
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     users.settle(48, &mut io);
     let (_, comparison) = comparison(&mut io);
     let failed = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
@@ -229,7 +229,7 @@
     let record = serde_json::json!({ "Path": "j/wk-1", "V": {}, "Stamp": 7 });
     users.answered(live, &answer(200, record), &Counts::new(), &mut io);
     let (path, _, left) = call(&mut io);
-    assert_eq!((&*path, left), ("/multi", USER_ACT_TIMEOUT_MS - 1_400));
+    assert_eq!((&*path, left), ("/multi", USER_WRITE_TIMEOUT_MS - 1_400));
 }
 
 // A stream of small jobs fills what a node remembers of live and ended ones. What was forgotten is read
@@ -245,7 +245,7 @@
         tasks: 1,
         team: None,
     };
-    for number in 0..ENDED_CACHE.max(LIVE_CACHE) + 1 {
+    for number in 0..ENDED_JOB_CACHE_SIZE.max(LIVE_JOB_CACHE_SIZE) + 1 {
         users.cache.record_live(&other(number), 9, Team::named("red"));
         users.cache.record_end(other(number), over.clone());
         users
@@ -253,10 +253,10 @@
             .record_live(&other(1_000_000 + number), 9, Team::named("red"));
         users.on_peer_notice(other(number), false, io.now);
     }
-    assert!(users.cache.ended_len() <= ENDED_CACHE && users.cache.live_len() <= LIVE_CACHE);
-    assert!(users.peer_notices.len() <= PEER_NOTICES);
+    assert!(users.cache.ended_len() <= ENDED_JOB_CACHE_SIZE && users.cache.live_len() <= LIVE_JOB_CACHE_SIZE);
+    assert!(users.peer_notices.len() <= MAX_PEER_NOTICES);
     assert!(!users.cache.has_ended(&job()), "it is forgotten");
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     users.settle(48, &mut io);
     let (_, comparison) = comparison(&mut io);
     let failed = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
@@ -359,7 +359,7 @@
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "done", "tasks": 2 }, "Stamp": 8 });
     users.answered(ended, &answer(200, record), &Counts::new(), &mut io);
     assert_eq!(replies(&io), 0);
-    io.now += POLL_RESPONSE_MS - 1_000;
+    io.now += POLL_RESPONSE_DEADLINE_MS - 1_000;
     users.settle(48, &mut io);
     assert_eq!(status(&mut io), 503);
     io.now += COMMIT_WAIT_MS;
@@ -463,10 +463,10 @@
 #[test]
 fn words_beyond_the_room_for_them_are_not_noted() {
     let mut users = users();
-    for more in 0..PEER_NOTICES {
+    for more in 0..MAX_PEER_NOTICES {
         let job = JobId(std::sync::Arc::from(format!("wk-9{more}")));
         assert!(users.on_peer_notice(job, true, 1_000));
     }
     assert!(!users.on_peer_notice(job(), true, 1_000));
-    assert!(users.on_peer_notice(job(), true, 1_000 + USER_ACT_TIMEOUT_MS));
+    assert!(users.on_peer_notice(job(), true, 1_000 + USER_WRITE_TIMEOUT_MS));
 }
--- a/crates/controller/src/job_api/throttle.rs
+++ b/crates/controller/src/job_api/throttle.rs
@@ -2,8 +2,8 @@
 //! that find no room or wait for too long are asked to come back later.
 
 use crate::constants::{
-    BEGIN_RESERVE, FLOOD_LANE, MAX_WAITING_REQUESTS, POLL_RESERVE, QUEUED_MS, RETRY_AFTER_S,
-    USER_WRITE_BURST, USER_WRITE_SHARE,
+    FLOOD_QUEUE_LENGTH, MAX_QUEUE_WAIT_MS, MAX_WAITING_REQUESTS, NEW_TEAM_RESERVE, RETRY_AFTER_S,
+    USER_WRITE_BURST, USER_WRITE_RESERVE, USER_WRITE_SHARE,
 };
 use crate::io::{Io, RequestId};
 use crate::job_api::pending::Requester;
@@ -84,7 +84,7 @@
     /// Rejects what has waited for too long, while its user still listens.
     pub(super) fn reject_expired<T: Queueable>(&mut self, queue: &mut FairQueue<T>, io: &mut Io) {
         let now = io.now;
-        for (team, item) in queue.take_if(|item| now > item.since() + QUEUED_MS) {
+        for (team, item) in queue.take_if(|item| now > item.since() + MAX_QUEUE_WAIT_MS) {
             self.reject(&team, item.request(), io);
         }
     }
@@ -146,9 +146,13 @@
         }
         // Part of the budget is kept for teams that ask now and then: they need not wait until what
         // others use up comes back.
-        let reserve = if self.writes.begins() { 0.0 } else { BEGIN_RESERVE };
+        let reserve = if self.writes.begins() {
+            0.0
+        } else {
+            NEW_TEAM_RESERVE
+        };
         // Many requests of all teams may use whatever the leader leaves; a flood of one team may not.
-        let flood = self.writes.longest() > FLOOD_LANE;
+        let flood = self.writes.longest() > FLOOD_QUEUE_LENGTH;
         if flood && !self.write_budget.has(1.0, reserve, io.now) {
             return None;
         }
@@ -164,7 +168,7 @@
 
     /// The next poll, if the budget allows one now.
     pub(super) fn next_read(&mut self, io: &mut Io) -> Option<QueuedRequest> {
-        if self.reads.is_empty() || !io.state.take(1.0, POLL_RESERVE, io.now) {
+        if self.reads.is_empty() || !io.state.take(1.0, USER_WRITE_RESERVE, io.now) {
             return None;
         }
         self.reads.pop().map(|(_, queued)| queued)
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -10,8 +10,9 @@
 use super::LeaderTerm;
 use super::calls::TermCall;
 use crate::constants::{
-    BOOK_ACCOUNTS, BOOK_BATCH, BOOK_FOLLOW_MS, BOOK_IDLE_MS, BOOK_PAGE_ITEMS, BOOK_QUIET_CHANGES, BOOK_RUNS,
-    BOOK_SCAN_ITEMS, BOOK_SCAN_MS, BOOK_WRITE_MS, SECOND_MS, STATE_TIMEOUT_MS, TXN_BYTES, VALUE_SHARE,
+    ACCOUNTING_BATCH, ACCOUNTING_FOLLOW_MS, ACCOUNTING_IDLE_MS, ACCOUNTING_PAGE_ITEMS,
+    ACCOUNTING_QUIET_CHANGES, ACCOUNTING_SCAN_ITEMS, ACCOUNTING_SCAN_MS, ACCOUNTING_WRITE_MS,
+    MAX_CANCELLED_ACCOUNTS, MAX_TRACKED_RUNS, MAX_TXN_BYTES, MAX_VALUE_SHARE, SECOND_MS, STATE_TIMEOUT_MS,
     WRITE_RETRY_MS,
 };
 use crate::io::{Io, Method, Outcome, json};
@@ -101,7 +102,7 @@
 impl TermBooks {
     /// Nothing is read from the records yet.
     pub(super) fn new(settings: &Settings) -> TermBooks {
-        let page_bytes = (settings.deployment.state.value_kb * 1024.0 * VALUE_SHARE) as usize;
+        let page_bytes = (settings.deployment.state.value_kb * 1024.0 * MAX_VALUE_SHARE) as usize;
         TermBooks {
             books: JobAccounting::new(page_bytes),
             page_bytes,
@@ -140,7 +141,7 @@
     /// The account of a job that is over, for its end's entry.
     pub(super) fn over(&mut self, id: &JobId, account: &ExecutionStats) {
         self.ended = true;
-        if self.accounts.len() < BOOK_ACCOUNTS && *account != ExecutionStats::default() {
+        if self.accounts.len() < MAX_CANCELLED_ACCOUNTS && *account != ExecutionStats::default() {
             self.accounts.insert(id.clone(), account.clone());
         }
     }
@@ -192,7 +193,7 @@
     }
 
     fn told(&mut self, outcome: &Outcome, now: Timestamp) {
-        self.follow_at = now + BOOK_FOLLOW_MS;
+        self.follow_at = now + ACCOUNTING_FOLLOW_MS;
         if outcome.status() == Some(410) {
             log::info!("accounting rebuild began: the changes since its position are compacted");
             self.fall_behind();
@@ -237,7 +238,7 @@
             }
         }
         self.followed = self.followed.max(changes.revision);
-        if changes.revision >= self.books.at().revision + BOOK_QUIET_CHANGES {
+        if changes.revision >= self.books.at().revision + ACCOUNTING_QUIET_CHANGES {
             self.books.quiet_until(changes.revision);
         }
         if !self.checked && self.scan.is_none() {
@@ -246,7 +247,7 @@
     }
 
     fn scanned(&mut self, outcome: &Outcome, now: Timestamp) {
-        self.scan_at = now + BOOK_SCAN_MS;
+        self.scan_at = now + ACCOUNTING_SCAN_MS;
         let Some(mut scan) = self.scan.take() else { return };
         if let Some(page) = outcome.read::<protocol::StoredPage>(&[200]) {
             if scan.rebuild.is_none() {
@@ -332,7 +333,7 @@
             let path = paths::page(
                 indigopath_accounting::KEY_PREFIX,
                 after.as_deref(),
-                BOOK_PAGE_ITEMS,
+                ACCOUNTING_PAGE_ITEMS,
             );
             (Method::Get, path, Vec::new(), BookCall::Load)
         } else if let Some(scan) = books
@@ -340,10 +341,10 @@
             .as_ref()
             .filter(|scan| !scan.read_all && now >= books.scan_at)
         {
-            let path = paths::page(records::ENDED, scan.after.as_deref(), BOOK_SCAN_ITEMS);
+            let path = paths::page(records::ENDED, scan.after.as_deref(), ACCOUNTING_SCAN_ITEMS);
             (Method::Get, path, Vec::new(), BookCall::Scan)
         } else if now >= books.follow_at
-            && (books.ended || now >= books.follow_at + BOOK_IDLE_MS)
+            && (books.ended || now >= books.follow_at + ACCOUNTING_IDLE_MS)
             && books.books.has_room()
             && !(behind && begins)
         {
@@ -351,7 +352,7 @@
             (Method::Get, path, Vec::new(), BookCall::Changes)
         } else if now >= books.write_at && !behind {
             let most = settings.deployment.state.txn_ops.min(io.writes.available(now));
-            let Some(changes) = books.books.write(most, TXN_BYTES) else {
+            let Some(changes) = books.books.write(most, MAX_TXN_BYTES) else {
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
@@ -394,8 +395,8 @@
             BookCall::Scan => books.scanned(outcome, now),
             BookCall::Write { head } => {
                 // What waits for more than one write goes on at once.
-                let more = books.books.pending() > BOOK_BATCH;
-                books.write_at = now + if more { SECOND_MS } else { BOOK_WRITE_MS };
+                let more = books.books.pending() > ACCOUNTING_BATCH;
+                books.write_at = now + if more { SECOND_MS } else { ACCOUNTING_WRITE_MS };
                 let answer = outcome.read::<protocol::TransactionResponse>(&[200]);
                 match (answer, outcome.status()) {
                     (Some(answer), _) => {
@@ -496,7 +497,7 @@
 
     /// An attempt runs.
     pub(super) fn note_run(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        if self.books.runs.len() < BOOK_RUNS {
+        if self.books.runs.len() < MAX_TRACKED_RUNS {
             self.books.runs.insert((task.clone(), number), now);
         }
     }
--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -2,8 +2,8 @@
 
 use crate::allocations::Machine;
 use crate::constants::{
-    CHECK_MS, CLOUD_RETRY_MS, LIST_INTERVAL_MS, LIST_LAG_MOST, LIST_LAG_SLACK_MS, LIST_PAGE_MACHINES,
-    LIST_PAGE_MS, RENT_RESERVE, SECOND_MS,
+    CLOUD_RETRY_MS, LIST_INTERVAL_MS, LIST_LAG_MAX_FACTOR, LIST_LAG_SLACK_MS, LIST_PAGE_MACHINES,
+    LIST_PAGE_MS, LIVENESS_CHECK_MS, RELEASE_CALL_RESERVE, SECOND_MS,
 };
 use crate::io::{Io, Method, Outcome};
 use crate::leader::LeaderTerm;
@@ -62,10 +62,10 @@
             return;
         }
         let Ok(permit) = io.permits.request(GuardedOperation::ListMachines, io.now) else {
-            listing.next_at = io.now + CHECK_MS;
+            listing.next_at = io.now + LIVENESS_CHECK_MS;
             return;
         };
-        if !io.cloud.take(1.0, RENT_RESERVE, io.now) {
+        if !io.cloud.take(1.0, RELEASE_CALL_RESERVE, io.now) {
             return;
         }
         listing.in_flight = true;
@@ -118,7 +118,7 @@
 
     /// Drops the records of requests whose machines the list must show by now.
     pub(in crate::leader) fn forget_requests(&mut self, settings: &Settings, now: Timestamp) {
-        let lag_s = settings.deployment.cloud.list_lag_s * LIST_LAG_MOST;
+        let lag_s = settings.deployment.cloud.list_lag_s * LIST_LAG_MAX_FACTOR;
         let pages = (self.machines.len() / LIST_PAGE_MACHINES) as u64;
         let listed_ms = (lag_s * SECOND_MS as f64) as u64 + LIST_LAG_SLACK_MS + pages * LIST_PAGE_MS;
         let listed: Vec<String> = self
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -7,7 +7,7 @@
 
 use super::LeaderTerm;
 use crate::autoscaling::scale_out_request::ScaleOutRequest;
-use crate::constants::{BOOT_SMOOTHING, FLEET_LOOP_MS, RELEASE_MS, SECOND_MS};
+use crate::constants::{AUTOSCALER_INTERVAL_MS, BOOT_SMOOTHING, DEFAULT_RELEASE_MS, SECOND_MS};
 use crate::model::{MachineKind, Timestamp};
 use crate::protocol::RentalRequest;
 use crate::scheduling::placement::MachineTypes;
@@ -47,7 +47,7 @@
             wanted: HashSet::new(),
             spot_losses: SpotLosses::default(),
             boot_s: HashMap::new(),
-            release_s: RELEASE_MS as f64 / SECOND_MS as f64,
+            release_s: DEFAULT_RELEASE_MS as f64 / SECOND_MS as f64,
             listing: CloudListing::default(),
             cloud_retry_at: 0,
             sizing_at: 0,
@@ -117,7 +117,7 @@
     pub(super) fn take_sizing_due(&mut self, now: Timestamp) -> bool {
         let due = now >= self.sizing_at;
         if due {
-            self.sizing_at = now + FLEET_LOOP_MS;
+            self.sizing_at = now + AUTOSCALER_INTERVAL_MS;
         }
         due
     }
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -3,8 +3,8 @@
 use super::Autoscaler;
 use crate::allocations::Machine;
 use crate::constants::{
-    BOOT_GIVE_UP_FACTOR, BOOT_SMOOTHING, BOOT_UNKNOWN_S, CLOUD_RETRY_MS, IDLE_KEPT, IDLE_MANY_MS,
-    RELEASE_MAX, SECOND_MS,
+    BOOT_SMOOTHING, BOOT_TIMEOUT_FACTOR, CLOUD_RETRY_MS, DEFAULT_BOOT_S, EXCESS_IDLE_RELEASE_MS,
+    IDLE_KEPT_PER_KIND, MAX_MACHINES_PER_RELEASE, SECOND_MS,
 };
 use crate::io::{Io, Method, Outcome, json};
 use crate::leader::calls::TermCall;
@@ -54,8 +54,11 @@
             return false;
         };
         let kind = machine.kind();
-        let alike = self.alike.get_mut(&kind).filter(|alike| **alike > IDLE_KEPT);
-        let many = alike.is_some() && self.now >= since + self.idle_ms.min(IDLE_MANY_MS);
+        let alike = self
+            .alike
+            .get_mut(&kind)
+            .filter(|alike| **alike > IDLE_KEPT_PER_KIND);
+        let many = alike.is_some() && self.now >= since + self.idle_ms.min(EXCESS_IDLE_RELEASE_MS);
         let goes = (many || self.now >= since + self.idle_ms) && !self.wanted.contains(&kind);
         if goes && let Some(alike) = alike {
             *alike -= 1;
@@ -73,13 +76,13 @@
         // Quick boots that were seen do not make a regular one late.
         let nominal_s = types
             .get(&machine.machine_type)
-            .map_or(BOOT_UNKNOWN_S, |machine_type| machine_type.boot_s);
+            .map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let boot_s = self
             .boot_s
             .get(&machine.machine_type)
             .map_or(nominal_s, |seen| seen.max(nominal_s));
         let known_ms = machine.age_at_first_known + now.saturating_sub(machine.first_known);
-        known_ms as f64 > BOOT_GIVE_UP_FACTOR * boot_s * SECOND_MS as f64
+        known_ms as f64 > BOOT_TIMEOUT_FACTOR * boot_s * SECOND_MS as f64
     }
 }
 
@@ -123,7 +126,7 @@
         };
         let mut surplus = Vec::new();
         for machine in self.machines.values() {
-            if machine.return_in_flight || surplus.len() >= RELEASE_MAX {
+            if machine.return_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
             let never_up = self.autoscaler.boot_failed(machine, types, now);
@@ -191,7 +194,7 @@
     fn send_returns(&mut self, permit: Permit, io: &mut Io) {
         let mut names: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.returning || machine.return_in_flight || names.len() >= RELEASE_MAX {
+            if !machine.returning || machine.return_in_flight || names.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
             // It has answered since, with work on it, and nobody was asked to take it.
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -4,7 +4,7 @@
 use crate::allocations::Machine;
 use crate::autoscaling::scale_out_request::ScaleOutRequest;
 use crate::autoscaling::target_size::{self, PendingCapacity, QueuedDemand};
-use crate::constants::{CLOUD_RETRY_MS, REFUSED_MS, RENT_MAX, RENT_RESERVE};
+use crate::constants::{CAPACITY_RETRY_MS, CLOUD_RETRY_MS, MAX_MACHINES_PER_RENTAL, RELEASE_CALL_RESERVE};
 use crate::io::{Io, Method, Outcome, json};
 use crate::leader::LeaderTerm;
 use crate::leader::calls::TermCall;
@@ -262,7 +262,7 @@
                 if spot { " spot=true" } else { "" }
             );
             while left > 0 {
-                let count = left.min(RENT_MAX);
+                let count = left.min(MAX_MACHINES_PER_RENTAL);
                 left -= count;
                 self.autoscaler.request_count += 1;
                 let request = RentalRequest {
@@ -299,7 +299,7 @@
         };
         let mut sends = Vec::new();
         for rental in self.autoscaler.requests.values_mut() {
-            if due(rental) && io.cloud.take(1.0, RENT_RESERVE, io.now) {
+            if due(rental) && io.cloud.take(1.0, RELEASE_CALL_RESERVE, io.now) {
                 rental.sent = true;
                 rental.in_flight = true;
                 sends.push(rental.request.clone());
@@ -391,7 +391,9 @@
             if request.spot { " spot=true" } else { "" }
         );
         let kind = request.kind();
-        self.autoscaler.refused.insert(kind.clone(), io.now + REFUSED_MS);
+        self.autoscaler
+            .refused
+            .insert(kind.clone(), io.now + CAPACITY_RETRY_MS);
         // What has not been sent of the same kind would be refused too, a call each.
         let in_vain: Vec<String> = self
             .autoscaler
--- a/crates/controller/src/leader/autoscaling/spot_losses.rs
+++ b/crates/controller/src/leader/autoscaling/spot_losses.rs
@@ -1,6 +1,6 @@
 //! How often the cloud takes spot machines back.
 
-use crate::constants::{SECOND_MS, SPOT_LOSS_PRIOR, SPOT_LOSS_PRIOR_S};
+use crate::constants::{SECOND_MS, SPOT_LOSS_PRIOR_PER_S, SPOT_LOSS_PRIOR_WEIGHT_S};
 use crate::model::Timestamp;
 
 /// How often spot machines are lost, as seen in this term.
@@ -28,6 +28,7 @@
 
     /// Losses per second and machine.
     pub(in crate::leader) fn rate(&self) -> f64 {
-        (f64::from(self.lost) + SPOT_LOSS_PRIOR * SPOT_LOSS_PRIOR_S) / (self.machine_s + SPOT_LOSS_PRIOR_S)
+        (f64::from(self.lost) + SPOT_LOSS_PRIOR_PER_S * SPOT_LOSS_PRIOR_WEIGHT_S)
+            / (self.machine_s + SPOT_LOSS_PRIOR_WEIGHT_S)
     }
 }
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -6,7 +6,7 @@
 use super::calls::TermCall;
 use super::oversubscription::{HeldUnits, LingeringUnits, Oversubscription, UsageReport};
 use crate::allocations::Machine;
-use crate::constants::{COUNT_WARNING_AFTER_MS, FORECAST_MS, SECOND_MS, WARNING_REPEAT_MS};
+use crate::constants::{COUNT_WARNING_AFTER_MS, FORECAST_INTERVAL_MS, SECOND_MS, WARNING_REPEAT_MS};
 use crate::io::{Effect, FencedDestination, Io, Method, Outcome};
 use crate::model::{Job, JobId, MachineId, Timestamp};
 use crate::protocol::paths;
@@ -246,7 +246,7 @@
 
     /// Looks at all counts for what operators should know.
     pub(super) fn look_at_counts(&mut self, definitions: &Definitions, io: &mut Io) {
-        if io.now < self.counted.looked_at + FORECAST_MS {
+        if io.now < self.counted.looked_at + FORECAST_INTERVAL_MS {
             return;
         }
         self.counted.looked_at = io.now;
--- a/crates/controller/src/leader/demand_forecast.rs
+++ b/crates/controller/src/leader/demand_forecast.rs
@@ -2,7 +2,7 @@
 //! at on a slow schedule, beside the scheduling passes.
 
 use super::LeaderTerm;
-use crate::constants::{FORECAST_MS, SERVED_TERM_MS};
+use crate::constants::{FORECAST_INTERVAL_MS, SERVED_MIN_TERM_MS};
 use crate::io::Io;
 use crate::model::{Job, Timestamp};
 use crate::scheduling::fair_share::{DemandSatisfaction, LiveDemand, Share, ShareOwner};
@@ -47,7 +47,7 @@
         if io.now < self.forecast.due_at {
             return;
         }
-        self.forecast.due_at = io.now + FORECAST_MS;
+        self.forecast.due_at = io.now + FORECAST_INTERVAL_MS;
         let input = ForecastInput {
             jobs: self.jobs.as_map(),
             machines: self.machines.as_map(),
@@ -69,7 +69,7 @@
             short_of_units: self.counted.short.iter().map(|short| &short.job).collect(),
             deployment: &settings.deployment,
         };
-        let judged = io.now >= self.started + SERVED_TERM_MS;
+        let judged = io.now >= self.started + SERVED_MIN_TERM_MS;
         self.forecast.satisfaction.update(&live, judged, io);
         self.look_at_sizes(types, io);
     }
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -5,7 +5,7 @@
 use super::calls::TermCall;
 use crate::allocations::{Attempt, Stop};
 use crate::constants::{
-    DIRECT_COMMAND_TIMEOUT_MS, DIRECT_COMMANDS_IN_FLIGHT, INSPECT_TIMEOUT_MS, PROBES_RESERVE,
+    DIRECT_COMMAND_TIMEOUT_MS, DIRECT_COMMANDS_IN_FLIGHT, INSPECT_TIMEOUT_MS, URGENT_PROBE_RESERVE,
 };
 use crate::election::{Election, ElectionEvent};
 use crate::io::{FencedDestination, Io, Method, Outcome, json};
@@ -101,7 +101,7 @@
         for (_, id) in due {
             // Machines that nobody can reach must not use up the questions that would
             // prove it.
-            if !self.liveness.take_probe(PROBES_RESERVE, now) {
+            if !self.liveness.take_probe(URGENT_PROBE_RESERVE, now) {
                 return;
             }
             self.direct(&id, true, false, io);
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -4,8 +4,9 @@
 use super::LeaderTerm;
 use crate::allocations::Machine;
 use crate::constants::{
-    COPIES_MS, KEEP_PRICE_SHARE, LEARN_FETCH_S, MACHINE_LOSS_PRIOR, MACHINE_LOSS_PRIOR_S, SECOND_MS,
-    STARTS_FADE_S, STARTS_LEAST, TOLD_IMAGES, WARNING_REPEAT_MS,
+    IDLE_IMAGE_PRICE_SHARE, IMAGE_COPIES_INTERVAL_MS, IMAGE_STARTS_DECAY_S, MACHINE_LOSS_PRIOR_PER_S,
+    MACHINE_LOSS_PRIOR_WEIGHT_S, MAX_WARNED_IMAGES, MIN_IMAGE_START_RATE, MIN_SAMPLED_FETCH_S, SECOND_MS,
+    WARNING_REPEAT_MS,
 };
 use crate::io::{Effect, Io};
 use crate::model::{MachineId, Timestamp};
@@ -56,8 +57,8 @@
     }
 
     fn loss(&self, spot: bool) -> f64 {
-        let own = (f64::from(self.lost) + MACHINE_LOSS_PRIOR * MACHINE_LOSS_PRIOR_S)
-            / (self.machine_s + MACHINE_LOSS_PRIOR_S);
+        let own = (f64::from(self.lost) + MACHINE_LOSS_PRIOR_PER_S * MACHINE_LOSS_PRIOR_WEIGHT_S)
+            / (self.machine_s + MACHINE_LOSS_PRIOR_WEIGHT_S);
         if spot { own.max(self.spot_loss) } else { own }
     }
 }
@@ -77,7 +78,7 @@
     pub fn started(&mut self, image: &Arc<str>, there: bool, now: Timestamp) {
         self.placed[usize::from(!there)] += 1;
         let (rate, at) = self.starts.entry(image.clone()).or_insert((0.0, now));
-        *rate = *rate * faded(*at, now) + 1.0 / STARTS_FADE_S;
+        *rate = *rate * faded(*at, now) + 1.0 / IMAGE_STARTS_DECAY_S;
         *at = now;
     }
 
@@ -109,7 +110,7 @@
     pub fn forget(&mut self) {
         let now = self.now;
         self.starts
-            .retain(|_, (rate, at)| *rate * faded(*at, now) > STARTS_LEAST);
+            .retain(|_, (rate, at)| *rate * faded(*at, now) > MIN_IMAGE_START_RATE);
     }
 
     /// An image of so many GB came to be on a machine of this kind.
@@ -119,7 +120,7 @@
         };
         let nominal_s = gb * s_per_gb;
         // Of a short one, most is the way of the order and the report.
-        if nominal_s >= LEARN_FETCH_S {
+        if nominal_s >= MIN_SAMPLED_FETCH_S {
             let took_s = took_ms as f64 / SECOND_MS as f64;
             self.rates.learn(
                 kind,
@@ -135,7 +136,7 @@
 
 fn faded(at: Timestamp, now: Timestamp) -> f64 {
     let since_s = now.saturating_sub(at) as f64 / SECOND_MS as f64;
-    (-since_s / STARTS_FADE_S).exp()
+    (-since_s / IMAGE_STARTS_DECAY_S).exp()
 }
 
 impl LeaderTerm {
@@ -157,7 +158,7 @@
                 machine.images.sized(known.cache_gb);
             }
         }
-        if now >= self.weights.copies_at + COPIES_MS || self.weights.copies_at == 0 {
+        if now >= self.weights.copies_at + IMAGE_COPIES_INTERVAL_MS || self.weights.copies_at == 0 {
             self.weights.copies_at = now;
             self.look_at_copies(settings);
         }
@@ -234,7 +235,7 @@
             .weights
             .copies
             .clone()
-            .worth_keeping(&idle, all * KEEP_PRICE_SHARE);
+            .worth_keeping(&idle, all * IDLE_IMAGE_PRICE_SHARE);
         let kept = names.into_iter().zip(keep).filter(|(_, keep)| *keep);
         kept.map(|(name, _)| name).collect()
     }
@@ -266,7 +267,7 @@
             }
         }
         let jobs = self.jobs.as_map();
-        if self.weights.told.len() > TOLD_IMAGES {
+        if self.weights.told.len() > MAX_WARNED_IMAGES {
             let live: HashSet<&Arc<str>> = jobs.values().map(|job| &job.spec.image).collect();
             self.weights.told.retain(|image, _| live.contains(image));
         }
--- a/crates/controller/src/leader/job_table.rs
+++ b/crates/controller/src/leader/job_table.rs
@@ -2,7 +2,7 @@
 //! counts that are shown to users.
 
 use crate::allocations::Machine;
-use crate::constants::COUNT_MS;
+use crate::constants::TASK_COUNT_INTERVAL_MS;
 use crate::job_api::Counts;
 use crate::model::{Job, JobId, Timestamp};
 use crate::protocol::TaskState;
@@ -97,7 +97,7 @@
 
     /// Counts the tasks that are done and running, at bounded intervals.
     pub(super) fn count_when_due<'m>(&mut self, machines: impl Iterator<Item = &'m Machine>, now: Timestamp) {
-        if now < self.counted_at + COUNT_MS {
+        if now < self.counted_at + TASK_COUNT_INTERVAL_MS {
             return;
         }
         self.counted_at = now;
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -4,8 +4,8 @@
 use super::{LeaderTerm, PeerView};
 use crate::allocations::Machine;
 use crate::constants::{
-    CHECK_MS, CLOCK_DRIFT_PPM, INSPECT_TIMEOUT_MS, LEASE_MARGIN_MS, PROBE_AFTER_MS, PROBES_PER_CORE,
-    PROBES_PER_S, PROBES_RESERVE, REPORT_LATE, REPORT_SLACK_MS, SECOND_MS,
+    CLOCK_DRIFT_PPM, INSPECT_TIMEOUT_MS, LEASE_MARGIN_MS, LIVENESS_CHECK_MS, PROBE_AFTER_MS, PROBES_PER_S,
+    PROBES_PER_S_PER_CORE, REPORT_LATE_FACTOR, REPORT_SLACK_MS, SECOND_MS, URGENT_PROBE_RESERVE,
 };
 use crate::election::cancellation_watermark;
 use crate::election::{Election, ElectionEvent};
@@ -29,7 +29,7 @@
     /// With a budget of probes for the node's cores.
     pub(super) fn new(settings: &Settings, now: Timestamp) -> Liveness {
         let cores = settings.deployment.limits.cores;
-        let probes_per_s = (PROBES_PER_CORE * cores).min(PROBES_PER_S);
+        let probes_per_s = (PROBES_PER_S_PER_CORE * cores).min(PROBES_PER_S);
         Liveness {
             check_at: 0,
             probe_budget: TokenBucket::new(probes_per_s, probes_per_s, now),
@@ -40,7 +40,7 @@
     pub(super) fn take_check_due(&mut self, now: Timestamp) -> bool {
         let due = now >= self.check_at;
         if due {
-            self.check_at = now + CHECK_MS;
+            self.check_at = now + LIVENESS_CHECK_MS;
         }
         due
     }
@@ -58,7 +58,7 @@
         let lease_ms = (workers.lease_s * SECOND_MS as f64) as u64;
         let lease_ms = lease_ms + lease_ms * CLOCK_DRIFT_PPM / 1_000_000 + LEASE_MARGIN_MS;
         // A heartbeat later than this is missing, not just slow.
-        let overdue_ms = (workers.report_s * REPORT_LATE * SECOND_MS as f64) as u64 + REPORT_SLACK_MS;
+        let overdue_ms = (workers.report_s * REPORT_LATE_FACTOR * SECOND_MS as f64) as u64 + REPORT_SLACK_MS;
         self.sample_when_silent(io);
         self.sample_zones(io);
         self.look_at_one_way(peers.found_ms + overdue_ms, io.now);
@@ -117,7 +117,7 @@
     fn probe_silent(&mut self, mut due: Vec<(u8, Reverse<u64>, MachineId)>, io: &mut Io) {
         due.sort();
         for (rank, _, id) in due {
-            let reserve = if rank == 0 { 0.0 } else { PROBES_RESERVE };
+            let reserve = if rank == 0 { 0.0 } else { URGENT_PROBE_RESERVE };
             if !self.liveness.take_probe(reserve, io.now) {
                 break;
             }
--- a/crates/controller/src/leader/machine_table.rs
+++ b/crates/controller/src/leader/machine_table.rs
@@ -2,7 +2,7 @@
 //! that went back lately.
 
 use crate::allocations::{Attempt, Machine};
-use crate::constants::{GONE_MEMORY_MS, INDEX_MS};
+use crate::constants::{GONE_MACHINE_RETENTION_MS, MACHINE_INDEX_REBUILD_MS};
 use crate::model::{JobId, MachineId, TaskLocations, Timestamp};
 use std::collections::{BTreeMap, HashMap, btree_map};
 
@@ -82,7 +82,7 @@
     /// Removes a machine that the cloud has taken back, and remembers it for a while.
     pub(super) fn take_gone(&mut self, id: &MachineId, now: Timestamp) -> Option<Machine> {
         let machine = self.machines.remove(id)?;
-        self.remember_gone(id, now + GONE_MEMORY_MS);
+        self.remember_gone(id, now + GONE_MACHINE_RETENTION_MS);
         Some(machine)
     }
 
@@ -145,7 +145,7 @@
 
     /// Reindexes at bounded intervals.
     pub(super) fn reindex_when_due(&mut self, now: Timestamp) {
-        if now >= self.indexed_at + INDEX_MS {
+        if now >= self.indexed_at + MACHINE_INDEX_REBUILD_MS {
             self.reindex(now);
         }
     }
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -4,7 +4,7 @@
 //! in a zone most of whose machines are so.
 
 use super::LeaderTerm;
-use crate::constants::MUTE_ZONE_LEAST;
+use crate::constants::MUTE_ZONE_MIN_MACHINES;
 use crate::model::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,7 +26,7 @@
             *one_way_partition += usize::from(machine.own_report_late(late_ms, now));
         }
         let mostly = zones.into_iter().filter(|(_, (all, one_way_partition))| {
-            *one_way_partition >= MUTE_ZONE_LEAST && 2 * one_way_partition > *all
+            *one_way_partition >= MUTE_ZONE_MIN_MACHINES && 2 * one_way_partition > *all
         });
         let mostly: BTreeSet<String> = mostly.map(|(zone, _)| zone.to_owned()).collect();
         for zone in mostly.symmetric_difference(&self.one_way_partition.zones) {
--- a/crates/controller/src/leader/oversubscription.rs
+++ b/crates/controller/src/leader/oversubscription.rs
@@ -2,7 +2,7 @@
 //! attempts hold some, which units linger, and which clients of the licence server are not ours.
 
 use crate::allocations::Attempt;
-use crate::constants::OVERSUBSCRIPTION_PARTS;
+use crate::constants::OVERSUBSCRIPTION_PARTS_LOGGED;
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::storage::batch_writer::ShardLinger;
 use indigopath_counted_resources::{Feed, Name, Pool};
@@ -184,11 +184,11 @@
 /// Writes the first parts of a sum, and how many more there are.
 fn write_parts(out: &mut Formatter<'_>, name: &str, parts: &[impl Display]) -> fmt::Result {
     write!(out, " {name}=[")?;
-    for (at, part) in parts.iter().take(OVERSUBSCRIPTION_PARTS).enumerate() {
+    for (at, part) in parts.iter().take(OVERSUBSCRIPTION_PARTS_LOGGED).enumerate() {
         let separator = if at > 0 { "; " } else { "" };
         write!(out, "{separator}{part}")?;
     }
-    let more = parts.len().saturating_sub(OVERSUBSCRIPTION_PARTS);
+    let more = parts.len().saturating_sub(OVERSUBSCRIPTION_PARTS_LOGGED);
     if more > 0 {
         write!(out, "; {more} more")?;
     }
--- a/crates/controller/src/leader/oversubscription/tests.rs
+++ b/crates/controller/src/leader/oversubscription/tests.rs
@@ -57,9 +57,9 @@
 
 #[test]
 fn a_long_list_of_parts_is_cut_short_and_says_so() {
-    let parts = OVERSUBSCRIPTION_PARTS as u64 + 3;
+    let parts = OVERSUBSCRIPTION_PARTS_LOGGED as u64 + 3;
     let text = report((0..parts).map(held).collect(), Vec::new(), None);
-    assert!(text.contains(&format!("attempt={}", OVERSUBSCRIPTION_PARTS - 1)));
-    assert!(!text.contains(&format!("attempt={OVERSUBSCRIPTION_PARTS} ")));
+    assert!(text.contains(&format!("attempt={}", OVERSUBSCRIPTION_PARTS_LOGGED - 1)));
+    assert!(!text.contains(&format!("attempt={OVERSUBSCRIPTION_PARTS_LOGGED} ")));
     assert!(text.ends_with("; 3 more] lingers=[]"), "{text}");
 }
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -3,8 +3,8 @@
 
 use super::{LeaderTerm, PeerView};
 use crate::constants::{
-    HEARD_AGAIN_MS, INSPECT_TIMEOUT_MS, PROBE_SAMPLE, SUSPECT_SELF_ALONE_MS, SUSPECT_SELF_MS,
-    SUSPECT_SELF_SHARE,
+    INSPECT_TIMEOUT_MS, PROBE_SAMPLE, RECONNECT_GRACE_MS, SELF_PARTITION_HANDOVER_ALONE_MS,
+    SELF_PARTITION_HANDOVER_MS, SELF_PARTITION_SILENT_SHARE,
 };
 use crate::election::{Election, ElectionEvent};
 use crate::io::Io;
@@ -102,7 +102,8 @@
     pub(super) fn suspects_own_partition(&self) -> bool {
         let SilentMachines { silent, all } = self.silent();
         silent >= 2
-            && (self.partition.sample_unreachable || f64::from(silent) > SUSPECT_SELF_SHARE * f64::from(all))
+            && (self.partition.sample_unreachable
+                || f64::from(silent) > SELF_PARTITION_SILENT_SHARE * f64::from(all))
     }
 
     /// Hands leadership over where a peer hears the workers that are silent here.
@@ -119,13 +120,13 @@
             return None;
         }
         let since = *self.partition.suspected_since.get_or_insert(io.now);
-        if io.now >= since + SUSPECT_SELF_MS && peers.hears > 0 {
+        if io.now >= since + SELF_PARTITION_HANDOVER_MS && peers.hears > 0 {
             return election.hand_over("most workers are silent here, but not to a sibling", io);
         }
         // Peers that are there and cannot be asked may hear all of them; if nobody does, nothing
         // is lost with a leader that hears none either.
         let alone = peers.fresh == 0 && peers.all > 0;
-        if alone && self.partition.sample_unreachable && io.now >= since + SUSPECT_SELF_ALONE_MS {
+        if alone && self.partition.sample_unreachable && io.now >= since + SELF_PARTITION_HANDOVER_ALONE_MS {
             return election.hand_over("most workers are silent here, and no sibling can be asked", io);
         }
         None
@@ -140,11 +141,11 @@
                 || self
                     .partition
                     .suspected_since
-                    .is_none_or(|since| now < since + SUSPECT_SELF_MS + peers.found_ms));
+                    .is_none_or(|since| now < since + SELF_PARTITION_HANDOVER_MS + peers.found_ms));
         let just_ruled_out = self
             .partition
             .ruled_out_at
-            .is_some_and(|at| now < at + HEARD_AGAIN_MS);
+            .is_some_and(|at| now < at + RECONNECT_GRACE_MS);
         !suspects_itself && !just_ruled_out && self.others_answer()
     }
 }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -3,7 +3,9 @@
 
 use super::LeaderTerm;
 use super::calls::TermCall;
-use crate::constants::{FORGET_RENEWAL_MS, FORGETS_PENDING_MAX, SECOND_MS, STATE_TIMEOUT_MS, WRITE_RETRY_MS};
+use crate::constants::{
+    FORGET_TOKEN_RENEWAL_MS, MAX_PENDING_FORGETS, SECOND_MS, STATE_TIMEOUT_MS, WRITE_RETRY_MS,
+};
 use crate::election::{Election, ElectionEvent};
 use crate::io::{Io, Outcome, json};
 use crate::model::{JobId, JobSpec, Timestamp};
@@ -79,7 +81,7 @@
     /// forgotten: these gather for a while, as a new token makes every worker report.
     fn fencing_needed(&self, now: Timestamp) -> bool {
         let token = self.writer.token;
-        let paced = now >= self.persistence.token_renewed_at.max(self.started) + FORGET_RENEWAL_MS;
+        let paced = now >= self.persistence.token_renewed_at.max(self.started) + FORGET_TOKEN_RENEWAL_MS;
         self.machines.values().any(|machine| {
             let mut waiting = 0;
             !machine.returning
@@ -87,7 +89,7 @@
                     let waits = attempt.forget_waits(token);
                     waiting += usize::from(waits);
                     // Who waited in vain for its gang joins it again once it is forgotten.
-                    waits && (paced || waiting > FORGETS_PENDING_MAX || attempt.waited_in_vain())
+                    waits && (paced || waiting > MAX_PENDING_FORGETS || attempt.waited_in_vain())
                         || attempt
                             .unacknowledged
                             .is_some_and(|unacknowledged| unacknowledged.token == token)
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -2,7 +2,9 @@
 //! kept for them, the record of both, and plain warnings.
 
 use super::LeaderTerm;
-use crate::constants::{PROTECTED_WAIT_MS, SHIFT_LOOK_MS, SPARE_REPLICAS_MAX, VALUE_SHARE};
+use crate::constants::{
+    MAX_SPARE_REPLICAS, MAX_VALUE_SHARE, PROTECTED_WAIT_WARNING_MS, PROTECTION_WINDOW_CHECK_MS,
+};
 use crate::io::{Effect, Io};
 use crate::model::{Job, JobId, JobSpec, MachineId, Resources, Timestamp};
 use crate::protocol::{Shape, StoredItem};
@@ -38,7 +40,7 @@
         let deployment = &settings.deployment;
         // Each clock is off by so much at most, so that two differ by twice that.
         let bound_ms = (2.0 * deployment.clock_off_ms).ceil() as u64;
-        let value_bytes = (deployment.state.value_kb * 1024.0 * VALUE_SHARE) as usize;
+        let value_bytes = (deployment.state.value_kb * 1024.0 * MAX_VALUE_SHARE) as usize;
         Shifts {
             ledger: WindowState::new(settings.shifts.clone(), bound_ms, value_bytes),
             timetable: settings.shifts.clone(),
@@ -107,7 +109,7 @@
         if !self.shifts.on() || io.now < self.shifts.look_at {
             return;
         }
-        self.shifts.look_at = io.now + SHIFT_LOOK_MS;
+        self.shifts.look_at = io.now + PROTECTION_WINDOW_CHECK_MS;
         let jobs = self.jobs.values().filter(|job| {
             // Nothing is wanted of what is held.
             job.spec.shape == Shape::Service && !job.parked
@@ -205,7 +207,9 @@
         let mut warning = None;
         if short > 0 {
             let since = *self.shifts.short_since.get_or_insert(io.now);
-            if io.now >= since + PROTECTED_WAIT_MS && !std::mem::replace(&mut self.shifts.told_short, true) {
+            if io.now >= since + PROTECTED_WAIT_WARNING_MS
+                && !std::mem::replace(&mut self.shifts.told_short, true)
+            {
                 warning = Some(format!(
                     "shifts: {short} protected replicas find no room: the cloud has too few machines for them, \
                      or their teams may use no more"
@@ -257,7 +261,7 @@
             None => alike.push((job, wanted)),
         }
     }
-    let mut left = SPARE_REPLICAS_MAX;
+    let mut left = MAX_SPARE_REPLICAS;
     let mut rooms = Vec::new();
     for (job, wanted) in alike {
         let tasks = (wanted.ceil() as u32).min(left);
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -2,7 +2,9 @@
 
 use super::{LeaderTerm, Superseded, buffered_heartbeats};
 use crate::allocations::{Change, Machine};
-use crate::constants::{BAD_JOB_DOUBLINGS, BAD_JOB_WAIT_MS, FULL_WAIT_MS, SECOND_MS};
+use crate::constants::{
+    FAILING_JOB_BACKOFF_MS, FAILING_JOB_MAX_DOUBLINGS, FULL_MACHINE_BACKOFF_MS, SECOND_MS,
+};
 use crate::io::{Io, RequestId};
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::protocol::{Cause, Heartbeat, HeartbeatResponse, Shape};
@@ -300,7 +302,7 @@
                     job.failed_on.insert(id.clone());
                     job.failed_at = now;
                     if job.to_blame() && now >= job.held_until {
-                        let wait = BAD_JOB_WAIT_MS << job.failures.min(BAD_JOB_DOUBLINGS);
+                        let wait = FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_MAX_DOUBLINGS);
                         job.held_until = now + wait;
                         job.failures += 1;
                     }
@@ -320,7 +322,7 @@
                 }
                 Cause::NoRoom | Cause::Busy => {
                     if let Some(machine) = self.machines.get_mut(id) {
-                        machine.full_until = now + FULL_WAIT_MS;
+                        machine.full_until = now + FULL_MACHINE_BACKOFF_MS;
                     }
                 }
                 _ => (),
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -3,7 +3,7 @@
 use super::LeaderTerm;
 use super::calls::TermCall;
 use crate::condor;
-use crate::constants::{JOBS_HOLD_MS, WATCH_SLACK_MS, WRITE_RETRY_MS};
+use crate::constants::{JOB_WATCH_LONG_POLL_MS, WATCH_SLACK_MS, WRITE_RETRY_MS};
 use crate::election::{Election, ElectionEvent};
 use crate::io::{Io, Method, Outcome};
 use crate::model::{JobId, JobSpec, Timestamp};
@@ -31,7 +31,7 @@
             return None;
         }
         self.in_flight = true;
-        Some(paths::watch(records::JOBS, self.revision, JOBS_HOLD_MS))
+        Some(paths::watch(records::JOBS, self.revision, JOB_WATCH_LONG_POLL_MS))
     }
 
     /// Changes up to this revision were told.
@@ -52,7 +52,7 @@
         let Some(path) = self.watch.next_call(io.now) else {
             return;
         };
-        let timeout_ms = JOBS_HOLD_MS + WATCH_SLACK_MS;
+        let timeout_ms = JOB_WATCH_LONG_POLL_MS + WATCH_SLACK_MS;
         let kind = TermCall::Watch { sent: io.now };
         self.state_call(Method::Get, path, Vec::new(), timeout_ms, kind, io);
     }
--- a/crates/controller/src/leader/record_watch/tests.rs
+++ b/crates/controller/src/leader/record_watch/tests.rs
@@ -6,12 +6,18 @@
     let mut watch = RecordWatch::default();
     watch.begin_at(7);
     let first = watch.next_call(0);
-    assert_eq!(first, Some(paths::watch(records::JOBS, 7, JOBS_HOLD_MS)));
+    assert_eq!(
+        first,
+        Some(paths::watch(records::JOBS, 7, JOB_WATCH_LONG_POLL_MS))
+    );
     assert_eq!(watch.next_call(1), None);
     watch.in_flight = false;
     watch.advanced(9, 1);
     let second = watch.next_call(1);
-    assert_eq!(second, Some(paths::watch(records::JOBS, 9, JOBS_HOLD_MS)));
+    assert_eq!(
+        second,
+        Some(paths::watch(records::JOBS, 9, JOB_WATCH_LONG_POLL_MS))
+    );
 }
 
 // An answer from a replica that lags behind must not turn the watch back.
@@ -21,7 +27,7 @@
     watch.begin_at(7);
     watch.advanced(5, 0);
     let path = watch.next_call(0);
-    assert_eq!(path, Some(paths::watch(records::JOBS, 7, JOBS_HOLD_MS)));
+    assert_eq!(path, Some(paths::watch(records::JOBS, 7, JOB_WATCH_LONG_POLL_MS)));
 }
 
 #[test]
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -6,7 +6,7 @@
 use super::calls::TermCall;
 use crate::allocations::{Machine, Stop};
 use crate::condor;
-use crate::constants::{PAGE_ITEMS, WRITE_RETRY_MS};
+use crate::constants::{STATE_PAGE_ITEMS, WRITE_RETRY_MS};
 use crate::election::{Election, ElectionEvent};
 use crate::io::{Io, Outcome};
 use crate::model::{Job, JobSpec, Timestamp};
@@ -83,7 +83,7 @@
         Some(paths::page(
             LOAD_ORDER[load.prefix],
             load.after.as_deref(),
-            PAGE_ITEMS,
+            STATE_PAGE_ITEMS,
         ))
     }
 
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -4,7 +4,7 @@
 use super::LeaderTerm;
 use super::calls::TermCall;
 use crate::condor::{self, QueueRow, RowState, Seen};
-use crate::constants::{CLUSTER_LOOK_MS, CLUSTER_OPEN_MS, KIND_SETS_MAX};
+use crate::constants::{CLUSTER_CHECK_MS, CLUSTER_OPEN_TIMEOUT_MS, MAX_KIND_SETS};
 use crate::io::{Io, json};
 use crate::job_api::authorization;
 use crate::model::{JobSpec, Timestamp};
@@ -43,7 +43,7 @@
         self.share_demand(&mut spec.counts);
         let Some(kinds) = &mut spec.kinds else { return };
         let known = &mut self.clusters.kind_sets;
-        if known.len() >= KIND_SETS_MAX {
+        if known.len() >= MAX_KIND_SETS {
             // They live on with their jobs.
             known.clear();
         }
@@ -124,7 +124,7 @@
 
     /// Clears away what was left open, and ends holds whose reason is gone.
     pub(super) fn look_at_clusters(&mut self, settings: &Settings, io: &mut Io) {
-        if io.now < self.clusters.looked_at + CLUSTER_LOOK_MS {
+        if io.now < self.clusters.looked_at + CLUSTER_CHECK_MS {
             return;
         }
         self.clusters.looked_at = io.now;
@@ -165,7 +165,7 @@
                     let keys = jobs.map(|(id, _)| records::job_key(&id.0));
                     self.writer.garbage.extend(keys);
                 }
-            } else if io.wall_ms > record.at_ms + CLUSTER_OPEN_MS {
+            } else if io.wall_ms > record.at_ms + CLUSTER_OPEN_TIMEOUT_MS {
                 let record = OpenRecord {
                     abandoned: true,
                     ..record.clone()
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -9,8 +9,8 @@
 use super::LeaderTerm;
 use crate::allocations::Machine;
 use crate::constants::{
-    HEARD_AGAIN_MS, INSPECT_TIMEOUT_MS, SECOND_MS, ZONE_AVOIDED_MS, ZONE_KEPT_LEASES, ZONE_LEAST, ZONE_MOST,
-    ZONE_SAMPLE, ZONE_SILENT,
+    INSPECT_TIMEOUT_MS, RECONNECT_GRACE_MS, SECOND_MS, ZONE_OUTAGE_KEPT_LEASES, ZONE_OUTAGE_MAX_FLEET_SHARE,
+    ZONE_OUTAGE_MIN_MACHINES, ZONE_OUTAGE_SILENT_SHARE, ZONE_PROBE_SAMPLE, ZONE_RENTAL_BACKOFF_MS,
 };
 use crate::io::Io;
 use crate::model::{Job, MachineId, Timestamp};
@@ -83,19 +83,19 @@
                     probe_sample.silent_at = io.now;
                     true
                 }
-                Some(tally) if tally.up >= ZONE_LEAST => {
+                Some(tally) if tally.up >= ZONE_OUTAGE_MIN_MACHINES => {
                     if probe_sample.cut {
                         log::info!("zone reachable again zone={zone}");
                     }
                     false
                 }
                 // Its machines are given back: after a while it is worth another try.
-                _ => probe_sample.cut && io.now < probe_sample.silent_at + ZONE_AVOIDED_MS,
+                _ => probe_sample.cut && io.now < probe_sample.silent_at + ZONE_RENTAL_BACKOFF_MS,
             });
         for (zone, tally) in tallies {
             // A site that has one zone only, or nearly so, has no other to judge by.
-            let alone = tally.up as f64 > ZONE_MOST * all as f64;
-            if tally.silent == 0 || tally.up < ZONE_LEAST || alone {
+            let alone = tally.up as f64 > ZONE_OUTAGE_MAX_FLEET_SHARE * all as f64;
+            if tally.silent == 0 || tally.up < ZONE_OUTAGE_MIN_MACHINES || alone {
                 continue;
             }
             // Judged by those that were asked before others are: where more are found silent all
@@ -126,7 +126,7 @@
             .and_then(|probe_sample| probe_sample.back_at);
         let probe_sample = ProbeSample {
             sampled_at: io.now,
-            asked: self.ask_some(others, ZONE_SAMPLE, io),
+            asked: self.ask_some(others, ZONE_PROBE_SAMPLE, io),
             cut,
             silent_at: io.now,
             back_at,
@@ -142,7 +142,7 @@
         let silent = probe_sample.asked.len() - heard;
         let answers = heard > 0 && heard >= silent;
         let over = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-        let most = tally.silent as f64 >= ZONE_SILENT * tally.up as f64;
+        let most = tally.silent as f64 >= ZONE_OUTAGE_SILENT_SHARE * tally.up as f64;
         let Some(probe_sample) = self.zones.probe_samples.get_mut(zone) else {
             return;
         };
@@ -168,7 +168,7 @@
     }
 
     /// Silent machines that are not given back now: while nobody knows yet whether their zone is
-    /// cut off, and while it is, for [`ZONE_KEPT_LEASES`] leases, unless a replica on them
+    /// cut off, and while it is, for [`ZONE_OUTAGE_KEPT_LEASES`] leases, unless a replica on them
     /// could run in another zone, where people reach it.
     pub(super) fn kept(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
         let lease_ms = (deployment.workers.lease_s * SECOND_MS as f64) as u64;
@@ -178,7 +178,9 @@
                 >= probe_sample.asked.len();
             let judging =
                 !probe_sample.cut && !answered && now < probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-            let back = probe_sample.back_at.is_some_and(|at| now < at + HEARD_AGAIN_MS);
+            let back = probe_sample
+                .back_at
+                .is_some_and(|at| now < at + RECONNECT_GRACE_MS);
             if !probe_sample.cut && !judging && !back {
                 continue;
             }
@@ -187,7 +189,7 @@
                     continue;
                 }
                 let heard = machine.heard.unwrap_or(self.started);
-                let long = now > heard + ZONE_KEPT_LEASES * lease_ms;
+                let long = now > heard + ZONE_OUTAGE_KEPT_LEASES * lease_ms;
                 if judging || back || !long && !self.holds_what_may_move(machine, &deployment.zones) {
                     kept.insert(machine.id.clone());
                 }
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -3,7 +3,7 @@
 //! What accumulates is kept here; what stands is set anew for every scrape. Only the
 //! leader knows machines, jobs and counts: the others say nothing of them.
 
-use crate::constants::{SECOND_MS, SERVED_SHOWN};
+use crate::constants::{SECOND_MS, SERVED_SHARES_SHOWN};
 use crate::io::Effect;
 use crate::scheduling::fair_share::ShareOwner;
 use indigopath_accounting::{JobTotals, Queue, Team, WaitReason};
@@ -537,7 +537,7 @@
         self.served.clear();
         let mut worst: Vec<&(ShareOwner, f64)> = shares.iter().collect();
         worst.sort_by(|a, b| a.1.total_cmp(&b.1));
-        for (whose, share) in worst.into_iter().take(SERVED_SHOWN) {
+        for (whose, share) in worst.into_iter().take(SERVED_SHARES_SHOWN) {
             let (whose, name) = match whose {
                 ShareOwner::Class(name) => ("class", name),
                 ShareOwner::Team(name) => ("team", name),
--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -1,6 +1,6 @@
 //! Jobs, tasks, teams and machines in the field's usual terms.
 
-use crate::constants::AVOIDED_MS;
+use crate::constants::FAILED_MACHINE_AVOIDANCE_MS;
 use crate::protocol::{MachineType, Priority, Shape};
 use crate::settings::Team;
 use indigopath_accounting::ExecutionStats;
@@ -324,7 +324,7 @@
 
     /// Its tasks fail on different machines: the job is to blame, not they.
     pub fn to_blame(&self) -> bool {
-        self.failed_on.len() >= crate::constants::BAD_JOB_AFTER
+        self.failed_on.len() >= crate::constants::FAILING_JOB_MACHINES
     }
 
     /// Machines on which none of its tasks is tried for a while. A job that fails everywhere avoids none;
@@ -332,7 +332,7 @@
     /// good.
     pub fn avoids(&self, now: Timestamp) -> &BTreeSet<MachineId> {
         static NONE: BTreeSet<MachineId> = BTreeSet::new();
-        if self.to_blame() || now >= self.failed_at + AVOIDED_MS {
+        if self.to_blame() || now >= self.failed_at + FAILED_MACHINE_AVOIDANCE_MS {
             &NONE
         } else {
             &self.failed_on
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -5,8 +5,9 @@
 
 use crate::condor::{self, Context, Desk};
 use crate::constants::{
-    CLOUD_RETRY_MS, ENDED_CACHE, HEARS_WORKER_MS, HEARTBEAT_FRESH_MS, HEARTBEAT_MS,
-    MACHINE_TYPES_INTERVAL_MS, RETRY_AFTER_S, SECOND_MS, STATE_BAD_MS, STATE_PROBE_MS, STATE_TIMEOUT_MS,
+    CLOUD_RETRY_MS, ENDED_JOB_CACHE_SIZE, HEARTBEAT_MAX_AGE_MS, HEARTBEAT_MS, MACHINE_TYPES_INTERVAL_MS,
+    RETRY_AFTER_S, SECOND_MS, STATE_PROBE_MS, STATE_TIMEOUT_MS, STATE_UNHEALTHY_AFTER_MS,
+    WORKER_CONTACT_MAX_AGE_MS,
 };
 use crate::election::{Election, ElectionEvent};
 use crate::io::{CallId, Calls, Content, Effect, Io, Method, Outcome, RequestId};
@@ -359,7 +360,7 @@
     fn health(&mut self, request: RequestId) {
         let failing = self
             .state_failed_at
-            .is_some_and(|since| self.io.now >= since + STATE_BAD_MS);
+            .is_some_and(|since| self.io.now >= since + STATE_UNHEALTHY_AFTER_MS);
         let others_fine = self.fresh().any(|beat| beat.state_ok);
         let cut_off = self.fresh().next().is_none() && !self.peers.is_empty();
         if failing && (others_fine || cut_off) {
@@ -497,7 +498,7 @@
         let beat = self.peers.iter().enumerate().filter_map(|(index, peer)| {
             let beat = peer
                 .beat
-                .filter(|beat| beat.leads && self.io.now < peer.at + HEARTBEAT_FRESH_MS)?;
+                .filter(|beat| beat.leads && self.io.now < peer.at + HEARTBEAT_MAX_AGE_MS)?;
             Some((beat.token, self.settings.peers[index].node.as_str()))
         });
         beat.max().map(|(_, node)| node).or_else(|| self.election.other())
@@ -644,13 +645,13 @@
     fn fresh(&self) -> impl Iterator<Item = PeerHeartbeat> + '_ {
         self.peers
             .iter()
-            .filter(|peer| self.io.now < peer.at + HEARTBEAT_FRESH_MS)
+            .filter(|peer| self.io.now < peer.at + HEARTBEAT_MAX_AGE_MS)
             .filter_map(|peer| peer.beat)
     }
 
     /// A worker that loses its node goes round all of them, about a second each.
     fn found_ms(&self) -> u64 {
-        HEARS_WORKER_MS + self.members.len() as u64 * SECOND_MS
+        WORKER_CONTACT_MAX_AGE_MS + self.members.len() as u64 * SECOND_MS
     }
 
     fn hearing(&self) -> PeerView {
@@ -731,7 +732,7 @@
                 }
             }
             Frame::Counts { job, done, running } => {
-                if self.told.len() >= ENDED_CACHE {
+                if self.told.len() >= ENDED_JOB_CACHE_SIZE {
                     self.told.clear();
                 }
                 self.told.insert(job, (done, running));
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::constants::MAX_BODY;
+use crate::constants::MAX_BODY_BYTES;
 
 fn settings() -> Settings {
     Settings::parse(include_str!("../../tests/support/settings.json")).unwrap()
@@ -39,7 +39,7 @@
     node.learn_types(serde_json::from_str(flavors).unwrap());
     assert_eq!(health(&mut node), 200);
     node.note_state(&Outcome::NoAnswer);
-    node.clock(STATE_BAD_MS, 0);
+    node.clock(STATE_UNHEALTHY_AFTER_MS, 0);
     node
 }
 
@@ -65,7 +65,7 @@
     assert_eq!(health(&mut node), 503);
     beat(&mut node, false);
     assert_eq!(health(&mut node), 200);
-    node.clock(STATE_BAD_MS + HEARTBEAT_FRESH_MS, 0);
+    node.clock(STATE_UNHEALTHY_AFTER_MS + HEARTBEAT_MAX_AGE_MS, 0);
     assert_eq!(health(&mut node), 503);
     node.note_state(&Outcome::Answer {
         status: 200,
@@ -141,7 +141,7 @@
         body: br#"{"Ledger":9}"#.to_vec(),
     };
     for letter in ["\\u0001", "\\\"", "x", "é"] {
-        let long = letter.repeat((MAX_BODY - 100) / letter.len());
+        let long = letter.repeat((MAX_BODY_BYTES - 100) / letter.len());
         for body in [
             format!(r#"{{"Id":"wk-1","Cpus":"{long}"}}"#),
             format!(r#"{{"Id":"wk-1","Shape":"{long}"}}"#),
@@ -150,7 +150,7 @@
             let mut node = Node::new(settings(), 1, 0, 0);
             let (status, answer) = submission(&mut node, body.as_bytes(), &absent);
             assert_eq!(status, 400);
-            assert!(answer.len() < MAX_BODY / 8, "{} bytes", answer.len());
+            assert!(answer.len() < MAX_BODY_BYTES / 8, "{} bytes", answer.len());
         }
     }
 }
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -1,6 +1,6 @@
 //! Fair share: which part of their demand the jobs of a class, or of a team, have satisfied.
 //!
-//! **Asked for** is every task from [`SERVED_AFTER_MS`] after its job's submission on, as
+//! **Asked for** is every task from [`SERVED_SHARE_AFTER_MS`] after its job's submission on, as
 //! before that no machine could be up with its image; of a team's tasks, though, only as
 //! many as its limit lets run at a time, those that run first and then the oldest. Held
 //! jobs ask for nothing, nor do jobs that fail wherever they are tried.
@@ -11,13 +11,13 @@
 //! by what it got lately, not only by what still waits.
 //!
 //! Operators are warned before a class or a team falls under [`SERVED_MIN_SHARE`], once, until it
-//! has recovered. What stays under [`SERVED_STARVED`] is *starved*, and placement gives
+//! has recovered. What stays under [`STARVED_SHARE`] is *starved*, and placement gives
 //! it turns before others: see [`Starved`].
 
 use crate::constants::{
-    SECOND_MS, SERVED_AFTER_MS, SERVED_FOR_MS, SERVED_MIN_SHARE, SERVED_RECOVERED_MS, SERVED_RECOVERED_SHARE,
-    SERVED_STARVED, SERVED_WARN_SHARE, SERVED_WINDOW_MS, STARVED_AFTER_MS, STARVED_OWED, STARVED_TURN,
-    STARVED_TURNS,
+    SECOND_MS, SERVED_MIN_SHARE, SERVED_RECOVERED_MS, SERVED_RECOVERED_SHARE, SERVED_SHARE_AFTER_MS,
+    SERVED_WARN_AFTER_MS, SERVED_WARN_SHARE, SERVED_WINDOW_MS, STARVED_AFTER_MS, STARVED_CREDIT_PER_START,
+    STARVED_MAX_CREDIT, STARVED_MAX_DEBT, STARVED_SHARE,
 };
 use crate::io::{Effect, Io};
 use crate::job_api::Counts;
@@ -74,7 +74,7 @@
     }
 }
 
-/// Classes and teams of whose old work less than [`SERVED_STARVED`] is served, and how many of their tasks
+/// Classes and teams of whose old work less than [`STARVED_SHARE`] is served, and how many of their tasks
 /// may be placed before all others in the next pass. What runs of them does not give way to
 /// work of higher priority until they have recovered.
 ///
@@ -115,8 +115,12 @@
     /// Notes that a task of the job was placed: what is placed for others earns turns, what is
     /// placed for starved work uses them up.
     pub fn placed(&mut self, spec: &JobSpec) {
-        let change = if self.is(spec) { -1.0 } else { STARVED_TURN };
-        self.turns = (self.turns + change).clamp(-STARVED_OWED, STARVED_TURNS);
+        let change = if self.is(spec) {
+            -1.0
+        } else {
+            STARVED_CREDIT_PER_START
+        };
+        self.turns = (self.turns + change).clamp(-STARVED_MAX_DEBT, STARVED_MAX_CREDIT);
     }
 
     /// Marks an owner as starved. `less`: whether it has less than the least share now; `None` once it has
@@ -215,7 +219,7 @@
     pub fn update(&mut self, live: &LiveDemand<'_>, is_reliable: bool, io: &mut Io) {
         let now = io.now;
         self.forget_done(now);
-        self.shares = self.shares_of(SERVED_AFTER_MS, live, now);
+        self.shares = self.shares_of(SERVED_SHARE_AFTER_MS, live, now);
         if !is_reliable {
             return;
         }
@@ -290,13 +294,13 @@
     } else {
         low.since = None;
     }
-    if !low.warned && low.since.is_some_and(|since| now >= since + SERVED_FOR_MS) {
+    if !low.warned && low.since.is_some_and(|since| now >= since + SERVED_WARN_AFTER_MS) {
         low.warned = true;
         io.effects.push(Effect::Warning(low_share_warning(owner, share)));
     }
     // A leader that has just taken over judges by the age of what waits, not by what it saw:
     // with leaders that end every minute nothing would ever have been starved for long.
-    if starved.has(owner) || old.part() < SERVED_STARVED {
+    if starved.has(owner) || old.part() < STARVED_SHARE {
         starved.mark(owner, Some(part < SERVED_MIN_SHARE));
     }
     if part < SERVED_RECOVERED_SHARE {
@@ -328,7 +332,7 @@
          done, most of the others wait for {why}; under {SERVED_MIN_SHARE} it counts as not served",
         share.served,
         share.asked,
-        SERVED_AFTER_MS / SECOND_MS,
+        SERVED_SHARE_AFTER_MS / SECOND_MS,
         part = share.part(),
     )
 }
--- a/crates/controller/src/scheduling/fair_share/tests.rs
+++ b/crates/controller/src/scheduling/fair_share/tests.rs
@@ -30,7 +30,7 @@
         short_of_units: BTreeSet::new(),
         deployment: &settings().deployment,
     };
-    live_shares(SERVED_AFTER_MS, &live, 0)
+    live_shares(SERVED_SHARE_AFTER_MS, &live, 0)
         .get(whose)
         .copied()
         .unwrap_or_default()
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -7,7 +7,8 @@
 
 use crate::allocations::Machine;
 use crate::constants::{
-    CAUGHT_UP_MS, CAUGHT_UP_SHARE, FORECAST_JOBS, LARGE_WARN_MS, SECOND_MS, WARNING_REPEAT_MS,
+    FORECAST_JOBS, LARGE_JOB_WARNING_AFTER_MS, OBJECTIVE_MIN_WARNED_MS, OBJECTIVE_RECOVERED_SHARE, SECOND_MS,
+    WARNING_REPEAT_MS,
 };
 use crate::io::{Effect, Io};
 use crate::model::{Job, JobId, MachineId, MachineTypes, TaskLocations, Timestamp};
@@ -275,11 +276,11 @@
         io: &mut Io,
     ) {
         let mut late: BTreeMap<&str, (&Job, u32)> = BTreeMap::new();
-        for job in placement::large_not_begun(jobs, task_locations, LARGE_WARN_MS, io.now) {
+        for job in placement::large_not_begun(jobs, task_locations, LARGE_JOB_WARNING_AFTER_MS, io.now) {
             late.entry(&job.spec.class).or_insert((job, 0)).1 += 1;
         }
         self.not_begun
-            .retain(|class, at| late.contains_key(class.as_str()) || io.now < *at + CAUGHT_UP_MS);
+            .retain(|class, at| late.contains_key(class.as_str()) || io.now < *at + OBJECTIVE_MIN_WARNED_MS);
         for (class, (oldest, count)) in late {
             let told = self.not_begun.get(class);
             if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
@@ -294,7 +295,7 @@
             io.effects.push(Effect::Warning(format!(
                 "class={class} has {count} of its larger jobs that have not begun after {} s; the oldest is \
                  job={id}, {:.0} s old: {} tasks of {} CPUs and {} GPUs{}, it waits for {why}",
-                LARGE_WARN_MS / SECOND_MS,
+                LARGE_JOB_WARNING_AFTER_MS / SECOND_MS,
                 oldest.age_ms(io.now) as f64 / SECOND_MS as f64,
                 oldest.spec.tasks,
                 oldest.spec.needs.cpus,
@@ -343,8 +344,8 @@
             None => "their owners' deadlines".to_owned(),
         };
         let told = self.behind.get(&key).copied();
-        let settled = told.is_some_and(|at| io.now >= at + CAUGHT_UP_MS);
-        if settled && late <= allowed * CAUGHT_UP_SHARE {
+        let settled = told.is_some_and(|at| io.now >= at + OBJECTIVE_MIN_WARNED_MS);
+        if settled && late <= allowed * OBJECTIVE_RECOVERED_SHARE {
             self.behind.remove(&key);
             log::info!("class caught up class={class} with {what}");
         }
--- a/crates/controller/src/scheduling/placement/aging.rs
+++ b/crates/controller/src/scheduling/placement/aging.rs
@@ -9,7 +9,7 @@
 use super::ClusterSnapshot;
 use super::pass::Pass;
 use super::queue_order::{QueueEntry, start_targets};
-use crate::constants::{LATE_MS, LATE_OWED, LATE_TURN, LATE_TURNS};
+use crate::constants::{AGING_AFTER_MS, AGING_CREDIT_PER_START, AGING_MAX_CREDIT, AGING_MAX_DEBT};
 use crate::model::{Job, JobId, Timestamp};
 use crate::protocol::Shape;
 use crate::settings::Deployment;
@@ -26,9 +26,9 @@
         let change = if is_overdue(job, deployment, now) {
             -1.0
         } else {
-            LATE_TURN
+            AGING_CREDIT_PER_START
         };
-        self.0 = (self.0 + change).clamp(-LATE_OWED, LATE_TURNS);
+        self.0 = (self.0 + change).clamp(-AGING_MAX_DEBT, AGING_MAX_CREDIT);
     }
 
     /// Tasks that may go first now.
@@ -38,9 +38,9 @@
     }
 }
 
-/// Whether the job is older than [`LATE_MS`] and can meet no objective of its class any more.
+/// Whether the job is older than [`AGING_AFTER_MS`] and can meet no objective of its class any more.
 fn is_overdue(job: &Job, deployment: &Deployment, now: Timestamp) -> bool {
-    let is_old = job.spec.shape != Shape::Service && job.age_ms(now) >= LATE_MS;
+    let is_old = job.spec.shape != Shape::Service && job.age_ms(now) >= AGING_AFTER_MS;
     let targets = start_targets(job, deployment, now);
     is_old && targets.latest_s.is_some() && targets.next_s.is_none()
 }
--- a/crates/controller/src/scheduling/placement/consolidation.rs
+++ b/crates/controller/src/scheduling/placement/consolidation.rs
@@ -4,7 +4,8 @@
 use super::pass::{MachineCapacity, OpenZones, Pass, RunningTask};
 use crate::allocations::Attempt;
 use crate::constants::{
-    CONSOLIDATE_BELOW, CONSOLIDATE_REPLICAS, CONSOLIDATION_TRIES, MOVES_PER_PASS, MOVES_SHARE, SETTLED_MS,
+    CONSOLIDATE_BELOW_SHARE, CONSOLIDATE_REPLICAS, CONSOLIDATION_TRIES_PER_PASS, MIN_RUN_BEFORE_MOVE_MS,
+    REPLICA_MOVES_PER_PASS, REPLICA_MOVES_SHARE,
 };
 use crate::model::{Job, Resources};
 use crate::protocol::Shape;
@@ -28,7 +29,7 @@
         if !CONSOLIDATE_REPLICAS || busy {
             return;
         }
-        let most = MOVES_PER_PASS.max((MOVES_SHARE * self.capacities.len() as f64) as usize);
+        let most = REPLICA_MOVES_PER_PASS.max((REPLICA_MOVES_SHARE * self.capacities.len() as f64) as usize);
         let used_share = |capacity: &MachineCapacity<'_>| match capacity.machine_type {
             Some(machine_type) => 1.0 - capacity.free.share_free(&machine_type.resources()),
             None => 1.0,
@@ -41,8 +42,8 @@
         let mut free: Vec<Resources> = self.capacities.iter().map(|capacity| capacity.free).collect();
         let mut targets = HashSet::new();
         let mut left = most;
-        for (share, from) in emptiest.into_iter().take(CONSOLIDATION_TRIES * most) {
-            if share > CONSOLIDATE_BELOW || left == 0 {
+        for (share, from) in emptiest.into_iter().take(CONSOLIDATION_TRIES_PER_PASS * most) {
+            if share > CONSOLIDATE_BELOW_SHARE || left == 0 {
                 return;
             }
             // What others are moving to stays.
@@ -108,7 +109,7 @@
         let is_settled = running
             .attempt
             .running_since
-            .is_some_and(|since| self.cluster.now >= since + SETTLED_MS);
+            .is_some_and(|since| self.cluster.now >= since + MIN_RUN_BEFORE_MOVE_MS);
         // In the hours for which it is protected nothing is saved by a move.
         let is_protected = self.cluster.protection.standing(&job.spec.id).is_some();
         // The units of one that is stopped linger, and it could not start elsewhere.
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -3,7 +3,7 @@
 use super::pass::Pass;
 use super::queue_order::QueueEntry;
 use crate::allocations::{Attempt, Machine};
-use crate::constants::{HELD_LEAST_S, SECOND_MS, UNIT_SEARCHES_PER_JOB};
+use crate::constants::{MIN_OCCUPANCY_S, SECOND_MS, UNIT_SEARCHES_PER_JOB};
 use crate::model::{Job, JobId, JobSpec, MachineId, Timestamp};
 use crate::protocol::Priority;
 use indigopath_counted_resources::{Asker, Book, Definitions, Feed, Lack, Linger, Name, Policy};
@@ -79,7 +79,7 @@
     } else {
         // What has run over may do so for as long again: else it would seem about to end
         // for ever.
-        over_s.max(HELD_LEAST_S)
+        over_s.max(MIN_OCCUPANCY_S)
     };
     book.hold(&attempt.team, &attempt.counts, left_s, attempt.stop.is_some());
 }
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -3,7 +3,9 @@
 use super::pass::{EquivalenceClass, OpenZones, Pass, RankSteps, TaskRequirements, TasksByZone};
 use super::queue_order::is_short_of_time;
 use crate::allocations::Machine;
-use crate::constants::{RUNS_TO_SPARE, RUNS_TO_WAIT, SPARES_ORDINARY_MS, SPOT_RISK};
+use crate::constants::{
+    RERUN_MARGIN_RUNS, RUN_MARGIN_FACTOR, SPOT_MAX_LOSS_PROBABILITY, SPOT_ONLY_MAX_AGE_MS,
+};
 use crate::model::{Job, JobId, JobSpec, MachineId, TaskLocations, Timestamp};
 use crate::protocol::MachineType;
 use crate::settings::Deployment;
@@ -39,8 +41,8 @@
 /// Whether the job had better stay off spot machines, which are lost at this rate.
 pub fn avoids_spot(job: &Job, deployment: &Deployment, spot_loss: f64, now: Timestamp) -> bool {
     !job.spec.saves()
-        && job.spec.estimate_s * spot_loss > SPOT_RISK
-        && is_short_of_time(job, RUNS_TO_SPARE, deployment, now)
+        && job.spec.estimate_s * spot_loss > SPOT_MAX_LOSS_PROBABILITY
+        && is_short_of_time(job, RERUN_MARGIN_RUNS, deployment, now)
 }
 
 impl<'a> Pass<'a> {
@@ -68,10 +70,10 @@
             // gang for which there never were enough.
             is_deadline_critical: is_short_of_time(
                 job,
-                RUNS_TO_WAIT,
+                RUN_MARGIN_FACTOR,
                 self.cluster.deployment,
                 self.cluster.now,
-            ) || job.age_ms(self.cluster.now) >= SPARES_ORDINARY_MS,
+            ) || job.age_ms(self.cluster.now) >= SPOT_ONLY_MAX_AGE_MS,
             avoids_spot: avoids_spot(
                 job,
                 self.cluster.deployment,
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -4,7 +4,7 @@
 use super::inventory::remaining_s;
 use super::pass::{OpenZones, Pass, RunningTask, TaskRequirements, TasksByZone};
 use super::preemption::Victims;
-use crate::constants::{RESERVE_AHEAD_S, ROOM_SEARCHES_PER_PASS, STOP_GRACE_EXTRA_S};
+use crate::constants::{PREEMPTION_SEARCHES_PER_PASS, RESERVATION_HORIZON_S, STOP_GRACE_EXTRA_S};
 use std::collections::HashSet;
 
 /// Capacity for one task of a gang.
@@ -64,7 +64,7 @@
     }
 
     /// Preempts work for a gang, in the zone where least is lost, if that and what is free within
-    /// [`RESERVE_AHEAD_S`] makes capacity for all of its tasks: for a part of them work would be lost in
+    /// [`RESERVATION_HORIZON_S`] makes capacity for all of its tasks: for a part of them work would be lost in
     /// vain.
     pub(super) fn preempt_for_gang(
         &mut self,
@@ -76,7 +76,7 @@
         // A spread gang's zones would have to be counted while its capacity is made.
         if !self.may_displace(requirements.job)
             || requirements.job.spec.spread
-            || self.preemption_searches >= ROOM_SEARCHES_PER_PASS
+            || self.preemption_searches >= PREEMPTION_SEARCHES_PER_PASS
         {
             return None;
         }
@@ -137,7 +137,7 @@
     }
 
     /// Slots for this many tasks in these zones, the soonest first; fewer if there are no more within
-    /// [`RESERVE_AHEAD_S`].
+    /// [`RESERVATION_HORIZON_S`].
     fn slots(
         &self,
         requirements: &TaskRequirements<'a>,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// When the tasks of a machine end, the soonest first, as far as that is within [`RESERVE_AHEAD_S`].
+    /// When the tasks of a machine end, the soonest first, as far as that is within [`RESERVATION_HORIZON_S`].
     fn releases<'r>(&self, running: &'r [RunningTask<'a>]) -> Vec<Release<'r, 'a>> {
         let mut releases: Vec<Release<'r, 'a>> = running
             .iter()
@@ -205,7 +205,7 @@
                 in_s: self.ends_in_s(running),
                 running,
             })
-            .filter(|release| release.in_s <= RESERVE_AHEAD_S)
+            .filter(|release| release.in_s <= RESERVATION_HORIZON_S)
             .collect();
         releases.sort_by(|left, right| left.in_s.total_cmp(&right.in_s));
         releases
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -7,7 +7,7 @@
 use super::queue_order::within_guarantee;
 use super::{ClusterSnapshot, Plan, usable};
 use crate::allocations::{Attempt, Machine};
-use crate::constants::{HELD_LASTING_S, HELD_LEAST_S};
+use crate::constants::{DEFAULT_OCCUPANCY_S, MIN_OCCUPANCY_S};
 use crate::model::{Resources, Timestamp};
 use crate::protocol::{MachineType, Priority};
 use indigopath_counted_resources::Book;
@@ -180,8 +180,10 @@
     if attempt.estimate_s > 0.0 {
         // A task that has run over may do so for as long again: else it seemed about to end for ever,
         // and machines beside it were reserved for a gang as long as it ran.
-        (attempt.estimate_s - attempt.ran_s(now)).abs().max(HELD_LEAST_S)
+        (attempt.estimate_s - attempt.ran_s(now))
+            .abs()
+            .max(MIN_OCCUPANCY_S)
     } else {
-        HELD_LASTING_S
+        DEFAULT_OCCUPANCY_S
     }
 }
--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -4,7 +4,10 @@
 
 use super::ClusterSnapshot;
 use super::queue_order::QueueEntry;
-use crate::constants::{LARGE_FIRST, LARGE_FIRST_PER_CLASS, LARGE_SHARE, LARGE_TURN, LARGE_WAITS_MS};
+use crate::constants::{
+    LARGE_JOB_PRIORITY_AFTER_MS, LARGE_JOB_SHARE, PRIORITIZED_LARGE_JOB_TASKS, PRIORITIZED_LARGE_JOBS,
+    PRIORITIZED_LARGE_JOBS_PER_CLASS,
+};
 use crate::model::{Job, JobId, TaskLocations, Timestamp};
 use crate::protocol::Shape;
 use std::cmp::Reverse;
@@ -24,9 +27,9 @@
     }
 }
 
-/// The number of tasks from which on a job is one of the larger of its class: the [`LARGE_SHARE`] of its live jobs.
+/// The number of tasks from which on a job is one of the larger of its class: the [`LARGE_JOB_SHARE`] of its live jobs.
 fn large_from(mut sizes: Vec<u32>) -> u32 {
-    let at = (sizes.len() as f64 * (1.0 - LARGE_SHARE)) as usize;
+    let at = (sizes.len() as f64 * (1.0 - LARGE_JOB_SHARE)) as usize;
     if at >= sizes.len() {
         return u32::MAX;
     }
@@ -73,21 +76,29 @@
     late
 }
 
-/// Large jobs that go before their peers: those that have waited for [`LARGE_WAITS_MS`] and have
+/// Large jobs that go before their peers: those that have waited for [`LARGE_JOB_PRIORITY_AFTER_MS`] and have
 /// not begun, the oldest of each class.
 ///
 /// What can meet no objective any more otherwise waits like the most patient of its class, and a
 /// large gang needs at once what small ones take one by one: it came last for ever.
 pub(super) fn overdue_large_jobs<'a>(cluster: &ClusterSnapshot<'a>) -> HashSet<&'a JobId> {
     let mut by_class: HashMap<&str, usize> = HashMap::new();
-    let late = large_not_begun(cluster.jobs, cluster.task_locations, LARGE_WAITS_MS, cluster.now);
+    let late = large_not_begun(
+        cluster.jobs,
+        cluster.task_locations,
+        LARGE_JOB_PRIORITY_AFTER_MS,
+        cluster.now,
+    );
     let first = late.into_iter().filter(|job| {
         let before = by_class.entry(&job.spec.class).or_default();
         *before += 1;
-        *before <= LARGE_FIRST_PER_CLASS
+        *before <= PRIORITIZED_LARGE_JOBS_PER_CLASS
     });
     // Classes are named by users: there may be any number.
-    first.take(LARGE_FIRST).map(|job| &job.spec.id).collect()
+    first
+        .take(PRIORITIZED_LARGE_JOBS)
+        .map(|job| &job.spec.id)
+        .collect()
 }
 
 /// Splits off the entries of these jobs what goes first: all of a gang, and of others as much as lets them
@@ -105,7 +116,7 @@
             split.push(entry);
             continue;
         }
-        let tasks = entry.tasks_of(LARGE_TURN);
+        let tasks = entry.tasks_of(PRIORITIZED_LARGE_JOB_TASKS);
         split.push(QueueEntry {
             large_first: true,
             tasks,
--- a/crates/controller/src/scheduling/placement/mod.rs
+++ b/crates/controller/src/scheduling/placement/mod.rs
@@ -33,7 +33,7 @@
 mod unit_preemption;
 
 use crate::allocations::Machine;
-use crate::constants::FAULTY_AFTER;
+use crate::constants::FAULTY_MACHINE_FAILURES;
 use crate::model::{Job, JobId, MachineId, Resources, TaskId, TaskLocations, Timestamp};
 use crate::scheduling::fair_share::Starved;
 use crate::scheduling::image_statistics::ImageStatistics;
@@ -166,7 +166,7 @@
 
 /// Whether so many different jobs have failed on the machine that it is taken to be at fault.
 pub fn faulty(machine: &Machine) -> bool {
-    machine.errors.len() >= FAULTY_AFTER
+    machine.errors.len() >= FAULTY_MACHINE_FAILURES
 }
 
 /// Whether new tasks may be placed on the machine.
--- a/crates/controller/src/scheduling/placement/placement_cost.rs
+++ b/crates/controller/src/scheduling/placement/placement_cost.rs
@@ -3,7 +3,7 @@
 
 use super::pass::{ImageFetch, MachineCapacity, Pass, TaskRequirements};
 use crate::allocations::Attempt;
-use crate::constants::{FETCH_LEAST_S, PREEMPT_FOR_IMAGE_MOST_S, PREEMPT_FOR_IMAGE_S, SECOND_MS};
+use crate::constants::{MIN_REMAINING_FETCH_S, PREEMPT_FOR_IMAGE_MAX_S, PREEMPT_FOR_IMAGE_S, SECOND_MS};
 use crate::protocol::Shape;
 use indigopath_image_locality::constants::BATCH_SECONDS;
 use indigopath_image_locality::{CacheState, Choice, Cost, Evicted, Fetching, cost, waits_for_others};
@@ -56,7 +56,7 @@
     fn fetch_remaining_s(&self, capacity: &MachineCapacity<'_>, fetch: &ImageFetch) -> f64 {
         let gb = self.images.get(fetch.image).size_gb;
         let waited_s = self.cluster.now.saturating_sub(fetch.since) as f64 / SECOND_MS as f64;
-        (self.alone_s(capacity, gb) - waited_s).max(FETCH_LEAST_S)
+        (self.alone_s(capacity, gb) - waited_s).max(MIN_REMAINING_FETCH_S)
     }
 
     /// The other fetches under way there, for a task of the job.
@@ -165,7 +165,7 @@
             return PREEMPT_FOR_IMAGE_S;
         }
         (self.downtime(requirements, at).total_s() * BATCH_SECONDS)
-            .clamp(PREEMPT_FOR_IMAGE_S, PREEMPT_FOR_IMAGE_MOST_S)
+            .clamp(PREEMPT_FOR_IMAGE_S, PREEMPT_FOR_IMAGE_MAX_S)
     }
 
     /// Whether a task had better wait than start there: its fetch would hold others up.
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -3,7 +3,7 @@
 use super::pass::{OpenZones, Pass, PreemptionClass, TaskRequirements};
 use super::{Decision, faulty};
 use crate::allocations::Attempt;
-use crate::constants::{FETCH_WEIGHT, ROOM_SEARCHES_PER_PASS, STOP_GRACE_EXTRA_S};
+use crate::constants::{FETCH_COST_WEIGHT, PREEMPTION_SEARCHES_PER_PASS, STOP_GRACE_EXTRA_S};
 use crate::model::{Job, JobSpec, MachineId, Resources};
 use crate::protocol::Shape;
 
@@ -61,7 +61,7 @@
             team: job.spec.team.clone(),
             within_guarantee: self.within_guarantee.contains(&job.spec.id),
         };
-        if self.unpreemptable.contains(&class) || self.preemption_searches >= ROOM_SEARCHES_PER_PASS {
+        if self.unpreemptable.contains(&class) || self.preemption_searches >= PREEMPTION_SEARCHES_PER_PASS {
             return false;
         }
         self.preemption_searches += 1;
@@ -230,7 +230,7 @@
             running.push(index);
         }
         (job.spec.needs.fits_in(&free) && !running.is_empty()).then(|| Victims {
-            cost: cost + self.fetch_s(requirements, at) * FETCH_WEIGHT,
+            cost: cost + self.fetch_s(requirements, at) * FETCH_COST_WEIGHT,
             running,
         })
     }
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -3,7 +3,7 @@
 use super::pass::{MachineCapacity, OpenZones, Pass, TaskRequirements};
 use super::scoring::Candidate;
 use super::{MachineTypes, Unplaced};
-use crate::constants::{PROTECTED_LOSS_S, SERVICE_LOSS_S};
+use crate::constants::{PROTECTED_PREEMPTION_COST_S, SERVICE_PREEMPTION_COST_S};
 use crate::model::{Job, JobId, JobSpec, Resources};
 use crate::protocol::{MachineType, Shape};
 use crate::scheduling::fair_share::Starved;
@@ -118,11 +118,11 @@
     pub(super) fn protection_cost_s(&self, requirements: &TaskRequirements<'_>, victim: &Job) -> f64 {
         let protection = &self.cluster.protection;
         if protection.standing(&victim.spec.id).is_some() {
-            PROTECTED_LOSS_S
+            PROTECTED_PREEMPTION_COST_S
         } else if victim.spec.shape == Shape::Service
             && protection.standing(&requirements.job.spec.id).is_some()
         {
-            SERVICE_LOSS_S
+            SERVICE_PREEMPTION_COST_S
         } else {
             0.0
         }
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -2,7 +2,7 @@
 
 use super::ClusterSnapshot;
 use super::pass::Pass;
-use crate::constants::{RUN_AT_LEAST, RUNS_TO_WAIT, SECOND_MS, UNSTATED_START_S};
+use crate::constants::{DEFAULT_START_OBJECTIVE_S, MIN_RUN_ESTIMATE_SHARE, RUN_MARGIN_FACTOR, SECOND_MS};
 use crate::model::{Job, JobId, Resources, Timestamp};
 use crate::protocol::Shape;
 use crate::scheduling::fair_share::Starved;
@@ -98,7 +98,7 @@
 /// For how long, in ms, the job may still wait for a start without missing what its class's
 /// users expect: the next of its objectives, on starting or on finishing, that it can
 /// still meet. What can meet none any more waits like the most patient job of its class;
-/// what has none, like one that is to start within [`UNSTATED_START_S`].
+/// what has none, like one that is to start within [`DEFAULT_START_OBJECTIVE_S`].
 ///
 /// In the order of age, where there is more work than capacity, everybody comes as late as
 /// everybody else, and hardly a job is in time; in this order most are.
@@ -108,7 +108,7 @@
     let left_s = match (targets.latest_s, targets.next_s) {
         // A replica that is late is missed every second.
         (_, None) if job.spec.shape == Shape::Service => 0.0,
-        (None, _) => (UNSTATED_START_S - age_s).max(0.0),
+        (None, _) => (DEFAULT_START_OBJECTIVE_S - age_s).max(0.0),
         (Some(_), Some(next)) => (next - age_s).max(0.0),
         (Some(latest), None) => latest,
     };
@@ -133,8 +133,8 @@
         .within_s("wait", &spec.class)
         .map(|within_s| (within_s, within_s));
     let ends = deployment.within_s("finished", &spec.class).map(|within_s| {
-        let should_s = within_s - RUNS_TO_WAIT * spec.estimate_s;
-        (should_s, within_s - RUN_AT_LEAST * spec.estimate_s)
+        let should_s = within_s - RUN_MARGIN_FACTOR * spec.estimate_s;
+        (should_s, within_s - MIN_RUN_ESTIMATE_SHARE * spec.estimate_s)
     });
     let mut targets = StartTargets::default();
     for (should_s, must_s) in starts.chain(ends).filter(|(_, must_s)| *must_s > 0.0) {
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -8,7 +8,8 @@
 use super::pass::{Pass, TasksByZone};
 use super::queue_order::QueueEntry;
 use crate::constants::{
-    LARGE_WAITS_MS, LIMIT_KEPT_MS, LIMIT_TURN_MS, RESERVE_AHEAD_S, RESERVED_SHARE, RUNS_TO_WAIT,
+    LARGE_JOB_PRIORITY_AFTER_MS, MAX_RESERVED_SHARE, QUOTA_RESERVATION_MS, QUOTA_RESERVATION_PERIOD_MS,
+    RESERVATION_HORIZON_S, RUN_MARGIN_FACTOR,
 };
 use crate::model::{Job, JobId, JobSpec, Resources};
 use crate::protocol::{Priority, Shape};
@@ -35,7 +36,7 @@
     /// Whether the job may use the capacity nevertheless. More urgent work always may, and work
     /// that ends before the gang could begin backfills.
     pub(super) fn admits(&self, spec: &JobSpec) -> bool {
-        let ends_before = spec.estimate_s > 0.0 && spec.estimate_s * RUNS_TO_WAIT <= self.in_s;
+        let ends_before = spec.estimate_s > 0.0 && spec.estimate_s * RUN_MARGIN_FACTOR <= self.in_s;
         *self.job == spec.id || spec.priority < self.priority || ends_before
     }
 
@@ -65,7 +66,7 @@
 impl<'a> Pass<'a> {
     /// Reserves machines of one zone, or of all that it may use, for a large or overdue gang whose turn
     /// comes before its peers': those that are soonest free by their tasks' estimates, if that is within
-    /// [`RESERVE_AHEAD_S`]; or else those where work may be preempted for it, and least is lost.
+    /// [`RESERVATION_HORIZON_S`]; or else those where work may be preempted for it, and least is lost.
     pub(super) fn reserve_capacity(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let tasks = job.waiting.len();
@@ -95,7 +96,7 @@
     /// Whether the entry is of a gang for which capacity may be reserved in this pass.
     fn may_reserve(&self, entry: &QueueEntry<'_>, tasks: usize) -> bool {
         let goes_first = entry.large_first || entry.overdue;
-        let most = (RESERVED_SHARE * self.capacities.len() as f64) as usize;
+        let most = (MAX_RESERVED_SHARE * self.capacities.len() as f64) as usize;
         // The oldest is never refused, however small the fleet.
         let is_allowed = self.reserved_slots == 0 || self.reserved_slots + tasks <= most;
         goes_first && entry.job.spec.shape == Shape::Gang && is_allowed
@@ -122,7 +123,7 @@
     }
 
     /// In how many s its team's limit has room for the gang, by estimate: none, if not within
-    /// [`RESERVE_AHEAD_S`]. That much of the limit is reserved for it, for one gang of a team at a time, and
+    /// [`RESERVATION_HORIZON_S`]. That much of the limit is reserved for it, for one gang of a team at a time, and
     /// for a part of the time only: where no machines can be had, the team's other work goes on.
     fn reserve_quota(&mut self, job: &'a Job, tasks: usize) -> Option<f64> {
         let name = job.spec.team.as_str();
@@ -131,8 +132,11 @@
         let mut used = self.usage.of(name);
         used += self.quota_reserved_from(&job.spec);
         used += needs;
-        let turn_ms = job.age_ms(self.cluster.now).saturating_sub(LARGE_WAITS_MS) % LIMIT_TURN_MS;
-        if turn_ms >= LIMIT_KEPT_MS || self.reserved_quotas.iter().any(|quota| quota.team == name) {
+        let turn_ms = job
+            .age_ms(self.cluster.now)
+            .saturating_sub(LARGE_JOB_PRIORITY_AFTER_MS)
+            % QUOTA_RESERVATION_PERIOD_MS;
+        if turn_ms >= QUOTA_RESERVATION_MS || self.reserved_quotas.iter().any(|quota| quota.team == name) {
             return team.allows(&used).then_some(0.0);
         }
         let in_s = if team.allows(&used) {
@@ -157,7 +161,7 @@
                 in_s: self.ends_in_s(running),
                 needs: running.attempt.needs,
             })
-            .filter(|release| release.in_s <= RESERVE_AHEAD_S)
+            .filter(|release| release.in_s <= RESERVATION_HORIZON_S)
             .collect();
         releases.sort_by(|left, right| left.in_s.total_cmp(&right.in_s));
         releases.into_iter().find_map(|release| {
--- a/crates/controller/src/scheduling/placement/scoring.rs
+++ b/crates/controller/src/scheduling/placement/scoring.rs
@@ -2,8 +2,8 @@
 
 use super::pass::{OpenZones, Pass, TaskRequirements};
 use crate::constants::{
-    EMPTY_COST_S, ERRORS_COST_S, HELD_LASTING_S, OUTLAST_COST_S, RANK_STEP_COST_S, RESERVED_COST_S,
-    SPOT_COST_S, SPOT_RISK_COST_S,
+    DEFAULT_OCCUPANCY_S, EMPTY_MACHINE_COST_S, FAILED_MACHINE_COST_S, ON_DEMAND_COST_S, OUTLASTING_COST_S,
+    RANK_STEP_COST_S, RESERVED_MACHINE_COST_S, SPOT_RISK_COST_S,
 };
 use crate::model::JobSpec;
 
@@ -45,22 +45,22 @@
                 cost += SPOT_RISK_COST_S;
             }
         } else if requirements.job.spec.spot && !capacity.machine.spot {
-            cost += SPOT_COST_S;
+            cost += ON_DEMAND_COST_S;
         }
         // What holds the machine longer than it is held anyway costs its time.
         let needs_s = occupies_s(&requirements.job.spec);
-        cost += OUTLAST_COST_S * (1.0 - capacity.held_s / needs_s).max(0.0);
+        cost += OUTLASTING_COST_S * (1.0 - capacity.held_s / needs_s).max(0.0);
         if capacity
             .reservation
             .is_some_and(|reservation| !reservation.is_for(requirements.job))
         {
-            cost += RESERVED_COST_S;
+            cost += RESERVED_MACHINE_COST_S;
         }
         if !capacity.machine.errors.is_empty() {
-            cost += ERRORS_COST_S;
+            cost += FAILED_MACHINE_COST_S;
         }
         if let Some(machine_type) = capacity.machine_type {
-            cost += EMPTY_COST_S * capacity.free.share_of(&machine_type.resources());
+            cost += EMPTY_MACHINE_COST_S * capacity.free.share_of(&machine_type.resources());
         }
         cost
     }
@@ -109,6 +109,6 @@
     if spec.estimate_s > 0.0 {
         spec.estimate_s
     } else {
-        HELD_LASTING_S
+        DEFAULT_OCCUPANCY_S
     }
 }
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -3,7 +3,7 @@
 use super::pass::Pass;
 use super::queue_order::QueueEntry;
 use crate::allocations::Attempt;
-use crate::constants::UNIT_STOPS_PER_PASS;
+use crate::constants::UNIT_PREEMPTIONS_PER_PASS;
 use crate::model::{Job, JobId};
 use crate::protocol::Shape;
 use indigopath_counted_resources::{Demand, Name};
@@ -13,7 +13,7 @@
     /// Stops what holds these units, if enough of it may be stopped for the job: work of
     /// lower priority, or of a team that borrows, for one that its team is guaranteed.
     pub(super) fn free_units(&mut self, entry: &QueueEntry<'a>, mut missing: Vec<(Name, u32)>) -> bool {
-        if self.unit_stops >= UNIT_STOPS_PER_PASS {
+        if self.unit_stops >= UNIT_PREEMPTIONS_PER_PASS {
             return false;
         }
         self.resolve_running_jobs();
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -165,8 +165,8 @@
 impl Default for Operator {
     fn default() -> Self {
         Operator {
-            fleet_max: crate::constants::FLEET_MAX,
-            idle_return_s: crate::constants::IDLE_RETURN_MS as f64 / crate::constants::SECOND_MS as f64,
+            fleet_max: crate::constants::DEFAULT_FLEET_MAX,
+            idle_return_s: crate::constants::IDLE_RELEASE_MS as f64 / crate::constants::SECOND_MS as f64,
             counts: Definitions::new(),
             show_holders: false,
             weights: true,
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -14,7 +14,7 @@
 
 use crate::allocations::Machine;
 use crate::autoscaling::scale_out_request::ScaleOutRequest;
-use crate::constants::{BYTES_PER_KB, VALUE_SHARE};
+use crate::constants::{BYTES_PER_KB, MAX_VALUE_SHARE};
 use crate::expiring_cache::ExpiringCache;
 use crate::io::json;
 use crate::job_api::authorization;
@@ -68,7 +68,7 @@
 impl BatchWriter {
     /// A writer that knows no record yet.
     pub fn new(token: u64, settings: &Settings) -> BatchWriter {
-        let max_value_bytes = (settings.deployment.state.value_kb * BYTES_PER_KB * VALUE_SHARE) as usize;
+        let max_value_bytes = (settings.deployment.state.value_kb * BYTES_PER_KB * MAX_VALUE_SHARE) as usize;
         BatchWriter {
             token,
             unanswered_renewal: None,
--- a/crates/controller/src/storage/batch_writer/completed_tasks.rs
+++ b/crates/controller/src/storage/batch_writer/completed_tasks.rs
@@ -2,7 +2,7 @@
 
 use super::next_number;
 use super::transaction::{TransactionBuilder, Unit, put};
-use crate::constants::{CHUNK_SEPARATOR_BYTES, DONE_GATHER_MS};
+use crate::constants::{CHUNK_SEPARATOR_BYTES, COMPLETED_TASKS_BATCH_MS};
 use crate::model::{Job, JobId, Timestamp};
 use crate::protocol::Condition;
 use crate::storage::keys;
@@ -37,7 +37,7 @@
     }
 
     fn is_due(&self, now: Timestamp) -> bool {
-        !self.pending.is_empty() && now >= self.pending_since + DONE_GATHER_MS
+        !self.pending.is_empty() && now >= self.pending_since + COMPLETED_TASKS_BATCH_MS
     }
 
     fn record(&self, jobs: &BTreeMap<JobId, Job>) -> DoneRecord {
--- a/crates/controller/src/storage/batch_writer/machine_shards.rs
+++ b/crates/controller/src/storage/batch_writer/machine_shards.rs
@@ -4,7 +4,7 @@
 use super::next_number;
 use super::transaction::{PlannedStart, TransactionBuilder, Unit, WrittenShard, put_text};
 use crate::allocations::Machine;
-use crate::constants::{RELEASED_PER_SHARD, SHARD_CONDITIONS, SHARD_MACHINE_BYTES};
+use crate::constants::{RELEASED_MACHINES_PER_SHARD, SHARD_MACHINE_BYTES, SHARD_VERSION_CONDITIONS};
 use crate::model::{Job, JobId, MachineId, Timestamp};
 use crate::protocol::{Change, Condition};
 use crate::storage::keys;
@@ -42,9 +42,9 @@
     /// Beyond the most, those that are named for the shortest time are left out.
     fn add_released(&mut self, machine: MachineId, until: Timestamp) {
         self.released.push((machine, until));
-        if self.released.len() > RELEASED_PER_SHARD {
+        if self.released.len() > RELEASED_MACHINES_PER_SHARD {
             self.released.sort_by_key(|(_, until)| std::cmp::Reverse(*until));
-            self.released.truncate(RELEASED_PER_SHARD);
+            self.released.truncate(RELEASED_MACHINES_PER_SHARD);
         }
     }
 }
@@ -512,7 +512,7 @@
         if transaction.has_condition(&key) {
             return true;
         }
-        if !transaction.has_room_for_condition(self.conditions.len() + SHARD_CONDITIONS) {
+        if !transaction.has_room_for_condition(self.conditions.len() + SHARD_VERSION_CONDITIONS) {
             self.left_out = true;
             return false;
         }
--- a/crates/controller/src/storage/batch_writer/tests.rs
+++ b/crates/controller/src/storage/batch_writer/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::constants::ENDED_CACHE;
+use crate::constants::ENDED_JOB_CACHE_SIZE;
 use crate::model::JobSpec;
 
 fn job(number: usize) -> Job {
@@ -20,14 +20,14 @@
     let settings = Settings::parse(include_str!("../../../tests/support/settings.json")).unwrap();
     let mut writer = BatchWriter::new(1, &settings);
     let more = 100;
-    for number in 0..ENDED_CACHE + more {
+    for number in 0..ENDED_JOB_CACHE_SIZE + more {
         let job = job(number);
         writer.job_over(&job.spec.id.clone(), &job);
     }
     let ended_at = |number: usize| writer.ended_at(&job(number).spec.id);
     assert_eq!((ended_at(more - 1), ended_at(more)), (0, 7));
-    assert_eq!(ended_at(ENDED_CACHE + more - 1), 7);
-    assert_eq!(writer.ended.len(), ENDED_CACHE);
+    assert_eq!(ended_at(ENDED_JOB_CACHE_SIZE + more - 1), 7);
+    assert_eq!(writer.ended.len(), ENDED_JOB_CACHE_SIZE);
 }
 
 /// Machines with numbers from 0 on, each in a shard of its own.
--- a/crates/controller/src/storage/batch_writer/transaction.rs
+++ b/crates/controller/src/storage/batch_writer/transaction.rs
@@ -1,6 +1,8 @@
 //! A transaction being put together: its units, with their conditions and changes, as long as they fit.
 
-use crate::constants::{CHANGE_BYTES, CONDITION_BYTES, TXN_BYTES, TXN_CONDITIONS_PER_OP, TXN_ENVELOPE_BYTES};
+use crate::constants::{
+    CHANGE_OVERHEAD_BYTES, CONDITION_OVERHEAD_BYTES, MAX_TXN_BYTES, TXN_CONDITIONS_PER_OP, TXN_ENVELOPE_BYTES,
+};
 use crate::io::json;
 use crate::model::{JobId, MachineId, TaskId};
 use crate::protocol::{Change, Condition, Transaction};
@@ -141,7 +143,7 @@
         let bytes = condition_bytes + changes.iter().map(change_bytes).sum::<usize>();
         let fits = self.body.changes.len() + changes.len() <= self.max_changes
             && self.body.conditions.len() + conditions.len() <= self.max_conditions
-            && self.bytes + bytes <= TXN_BYTES;
+            && self.bytes + bytes <= MAX_TXN_BYTES;
         if fits {
             self.bytes += bytes;
             self.conditioned_keys
@@ -194,13 +196,13 @@
 
 /// What a condition takes of a transaction's body, at most.
 fn condition_bytes(condition: &Condition) -> usize {
-    condition.key.len() + CONDITION_BYTES
+    condition.key.len() + CONDITION_OVERHEAD_BYTES
 }
 
 /// What a change takes of a transaction's body, at most.
 fn change_bytes(change: &Change<Box<RawValue>>) -> usize {
     match change {
-        Change::Put { key, value, .. } => key.len() + value.get().len() + CHANGE_BYTES,
-        Change::Delete { key } => key.len() + CHANGE_BYTES,
+        Change::Put { key, value, .. } => key.len() + value.get().len() + CHANGE_OVERHEAD_BYTES,
+        Change::Delete { key } => key.len() + CHANGE_OVERHEAD_BYTES,
     }
 }
--- a/crates/controller/src/storage/records/completed_tasks.rs
+++ b/crates/controller/src/storage/records/completed_tasks.rs
@@ -1,8 +1,8 @@
-//! Records of completed tasks. The tasks of a job are divided into chunks of [`DONE_CHUNK`]; a record
+//! Records of completed tasks. The tasks of a job are divided into chunks of [`COMPLETED_TASKS_PER_CHUNK`]; a record
 //! holds a bitmap for each of many chunks.
 
 use super::RecordError;
-use crate::constants::{CHUNK_NAME_BYTES, DONE_CHUNK};
+use crate::constants::{CHUNK_KEY_OVERHEAD_BYTES, COMPLETED_TASKS_PER_CHUNK};
 use crate::model::JobId;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -21,19 +21,19 @@
 
 /// Most bytes that a chunk of a job with so many tasks ever takes in a record.
 pub fn chunk_bytes(tasks: u32) -> usize {
-    tasks.min(DONE_CHUNK).div_ceil(u8::BITS) as usize * 4 / 3 + CHUNK_NAME_BYTES
+    tasks.min(COMPLETED_TASKS_PER_CHUNK).div_ceil(u8::BITS) as usize * 4 / 3 + CHUNK_KEY_OVERHEAD_BYTES
 }
 
 /// Which chunk a task's completion is recorded in.
 pub fn chunk_of(task: u32) -> u32 {
-    task / DONE_CHUNK
+    task / COMPLETED_TASKS_PER_CHUNK
 }
 
 /// The completed tasks of one chunk as a bitmap.
 pub fn encode_done(done: &BTreeSet<u32>, chunk: u32) -> String {
-    let start = chunk * DONE_CHUNK;
+    let start = chunk * COMPLETED_TASKS_PER_CHUNK;
     let mut bits: Vec<u8> = Vec::new();
-    for task in done.range(start..start + DONE_CHUNK) {
+    for task in done.range(start..start + COMPLETED_TASKS_PER_CHUNK) {
         let position = task - start;
         let byte = (position / u8::BITS) as usize;
         if bits.len() <= byte {
@@ -47,10 +47,12 @@
 /// Adds the completed tasks of a chunk's record to `done`.
 pub fn decode_done(text: &str, chunk: u32, done: &mut BTreeSet<u32>) -> Result<(), RecordError> {
     let bits = STANDARD_NO_PAD.decode(text)?;
-    if bits.len() > (DONE_CHUNK / u8::BITS) as usize {
+    if bits.len() > (COMPLETED_TASKS_PER_CHUNK / u8::BITS) as usize {
         return Err(RecordError::BitmapTooLong);
     }
-    let start = chunk.checked_mul(DONE_CHUNK).ok_or(RecordError::ChunkTooLarge)?;
+    let start = chunk
+        .checked_mul(COMPLETED_TASKS_PER_CHUNK)
+        .ok_or(RecordError::ChunkTooLarge)?;
     for (byte, bits) in (0u32..).zip(bits) {
         for bit in (0..u8::BITS).filter(|bit| bits >> bit & 1 == 1) {
             done.insert(start + byte * u8::BITS + bit);
--- a/crates/controller/src/storage/records/tests.rs
+++ b/crates/controller/src/storage/records/tests.rs
@@ -1,6 +1,6 @@
 use super::machine_shard::SHARD_FORM;
 use super::*;
-use crate::constants::DONE_CHUNK;
+use crate::constants::COMPLETED_TASKS_PER_CHUNK;
 use crate::model::{JobId, Resources};
 use indigopath_counted_resources::{Demand, LingerEntry};
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
     fn any_string_is_a_bitmap_or_an_error(text in ".{0,40}", chunk in any::<u32>()) {
         let mut read = BTreeSet::new();
         let _ = decode_done(&text, chunk, &mut read);
-        prop_assert!(read.len() <= DONE_CHUNK as usize);
+        prop_assert!(read.len() <= COMPLETED_TASKS_PER_CHUNK as usize);
     }
 }
 
--- a/crates/controller/tests/limits.rs
+++ b/crates/controller/tests/limits.rs
@@ -23,9 +23,9 @@
 fn caches_hold_all_live_jobs() {
     // Every task may be a job of its own.
     const {
-        assert!(constants::LIVE_CACHE >= TASKS);
-        assert!(constants::ENDED_CACHE >= TASKS);
-        assert!(constants::BOOK_RUNS >= TASKS);
+        assert!(constants::LIVE_JOB_CACHE_SIZE >= TASKS);
+        assert!(constants::ENDED_JOB_CACHE_SIZE >= TASKS);
+        assert!(constants::MAX_TRACKED_RUNS >= TASKS);
     };
 }
 
@@ -35,7 +35,7 @@
     const {
         assert!(constants::MAX_WAITING_REQUESTS >= 5 * REQUESTS_PER_S);
         assert!(constants::MAX_COMMIT_WAITS >= 5 * REQUESTS_PER_S);
-        assert!(constants::PEER_NOTICES >= 5 * REQUESTS_PER_S);
+        assert!(constants::MAX_PEER_NOTICES >= 5 * REQUESTS_PER_S);
     };
 }
 
@@ -43,7 +43,7 @@
 fn every_service_may_be_protected_and_have_room_kept() {
     const {
         assert!(indigopath_protection_windows::constants::MAX_SERVICES >= TASKS);
-        assert!(constants::SPARE_REPLICAS_MAX as usize >= MACHINES);
+        assert!(constants::MAX_SPARE_REPLICAS as usize >= MACHINES);
     };
 }
 
@@ -74,5 +74,5 @@
         done: u32::MAX,
         running: u32::MAX,
     };
-    assert!(constants::PEER_BACKLOG >= TASKS * frame.encode().len());
+    assert!(constants::MAX_PEER_BACKLOG_BYTES >= TASKS * frame.encode().len());
 }
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -9,7 +9,7 @@
 use indigopath_controller::condor::{
     Accepted, Changed, History, QueueList, QueueRow, Refused, RowState, parse_target,
 };
-use indigopath_controller::constants::MAX_SUBMIT_BODY;
+use indigopath_controller::constants::MAX_SUBMIT_BODY_BYTES;
 use indigopath_controller::protocol::{Flavors, paths};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -179,10 +179,10 @@
         };
         bundle.check().map_err(CondorError::Bundle)?;
         let body = serde_json::to_string(&bundle).map_err(ClientError::from)?;
-        if body.len() > MAX_SUBMIT_BODY {
+        if body.len() > MAX_SUBMIT_BODY_BYTES {
             let size = body.len();
             return Err(CondorError::Bundle(format!(
-                "the file and what goes along are {size} bytes; at most {MAX_SUBMIT_BODY} are taken: split it"
+                "the file and what goes along are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are taken: split it"
             )));
         }
         let until = Instant::now() + Duration::from_secs(self.wait);
--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -5,7 +5,7 @@
 use indigopath_connection_limits::{
     ConnectionClass, ConnectionLimiter, ConnectionSlot, Limits, NoCapacity, PerClass, ShortageEvent,
 };
-use indigopath_controller::constants::{CLUSTER_OPERATIONS, PEER_BACKLOG, RETRY_AFTER_S};
+use indigopath_controller::constants::{MAX_CLUSTER_OPERATIONS, MAX_PEER_BACKLOG_BYTES, RETRY_AFTER_S};
 use indigopath_controller::io::{CallId, Content, Destination, Effect, Outcome, RequestId};
 use indigopath_controller::node::{Command, Node};
 use indigopath_controller::peers::{Frame, MAX_FRAME};
@@ -330,7 +330,7 @@
                     return;
                 };
                 let connection = &mut self.connections[key];
-                if connection.output.len() + bytes.len() <= PEER_BACKLOG {
+                if connection.output.len() + bytes.len() <= MAX_PEER_BACKLOG_BYTES {
                     connection.output.extend_from_slice(&bytes);
                     if connection.connected {
                         self.serve(key);
@@ -791,7 +791,7 @@
             .iter()
             .filter(|(_, other)| matches!(other.role, Role::Client { .. }))
             .filter(|(_, other)| other.input.len() > http::MAX_ORDINARY);
-        if large.count() <= CLUSTER_OPERATIONS {
+        if large.count() <= MAX_CLUSTER_OPERATIONS {
             return Fate::Keep;
         }
         let problem = "too many submit files at once, come back later";
--- a/crates/indigopath/src/http.rs
+++ b/crates/indigopath/src/http.rs
@@ -2,7 +2,7 @@
 //! connection, bodies by length (or, in answers, chunked or until the close).
 
 use httparse::{Header, Status};
-use indigopath_controller::constants::{MAX_BODY, MAX_SUBMIT_BODY};
+use indigopath_controller::constants::{MAX_BODY_BYTES, MAX_SUBMIT_BODY_BYTES};
 use indigopath_controller::io::Content;
 use indigopath_controller::protocol::paths;
 use thiserror::Error;
@@ -97,7 +97,7 @@
 }
 
 /// Most bytes that a request waits with for its end, unless it is a submit file.
-pub const MAX_ORDINARY: usize = MAX_HEAD + MAX_BODY;
+pub const MAX_ORDINARY: usize = MAX_HEAD + MAX_BODY_BYTES;
 
 /// Takes a request off the front of `bytes`, once it is whole. With `submit_files`, those may
 /// have a longer body than others.
@@ -113,9 +113,9 @@
     };
     let framing = framing(request.headers)?;
     let most = if submit_files && request.path == Some(paths::CLUSTERS) {
-        MAX_SUBMIT_BODY
+        MAX_SUBMIT_BODY_BYTES
     } else {
-        MAX_BODY
+        MAX_BODY_BYTES
     };
     let one_one = request.version == Some(1);
     let keep_alive = !framing.close && (one_one || framing.keep_alive);
--- a/crates/indigopath/src/http/tests.rs
+++ b/crates/indigopath/src/http/tests.rs
@@ -33,13 +33,16 @@
 fn a_submit_file_may_be_longer() {
     let file =
         |length: usize| format!("POST /v1/condor/clusters HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
-    assert_eq!(parse_request(file(MAX_SUBMIT_BODY).as_bytes(), true), Ok(None));
     assert_eq!(
-        parse_request(file(MAX_SUBMIT_BODY).as_bytes(), false),
+        parse_request(file(MAX_SUBMIT_BODY_BYTES).as_bytes(), true),
+        Ok(None)
+    );
+    assert_eq!(
+        parse_request(file(MAX_SUBMIT_BODY_BYTES).as_bytes(), false),
         Err(Broken::TooLarge)
     );
     assert_eq!(
-        parse_request(file(MAX_SUBMIT_BODY + 1).as_bytes(), true),
+        parse_request(file(MAX_SUBMIT_BODY_BYTES + 1).as_bytes(), true),
         Err(Broken::TooLarge)
     );
 }
