--- a/crates/counted_resources/src/lib.rs
+++ b/crates/counted_resources/src/lib.rs
@@ -17,15 +17,15 @@
 //! ```
 #![forbid(unsafe_code)]
 
-mod book;
 pub mod constants;
+mod count_pools;
 mod definition;
 mod demand;
 mod licence;
 mod linger;
 pub mod status;
 
-pub use book::{Asker, Book, Closed, Lack, Missing, Only, Policy, Pool, TeamUse, Why};
+pub use count_pools::{Asker, Book, Closed, Lack, Missing, Only, Policy, Pool, TeamUse, Why};
 pub use definition::{Definition, DefinitionError, Definitions, check, is_name};
 pub use demand::{Demand, DemandError, Demands, Unmeetable};
 pub use licence::{Feed, LicenceError, Usage, Word, parse};
