--- a/crates/condor/benches/pass.rs
+++ b/crates/condor/benches/pass.rs
@@ -12,7 +12,7 @@
 use indigopath_controller::protocol::{Flavors, TaskState};
 use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, MachineTypes, Units};
 use indigopath_controller::settings::Deployment;
-use indigopath_counted_resources::{Definitions, Policy};
+use indigopath_counted_resources::{Definitions, ReservationPolicy};
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
@@ -159,7 +159,7 @@
             protection: &placement::Protection::default(),
             units: Units {
                 definitions: &definitions,
-                policy: Policy::default(),
+                policy: ReservationPolicy::default(),
                 reserved_since: &keepers,
                 feeds: &feeds,
                 lingers: &[],
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -12,9 +12,12 @@
 use crate::protocol::paths;
 use crate::scheduling::placement::{self, Units, UnsatisfiedDemand};
 use crate::storage::records::ReleasedMachine;
-use indigopath_counted_resources::constants::{SERVER_BYTES, SERVER_TIMEOUT_MS, SERVER_TRUST_MS};
+use indigopath_counted_resources::constants::{
+    MAX_SERVER_ANSWER_BYTES, SERVER_TIMEOUT_MS, SERVER_USAGE_VALID_MS,
+};
 use indigopath_counted_resources::{
-    Closed, Definitions, Demand, Demands, Feed, Linger, Name, Policy, Pool, parse,
+    ClosedReason, Definitions, Demand, DemandInterner, Linger, Name, Pool, ReservationPolicy, UsageFeed,
+    parse_usage,
 };
 use status::holder_state;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -40,11 +43,11 @@
 /// What a term knows of counted resources beyond the attempts that hold them.
 #[derive(Debug, Default)]
 pub(super) struct Counted {
-    feeds: BTreeMap<Name, Feed>,
+    feeds: BTreeMap<Name, UsageFeed>,
     /// For how long units of each count linger.
     linger_ms: HashMap<Name, u64>,
     /// Demands of jobs and attempts, each once.
-    demands: Demands,
+    demands: DemandInterner,
     /// Units that linger, as at the last pass or look.
     lingers: Vec<Linger>,
     /// Who waited for units after the last pass, in the order of service.
@@ -72,7 +75,9 @@
             .iter()
             .filter(|(_, definition)| definition.server.is_some());
         Counted {
-            feeds: asked.map(|(name, _)| (name.clone(), Feed::default())).collect(),
+            feeds: asked
+                .map(|(name, _)| (name.clone(), UsageFeed::default()))
+                .collect(),
             linger_ms: linger_ms.collect(),
             ..Counted::default()
         }
@@ -84,7 +89,7 @@
     pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> Units<'a> {
         Units {
             definitions,
-            policy: Policy::default(),
+            policy: ReservationPolicy::default(),
             reserved_since: &self.counted.keepers,
             feeds: &self.counted.feeds,
             lingers: &self.counted.lingers,
@@ -95,7 +100,7 @@
     /// Shares a demand with its equals.
     pub(super) fn share_demand(&mut self, demand: &mut Demand) {
         if !demand.is_empty() {
-            *demand = self.counted.demands.share(std::mem::take(demand));
+            *demand = self.counted.demands.intern(std::mem::take(demand));
         }
     }
 
@@ -153,7 +158,8 @@
             .and_then(|shard| self.writer.machine_released(shard, &machine.id));
         if let Some(until) = named_until {
             // A server that falls silent then is believed for a while.
-            self.machines.remember_gone(&machine.id, until + SERVER_TRUST_MS);
+            self.machines
+                .remember_gone(&machine.id, until + SERVER_USAGE_VALID_MS);
         }
     }
 
@@ -172,7 +178,7 @@
         let until = io.now + left_ms.min(longest_ms);
         if io.now < until {
             let id = MachineId(released.name.clone());
-            self.machines.remember_gone(&id, until + SERVER_TRUST_MS);
+            self.machines.remember_gone(&id, until + SERVER_USAGE_VALID_MS);
             self.writer.released_read(shard, id, until);
         }
     }
@@ -195,7 +201,7 @@
     pub(super) fn poll_servers(&mut self, definitions: &Definitions, io: &mut Io) {
         let mut due: BTreeSet<SocketAddrV4> = BTreeSet::new();
         for (name, feed) in &mut self.counted.feeds {
-            if feed.ask(io.now) {
+            if feed.start_poll(io.now) {
                 due.extend(definitions.get(name).and_then(|definition| definition.server));
             }
         }
@@ -220,7 +226,7 @@
         now: Timestamp,
     ) {
         let text = match outcome {
-            Outcome::Answer { status: 200, body } if body.len() <= SERVER_BYTES => {
+            Outcome::Answer { status: 200, body } if body.len() <= MAX_SERVER_ANSWER_BYTES => {
                 std::str::from_utf8(body).map_err(|_| "its answer is no text".to_owned())
             }
             Outcome::Answer { status: 200, .. } => Err("its answer is too long".to_owned()),
@@ -232,13 +238,14 @@
             if definitions.get(name).and_then(|definition| definition.server) != Some(server) {
                 continue;
             }
-            let before = feed.last(now).map(|(usage, _)| (usage.total, usage.in_use));
-            feed.answered(match &text {
-                Ok(text) => parse(text, name).map_err(|error| error.to_string()),
+            let before = feed.last_usage(now).map(|(usage, _)| (usage.total, usage.in_use));
+            feed.record_answer(match &text {
+                Ok(text) => parse_usage(text, name).map_err(|error| error.to_string()),
                 Err(problem) => Err(problem.clone()),
             });
-            self.scheduler
-                .request_pass_if(before != feed.last(now).map(|(usage, _)| (usage.total, usage.in_use)));
+            self.scheduler.request_pass_if(
+                before != feed.last_usage(now).map(|(usage, _)| (usage.total, usage.in_use)),
+            );
         }
     }
 
@@ -259,7 +266,7 @@
             let name: Name = Arc::from(pool.name);
             let waiting = waiting_for(pool.name, &self.counted.short);
             match pool.closed {
-                Some(Closed::Undefined) => found.push((
+                Some(ClosedReason::Undefined) => found.push((
                     name.clone(),
                     Trouble::Undefined,
                     format!(
@@ -267,7 +274,7 @@
                         pool.held
                     ),
                 )),
-                Some(Closed::Silent) => {
+                Some(ClosedReason::Silent) => {
                     let server = pool.definition.and_then(|definition| definition.server);
                     found.push((
                         name.clone(),
@@ -278,7 +285,7 @@
                         ),
                     ));
                 }
-                None if pool.over() > 0 => {
+                None if pool.excess() > 0 => {
                     over.insert(name.clone());
                     if !self.counted.over.contains(&name) {
                         log::warn!(
@@ -292,7 +299,7 @@
                         format!(
                             "{} units are held, {} linger and {} are others', of {}: nothing is stopped, and \
                              nothing starts on it until enough of them end; {waiting} tasks wait",
-                            pool.held, pool.lingering, pool.others, pool.units
+                            pool.held, pool.lingering, pool.external, pool.units
                         ),
                     ));
                 }
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -10,9 +10,9 @@
 use crate::settings::Settings;
 use indigopath_accounting::{Access, Owner, Team};
 use indigopath_counted_resources::status::{
-    Asked, CountStatus, Explanation, Holder, ServerStatus, TeamStatus,
+    CountStatus, Explanation, Holder, RequestedCount, ServerStatus, TeamStatus,
 };
-use indigopath_counted_resources::{Closed, Definitions, Pool};
+use indigopath_counted_resources::{ClosedReason, Definitions, Pool};
 
 impl LeaderTerm {
     /// Every count at a glance.
@@ -35,7 +35,7 @@
         teams.sort_by(|a, b| a.team.cmp(&b.team));
         let server = definition.and_then(|definition| definition.server).map(|addr| {
             let feed = self.counted.feeds.get(pool.name);
-            let last = feed.and_then(|feed| feed.last(now));
+            let last = feed.and_then(|feed| feed.last_usage(now));
             ServerStatus {
                 addr: addr.to_string(),
                 heard_s: last.map(|(_, age_ms)| age_ms as f64 / SECOND_MS as f64),
@@ -51,15 +51,15 @@
             held: pool.held,
             leaving: pool.leaving,
             lingering: pool.lingering,
-            others: pool.others,
+            others: pool.external,
             free: pool.free(),
             kept: self.counted.kept.get(pool.name).copied().unwrap_or(0),
             waiting: self.units_wanted(pool.name, None),
             oversubscribed: self.counted.oversubscribed.get(pool.name).copied().unwrap_or(0),
             closed: pool.closed.map(|closed| {
                 let text = match closed {
-                    Closed::Undefined => "it is not defined any more",
-                    Closed::Silent => "its licence server is silent",
+                    ClosedReason::Undefined => "it is not defined any more",
+                    ClosedReason::Silent => "its licence server is silent",
                 };
                 text.to_owned()
             }),
@@ -148,7 +148,7 @@
             .iter()
             .filter(|short| short.job == *id)
             .collect();
-        let counts = job.spec.counts.iter().map(|(count, units)| Asked {
+        let counts = job.spec.counts.iter().map(|(count, units)| RequestedCount {
             count: count.to_string(),
             needs: u64::from(units) * u64::from(job.together()),
             free: book.get(count).map_or(0, |pool| pool.free()),
@@ -161,7 +161,7 @@
             why: short
                 .iter()
                 .find(|short| short.lack.count == *count)
-                .map(|short| short.lack.why.text().to_owned()),
+                .map(|short| short.lack.reason.text().to_owned()),
         });
         let waiting = job.waiting.len() as u32;
         let rents = self
@@ -176,7 +176,7 @@
             format!(
                 "{tasks} of its tasks wait for units of {}: {}",
                 first.lack.count,
-                first.lack.why.text()
+                first.lack.reason.text()
             )
         } else if let Some(why) = job.spec.condor.as_ref().and_then(|part| part.held()) {
             format!("it is held: {why}")
--- a/crates/controller/src/leader/oversubscription.rs
+++ b/crates/controller/src/leader/oversubscription.rs
@@ -5,7 +5,7 @@
 use crate::constants::OVERSUBSCRIPTION_PARTS;
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::storage::batch_writer::ShardLinger;
-use indigopath_counted_resources::{Feed, Name, Pool};
+use indigopath_counted_resources::{Name, Pool, UsageFeed};
 use std::fmt::{self, Display, Formatter};
 
 /// Units of one attempt that may be on its machine.
@@ -114,8 +114,12 @@
 
 impl UsageReport {
     /// The last one, if the server was ever heard.
-    pub(super) fn of(feed: &Feed, is_ours: impl Fn(&str) -> bool, now: Timestamp) -> Option<UsageReport> {
-        let (usage, age_ms) = feed.last(now)?;
+    pub(super) fn of(
+        feed: &UsageFeed,
+        is_ours: impl Fn(&str) -> bool,
+        now: Timestamp,
+    ) -> Option<UsageReport> {
+        let (usage, age_ms) = feed.last_usage(now)?;
         let outside = usage.seats.iter().filter(|(host, _)| !is_ours(host));
         Some(UsageReport {
             age_ms,
@@ -156,7 +160,7 @@
             units: pool.units,
             held: pool.held,
             lingering: pool.lingering,
-            others: pool.others,
+            others: pool.external,
             attempts,
             lingers,
             server,
--- a/crates/controller/src/leader/oversubscription/tests.rs
+++ b/crates/controller/src/leader/oversubscription/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use indigopath_counted_resources::{Book, Definition, Definitions, Demand, Linger};
+use indigopath_counted_resources::{Definition, Definitions, Demand, Linger, UnitLedger};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -16,9 +16,9 @@
 
 /// Two seats are held of one, with these parts.
 fn report(attempts: Vec<HeldUnits>, lingers: Vec<LingeringUnits>, server: Option<UsageReport>) -> String {
-    let definitions = Definitions::from([(Arc::from("seat"), Definition::of(1))]);
+    let definitions = Definitions::from([(Arc::from("seat"), Definition::with_units(1))]);
     let seats = Demand::new(&BTreeMap::from([("seat".to_owned(), 2)])).unwrap();
-    let mut book = Book::new(&definitions);
+    let mut book = UnitLedger::new(&definitions);
     book.hold("red", &seats, 1.0, false);
     let pool = book.get("seat").unwrap();
     Oversubscription::new(pool, attempts, lingers, server).to_string()
@@ -37,9 +37,9 @@
         inherited: false,
         linger: &linger,
     };
-    let mut feed = Feed::default();
-    assert!(feed.ask(500));
-    feed.answered(Ok(indigopath_counted_resources::Usage {
+    let mut feed = UsageFeed::default();
+    assert!(feed.start_poll(500));
+    feed.record_answer(Ok(indigopath_counted_resources::Usage {
         total: 9,
         in_use: 5,
         seats: vec![("m-1".to_owned(), 2), ("m-9".to_owned(), 2), (String::new(), 1)],
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -14,7 +14,7 @@
 use crate::scheduling::gangs::GangAttempt;
 use crate::settings::Settings;
 use crate::storage::records::{self, DoneRecord, Record, RecordError, ShardRecord};
-use indigopath_counted_resources::{LingerEntry, Lingers};
+use indigopath_counted_resources::{LingerEntry, LingerSet};
 use std::collections::BTreeSet;
 
 /// Prefixes in the order of their reading. The records of protection windows come last: they are
@@ -273,7 +273,7 @@
     ) -> Result<(), RecordError> {
         let shard = ShardRecord::from_value(&item.value)?;
         let definitions = &settings.operator.counts;
-        let lingers = Lingers::from_record(
+        let lingers = LingerSet::from_record(
             shard.lingers().iter().cloned(),
             io.now,
             io.wall_ms,
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -77,7 +77,7 @@
         }
         self.usage.add(&spec.team, spec.needs);
         if !spec.counts.is_empty() {
-            self.book.take(&spec.team, &spec.counts, units_held_s(spec));
+            self.book.allocate(&spec.team, &spec.counts, units_held_s(spec));
         }
         self.starts += 1;
         let task = TaskId {
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -6,7 +6,9 @@
 use crate::constants::{HELD_LEAST_S, SECOND_MS, UNIT_SEARCHES_PER_JOB};
 use crate::model::{Job, JobId, JobSpec, MachineId, Timestamp};
 use crate::protocol::Priority;
-use indigopath_counted_resources::{Asker, Book, Definitions, Feed, Lack, Linger, Name, Policy};
+use indigopath_counted_resources::{
+    Definitions, Linger, Name, Requester, ReservationPolicy, Shortage, UnitLedger, UsageFeed,
+};
 use std::collections::{BTreeMap, HashMap};
 
 /// What is known of counted resources apart from what runs.
@@ -15,11 +17,11 @@
     /// Counted resources as the operators define them.
     pub definitions: &'a Definitions,
     /// How free units are shared among requests.
-    pub policy: Policy,
+    pub policy: ReservationPolicy,
     /// Jobs for which the last passes reserved units, and since when.
     pub reserved_since: &'a BTreeMap<JobId, Timestamp>,
     /// What licence servers say.
-    pub feeds: &'a BTreeMap<Name, Feed>,
+    pub feeds: &'a BTreeMap<Name, UsageFeed>,
     /// Units of attempts that are gone, which no licence server has back yet.
     pub lingers: &'a [Linger],
     /// Machines that went lately: a licence server may still name them.
@@ -34,14 +36,14 @@
     /// How many of its tasks wait.
     pub tasks: u32,
     /// What they lack.
-    pub lack: Lack,
+    pub lack: Shortage,
 }
 
 impl<'a> Units<'a> {
     /// Completes a book in which all attempts stand.
     pub(super) fn settle(
         &self,
-        book: &mut Book<'a>,
+        book: &mut UnitLedger<'a>,
         machines: &BTreeMap<MachineId, Machine>,
         now: Timestamp,
     ) {
@@ -50,15 +52,19 @@
             book.linger(&linger.team, &linger.count, linger.units, left_s);
         }
         // A server that nobody has asked yet closes its count as well.
-        book.hear(self.feeds, now, |host| {
+        book.apply_server_usage(self.feeds, now, |host| {
             machines.contains_key(host) || self.gone.contains_key(host)
         });
     }
 }
 
 /// Who holds what now, for those who ask between passes.
-pub fn book<'a>(machines: &'a BTreeMap<MachineId, Machine>, units: &Units<'a>, now: Timestamp) -> Book<'a> {
-    let mut book = Book::with_policy(units.definitions, units.policy);
+pub fn book<'a>(
+    machines: &'a BTreeMap<MachineId, Machine>,
+    units: &Units<'a>,
+    now: Timestamp,
+) -> UnitLedger<'a> {
+    let mut book = UnitLedger::with_policy(units.definitions, units.policy);
     for attempt in machines.values().flat_map(|machine| &machine.attempts) {
         record_units(&mut book, attempt, now);
     }
@@ -67,7 +73,7 @@
 }
 
 /// Notes the units, if any, that an attempt holds.
-pub(super) fn record_units<'a>(book: &mut Book<'a>, attempt: &'a Attempt, now: Timestamp) {
+pub(super) fn record_units<'a>(book: &mut UnitLedger<'a>, attempt: &'a Attempt, now: Timestamp) {
     if !attempt.holds_units() {
         return;
     }
@@ -95,7 +101,7 @@
 
 impl<'a> Pass<'a> {
     /// The job as the shared counts see it.
-    fn asker(&self, job: &Job) -> Asker {
+    fn asker(&self, job: &Job) -> Requester {
         let now = self.cluster.now;
         let reserved_since = self
             .cluster
@@ -104,10 +110,10 @@
             .get(&job.spec.id)
             .copied()
             .unwrap_or(now);
-        Asker {
+        Requester {
             age_s: job.age_ms(now) as f64 / SECOND_MS as f64,
             estimate_s: job.spec.estimate_s,
-            kept_s: now.saturating_sub(reserved_since) as f64 / SECOND_MS as f64,
+            reserved_s: now.saturating_sub(reserved_since) as f64 / SECOND_MS as f64,
         }
     }
 
@@ -117,10 +123,10 @@
             return most;
         }
         match entry.single_count {
-            Some(only) => self.book.room_of(only, most, || self.asker(entry.job)),
+            Some(only) => self.book.startable_tasks_of(only, most, || self.asker(entry.job)),
             None => {
                 let asker = self.asker(entry.job);
-                self.book.room(&entry.job.spec.counts, most, &asker)
+                self.book.startable_tasks(&entry.job.spec.counts, most, &asker)
             }
         }
     }
@@ -142,11 +148,11 @@
     pub(super) fn reserve_units(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let age_s = job.age_ms(self.cluster.now) as f64 / SECOND_MS as f64;
-        if entry.needs_units && self.book.keeps_at(age_s) {
+        if entry.needs_units && self.book.may_reserve_at(age_s) {
             let asker = self.asker(job);
             if self
                 .book
-                .awaits_machines(&job.spec.counts, job.together(), &asker)
+                .reserve_for_machines(&job.spec.counts, job.together(), &asker)
             {
                 self.plan.units_reserved_for.insert(job.spec.id.clone());
             }
@@ -155,9 +161,9 @@
 
     /// Free units that are reserved, by count.
     pub(super) fn reserved_units(&self) -> BTreeMap<Name, u32> {
-        let reserved = self.book.pools().filter(|pool| pool.kept() > 0);
+        let reserved = self.book.pools().filter(|pool| pool.reserved() > 0);
         reserved
-            .map(|pool| (Name::from(pool.name), pool.kept().min(pool.free())))
+            .map(|pool| (Name::from(pool.name), pool.reserved().min(pool.free())))
             .collect()
     }
 
@@ -166,7 +172,7 @@
     pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, together: u32, tasks: u32) {
         let job = entry.job;
         let asker = self.asker(job);
-        let (lack, reservation) = self.book.short(&job.spec.counts, together, &asker);
+        let (lack, reservation) = self.book.handle_shortage(&job.spec.counts, together, &asker);
         if reservation {
             self.plan.units_reserved_for.insert(job.spec.id.clone());
         }
@@ -182,7 +188,7 @@
         for _ in 0..rounds {
             // What is leaving goes to those who wait, in their order, whether or not
             // they may stop anything.
-            let Some(missing) = self.book.missing(&job.spec.counts, together) else {
+            let Some(missing) = self.book.deficit(&job.spec.counts, together) else {
                 return;
             };
             if !lower && !entry.units_guaranteed {
@@ -194,7 +200,7 @@
             // Until the rest of what is being freed for it has come, what it has stays its
             // own. What only ends by itself is nothing to idle units for: an old request
             // has them reserved in any case.
-            if !missing.awaits_ends {
+            if !missing.awaits_completions {
                 self.book.claim(&job.spec.counts, together);
             }
         }
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -10,7 +10,7 @@
 use crate::constants::{HELD_LASTING_S, HELD_LEAST_S};
 use crate::model::{Resources, Timestamp};
 use crate::protocol::{MachineType, Priority};
-use indigopath_counted_resources::Book;
+use indigopath_counted_resources::UnitLedger;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 
@@ -20,7 +20,7 @@
     types: Vec<&'a MachineType>,
     images: ImageCatalog<'a>,
     usage: UsageByTeam<'a>,
-    book: Book<'a>,
+    book: UnitLedger<'a>,
     any_leaving: bool,
 }
 
@@ -31,7 +31,7 @@
             types: cluster.types.values().collect(),
             images: ImageCatalog::default(),
             usage: UsageByTeam::default(),
-            book: Book::with_policy(cluster.units.definitions, cluster.units.policy),
+            book: UnitLedger::with_policy(cluster.units.definitions, cluster.units.policy),
             any_leaving: false,
         }
     }
--- a/crates/controller/src/scheduling/placement/pass.rs
+++ b/crates/controller/src/scheduling/placement/pass.rs
@@ -7,7 +7,7 @@
 use crate::model::{Job, JobId, Resources, Timestamp};
 use crate::protocol::{MachineType, Priority};
 use crate::settings::Team;
-use indigopath_counted_resources::Book;
+use indigopath_counted_resources::UnitLedger;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -192,7 +192,7 @@
     pub(super) running_jobs_resolved: bool,
     pub(super) preemption_searches: usize,
     /// Who holds which units of counts.
-    pub(super) book: Book<'a>,
+    pub(super) book: UnitLedger<'a>,
     pub(super) unit_stops: usize,
     /// The lowest priority of any job that holds units, once a pass needs it.
     pub(super) lowest_unit_priority: Option<Option<Priority>>,
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -7,7 +7,7 @@
 use crate::protocol::Shape;
 use crate::scheduling::fair_share::Starved;
 use crate::settings::Deployment;
-use indigopath_counted_resources::Only;
+use indigopath_counted_resources::SingleCount;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, btree_set};
 use std::iter::{Copied, Skip, Take};
@@ -43,7 +43,7 @@
     /// It asks for units of counts.
     pub(super) needs_units: bool,
     /// Set where it asks for units of one count only, as most do.
-    pub(super) single_count: Option<Only>,
+    pub(super) single_count: Option<SingleCount>,
 }
 
 /// Indices of waiting tasks, in their order.
@@ -254,7 +254,11 @@
             },
             units_guaranteed: false,
             needs_units,
-            single_count: if needs_units { self.book.only(counts) } else { None },
+            single_count: if needs_units {
+                self.book.single_count(counts)
+            } else {
+                None
+            },
         }
     }
 
@@ -266,8 +270,10 @@
         }
         let spec = &entry.job.spec;
         let guaranteed = match entry.single_count {
-            Some(only) => self.book.owed_of(only, &spec.team, entry.tasks),
-            None => self.book.owed(&spec.team, &spec.counts, entry.tasks),
+            Some(only) => self.book.tasks_within_share_of(only, &spec.team, entry.tasks),
+            None => self
+                .book
+                .tasks_within_share(&spec.team, &spec.counts, entry.tasks),
         }?;
         match spec.shape {
             // A gang that is guaranteed units for a part only borrows as a whole.
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -67,7 +67,7 @@
     fn stop_unit_victim(&mut self, victim: &UnitVictim<'a>, missing: &mut [(Name, u32)]) {
         self.unit_stops += 1;
         for _ in 0..victim.tasks {
-            self.book.stops(victim.team, victim.counts, missing);
+            self.book.record_stops(victim.team, victim.counts, missing);
         }
         let capacity = &mut self.capacities[victim.at];
         let machine = capacity.machine.id.clone();
@@ -127,7 +127,7 @@
             .counts
             .iter()
             .map(|(count, _)| &**count)
-            .filter(|count| self.book.get(count).is_some_and(|pool| pool.is_shared()))
+            .filter(|count| self.book.get(count).is_some_and(|pool| pool.has_shares()))
             .map(|count| (count, victim.units(count)))
             .collect();
         let enough = !held.is_empty()
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -334,7 +334,7 @@
         }
         let teams = &self.deployment.teams;
         let is_team = |name: &str| teams.iter().any(|team| team.name == name);
-        indigopath_counted_resources::check(&operator.counts, is_team)?;
+        indigopath_counted_resources::check_definitions(&operator.counts, is_team)?;
         if let Some(condor) = &operator.condor {
             condor.check(is_team)?;
         }
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -25,7 +25,7 @@
 use crate::storage::records::EndedRecord;
 use completed_tasks::CompletedTasks;
 use indigopath_accounting::{Access, Entry, FairQueue, Team};
-use indigopath_counted_resources::{Linger, Lingers};
+use indigopath_counted_resources::{Linger, LingerSet};
 use machine_shards::{MachineShards, ShardSources};
 use rereads::Rereads;
 use serde_json::value::RawValue;
@@ -105,7 +105,7 @@
     }
 
     /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub fn linger_read(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
+    pub fn linger_read(&mut self, number: u32, version: u64, lingers: LingerSet, spent: bool) {
         self.machine_shards
             .on_lingers_read(number, version, lingers, spent);
     }
--- a/crates/controller/src/storage/batch_writer/machine_shards.rs
+++ b/crates/controller/src/storage/batch_writer/machine_shards.rs
@@ -9,7 +9,7 @@
 use crate::protocol::{Change, Condition};
 use crate::storage::keys;
 use crate::storage::records::{MachineRecord, Record, ReleasedMachine, ShardRecord};
-use indigopath_counted_resources::{Linger, LingerEntry, Lingers};
+use indigopath_counted_resources::{Linger, LingerEntry, LingerSet};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -20,9 +20,9 @@
     machines: BTreeSet<MachineId>,
     /// Units of attempts that stood here: they stay in the record from which their
     /// attempts go, so that at no time either is missing.
-    lingers: Lingers,
+    lingers: LingerSet,
     /// Those of them that a former leader recorded, as they were read.
-    inherited_lingers: Lingers,
+    inherited_lingers: LingerSet,
     /// Machines that stood here and are gone, and until when a licence server may name their clients.
     released: Vec<(MachineId, Timestamp)>,
     /// Half of its machines moved to that shard, and nobody knows yet whether this
@@ -132,7 +132,7 @@
     }
 
     /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub(super) fn on_lingers_read(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
+    pub(super) fn on_lingers_read(&mut self, number: u32, version: u64, lingers: LingerSet, spent: bool) {
         let shard = self.shards.entry(number).or_default();
         shard.version = shard.version.max(version);
         shard.inherited_lingers = lingers.clone();
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -8,7 +8,9 @@
 use indigopath_controller::protocol::{DirectCommands, Heartbeat, HeartbeatResponse};
 use indigopath_controller::scheduling::placement::{self, Units};
 use indigopath_controller::storage::records::{MachineRecord, Record, ShardRecord};
-use indigopath_counted_resources::{Asker, Definition, Definitions, Demand, Linger, Lingers, Policy};
+use indigopath_counted_resources::{
+    Definition, Definitions, Demand, Linger, LingerSet, Requester, ReservationPolicy,
+};
 use indigopath_simulator::licence_server::{Fate, Feature, LicenceServer};
 use indigopath_simulator::simulation::ObservedJob;
 use indigopath_simulator::worker::Worker;
@@ -85,7 +87,7 @@
     token: u64,
     first_token: u64,
     machines: BTreeMap<MachineId, Machine>,
-    lingers: Lingers,
+    lingers: LingerSet,
     /// What a new leader would read.
     recorded: (Vec<MachineRecord>, serde_json::Value),
     workers: Vec<Worker>,
@@ -109,7 +111,7 @@
             counts: BTreeMap::from([("seat".to_owned(), 1)]),
             ..ObservedJob::default()
         };
-        let mut definition = Definition::of(UNITS);
+        let mut definition = Definition::with_units(UNITS);
         definition.linger_s = LINGER_S;
         let feature = Feature::new(UNITS, (LINGER_S * 1_000.0) as u64);
         let mut play = Play {
@@ -117,7 +119,7 @@
             token: 10,
             first_token: 10,
             machines: BTreeMap::new(),
-            lingers: Lingers::default(),
+            lingers: LingerSet::default(),
             recorded: (Vec::new(), serde_json::Value::Null),
             workers: Vec::new(),
             licences: LicenceServer {
@@ -153,12 +155,12 @@
         MachineId(Arc::from(self.workers[at].id.as_str()))
     }
 
-    fn seats(&self, asked: impl Fn(&indigopath_counted_resources::Book<'_>) -> u32) -> u32 {
+    fn seats(&self, asked: impl Fn(&indigopath_counted_resources::UnitLedger<'_>) -> u32) -> u32 {
         let lingers: Vec<Linger> = self.lingers.iter().cloned().collect();
         let (feeds, gone, keepers) = (BTreeMap::new(), HashMap::new(), BTreeMap::new());
         let units = Units {
             definitions: &self.definitions,
-            policy: Policy::default(),
+            policy: ReservationPolicy::default(),
             reserved_since: &keepers,
             feeds: &feeds,
             lingers: &lingers,
@@ -238,7 +240,7 @@
                 self.token += 1;
                 self.first_token = self.token;
                 let shard = ShardRecord::from_value(&self.recorded.1).unwrap();
-                self.lingers = Lingers::from_record(
+                self.lingers = LingerSet::from_record(
                     shard.lingers().iter().cloned(),
                     self.now,
                     WALL_MS + self.now,
@@ -299,12 +301,12 @@
 
     fn start(&mut self, at: usize) {
         let seat = Demand::new(&BTreeMap::from([("seat".to_owned(), 1)])).unwrap();
-        let asker = Asker {
+        let asker = Requester {
             age_s: 0.0,
             estimate_s: 4.0,
-            kept_s: 0.0,
+            reserved_s: 0.0,
         };
-        if self.seats(|book| book.room(&seat, 1, &asker)) == 0 {
+        if self.seats(|book| book.startable_tasks(&seat, 1, &asker)) == 0 {
             return;
         }
         let task = TaskId {
--- a/crates/controller/tests/limits.rs
+++ b/crates/controller/tests/limits.rs
@@ -50,8 +50,11 @@
 #[test]
 fn a_licence_servers_answer_may_name_all_tasks_and_as_many_others() {
     const {
-        assert!(indigopath_counted_resources::constants::SERVER_LINES >= 2 * TASKS);
-        assert!(indigopath_counted_resources::constants::SERVER_BYTES >= 2 * TASKS * LICENCE_LINE_BYTES);
+        assert!(indigopath_counted_resources::constants::MAX_SERVER_ANSWER_LINES >= 2 * TASKS);
+        assert!(
+            indigopath_counted_resources::constants::MAX_SERVER_ANSWER_BYTES
+                >= 2 * TASKS * LICENCE_LINE_BYTES
+        );
     };
 }
 
--- a/crates/counted_resources/benches/pass.rs
+++ b/crates/counted_resources/benches/pass.rs
@@ -10,7 +10,9 @@
 use indigopath_controller::protocol::{Flavors, TaskState};
 use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, MachineTypes, Units};
 use indigopath_controller::settings::Deployment;
-use indigopath_counted_resources::{Asker, Book, Definition, Definitions, Demand, Demands, Policy};
+use indigopath_counted_resources::{
+    Definition, Definitions, Demand, DemandInterner, Requester, ReservationPolicy, UnitLedger,
+};
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
@@ -49,7 +51,7 @@
     }] }))
     .expect("machine types");
     // As the leader does.
-    let demands = std::cell::RefCell::new(Demands::default());
+    let demands = std::cell::RefCell::new(DemandInterner::default());
     let spec = |number: u32| -> JobSpec {
         let value = json!({
             "id": format!("wk-{number}"), "class": "slots", "team": if number.is_multiple_of(2) { "red" } else { "blue" },
@@ -61,7 +63,7 @@
         });
         let mut spec: JobSpec = serde_json::from_value(value).expect("a job");
         if counted {
-            spec.counts = demands.borrow_mut().share(demand(number));
+            spec.counts = demands.borrow_mut().intern(demand(number));
         }
         spec
     };
@@ -104,7 +106,7 @@
         machines.insert(id, machine);
     }
     let definition = |number: u32| {
-        let mut definition = Definition::of(units);
+        let mut definition = Definition::with_units(units);
         definition.linger_s = 5.0;
         definition.shares = BTreeMap::from([("red".to_owned(), units / 4)]);
         (Arc::from(format!("c{number}")), definition)
@@ -149,7 +151,7 @@
             protection: &placement::Protection::default(),
             units: Units {
                 definitions: &self.definitions,
-                policy: Policy::default(),
+                policy: ReservationPolicy::default(),
                 reserved_since: &keepers,
                 feeds: &feeds,
                 lingers: &[],
@@ -196,18 +198,18 @@
 
 fn book(criterion: &mut Criterion) {
     let world = world(true, 1_000);
-    let asker = Asker {
+    let asker = Requester {
         age_s: 20.0,
         estimate_s: 30.0,
-        kept_s: 0.0,
+        reserved_s: 0.0,
     };
     let demands: Vec<Demand> = (0..JOBS).map(demand).collect();
     criterion.bench_function("book: 10,000 questions for room", |bench| {
-        let book = Book::new(&world.definitions);
+        let book = UnitLedger::new(&world.definitions);
         bench.iter(|| {
             demands
                 .iter()
-                .map(|demand| book.room(demand, 1, &asker))
+                .map(|demand| book.startable_tasks(demand, 1, &asker))
                 .sum::<u32>()
         });
     });
--- a/crates/counted_resources/src/constants.rs
+++ b/crates/counted_resources/src/constants.rs
@@ -11,7 +11,7 @@
 pub const MAX_DEMAND: usize = 16;
 
 /// Most different demands that are remembered, to share them: users choose them freely.
-pub const DEMANDS_KEPT: usize = 1_000;
+pub const MAX_INTERNED_DEMANDS: usize = 1_000;
 
 /// Longest name of a count, in bytes: it stands in records and in metrics' labels.
 pub const MAX_NAME: usize = 64;
@@ -26,11 +26,11 @@
 
 /// Lingering units of a count and team that end within this many ms of each other are
 /// one entry, so that a record stays small; the later end counts.
-pub const LINGER_GRAIN_MS: u64 = 1_000;
+pub const LINGER_MERGE_MS: u64 = 1_000;
 
 /// Most entries of lingering units in one record (some 40 bytes each). Beyond, those of
 /// one count and team become one that lasts as long as the last of them.
-pub const LINGERS_PER_RECORD: usize = 48;
+pub const MAX_LINGERS_PER_RECORD: usize = 48;
 
 /// Age, in s, from which a request that finds too few units keeps what comes free: nobody
 /// after it in the order may take it. Sooner, and a gang would idle units that short
@@ -46,26 +46,26 @@
 
 /// How much longer than estimated a task must be able to run, to go ahead of a request
 /// that units are kept for: half of the estimates are too low.
-pub const BACKFILL_SAFETY: f64 = 1.5;
+pub const BACKFILL_SAFETY_FACTOR: f64 = 1.5;
 
 /// What a machine takes to come, in s, for a request that has its units and lacks only
 /// machines: nobody longer than this goes ahead on its units.
-pub const MACHINE_WAIT_S: f64 = 60.0;
+pub const EXPECTED_MACHINE_WAIT_S: f64 = 60.0;
 
 /// Interval of questions to a licence server, in ms. A seat that somebody else takes in
 /// between is seen late by so much; a server bears this from one client.
-pub const SERVER_POLL_MS: u64 = 5_000;
+pub const SERVER_POLL_INTERVAL_MS: u64 = 5_000;
 
 /// For how long the last word of a silent server counts, in ms: long enough for a
 /// restart, short enough that others' seats have not all changed.
-pub const SERVER_TRUST_MS: u64 = 60_000;
+pub const SERVER_USAGE_VALID_MS: u64 = 60_000;
 
 /// Longest wait for a server's answer, in ms.
 pub const SERVER_TIMEOUT_MS: u64 = 4_000;
 
 /// Most lines of a server's answer that are read: a line a seat, of 20,000 tasks on 4,000 machines and as
 /// many of others.
-pub const SERVER_LINES: usize = 40_000;
+pub const MAX_SERVER_ANSWER_LINES: usize = 40_000;
 
 /// Largest answer of a server that is read, in bytes: some 100 a seat.
-pub const SERVER_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_SERVER_ANSWER_BYTES: usize = 4 * 1024 * 1024;
--- a/crates/counted_resources/src/definition.rs
+++ b/crates/counted_resources/src/definition.rs
@@ -27,7 +27,7 @@
 
 impl Definition {
     /// A count of so many units and nothing else.
-    pub fn of(units: u32) -> Definition {
+    pub fn with_units(units: u32) -> Definition {
         Definition {
             units,
             linger_s: 0.0,
@@ -59,14 +59,17 @@
 ///
 /// # Errors
 /// The first field that cannot be used, and why.
-pub fn check(definitions: &Definitions, is_team: impl Fn(&str) -> bool) -> Result<(), DefinitionError> {
+pub fn check_definitions(
+    definitions: &Definitions,
+    is_team: impl Fn(&str) -> bool,
+) -> Result<(), DefinitionError> {
     let bad = |field: String, problem: String| Err(DefinitionError { field, problem });
     if definitions.len() > MAX_COUNTS {
         return bad("count".to_owned(), format!("more than {MAX_COUNTS} are defined"));
     }
     for (name, definition) in definitions {
         let field = |part: &str| format!("count.{name}{part}");
-        if !is_name(name) {
+        if !is_valid_name(name) {
             return bad(
                 field(""),
                 format!("a name has 1 to {MAX_NAME} letters, digits, dots, dashes or underscores"),
@@ -105,7 +108,7 @@
 }
 
 /// Whether a text may name a count.
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     (1..=MAX_NAME).contains(&text.len())
         && text
             .bytes()
--- a/crates/counted_resources/src/definition/tests.rs
+++ b/crates/counted_resources/src/definition/tests.rs
@@ -2,7 +2,9 @@
 
 fn problem(text: &str) -> String {
     let definitions: Definitions = serde_json::from_str(text).unwrap();
-    check(&definitions, |team| team == "red").unwrap_err().to_string()
+    check_definitions(&definitions, |team| team == "red")
+        .unwrap_err()
+        .to_string()
 }
 
 #[test]
--- a/crates/counted_resources/src/demand.rs
+++ b/crates/counted_resources/src/demand.rs
@@ -1,7 +1,7 @@
 //! What a task asks for.
 
-use crate::constants::{DEMANDS_KEPT, MAX_DEMAND, MAX_UNITS};
-use crate::definition::is_name;
+use crate::constants::{MAX_DEMAND, MAX_INTERNED_DEMANDS, MAX_UNITS};
+use crate::definition::is_valid_name;
 use crate::{Definitions, Name};
 use rustc_hash::FxHashSet;
 use serde::{Deserialize, Serialize};
@@ -19,20 +19,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DemandError {
     #[error("Counts names more than {MAX_DEMAND} counts")]
-    TooMany,
+    TooManyCounts,
     #[error("Counts holds a name that no count can have")]
-    Name,
+    InvalidName,
     #[error("Counts.{0} is out of range")]
-    Units(Name),
+    UnitsOutOfRange(Name),
 }
 
 /// A demand that can never be met.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Unmeetable {
+pub enum UnsatisfiableDemand {
     #[error("there is no count {0:?}")]
     Unknown(Name),
     #[error("needs {wanted} of count {count:?} at once, of which there are {units}")]
-    TooMuch { count: Name, wanted: u64, units: u32 },
+    TooFewUnits { count: Name, wanted: u64, units: u32 },
 }
 
 impl Demand {
@@ -42,17 +42,17 @@
     /// Too many names, a name that no count can have, or units that are 0 or too many.
     pub fn new(asked: &BTreeMap<String, u64>) -> Result<Demand, DemandError> {
         if asked.len() > MAX_DEMAND {
-            return Err(DemandError::TooMany);
+            return Err(DemandError::TooManyCounts);
         }
         let mut entries = Vec::with_capacity(asked.len());
         for (name, units) in asked {
-            if !is_name(name) {
-                return Err(DemandError::Name);
+            if !is_valid_name(name) {
+                return Err(DemandError::InvalidName);
             }
             let name: Name = Arc::from(name.as_str());
             match u32::try_from(*units) {
                 Ok(units @ 1..=MAX_UNITS) => entries.push((name, units)),
-                _ => return Err(DemandError::Units(name)),
+                _ => return Err(DemandError::UnitsOutOfRange(name)),
             }
         }
         Ok(Demand(Arc::from(entries)))
@@ -78,14 +78,14 @@
     ///
     /// # Errors
     /// The first count that is not defined, or has too few units.
-    pub fn check(&self, definitions: &Definitions, together: u64) -> Result<(), Unmeetable> {
+    pub fn check(&self, definitions: &Definitions, together: u64) -> Result<(), UnsatisfiableDemand> {
         for (name, units) in self.iter() {
             let Some(definition) = definitions.get(name) else {
-                return Err(Unmeetable::Unknown(name.clone()));
+                return Err(UnsatisfiableDemand::Unknown(name.clone()));
             };
             let wanted = u64::from(units) * together;
             if wanted > u64::from(definition.units) {
-                return Err(Unmeetable::TooMuch {
+                return Err(UnsatisfiableDemand::TooFewUnits {
                     count: name.clone(),
                     wanted,
                     units: definition.units,
@@ -99,15 +99,15 @@
 /// Equal demands as one: a pass reads those of thousands of jobs, and finds the few
 /// different ones where it has just been.
 #[derive(Debug, Clone, Default)]
-pub struct Demands(FxHashSet<Demand>);
+pub struct DemandInterner(FxHashSet<Demand>);
 
-impl Demands {
+impl DemandInterner {
     /// The same demand, shared with its equals.
-    pub fn share(&mut self, demand: Demand) -> Demand {
+    pub fn intern(&mut self, demand: Demand) -> Demand {
         if let Some(known) = self.0.get(&demand) {
             return known.clone();
         }
-        if self.0.len() >= DEMANDS_KEPT {
+        if self.0.len() >= MAX_INTERNED_DEMANDS {
             // They live on with their jobs.
             self.0.clear();
         }
--- a/crates/counted_resources/src/lib.rs
+++ b/crates/counted_resources/src/lib.rs
@@ -25,11 +25,14 @@
 mod linger;
 pub mod status;
 
-pub use count_pools::{Asker, Book, Closed, Lack, Missing, Only, Policy, Pool, TeamUse, Why};
-pub use definition::{Definition, DefinitionError, Definitions, check, is_name};
-pub use demand::{Demand, DemandError, Demands, Unmeetable};
-pub use licence::{Feed, LicenceError, Usage, Word, parse};
-pub use linger::{Linger, LingerEntry, Lingers};
+pub use count_pools::{
+    ClosedReason, Deficit, Pool, Requester, ReservationPolicy, Shortage, ShortageReason, SingleCount,
+    TeamUsage, UnitLedger,
+};
+pub use definition::{Definition, DefinitionError, Definitions, check_definitions, is_valid_name};
+pub use demand::{Demand, DemandError, DemandInterner, UnsatisfiableDemand};
+pub use licence::{FeedState, Usage, UsageFeed, UsageParseError, parse_usage};
+pub use linger::{Linger, LingerEntry, LingerSet};
 
 /// Name of a count or a team. Shared, as every attempt and record carries some.
 pub type Name = std::sync::Arc<str>;
--- a/crates/counted_resources/src/licence.rs
+++ b/crates/counted_resources/src/licence.rs
@@ -14,7 +14,7 @@
 //!     1 RESERVATION for GROUP planning (licences/27000)
 //! ```
 
-use crate::constants::{SERVER_LINES, SERVER_POLL_MS, SERVER_TRUST_MS};
+use crate::constants::{MAX_SERVER_ANSWER_LINES, SERVER_POLL_INTERVAL_MS, SERVER_USAGE_VALID_MS};
 use regex::Regex;
 use std::sync::LazyLock;
 use thiserror::Error;
@@ -32,12 +32,12 @@
 
 /// Why an answer says nothing of a feature.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum LicenceError {
+pub enum UsageParseError {
     #[error("it does not name the feature")]
     Absent,
     #[error("it has no total for the feature: {0}")]
     NoTotal(&'static str),
-    #[error("it is longer than {SERVER_LINES} lines")]
+    #[error("it is longer than {MAX_SERVER_ANSWER_LINES} lines")]
     TooLong,
 }
 
@@ -55,16 +55,16 @@
 /// # Errors
 /// The text does not name the feature, or gives no total for it (an uncounted licence, a
 /// vendor daemon that is down), or is too long.
-pub fn parse(text: &str, feature: &str) -> Result<Usage, LicenceError> {
+pub fn parse_usage(text: &str, feature: &str) -> Result<Usage, UsageParseError> {
     let (Some(is_feature), Some(is_total), Some(is_seat), Some(is_reserved)) =
         (&*FEATURE, &*TOTAL, &*SEAT, &*RESERVED)
     else {
-        return Err(LicenceError::Absent);
+        return Err(UsageParseError::Absent);
     };
     let mut usage: Option<Usage> = None;
     for (number, line) in text.lines().enumerate() {
-        if number >= SERVER_LINES {
-            return Err(LicenceError::TooLong);
+        if number >= MAX_SERVER_ANSWER_LINES {
+            return Err(UsageParseError::TooLong);
         }
         if let Some(found) = is_feature.captures(line) {
             if usage.is_some() {
@@ -75,7 +75,7 @@
             }
             let Some(totals) = is_total.captures(&found[2]) else {
                 let uncounted = found[2].contains("ncounted");
-                return Err(LicenceError::NoTotal(if uncounted {
+                return Err(UsageParseError::NoTotal(if uncounted {
                     "its seats are not counted"
                 } else {
                     "the vendor daemon is down or refuses"
@@ -100,14 +100,14 @@
             }
         }
     }
-    usage.ok_or(LicenceError::Absent)
+    usage.ok_or(UsageParseError::Absent)
 }
 
 impl Usage {
     /// Seats that others hold: whatever is not on a host of ours. Where the server names
     /// fewer seats than it says are taken, the rest is others', less what we hold
     /// (`ours`) and it may not name.
-    pub fn others(&self, is_ours: impl Fn(&str) -> bool, ours: u32) -> u32 {
+    pub fn external_seats(&self, is_ours: impl Fn(&str) -> bool, ours: u32) -> u32 {
         let (mut named, mut on_ours) = (0u32, 0u32);
         for (host, units) in &self.seats {
             named = named.saturating_add(*units);
@@ -122,57 +122,60 @@
 
 /// What is known of a count's server.
 #[derive(Debug, Clone, Default)]
-pub struct Feed {
-    heard: Option<(Usage, u64)>,
+pub struct UsageFeed {
+    last_answer: Option<(Usage, u64)>,
     /// When it was last asked, in ms.
-    asked: Option<u64>,
-    waiting: bool,
+    polled_at: Option<u64>,
+    poll_pending: bool,
     /// What its last answer lacked.
     pub problem: Option<String>,
 }
 
 /// What counts of a server's word now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word<'a> {
+pub enum FeedState<'a> {
     /// Heard lately enough.
     Fresh(&'a Usage),
     /// Silent for too long, or never heard: nothing new may start.
     Silent,
 }
 
-impl Feed {
+impl UsageFeed {
     /// Whether it is to be asked now; if so, an answer is awaited from here on.
-    pub fn ask(&mut self, now: u64) -> bool {
-        let due = !self.waiting && self.asked.is_none_or(|at| now >= at + SERVER_POLL_MS);
+    pub fn start_poll(&mut self, now: u64) -> bool {
+        let due = !self.poll_pending
+            && self
+                .polled_at
+                .is_none_or(|at| now >= at + SERVER_POLL_INTERVAL_MS);
         if due {
-            self.asked = Some(now);
-            self.waiting = true;
+            self.polled_at = Some(now);
+            self.poll_pending = true;
         }
         due
     }
 
     /// The server answered, or did not. Its word counts from when it was asked.
-    pub fn answered(&mut self, answer: Result<Usage, String>) {
-        self.waiting = false;
+    pub fn record_answer(&mut self, answer: Result<Usage, String>) {
+        self.poll_pending = false;
         match answer {
             Ok(usage) => {
                 self.problem = None;
-                self.heard = self.asked.map(|at| (usage, at));
+                self.last_answer = self.polled_at.map(|at| (usage, at));
             }
             Err(problem) => self.problem = Some(problem),
         }
     }
 
-    pub fn word(&self, now: u64) -> Word<'_> {
-        match &self.heard {
-            Some((usage, at)) if now < at + SERVER_TRUST_MS => Word::Fresh(usage),
-            _ => Word::Silent,
+    pub fn state(&self, now: u64) -> FeedState<'_> {
+        match &self.last_answer {
+            Some((usage, at)) if now < at + SERVER_USAGE_VALID_MS => FeedState::Fresh(usage),
+            _ => FeedState::Silent,
         }
     }
 
     /// The last word, however old, and its age in ms.
-    pub fn last(&self, now: u64) -> Option<(&Usage, u64)> {
-        self.heard
+    pub fn last_usage(&self, now: u64) -> Option<(&Usage, u64)> {
+        self.last_answer
             .as_ref()
             .map(|(usage, at)| (usage, now.saturating_sub(*at)))
     }
--- a/crates/counted_resources/src/licence/tests.rs
+++ b/crates/counted_resources/src/licence/tests.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn one_feature_is_read() {
-    let usage = parse(TEXT, "layout-optimiser").unwrap();
+    let usage = parse_usage(TEXT, "layout-optimiser").unwrap();
     assert_eq!((usage.total, usage.in_use), (6, 5));
     assert_eq!(
         usage.seats,
@@ -42,45 +42,51 @@
         ]
     );
     // desk-7, the reservation, and one that it does not name.
-    assert_eq!(usage.others(|host| host.starts_with("m-"), 2), 3);
+    assert_eq!(usage.external_seats(|host| host.starts_with("m-"), 2), 3);
     // That one may be ours, checked out since the list was made.
-    assert_eq!(usage.others(|host| host.starts_with("m-"), 3), 2);
-    assert_eq!(parse(TEXT, "other-tool").unwrap().in_use, 1);
+    assert_eq!(usage.external_seats(|host| host.starts_with("m-"), 3), 2);
+    assert_eq!(parse_usage(TEXT, "other-tool").unwrap().in_use, 1);
 }
 
 #[test]
 fn what_says_nothing_is_an_error() {
-    assert_eq!(parse(TEXT, "layout"), Err(LicenceError::Absent));
-    assert_eq!(parse("", "layout"), Err(LicenceError::Absent));
+    assert_eq!(parse_usage(TEXT, "layout"), Err(UsageParseError::Absent));
+    assert_eq!(parse_usage("", "layout"), Err(UsageParseError::Absent));
     assert!(matches!(
-        parse(TEXT, "uncounted-tool"),
-        Err(LicenceError::NoTotal(_))
+        parse_usage(TEXT, "uncounted-tool"),
+        Err(UsageParseError::NoTotal(_))
     ));
     assert!(matches!(
-        parse(TEXT, "broken-tool"),
-        Err(LicenceError::NoTotal(_))
+        parse_usage(TEXT, "broken-tool"),
+        Err(UsageParseError::NoTotal(_))
     ));
     assert_eq!(
-        parse(&"x\n".repeat(SERVER_LINES + 1), "a"),
-        Err(LicenceError::TooLong)
+        parse_usage(&"x\n".repeat(MAX_SERVER_ANSWER_LINES + 1), "a"),
+        Err(UsageParseError::TooLong)
     );
 }
 
 #[test]
 fn a_silent_servers_last_word_counts_for_a_while() {
-    let mut feed = Feed::default();
-    assert_eq!(feed.word(0), Word::Silent, "never heard");
-    assert!(feed.ask(0) && !feed.ask(SERVER_POLL_MS), "one question at a time");
-    feed.answered(Ok(Usage::default()));
-    assert!(feed.ask(SERVER_POLL_MS));
-    feed.answered(Err("no answer".to_owned()));
-    assert!(matches!(feed.word(SERVER_TRUST_MS - 1), Word::Fresh(_)));
-    assert_eq!(feed.word(SERVER_TRUST_MS), Word::Silent);
+    let mut feed = UsageFeed::default();
+    assert_eq!(feed.state(0), FeedState::Silent, "never heard");
+    assert!(
+        feed.start_poll(0) && !feed.start_poll(SERVER_POLL_INTERVAL_MS),
+        "one question at a time"
+    );
+    feed.record_answer(Ok(Usage::default()));
+    assert!(feed.start_poll(SERVER_POLL_INTERVAL_MS));
+    feed.record_answer(Err("no answer".to_owned()));
+    assert!(matches!(
+        feed.state(SERVER_USAGE_VALID_MS - 1),
+        FeedState::Fresh(_)
+    ));
+    assert_eq!(feed.state(SERVER_USAGE_VALID_MS), FeedState::Silent);
 }
 
 proptest! {
     #[test]
     fn any_text_is_usage_or_an_error(text in "(Users of a:|  .* licenses in use\\)|[ -~\n]){0,40}") {
-        let _ = parse(&text, "a");
+        let _ = parse_usage(&text, "a");
     }
 }
--- a/crates/counted_resources/src/linger.rs
+++ b/crates/counted_resources/src/linger.rs
@@ -2,7 +2,7 @@
 //! yet: its client died without a word.
 
 use crate::Name;
-use crate::constants::{LINGER_GRAIN_MS, LINGERS_PER_RECORD};
+use crate::constants::{LINGER_MERGE_MS, MAX_LINGERS_PER_RECORD};
 use serde::{Deserialize, Serialize};
 
 /// Units of one count and team that come free at the same time.
@@ -22,9 +22,9 @@
 
 /// Lingering units, as one record holds them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Lingers(Vec<Linger>);
+pub struct LingerSet(Vec<Linger>);
 
-impl Lingers {
+impl LingerSet {
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -38,7 +38,7 @@
         let near = self.0.iter_mut().find(|other| {
             other.count == linger.count
                 && other.team == linger.team
-                && other.until.abs_diff(linger.until) < LINGER_GRAIN_MS
+                && other.until.abs_diff(linger.until) < LINGER_MERGE_MS
         });
         match near {
             Some(other) => {
@@ -47,13 +47,13 @@
             }
             None => self.0.push(linger),
         }
-        if self.0.len() > LINGERS_PER_RECORD {
-            self.condense();
+        if self.0.len() > MAX_LINGERS_PER_RECORD {
+            self.merge_by_team();
         }
     }
 
     /// One entry a count and team, for as long as the last of them.
-    fn condense(&mut self) {
+    fn merge_by_team(&mut self) {
         let mut condensed: Vec<Linger> = Vec::new();
         for linger in self.0.drain(..) {
             let same = condensed
@@ -102,8 +102,8 @@
         wall_ms: u64,
         off_ms: u64,
         most_ms: impl Fn(&str) -> u64,
-    ) -> Lingers {
-        let mut lingers = Lingers::default();
+    ) -> LingerSet {
+        let mut lingers = LingerSet::default();
         for LingerEntry(count, team, units, until_ms) in entries {
             let left_ms = until_ms.saturating_add(2 * off_ms).saturating_sub(wall_ms);
             let left_ms = left_ms.min(most_ms(&count));
--- a/crates/counted_resources/src/linger/tests.rs
+++ b/crates/counted_resources/src/linger/tests.rs
@@ -23,11 +23,11 @@
         reader_off in -1_000i64..=1_000,
     ) {
         const WALL: i64 = 1_700_000_000_000;
-        let mut lingers = Lingers::default();
+        let mut lingers = LingerSet::default();
         for (count, team, units, until) in &parts {
             lingers.add(linger(*count, *team, *units, *until));
         }
-        let held = |lingers: &Lingers, count: u8, now: u64| -> u32 {
+        let held = |lingers: &LingerSet, count: u8, now: u64| -> u32 {
             let name = format!("c{count}");
             lingers.iter().filter(|one| *one.count == *name && now < one.until).map(|one| one.units).sum()
         };
@@ -38,14 +38,14 @@
         // began elsewhere.
         let record = lingers.to_record(0, (WALL + writer_off) as u64);
         let wall = (WALL + at as i64 + reader_off) as u64;
-        let read = Lingers::from_record(record, 500, wall, 1_000, |_| 60_000);
+        let read = LingerSet::from_record(record, 500, wall, 1_000, |_| 60_000);
         for count in 0..3 {
             for now in [at, at + 777, 39_000.max(at)] {
                 prop_assert!(held(&lingers, count, now) >= true_units(count, now));
                 prop_assert!(held(&read, count, 500 + now - at) >= true_units(count, now));
             }
         }
-        prop_assert!(lingers.iter().count() <= LINGERS_PER_RECORD);
+        prop_assert!(lingers.iter().count() <= MAX_LINGERS_PER_RECORD);
         lingers.prune(40_000);
         prop_assert!(lingers.is_empty());
     }
@@ -54,6 +54,6 @@
 #[test]
 fn a_clock_set_back_keeps_no_unit_for_ever() {
     let entries = vec![LingerEntry(Arc::from("c"), Arc::from("t"), 1, 9_000_000)];
-    let read = Lingers::from_record(entries, 0, 1_000, 50, |_| 20_000);
+    let read = LingerSet::from_record(entries, 0, 1_000, 50, |_| 20_000);
     assert_eq!(read.iter().map(|one| one.until).collect::<Vec<_>>(), [20_000]);
 }
--- a/crates/counted_resources/src/status.rs
+++ b/crates/counted_resources/src/status.rs
@@ -82,7 +82,7 @@
 
 /// One count that a job asks for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct RequestedCount {
     pub count: String,
     /// Units that it needs to go on: one task's, or a whole gang's.
     pub needs: u64,
@@ -103,5 +103,5 @@
     pub waiting: u32,
     /// In one sentence.
     pub verdict: String,
-    pub counts: Vec<Asked>,
+    pub counts: Vec<RequestedCount>,
 }
--- a/crates/experiments/src/play.rs
+++ b/crates/experiments/src/play.rs
@@ -8,7 +8,9 @@
 use indigopath_controller::scheduling::gangs::GangAttempt;
 use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, Decision, MachineTypes, Units};
 use indigopath_controller::settings::Deployment;
-use indigopath_counted_resources::{Definition, Definitions, Demand, Linger, Lingers, Name, Policy};
+use indigopath_counted_resources::{
+    Definition, Definitions, Demand, Linger, LingerSet, Name, ReservationPolicy,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -75,12 +77,12 @@
             if way == Way::StaticSplit {
                 for (at, team) in TEAMS.iter().enumerate() {
                     let rest = u32::from((at as u32) < units % 3);
-                    let mut part = Definition::of(units / 3 + rest);
+                    let mut part = Definition::with_units(units / 3 + rest);
                     part.linger_s = LINGER_S;
                     definitions.insert(Arc::from(format!("c{count}.{team}")), part);
                 }
             } else {
-                let mut definition = Definition::of(*units);
+                let mut definition = Definition::with_units(*units);
                 definition.linger_s = LINGER_S;
                 definition.shares = TEAMS.iter().map(|team| ((*team).to_owned(), units / 4)).collect();
                 definitions.insert(Arc::from(format!("c{count}")), definition);
@@ -237,7 +239,7 @@
     run_ms: HashMap<JobId, u64>,
     machines: BTreeMap<MachineId, Machine>,
     task_locations: TaskLocations,
-    lingers: Lingers,
+    lingers: LingerSet,
     keepers: BTreeMap<JobId, u64>,
     running: BTreeMap<TaskId, Running>,
     truth: BTreeMap<Name, Truth>,
@@ -367,7 +369,7 @@
             run_ms: HashMap::new(),
             machines: machines.collect(),
             task_locations: TaskLocations::new(),
-            lingers: Lingers::default(),
+            lingers: LingerSet::default(),
             keepers: BTreeMap::new(),
             running: BTreeMap::new(),
             truth: truth.collect(),
@@ -385,11 +387,11 @@
         let (feeds, gone) = (BTreeMap::new(), HashMap::new());
         let lingers: Vec<Linger> = self.lingers.iter().cloned().collect();
         let policy = match self.plan.way {
-            Way::NoReservation => Policy {
+            Way::NoReservation => ReservationPolicy {
                 reserve_after_s: f64::INFINITY,
-                ..Policy::default()
+                ..ReservationPolicy::default()
             },
-            _ => Policy::default(),
+            _ => ReservationPolicy::default(),
         };
         let starved = indigopath_controller::scheduling::fair_share::Starved::default();
         let weights = indigopath_controller::leader::Weights::default();
--- a/crates/indigopath/src/counts/tests.rs
+++ b/crates/indigopath/src/counts/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use indigopath_counted_resources::status::{Asked, TeamStatus};
+use indigopath_counted_resources::status::{RequestedCount, TeamStatus};
 
 #[test]
 fn a_table_says_what_is_unusual() {
@@ -37,7 +37,7 @@
         id: "wk-7".to_owned(),
         waiting: 3,
         verdict: "3 of its tasks wait for units of seat: all are held".to_owned(),
-        counts: vec![Asked {
+        counts: vec![RequestedCount {
             count: "seat".to_owned(),
             needs: 1,
             free: 0,
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -189,7 +189,7 @@
 pub(super) fn define(operator: &mut Operator, text: &str) -> Result<(), String> {
     let (plain, keyed) = words(text);
     let name = plain.first().ok_or("a count needs a name")?;
-    let mut definition = Definition::of(0);
+    let mut definition = Definition::with_units(0);
     for (key, value) in keyed {
         match key {
             "units" => definition.units = number(value)? as u32,
