--- a/crates/counted_resources/src/lib.rs
+++ b/crates/counted_resources/src/lib.rs
@@ -18,21 +18,21 @@
 #![forbid(unsafe_code)]
 
 pub mod constants;
-mod count_pools;
 mod definition;
 mod demand;
 mod licence;
 mod linger;
 pub mod status;
+mod unit_ledger;
 
-pub use count_pools::{
-    ClosedReason, Deficit, Pool, Requester, ReservationPolicy, Shortage, ShortageReason, SingleCount,
-    TeamUsage, UnitLedger,
-};
 pub use definition::{Definition, DefinitionError, Definitions, check_definitions, is_valid_name};
 pub use demand::{Demand, DemandError, DemandInterner, UnsatisfiableDemand};
 pub use licence::{FeedState, Usage, UsageFeed, UsageParseError, parse_usage};
 pub use linger::{Linger, LingerEntry, LingerSet};
+pub use unit_ledger::{
+    ClosedReason, Deficit, Pool, Requester, ReservationPolicy, Shortage, ShortageReason, SingleCount,
+    TeamUsage, UnitLedger,
+};
 
 /// Name of a count or a team. Shared, as every attempt and record carries some.
 pub type Name = std::sync::Arc<str>;
