--- a/crates/controller/src/allocations/attempt.rs
+++ b/crates/controller/src/allocations/attempt.rs
@@ -3,7 +3,7 @@
 use super::{Change, ReportNumber};
 use crate::constants::SECOND_MS;
 use crate::model::{Resources, TaskId, Timestamp};
-use crate::protocol::{Cause, TaskState};
+use crate::protocol::{TaskEndCause, TaskState};
 use indigopath_counted_resources::Demand;
 use std::sync::Arc;
 
@@ -87,7 +87,7 @@
     /// Its state in the newest report that lists it.
     pub seen: Option<TaskState>,
     /// Why it ended.
-    pub why: Option<Cause>,
+    pub why: Option<TaskEndCause>,
     /// When it was first seen running.
     pub running_since: Option<Timestamp>,
     /// When it was placed.
@@ -112,10 +112,10 @@
 }
 
 /// Whether only a task with its image can have ended so.
-pub(super) fn proves_image(why: Option<Cause>) -> bool {
+pub(super) fn proves_image(why: Option<TaskEndCause>) -> bool {
     matches!(
         why,
-        Some(Cause::Done | Cause::Error | Cause::Alone | Cause::Peers)
+        Some(TaskEndCause::Done | TaskEndCause::Error | TaskEndCause::Alone | TaskEndCause::Peers)
     )
 }
 
@@ -170,7 +170,7 @@
     /// It is done, and no record says so yet: until one does, the record of its start is all that a
     /// new leader knows of it.
     pub(super) fn unrecorded_result(&self) -> bool {
-        self.exited() && self.why == Some(Cause::Done) && !self.closed
+        self.exited() && self.why == Some(TaskEndCause::Done) && !self.closed
     }
 
     /// It waits for its image, as far as is known.
@@ -200,7 +200,7 @@
     /// The images of its gang's other tasks were not there in time. It may join them again once its
     /// worker has forgotten this end.
     pub fn waited_in_vain(&self) -> bool {
-        self.exited() && self.why == Some(Cause::Alone)
+        self.exited() && self.why == Some(TaskEndCause::Alone)
     }
 
     /// Seconds for which it has been seen running.
@@ -225,7 +225,7 @@
     pub(super) fn freed(&self, start: StartDelivery) -> Change {
         let by_itself = matches!(
             self.why,
-            Some(Cause::Done | Cause::NoRoom | Cause::Busy | Cause::Unknown)
+            Some(TaskEndCause::Done | TaskEndCause::NoRoom | TaskEndCause::Busy | TaskEndCause::Unknown)
         );
         Change::Freed {
             team: self.team.clone(),
--- a/crates/controller/src/allocations/commands.rs
+++ b/crates/controller/src/allocations/commands.rs
@@ -40,7 +40,7 @@
 
     fn command(&self, verb: CommandKind, grace_s: Option<f64>) -> WorkerCommand {
         WorkerCommand {
-            verb,
+            kind: verb,
             task: self.task.to_string(),
             attempt: self.number,
             grace_s,
--- a/crates/controller/src/allocations/image_fetches.rs
+++ b/crates/controller/src/allocations/image_fetches.rs
@@ -97,7 +97,7 @@
                 }
                 return false;
             }
-            TaskState::Exited => proves_image(reported.why),
+            TaskState::Exited => proves_image(reported.cause),
             _ => true,
         };
         match self.seen {
--- a/crates/controller/src/allocations/reconciliation.rs
+++ b/crates/controller/src/allocations/reconciliation.rs
@@ -6,7 +6,7 @@
 use super::{Attempt, Machine, ReportNumber, Stop};
 use crate::constants::SECOND_MS;
 use crate::model::{Resources, TaskId, Timestamp};
-use crate::protocol::{Cause, Heartbeat, TaskState, TaskStatus};
+use crate::protocol::{Heartbeat, TaskEndCause, TaskState, TaskStatus};
 use indigopath_counted_resources::Demand;
 use indigopath_image_locality::Cache;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
         /// Its number.
         number: u64,
         /// Why it ended.
-        why: Cause,
+        why: TaskEndCause,
         /// For how long it was seen running.
         ran_s: f64,
     },
@@ -334,7 +334,7 @@
     /// The reported end may be older than the record of an attempt that was to start again: it may run
     /// there by now.
     fn may_have_restarted(&self, attempt: &Attempt, status: &TaskStatus) -> bool {
-        let ended = status.state == TaskState::Exited && status.why != Some(Cause::Done);
+        let ended = status.state == TaskState::Exited && status.cause != Some(TaskEndCause::Done);
         ended && attempt.is_idempotent_restart && !self.is_fenced
     }
 
@@ -394,7 +394,7 @@
                 changes.push(Change::Running(self.task.clone(), self.number));
             }
             TaskState::Exited if before != Some(TaskState::Exited) => {
-                let why = reported.why.unwrap_or(Cause::Other);
+                let why = reported.cause.unwrap_or(TaskEndCause::Other);
                 self.why = Some(why);
                 changes.push(Change::Exited {
                     task: self.task.clone(),
--- a/crates/controller/src/allocations/tests.rs
+++ b/crates/controller/src/allocations/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::model::{MachineId, Resources, TaskId};
-use crate::protocol::{Cause, CommandKind, Heartbeat, TaskState, TaskStatus};
+use crate::protocol::{CommandKind, Heartbeat, TaskEndCause, TaskState, TaskStatus};
 use indigopath_counted_resources::Demand;
 use std::sync::Arc;
 
@@ -50,8 +50,8 @@
                 task: task().to_string(),
                 attempt: 9,
                 state,
-                why: (state == TaskState::Exited).then_some(Cause::Done),
-                saved: None,
+                cause: (state == TaskState::Exited).then_some(TaskEndCause::Done),
+                checkpoint_saved: None,
             })
             .collect(),
     }
@@ -61,7 +61,7 @@
     machine
         .orders(answering, true, TOKEN, 0)
         .into_iter()
-        .map(|order| order.verb)
+        .map(|order| order.kind)
         .collect()
 }
 
@@ -237,7 +237,7 @@
     let mut machine = machine(|attempt| attempt.stop = Some(Stop::asked(4.0, 0)));
     let stops = |machine: &mut Machine, answering, now| -> Vec<f64> {
         let orders = machine.orders(answering, true, TOKEN, now);
-        let stops = orders.into_iter().filter(|order| order.verb == CommandKind::Stop);
+        let stops = orders.into_iter().filter(|order| order.kind == CommandKind::Stop);
         stops.filter_map(|order| order.grace_s).collect()
     };
     machine.absorb(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
@@ -283,7 +283,7 @@
     });
     let alone = |seq, token| {
         let mut report = report(1, seq, token, Some(TaskState::Exited));
-        report.tasks[0].why = Some(Cause::Alone);
+        report.tasks[0].cause = Some(TaskEndCause::Alone);
         report
     };
     machine.absorb(&report(1, 1, TOKEN - 1, Some(TaskState::Waiting)), TOKEN, 0);
@@ -327,17 +327,17 @@
         let mut machine = machine(|attempt| attempt.counts = seat());
         machine.orders(Some((1, 0)), true, TOKEN, 0);
         let mut exit = report(1, 1, TOKEN, Some(TaskState::Exited));
-        exit.tasks[0].why = Some(why);
+        exit.tasks[0].cause = Some(why);
         freed(machine.absorb(&exit, TOKEN, 0).unwrap())
     };
-    assert_eq!(done(Cause::Done), [false]);
-    assert_eq!(done(Cause::NoRoom), [false], "it was never let in");
+    assert_eq!(done(TaskEndCause::Done), [false]);
+    assert_eq!(done(TaskEndCause::NoRoom), [false], "it was never let in");
     for why in [
-        Cause::Stopped,
-        Cause::Error,
-        Cause::Alone,
-        Cause::Peers,
-        Cause::Other,
+        TaskEndCause::Stopped,
+        TaskEndCause::Error,
+        TaskEndCause::Alone,
+        TaskEndCause::Peers,
+        TaskEndCause::Other,
     ] {
         assert_eq!(done(why), [true], "{why:?}");
     }
--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -11,8 +11,8 @@
     CLUSTER_ANSWER_MS, CLUSTER_BATCH, CLUSTER_OPERATIONS, CLUSTER_ROUNDS, CLUSTER_WRITE_SHARE, HISTORY_SHOWN,
     PAGE_ITEMS, POLL_RESERVE, RETRY_AFTER_S, STATE_TIMEOUT_MS, TXN_BYTES,
 };
-use crate::io::{CallId, Calls, FencedDestination, Io, Method, Outcome, RequestId, json};
-use crate::job_api::admission::TYPES_UNCERTAIN;
+use crate::io::{CallId, FencedDestination, Io, Method, Outcome, PendingCalls, RequestId, json};
+use crate::job_api::admission::MACHINE_TYPES_UNCONFIRMED;
 use crate::job_api::authorization;
 use crate::model::{JobId, JobSpec, Timestamp};
 use crate::protocol::{
@@ -184,7 +184,7 @@
 pub struct Desk {
     ops: BTreeMap<u64, Op>,
     next: u64,
-    calls: Calls<(u64, Step)>,
+    calls: PendingCalls<(u64, Step)>,
     pace: TokenBucket,
 }
 
@@ -216,7 +216,7 @@
         Desk {
             ops: BTreeMap::new(),
             next: 0,
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             pace: TokenBucket::new(rate, burst, now),
         }
     }
@@ -231,7 +231,7 @@
             return io.reply_error(request, 400, &problem);
         }
         if context.types.is_empty() {
-            return io.reply_later(request, RETRY_AFTER_S, "machine types are not known yet");
+            return io.reply_retry_later(request, RETRY_AFTER_S, "machine types are not known yet");
         }
         let digest = bundle.digest();
         let same = self.ops.values_mut().find_map(|op| match &op.work {
@@ -244,7 +244,7 @@
         match same {
             Some((op, true)) => {
                 if let Some(before) = op.request.replace(request) {
-                    io.reply_later(before, RETRY_AFTER_S, "the same submission came again");
+                    io.reply_retry_later(before, RETRY_AFTER_S, "the same submission came again");
                 }
                 op.answer_at = io.now + CLUSTER_ANSWER_MS;
                 return;
@@ -316,8 +316,8 @@
     }
 
     fn begin(&mut self, request: RequestId, work: Work, first: Step, context: &Context<'_>, io: &mut Io) {
-        if self.ops.len() >= CLUSTER_OPERATIONS || !io.state.take(1.0, POLL_RESERVE, io.now) {
-            return io.reply_later(request, RETRY_AFTER_S, "too many requests, come back later");
+        if self.ops.len() >= CLUSTER_OPERATIONS || !io.state_budget.take(1.0, POLL_RESERVE, io.now) {
+            return io.reply_retry_later(request, RETRY_AFTER_S, "too many requests, come back later");
         }
         self.next += 1;
         let op = Op {
@@ -357,14 +357,14 @@
                     ),
                     _ => "it is not done yet; send the same again".to_owned(),
                 };
-                io.reply_later(request, RETRY_AFTER_S, &text);
+                io.reply_retry_later(request, RETRY_AFTER_S, &text);
             }
         }
     }
 
     /// Whether an operation on clusters waits for this call; it goes on.
     pub fn answered(&mut self, call: CallId, outcome: &Outcome, context: &Context<'_>, io: &mut Io) -> bool {
-        let Some((id, step)) = self.calls.settle(call) else {
+        let Some((id, step)) = self.calls.complete(call) else {
             return false;
         };
         let Some(op) = self.ops.get_mut(&id) else {
@@ -386,7 +386,11 @@
                     self.end(
                         id,
                         |request, io| {
-                            io.reply_later(request, RETRY_AFTER_S, "others change the same; come back later");
+                            io.reply_retry_later(
+                                request,
+                                RETRY_AFTER_S,
+                                "others change the same; come back later",
+                            );
                         },
                         io,
                     );
@@ -397,14 +401,18 @@
             Next::Reply(status, body) => self.end(
                 id,
                 |request, io| {
-                    io.reply_bytes(request, status, crate::io::Content::Json, body);
+                    io.reply_bytes(request, status, crate::io::ContentType::Json, body);
                 },
                 io,
             ),
             Next::Error(status, text) => {
                 self.end(id, |request, io| io.reply_error(request, status, &text), io)
             }
-            Next::Later(text) => self.end(id, |request, io| io.reply_later(request, RETRY_AFTER_S, text), io),
+            Next::Later(text) => self.end(
+                id,
+                |request, io| io.reply_retry_later(request, RETRY_AFTER_S, text),
+                io,
+            ),
         }
         true
     }
@@ -441,9 +449,9 @@
                 io,
             );
         };
-        io.state.force(1.0, io.now);
+        io.state_budget.force(1.0, io.now);
         let call = io.call(FencedDestination::State, method, path, body, STATE_TIMEOUT_MS);
-        self.calls.expect(call, (id, step));
+        self.calls.insert(call, (id, step));
     }
 }
 
@@ -580,7 +588,7 @@
     fn plan(&mut self, cluster: u64, at_ms: u64, context: &Context<'_>) -> Result<(), Next> {
         let refused = |refused: Refused| match context.certain {
             // Machines that do may be among those that only the cloud can tell of.
-            false if !refused.refused.is_empty() => Next::Later(TYPES_UNCERTAIN),
+            false if !refused.refused.is_empty() => Next::Later(MACHINE_TYPES_UNCONFIRMED),
             _ => Next::Reply(422, json(&refused)),
         };
         let plan = planned(&self.bundle, cluster, at_ms, context).map_err(refused)?;
@@ -779,7 +787,7 @@
     let any = record
         .teams
         .iter()
-        .any(|team| authorization::is_of(team, asks, settings));
+        .any(|team| authorization::is_same_team(team, asks, settings));
     (!record.teams.is_empty()).then_some(any)
 }
 
@@ -795,7 +803,7 @@
                     let key = records::job_key(access.job());
                     conditions.push((key.clone(), *version));
                     if self.act == Act::Remove {
-                        let entry = Entry::removed(access, &authorization::ended(spec, wall_ms));
+                        let entry = Entry::removed(access, &authorization::ended_job(spec, wall_ms));
                         let record = EndedRecord::cancelled(&VisibleJob::from(access), Some(entry));
                         changes.push(Change::Delete { key });
                         changes.push(put(records::ended_key(&spec.id.0), &record));
@@ -1100,7 +1108,8 @@
                         None if named == Some(true) => asks.name(),
                         None => return None,
                     };
-                    let owner = Owner::on_record(&id, authorization::asks(Some(team), settings).name());
+                    let owner =
+                        Owner::on_record(&id, authorization::requesting_team(Some(team), settings).name());
                     let access = Access::stated(&owner, asks).ok()?;
                     let state = match ended.end {
                         Ending::Done => "completed",
@@ -1146,7 +1155,7 @@
     let teams = record
         .teams
         .iter()
-        .filter(|team| authorization::is_of(team, asks, settings));
+        .filter(|team| authorization::is_same_team(team, asks, settings));
     ClusterRecord {
         teams: teams.cloned().collect(),
         ..record
--- a/crates/controller/src/condor/mod.rs
+++ b/crates/controller/src/condor/mod.rs
@@ -96,7 +96,7 @@
 
 /// Whether a team's limit would ever let tasks of the job that run together start.
 fn within_limit(spec: &JobSpec, team: &crate::settings::Team) -> bool {
-    let together = spec.shape.at_once(u64::from(spec.tasks));
+    let together = spec.shape.concurrent_tasks(u64::from(spec.tasks));
     team.allows(&spec.needs.times(together as f64))
 }
 
--- a/crates/controller/src/election/candidate.rs
+++ b/crates/controller/src/election/candidate.rs
@@ -23,7 +23,7 @@
             self.claim_timeout_ms(),
         );
         let requested_at = io.now;
-        self.calls.expect(call, PendingCall::GrantLease { requested_at });
+        self.calls.insert(call, PendingCall::GrantLease { requested_at });
     }
 
     /// How long a call of an election may stay unanswered, in ms.
@@ -71,7 +71,7 @@
             json(&body),
             self.claim_timeout_ms(),
         );
-        self.calls.expect(call, PendingCall::ClaimKey(lease));
+        self.calls.insert(call, PendingCall::ClaimKey(lease));
     }
 
     pub(super) fn on_claim(
--- a/crates/controller/src/election/follower.rs
+++ b/crates/controller/src/election/follower.rs
@@ -8,7 +8,7 @@
 };
 use crate::io::{Io, Method, Outcome};
 use crate::model::Timestamp;
-use crate::protocol::{Changes, Event, StoredItem, StoredPage, TransactionResponse, paths};
+use crate::protocol::{StoredItem, StoredPage, TransactionResponse, WatchEvent, WatchResponse, paths};
 use crate::storage::records::{LEADER, LeaderRecord, Record};
 use rand::RngExt;
 use serde_json::Value;
@@ -58,7 +58,7 @@
             paths::key(LEADER)
         };
         let call = io.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS);
-        self.calls.expect(call, PendingCall::ReadKey);
+        self.calls.insert(call, PendingCall::ReadKey);
     }
 
     /// Watches the key; during a back-off only until nobody has led for so long that it ends.
@@ -70,7 +70,7 @@
             .min(WATCH_HOLD_MS);
         let path = paths::watch(LEADER, self.revision, hold_ms);
         let call = io.state_call(Method::Get, path, Vec::new(), hold_ms + WATCH_SLACK_MS);
-        self.calls.expect(call, PendingCall::WatchKey);
+        self.calls.insert(call, PendingCall::WatchKey);
     }
 
     pub(super) fn retry(&mut self, io: &mut Io) {
@@ -113,7 +113,7 @@
     }
 
     pub(super) fn on_watch(&mut self, outcome: &Outcome, io: &mut Io) {
-        let Some(changes) = outcome.read::<Changes>(&[200]) else {
+        let Some(changes) = outcome.read::<WatchResponse>(&[200]) else {
             self.retry(io);
             if outcome.status() == Some(410) {
                 self.revision_compacted = true;
@@ -126,11 +126,11 @@
         let mut vacant = false;
         for event in &changes.events {
             match event {
-                Event::Put { key, value, .. } if key == LEADER => {
+                WatchEvent::Put { key, value, .. } if key == LEADER => {
                     self.learn_leader(value);
                     vacant = false;
                 }
-                Event::Delete { key } if key == LEADER => vacant = true,
+                WatchEvent::Delete { key } if key == LEADER => vacant = true,
                 _ => (),
             }
         }
--- a/crates/controller/src/election/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -49,7 +49,7 @@
         };
         let call = io.state_call(
             Method::Post,
-            paths::touch(lease.id),
+            paths::renew_lease(lease.id),
             json(&LeaseRequest {
                 ttl_ms: LEADER_LEASE_MS,
             }),
@@ -57,7 +57,7 @@
             // asked for.
             LEADER_LEASE_MS,
         );
-        self.calls.expect(call, PendingCall::RenewLease(lease));
+        self.calls.insert(call, PendingCall::RenewLease(lease));
         None
     }
 
--- a/crates/controller/src/election/mod.rs
+++ b/crates/controller/src/election/mod.rs
@@ -12,7 +12,7 @@
 mod leadership;
 
 use crate::constants::{ELECTION_BACKOFF_MS, STATE_TIMEOUT_MS};
-use crate::io::{CallId, Calls, Io, Method, Outcome};
+use crate::io::{CallId, Io, Method, Outcome, PendingCalls};
 use crate::model::Timestamp;
 use crate::protocol::paths;
 use crate::settings::Deployment;
@@ -88,7 +88,7 @@
     vacant_since: Option<Timestamp>,
     /// A call of the last election was given up: the state service may be slow.
     claim_timed_out: bool,
-    calls: Calls<PendingCall>,
+    calls: PendingCalls<PendingCall>,
 }
 
 impl Election {
@@ -109,7 +109,7 @@
             grace_ms: cancellation_watermark::grace_ms(&deployment.workers),
             vacant_since: None,
             claim_timed_out: false,
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
         }
     }
 
@@ -164,7 +164,7 @@
         outcome: &Outcome,
         io: &mut Io,
     ) -> Option<Option<ElectionEvent>> {
-        let call = self.calls.settle(call)?;
+        let call = self.calls.complete(call)?;
         Some(self.on_answer(call, outcome, io))
     }
 
@@ -215,7 +215,7 @@
 
     fn release(&mut self, lease: u64, pending: PendingCall, io: &mut Io) {
         let call = io.state_call(Method::Delete, paths::lease(lease), Vec::new(), STATE_TIMEOUT_MS);
-        self.calls.expect(call, pending);
+        self.calls.insert(call, pending);
     }
 
     /// The value of the leader's key while this node leads.
--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -4,8 +4,8 @@
 mod call;
 mod effect;
 
-pub use call::{CallId, Calls, Destination, FencedDestination, Method, Outcome};
-pub use effect::{Content, Effect, RequestId};
+pub use call::{CallId, Destination, FencedDestination, Method, Outcome, PendingCalls};
+pub use effect::{ContentType, Effect, RequestId};
 
 use crate::constants::{
     CLOUD_SHARE, CLOUD_TIMEOUT_MS, FOLLOWERS_STATE_SHARE, LEADER_STATE_SHARE, LEADER_WRITE_SHARE,
@@ -31,17 +31,17 @@
     /// Randomness, from a seed that is an input.
     pub rng: SmallRng,
     /// Budget of calls to the state service.
-    pub state: TokenBucket,
+    pub state_budget: TokenBucket,
     /// Budget of changes that the leader writes to the state service.
-    pub writes: TokenBucket,
+    pub write_budget: TokenBucket,
     /// Budget of calls to the cloud.
-    pub cloud: TokenBucket,
+    pub cloud_budget: TokenBucket,
     /// Effects of the command so far, in order.
     pub effects: Vec<Effect>,
     /// Permission to act on outside systems, which only a leader has.
     pub permits: Permits,
     /// Requests told to come back later, by the reason, since it was last taken.
-    pub refusals: BTreeMap<String, u32>,
+    pub rejections: BTreeMap<String, u32>,
     /// Until when this node is new: see [`NEW_MS`].
     new_until: Timestamp,
     state_rate: f64,
@@ -61,12 +61,12 @@
             now,
             wall_ms,
             rng: SmallRng::seed_from_u64(seed),
-            state: TokenBucket::new(rate, rate, now),
-            writes: TokenBucket::new(writes, writes, now),
-            cloud: TokenBucket::new(cloud, cloud.max(1.0), now),
+            state_budget: TokenBucket::new(rate, rate, now),
+            write_budget: TokenBucket::new(writes, writes, now),
+            cloud_budget: TokenBucket::new(cloud, cloud.max(1.0), now),
             effects: Vec::new(),
             permits: Permits::default(),
-            refusals: BTreeMap::new(),
+            rejections: BTreeMap::new(),
             new_until: now + NEW_MS,
             state_rate: deployment.state.rps,
             follower_share,
@@ -75,15 +75,15 @@
     }
 
     /// This node leads now, or leads no longer: its share of the state service changes.
-    pub fn set_leading(&mut self, leading: bool) {
+    pub fn set_leader(&mut self, leading: bool) {
         let share = if leading {
             LEADER_STATE_SHARE
         } else {
             self.follower_share
         };
-        self.state.set_rate(self.state_rate * share, self.now);
+        self.state_budget.set_rate(self.state_rate * share, self.now);
         if leading {
-            self.writes.drain_to(NEW_LEADER_WRITES, self.now);
+            self.write_budget.drain_to(NEW_LEADER_WRITES, self.now);
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Asks the cloud for machine types, which changes nothing, and any node may.
-    pub fn types_call(&mut self) -> CallId {
+    pub fn machine_types_call(&mut self) -> CallId {
         let path = paths::FLAVORS.to_owned();
         self.send(
             Destination::Cloud,
@@ -144,7 +144,7 @@
 
     /// A call to the state service, charged to its budget.
     pub fn state_call(&mut self, method: Method, path: String, body: Vec<u8>, timeout_ms: u64) -> CallId {
-        self.state.force(1.0, self.now);
+        self.state_budget.force(1.0, self.now);
         self.call(FencedDestination::State, method, path, body, timeout_ms)
     }
 
@@ -153,7 +153,7 @@
         request: RequestId,
         status: u16,
         retry_after_s: Option<u64>,
-        content: Content,
+        content: ContentType,
         body: Vec<u8>,
     ) {
         self.effects.push(Effect::Reply {
@@ -172,29 +172,29 @@
             request,
             status,
             retry_after_s: None,
-            content: Content::Json,
+            content: ContentType::Json,
             body: json(body),
             until: Some(until),
         });
     }
 
     /// Answers a request with a body that is serialised already.
-    pub fn reply_bytes(&mut self, request: RequestId, status: u16, content: Content, body: Vec<u8>) {
+    pub fn reply_bytes(&mut self, request: RequestId, status: u16, content: ContentType, body: Vec<u8>) {
         self.answer(request, status, None, content, body);
     }
 
     /// Answers a request with JSON.
     pub fn reply(&mut self, request: RequestId, status: u16, body: &impl Serialize) {
-        self.reply_bytes(request, status, Content::Json, json(body));
+        self.reply_bytes(request, status, ContentType::Json, json(body));
     }
 
     /// Refuses a request for now. While this node is new, every other request waits a second longer,
     /// so that they do not all come back at once.
-    pub fn reply_later(&mut self, request: RequestId, retry_after_s: u64, problem: &str) {
-        match self.refusals.get_mut(problem) {
+    pub fn reply_retry_later(&mut self, request: RequestId, retry_after_s: u64, problem: &str) {
+        match self.rejections.get_mut(problem) {
             Some(count) => *count += 1,
             None => {
-                self.refusals.insert(problem.to_owned(), 1);
+                self.rejections.insert(problem.to_owned(), 1);
             }
         }
         let later_s = if self.now < self.new_until {
@@ -203,7 +203,13 @@
             0
         };
         let body = json(&ErrorResponse { error: problem });
-        self.answer(request, 503, Some(retry_after_s + later_s), Content::Json, body);
+        self.answer(
+            request,
+            503,
+            Some(retry_after_s + later_s),
+            ContentType::Json,
+            body,
+        );
     }
 
     /// Refuses a request. The problem may quote what was sent: no more of it goes back than fits a
--- a/crates/controller/src/io/call.rs
+++ b/crates/controller/src/io/call.rs
@@ -100,7 +100,7 @@
     }
 
     /// It was certainly not carried out, so that it may simply be sent again.
-    pub fn refused(&self) -> bool {
+    pub fn is_safe_to_retry(&self) -> bool {
         matches!(
             self,
             Outcome::NotSent
@@ -115,22 +115,22 @@
 /// Calls whose outcomes somebody waits for, and what each was made for.
 /// Every caller keeps its own: what is dropped with its owner is never answered.
 #[derive(Debug)]
-pub struct Calls<T>(HashMap<CallId, T>);
+pub struct PendingCalls<T>(HashMap<CallId, T>);
 
-impl<T> Default for Calls<T> {
+impl<T> Default for PendingCalls<T> {
     fn default() -> Self {
-        Calls(HashMap::new())
+        PendingCalls(HashMap::new())
     }
 }
 
-impl<T> Calls<T> {
+impl<T> PendingCalls<T> {
     /// A call was made; its outcome is waited for.
-    pub fn expect(&mut self, call: CallId, what: T) {
+    pub fn insert(&mut self, call: CallId, what: T) {
         self.0.insert(call, what);
     }
 
     /// What the call was, if it was made here; it is expected no longer.
-    pub fn settle(&mut self, call: CallId) -> Option<T> {
+    pub fn complete(&mut self, call: CallId) -> Option<T> {
         self.0.remove(&call)
     }
 }
--- a/crates/controller/src/io/effect.rs
+++ b/crates/controller/src/io/effect.rs
@@ -10,7 +10,7 @@
 
 /// What the body of an answer is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Content {
+pub enum ContentType {
     /// JSON.
     Json,
     /// Metrics in the OpenMetrics text form.
@@ -29,7 +29,7 @@
         /// When its sender may ask again.
         retry_after_s: Option<u64>,
         /// What the body is.
-        content: Content,
+        content: ContentType,
         /// The body.
         body: Vec<u8>,
         /// Too old to be given from then on, by this node's clock: its user is told to come back.
--- a/crates/controller/src/job_api/admission.rs
+++ b/crates/controller/src/job_api/admission.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// Said where only a former leader's list of machine types is known.
-pub const TYPES_UNCERTAIN: &str = "the cloud has not told its machine types yet";
+pub const MACHINE_TYPES_UNCONFIRMED: &str = "the cloud has not told its machine types yet";
 
 const NO_ZONE: &str = "no allowed zone does, or too few for tasks that have to be apart";
 
@@ -26,10 +26,10 @@
 
 /// Machine types as this node knows them.
 #[derive(Debug, Clone, Copy)]
-pub struct KnownTypes<'a> {
+pub struct KnownMachineTypes<'a> {
     pub list: &'a [MachineType],
     /// The cloud itself has told them; else they are what a former leader left, and a new one may lack.
-    pub certain: bool,
+    pub confirmed: bool,
 }
 
 /// Why a submission is not accepted.
@@ -49,7 +49,7 @@
     body: &[u8],
     deployment: &Deployment,
     definitions: &Definitions,
-    types: Option<KnownTypes<'_>>,
+    types: Option<KnownMachineTypes<'_>>,
     wall_ms: u64,
 ) -> Result<JobSpec, (Option<JobId>, Refusal)> {
     // An array of the right values, in the fields' order, would be read as well.
@@ -111,7 +111,7 @@
     body: JobSubmission,
     deployment: &Deployment,
     definitions: &Definitions,
-    types: Option<KnownTypes<'_>>,
+    types: Option<KnownMachineTypes<'_>>,
     wall_ms: u64,
 ) -> Result<JobSpec, Refusal> {
     let mut spec = checked_fields(id, body, wall_ms)?;
@@ -175,7 +175,7 @@
 
 /// Tasks that have to run at the same time.
 fn tasks_at_once(spec: &JobSpec) -> u64 {
-    spec.shape.at_once(spec.tasks.into())
+    spec.shape.concurrent_tasks(spec.tasks.into())
 }
 
 /// Whether tasks that run at the same time have to be in different zones. An array's tasks run one after
@@ -220,7 +220,11 @@
 }
 
 /// Refuses a job that fits no machine type in these zones, but only as the cloud itself names the types.
-fn check_machine_types(spec: &JobSpec, zones: Vec<&String>, types: KnownTypes<'_>) -> Result<(), Refusal> {
+fn check_machine_types(
+    spec: &JobSpec,
+    zones: Vec<&String>,
+    types: KnownMachineTypes<'_>,
+) -> Result<(), Refusal> {
     let is_sold = |zone: &&String| {
         let mut list = types.list.iter();
         // A type that the cloud does not sell in a zone is never rented there.
@@ -230,8 +234,8 @@
     if are_enough(&zones, spec) {
         return Ok(());
     }
-    Err(match (types.certain, zones.is_empty()) {
-        (false, _) => Refusal::Undecided(TYPES_UNCERTAIN),
+    Err(match (types.confirmed, zones.is_empty()) {
+        (false, _) => Refusal::Undecided(MACHINE_TYPES_UNCONFIRMED),
         (true, true) => impossible("a task fits no allowed machine type"),
         (true, false) => impossible(NO_ZONE),
     })
--- a/crates/controller/src/job_api/admission/tests.rs
+++ b/crates/controller/src/job_api/admission/tests.rs
@@ -31,7 +31,7 @@
 type Outcome = Result<JobSpec, (Option<JobId>, Refusal)>;
 
 fn outcome_at(body: &[u8], types: Option<(&[MachineType], bool)>) -> Outcome {
-    let known = types.map(|(list, certain)| KnownTypes { list, certain });
+    let known = types.map(|(list, confirmed)| KnownMachineTypes { list, confirmed });
     accept(body, &deployment(), &definitions(), known, 0)
 }
 
--- a/crates/controller/src/job_api/authorization.rs
+++ b/crates/controller/src/job_api/authorization.rs
@@ -25,12 +25,12 @@
 
 /// The team that sends a request which may state one (`?team=`), as a submit file may by its
 /// `accounting_group`.
-pub fn asks(stated: Option<&str>, settings: &Settings) -> Team {
+pub fn requesting_team(stated: Option<&str>, settings: &Settings) -> Team {
     resolved(stated.unwrap_or(""), settings)
 }
 
 /// The owner of a job.
-pub fn owner(spec: &JobSpec) -> Owner {
+pub fn job_owner(spec: &JobSpec) -> Owner {
     Owner::on_record(&spec.id.0, &spec.team)
 }
 
@@ -44,12 +44,12 @@
 }
 
 /// Whether the sender may see what this team owns.
-pub fn is_of(team: &str, asks: &Team, settings: &Settings) -> bool {
+pub fn is_same_team(team: &str, asks: &Team, settings: &Settings) -> bool {
     resolved(team, settings) == *asks
 }
 
 /// What a job was, for its team's account.
-pub fn ended(spec: &JobSpec, wall_ms: u64) -> EndedJob<'_> {
+pub fn ended_job(spec: &JobSpec, wall_ms: u64) -> EndedJob<'_> {
     EndedJob {
         class: &spec.class,
         accepted_ms: spec.submitted_ms,
@@ -59,7 +59,7 @@
 }
 
 /// The team that a query states: `team=red`, escaped as usual.
-pub fn stated(query: &str) -> Option<String> {
+pub fn team_in_query(query: &str) -> Option<String> {
     let pair = query.split('&').find_map(|pair| pair.strip_prefix("team="))?;
     let mut bytes = Vec::with_capacity(pair.len());
     let mut rest = pair.bytes();
--- a/crates/controller/src/job_api/authorization/tests.rs
+++ b/crates/controller/src/job_api/authorization/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
-use crate::settings::Operator;
+use crate::settings::OperatorSettings;
 
 #[test]
 fn teams_are_named_as_submit_files_may() {
     let settings = Settings::parse(include_str!("../../../tests/support/settings.json")).unwrap();
-    assert_eq!(asks(Some("RED"), &settings).name(), "red");
-    assert_eq!(asks(None, &settings).name(), "");
+    assert_eq!(requesting_team(Some("RED"), &settings).name(), "red");
+    assert_eq!(requesting_team(None, &settings).name(), "");
     let condor = serde_json::json!({ "condor": { "default_team": "blue" } });
-    let operator = Operator::from_value(condor).unwrap();
+    let operator = OperatorSettings::from_value(condor).unwrap();
     let settings = settings.with_operator(operator).unwrap();
-    assert_eq!(asks(None, &settings).name(), "blue");
-    assert!(is_of("", &asks(None, &settings), &settings));
-    assert!(!is_of("red", &asks(None, &settings), &settings));
+    assert_eq!(requesting_team(None, &settings).name(), "blue");
+    assert!(is_same_team("", &requesting_team(None, &settings), &settings));
+    assert!(!is_same_team("red", &requesting_team(None, &settings), &settings));
 }
 
 #[test]
 fn a_query_states_a_team_or_none() {
-    assert_eq!(stated("team=red").as_deref(), Some("red"));
-    assert_eq!(stated("a=b&team=a%20b+c%2f").as_deref(), Some("a b c/"));
+    assert_eq!(team_in_query("team=red").as_deref(), Some("red"));
+    assert_eq!(team_in_query("a=b&team=a%20b+c%2f").as_deref(), Some("a b c/"));
     for none in ["", "teams=red", "team=%", "team=%4", "team=%zz", "team=%ff"] {
-        assert_eq!(stated(none), None, "{none}");
+        assert_eq!(team_in_query(none), None, "{none}");
     }
 }
--- a/crates/controller/src/job_api/cancel.rs
+++ b/crates/controller/src/job_api/cancel.rs
@@ -45,8 +45,8 @@
         // entry goes to its owner's team.
         let visible = VisibleJob::by_protocol(&pending.job.0);
         let entry = spec.and_then(|spec| {
-            let owner = authorization::owner(spec);
-            let ended = authorization::ended(spec, io.wall_ms);
+            let owner = authorization::job_owner(spec);
+            let ended = authorization::ended_job(spec, io.wall_ms);
             Entry::withdrawn(&visible, &owner, &ended)
         });
         pending.end = Some(EndedRecord::cancelled(&visible, entry));
--- a/crates/controller/src/job_api/commit_wait.rs
+++ b/crates/controller/src/job_api/commit_wait.rs
@@ -13,7 +13,7 @@
 pub enum Visibility {
     /// No peer can answer with anything older.
     Immediate,
-    /// Each peer is to be sent its number, and to acknowledge it.
+    /// Each peer is to be sent its nonce, and to acknowledge it.
     AwaitingPeers(Vec<u64>),
     /// Too many ends wait: this one is not kept, and no user may see it.
     Overloaded,
@@ -24,7 +24,7 @@
 struct OpenWait<T> {
     /// From then on users may see it although peers are silent.
     until: Timestamp,
-    /// Numbers that peers have not acknowledged.
+    /// Nonces that peers have not acknowledged.
     unacknowledged: Vec<u64>,
     waiting: Vec<T>,
 }
@@ -33,18 +33,18 @@
 #[derive(Debug)]
 pub struct CommitWait<T> {
     peers: usize,
-    next_number: u64,
+    next_nonce: u64,
     open: BTreeMap<JobId, OpenWait<T>>,
     waiting: usize,
 }
 
 impl<T> CommitWait<T> {
-    /// `first_number` is of this process alone, so that no acknowledgement for a former process of this
+    /// `first_nonce` is of this process alone, so that no acknowledgement for a former process of this
     /// node counts for this one.
-    pub fn new(peers: usize, first_number: u64) -> CommitWait<T> {
+    pub fn new(peers: usize, first_nonce: u64) -> CommitWait<T> {
         CommitWait {
             peers,
-            next_number: first_number,
+            next_nonce: first_nonce,
             open: BTreeMap::new(),
             waiting: 0,
         }
@@ -62,17 +62,17 @@
         if self.open.len() >= MAX_COMMIT_WAITS {
             return Visibility::Overloaded;
         }
-        // Each peer gets its own number, which tells the peers apart as well.
-        let number = |at: usize| self.next_number.wrapping_add(at as u64);
-        let numbers: Vec<u64> = (0..self.peers).map(number).collect();
-        self.next_number = self.next_number.wrapping_add(self.peers as u64);
+        // Each peer gets its own nonce, which tells the peers apart as well.
+        let nonce = |at: usize| self.next_nonce.wrapping_add(at as u64);
+        let nonces: Vec<u64> = (0..self.peers).map(nonce).collect();
+        self.next_nonce = self.next_nonce.wrapping_add(self.peers as u64);
         let open = OpenWait {
             until,
-            unacknowledged: numbers.clone(),
+            unacknowledged: nonces.clone(),
             waiting: Vec::new(),
         };
         self.open.insert(job.clone(), open);
-        Visibility::AwaitingPeers(numbers)
+        Visibility::AwaitingPeers(nonces)
     }
 
     /// Whether users may not see the end of this job yet.
@@ -93,11 +93,11 @@
         }
     }
 
-    /// A peer acknowledges a number. The requests that waited, if it was the last one.
-    pub fn acknowledged(&mut self, job: &JobId, number: u64) -> Option<Vec<T>> {
+    /// A peer acknowledges a nonce. The requests that waited, if it was the last one.
+    pub fn acknowledged(&mut self, job: &JobId, nonce: u64) -> Option<Vec<T>> {
         let open = self.open.get_mut(job)?;
         open.unacknowledged
-            .retain(|unacknowledged| *unacknowledged != number);
+            .retain(|unacknowledged| *unacknowledged != nonce);
         if !open.unacknowledged.is_empty() {
             return None;
         }
--- a/crates/controller/src/job_api/commit_wait/tests.rs
+++ b/crates/controller/src/job_api/commit_wait/tests.rs
@@ -8,17 +8,17 @@
 /// Two peers, an end known since 1,000, and somebody who waits for it.
 fn open() -> (CommitWait<&'static str>, Vec<u64>) {
     let mut commit_wait = CommitWait::new(2, 70);
-    let Visibility::AwaitingPeers(numbers) = commit_wait.begin(&job(), 1_000, 1_000) else {
+    let Visibility::AwaitingPeers(nonces) = commit_wait.begin(&job(), 1_000, 1_000) else {
         panic!("it must wait");
     };
     assert_eq!(commit_wait.wait(&job(), "user", 1), Ok(()));
-    (commit_wait, numbers)
+    (commit_wait, nonces)
 }
 
 #[test]
 fn an_end_is_told_once_each_sibling_has_noted_it() {
-    let (mut commit_wait, numbers) = open();
-    assert_eq!(numbers, [70, 71]);
+    let (mut commit_wait, nonces) = open();
+    assert_eq!(nonces, [70, 71]);
     assert_eq!(commit_wait.acknowledged(&job(), 70), None);
     assert_eq!(
         commit_wait.acknowledged(&job(), 70),
@@ -33,8 +33,8 @@
 #[test]
 fn a_number_of_another_life_or_job_proves_nothing() {
     let (mut commit_wait, _) = open();
-    for number in [0, 69, 72, u64::MAX] {
-        assert_eq!(commit_wait.acknowledged(&job(), number), None);
+    for nonce in [0, 69, 72, u64::MAX] {
+        assert_eq!(commit_wait.acknowledged(&job(), nonce), None);
     }
     let other = JobId(Arc::from("wk-2"));
     assert_eq!(commit_wait.acknowledged(&other, 70), None);
--- a/crates/controller/src/job_api/end_visibility.rs
+++ b/crates/controller/src/job_api/end_visibility.rs
@@ -52,12 +52,12 @@
             return true;
         }
         let known_at = self.peer_notices.ended_since(job).unwrap_or(io.now);
-        let numbers = match self.commit_wait.begin(job, known_at, io.now) {
+        let nonces = match self.commit_wait.begin(job, known_at, io.now) {
             Visibility::Immediate => Vec::new(),
-            Visibility::AwaitingPeers(numbers) => numbers,
+            Visibility::AwaitingPeers(nonces) => nonces,
             Visibility::Overloaded => return false,
         };
-        self.notify_peers(job, numbers, io);
+        self.notify_peers(job, nonces, io);
         // The node that cancelled it may never have got the answer: any node that knows logs it.
         if ended.end == Ending::Cancelled {
             log::debug!("job cancelled job={job}");
@@ -66,19 +66,19 @@
         true
     }
 
-    /// Sends each peer the number that it is to send back.
-    fn notify_peers(&self, job: &JobId, numbers: Vec<u64>, io: &mut Io) {
+    /// Sends each peer the nonce that it is to send back.
+    fn notify_peers(&self, job: &JobId, nonces: Vec<u64>, io: &mut Io) {
         let index = self.index;
-        for (peer, number) in numbers.into_iter().enumerate() {
+        for (peer, nonce) in nonces.into_iter().enumerate() {
             let job = job.clone();
-            let bytes = Frame::EndNotice { job, number, index }.encode();
+            let bytes = Frame::EndNotice { job, nonce, index }.encode();
             io.effects.push(Effect::Frame { peer, bytes });
         }
     }
 
     /// A peer gives no older reading of this job any more.
-    pub fn acknowledged(&mut self, job: &JobId, number: u64, io: &mut Io) {
-        if let Some(waiting) = self.commit_wait.acknowledged(job, number) {
+    pub fn on_end_acknowledged(&mut self, job: &JobId, nonce: u64, io: &mut Io) {
+        if let Some(waiting) = self.commit_wait.acknowledged(job, nonce) {
             self.reply_to_all(job, &waiting, io);
         }
     }
@@ -93,7 +93,7 @@
     /// Asks users to come back who cannot wait any longer for an end to become visible.
     pub(super) fn reject_expired_waits(&mut self, io: &mut Io) {
         for waiting in self.commit_wait.take_if(|waiting| io.now >= waiting.until) {
-            io.reply_later(waiting.request, RETRY_AFTER_S, END_NOT_VISIBLE);
+            io.reply_retry_later(waiting.request, RETRY_AFTER_S, END_NOT_VISIBLE);
         }
     }
 
@@ -108,7 +108,7 @@
         if self.learn_end(job, ended, io) {
             self.reply_ended_when_visible(job, requester, io);
         } else {
-            io.reply_later(requester.request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
+            io.reply_retry_later(requester.request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
         }
     }
 
@@ -121,7 +121,7 @@
         let until = since + response_ms(&kind);
         let waiting = WaitingRequest { request, kind, until };
         if self.commit_wait.wait(job, waiting, MAX_WAITING_REQUESTS).is_err() {
-            io.reply_later(request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
+            io.reply_retry_later(request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
         }
     }
 
@@ -138,7 +138,7 @@
                 let visible = visible_job(job, kind, ended.team.as_ref());
                 reply::reply_ended(request, &visible, ended, io);
             }
-            None => io.reply_later(request, RETRY_AFTER_S, END_NOT_VISIBLE),
+            None => io.reply_retry_later(request, RETRY_AFTER_S, END_NOT_VISIBLE),
         }
     }
 }
--- a/crates/controller/src/job_api/job_scan.rs
+++ b/crates/controller/src/job_api/job_scan.rs
@@ -43,7 +43,7 @@
     /// Asks for the next page, if one is due and the budget allows it.
     pub(super) fn next_page(&mut self, io: &mut Io) -> Option<PageCall> {
         let is_due = matches!(self, JobScan::Due { at, .. } if io.now >= *at);
-        if !is_due || !io.state.take(1.0, POLL_RESERVE, io.now) {
+        if !is_due || !io.state_budget.take(1.0, POLL_RESERVE, io.now) {
             return None;
         }
         let JobScan::Due { after, .. } = std::mem::replace(self, JobScan::InFlight) else {
@@ -82,7 +82,7 @@
                 cache.record_live(&spec.id, item.version, Team::named(&spec.team));
             }
         }
-        *self = match last_key.filter(|_| page.more && cache.has_room_for_live()) {
+        *self = match last_key.filter(|_| page.has_more && cache.has_room_for_live()) {
             Some(last_key) => JobScan::Due {
                 after: Some(last_key),
                 at: now,
--- a/crates/controller/src/job_api/mod.rs
+++ b/crates/controller/src/job_api/mod.rs
@@ -24,7 +24,7 @@
 pub use cache::TerminalState;
 pub use reply::reply_refusal;
 
-use crate::io::{Calls, Io, RequestId};
+use crate::io::{Io, PendingCalls, RequestId};
 use crate::model::{JobId, JobSpec, Timestamp};
 use crate::settings::Settings;
 use admission::Refusal;
@@ -58,7 +58,7 @@
 }
 
 /// Tasks done and running, for display.
-pub type Counts = BTreeMap<JobId, (u32, u32)>;
+pub type TaskCounts = BTreeMap<JobId, (u32, u32)>;
 
 /// All requests about jobs that this node serves.
 #[derive(Debug)]
@@ -74,24 +74,24 @@
     polls: GatheredPolls,
     scan: JobScan,
     pending: PendingRequests,
-    calls: Calls<CallPurpose>,
+    calls: PendingCalls<CallPurpose>,
 }
 
 impl JobApi {
-    /// `index`: this node's position among all members; `first_number`: one that no former process of
+    /// `index`: this node's position among all members; `first_nonce`: one that no former process of
     /// this node has used.
-    pub fn new(settings: &Settings, index: u16, first_number: u64, now: Timestamp) -> JobApi {
+    pub fn new(settings: &Settings, index: u16, first_nonce: u64, now: Timestamp) -> JobApi {
         JobApi {
             index,
             cache: JobCache::default(),
             peer_notices: PeerNotices::default(),
-            commit_wait: CommitWait::new(settings.peers.len(), first_number),
+            commit_wait: CommitWait::new(settings.peers.len(), first_nonce),
             throttle: Throttle::new(settings.operator.request_weights.clone()),
             queues: RequestQueues::new(settings, now),
             polls: GatheredPolls::new(),
             scan: JobScan::NotStarted,
             pending: PendingRequests::default(),
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
         }
     }
 
@@ -146,7 +146,7 @@
 
     /// Does what is due: answers, rejects and sends what has waited, and sends comparisons of at most
     /// `max_polls` polls each.
-    pub fn settle(&mut self, max_polls: usize, io: &mut Io) {
+    pub fn run_due_work(&mut self, max_polls: usize, io: &mut Io) {
         self.reply_visible_ends(io);
         self.scan_next_page(io);
         self.reject_expired(io);
@@ -157,7 +157,7 @@
     fn scan_next_page(&mut self, io: &mut Io) {
         if let Some(page) = self.scan.next_page(io) {
             let purpose = CallPurpose::ScanPage { after: page.after };
-            self.calls.expect(page.call, purpose);
+            self.calls.insert(page.call, purpose);
         }
     }
 
--- a/crates/controller/src/job_api/poll.rs
+++ b/crates/controller/src/job_api/poll.rs
@@ -6,7 +6,7 @@
 use crate::job_api::pending::PendingRequest;
 use crate::job_api::state_call::{CallPurpose, StateCall};
 use crate::job_api::throttle::Throttle;
-use crate::job_api::{Counts, JobApi, JobRequest};
+use crate::job_api::{JobApi, JobRequest, TaskCounts};
 use crate::model::{JobId, Timestamp};
 use crate::protocol::{Condition, Transaction, TransactionResponse, paths};
 use crate::storage::records;
@@ -98,7 +98,7 @@
     pub(super) fn send_comparisons(&mut self, max_polls: usize, io: &mut Io) {
         while self.polls.is_due(max_polls, io.now)
             && self.pending.has_room()
-            && io.state.take(1.0, 0.0, io.now)
+            && io.state_budget.take(1.0, 0.0, io.now)
         {
             let polls = self.polls.take(max_polls);
             self.send_comparison(polls, io);
@@ -121,7 +121,7 @@
             json(&body),
             USER_STATE_TIMEOUT_MS,
         );
-        self.calls.expect(call, CallPurpose::Comparison(polls));
+        self.calls.insert(call, CallPurpose::Comparison(polls));
     }
 
     /// Jobs whose version is as it was are live still. Of the others, and where the answer does not say
@@ -130,7 +130,7 @@
         &mut self,
         polls: Vec<GatheredPoll>,
         outcome: &Outcome,
-        counts: &Counts,
+        counts: &TaskCounts,
         io: &mut Io,
     ) {
         let Some(failed) = failed_keys(outcome) else {
--- a/crates/controller/src/job_api/read.rs
+++ b/crates/controller/src/job_api/read.rs
@@ -5,7 +5,7 @@
 use crate::job_api::cache::TerminalState;
 use crate::job_api::reply::{self, READ_AGAIN, visible_job};
 use crate::job_api::state_call::StateCall;
-use crate::job_api::{Counts, JobApi, JobRequest};
+use crate::job_api::{JobApi, JobRequest, TaskCounts};
 use crate::model::{JobId, JobSpec, Timestamp};
 use crate::protocol::StoredItem;
 use crate::storage::records::{EndedRecord, Record};
@@ -30,7 +30,7 @@
         &mut self,
         request: RequestId,
         outcome: &Outcome,
-        counts: &Counts,
+        counts: &TaskCounts,
         io: &mut Io,
     ) {
         let Some(pending) = self.pending.get_mut(request) else {
@@ -47,7 +47,7 @@
         }
     }
 
-    fn on_found_live(&mut self, request: RequestId, item: &StoredItem, counts: &Counts, io: &mut Io) {
+    fn on_found_live(&mut self, request: RequestId, item: &StoredItem, counts: &TaskCounts, io: &mut Io) {
         let Some(pending) = self.pending.get(request) else {
             return;
         };
@@ -131,7 +131,7 @@
         &mut self,
         request: RequestId,
         visible: &VisibleJob,
-        counts: &Counts,
+        counts: &TaskCounts,
         io: &mut Io,
     ) {
         let Some(pending) = self.pending.get(request) else {
@@ -157,7 +157,7 @@
         };
         if pending.rereads >= MAX_REREADS || io.now >= pending.deadline() {
             self.pending.remove(request);
-            io.reply_later(request, RETRY_AFTER_S, READ_AGAIN);
+            io.reply_retry_later(request, RETRY_AFTER_S, READ_AGAIN);
             return;
         }
         pending.rereads += 1;
--- a/crates/controller/src/job_api/reply.rs
+++ b/crates/controller/src/job_api/reply.rs
@@ -4,7 +4,7 @@
 use crate::io::{Io, RequestId};
 use crate::job_api::admission::Refusal;
 use crate::job_api::cache::TerminalState;
-use crate::job_api::{Counts, JobRequest};
+use crate::job_api::{JobRequest, TaskCounts};
 use crate::model::{JobId, Timestamp};
 use crate::protocol::{JobStatus, JobStatusResponse};
 use crate::storage::records::Ending;
@@ -24,7 +24,7 @@
     match refusal {
         Refusal::Invalid(problem) => io.reply_error(request, 400, problem),
         Refusal::Impossible(problem) => io.reply_error(request, 422, problem),
-        Refusal::Undecided(problem) => io.reply_later(request, RETRY_AFTER_S, problem),
+        Refusal::Undecided(problem) => io.reply_retry_later(request, RETRY_AFTER_S, problem),
     }
 }
 
@@ -46,7 +46,7 @@
     request: RequestId,
     visible: &VisibleJob,
     until: Timestamp,
-    counts: &Counts,
+    counts: &TaskCounts,
     io: &mut Io,
 ) {
     let (done, running) = counts.get(&**visible.job()).copied().unwrap_or((0, 0));
--- a/crates/controller/src/job_api/state_call.rs
+++ b/crates/controller/src/job_api/state_call.rs
@@ -4,7 +4,7 @@
 use crate::io::{CallId, FencedDestination, Io, Method, Outcome, RequestId, json};
 use crate::job_api::pending::PendingRequest;
 use crate::job_api::poll::GatheredPoll;
-use crate::job_api::{Counts, JobApi, JobRequest, RequestOutcome, cancel, submit};
+use crate::job_api::{JobApi, JobRequest, RequestOutcome, TaskCounts, cancel, submit};
 use crate::protocol::{Transaction, paths};
 use crate::storage::records;
 
@@ -91,24 +91,24 @@
             return;
         };
         let sent = io.call(FencedDestination::State, method, path, body, timeout_ms);
-        self.calls.expect(sent, CallPurpose::Request(request, call));
+        self.calls.insert(sent, CallPurpose::Request(request, call));
     }
 
     /// Sends a further call for a request, charged to the budget whatever is left there.
     pub(super) fn send_next_call(&mut self, request: RequestId, call: StateCall, io: &mut Io) {
-        io.state.force(1.0, io.now);
+        io.state_budget.force(1.0, io.now);
         self.send_call(request, call, io);
     }
 
     /// A call was answered. None if it was not made here, else what the node should know.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         call: CallId,
         outcome: &Outcome,
-        counts: &Counts,
+        counts: &TaskCounts,
         io: &mut Io,
     ) -> Option<Option<RequestOutcome>> {
-        let done = match self.calls.settle(call)? {
+        let done = match self.calls.complete(call)? {
             CallPurpose::Request(request, call) => self.on_answer(request, call, outcome, counts, io),
             CallPurpose::ScanPage { after } => {
                 self.scan.on_page(after, outcome, &mut self.cache, io.now);
@@ -127,7 +127,7 @@
         request: RequestId,
         call: StateCall,
         outcome: &Outcome,
-        counts: &Counts,
+        counts: &TaskCounts,
         io: &mut Io,
     ) -> Option<RequestOutcome> {
         match call {
@@ -147,6 +147,6 @@
     /// The state service gave no usable answer in time.
     pub(super) fn give_up(&mut self, request: RequestId, io: &mut Io) {
         self.pending.remove(request);
-        io.reply_later(request, RETRY_AFTER_S, "the state service does not answer");
+        io.reply_retry_later(request, RETRY_AFTER_S, "the state service does not answer");
     }
 }
--- a/crates/controller/src/job_api/tests.rs
+++ b/crates/controller/src/job_api/tests.rs
@@ -83,14 +83,14 @@
         &mut io,
     );
     io.now += POLL_GATHER_MS;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     let (body, comparison) = comparison(&mut io);
     assert_eq!(
         body,
         serde_json::json!({ "If": [{ "Path": "j/wk-1", "Stamp": 7 }] })
     );
     let same = answer(200, serde_json::json!({ "Ledger": 9 }));
-    users.answered(comparison, &same, &Counts::new(), &mut io);
+    users.handle_response(comparison, &same, &TaskCounts::new(), &mut io);
     assert_eq!(io.effects.len(), 2);
     assert_eq!(told(&mut io)["Status"], "pending");
 }
@@ -103,11 +103,11 @@
     let mut users = polled(&mut io);
     cancel(&mut users);
     io.now += POLL_GATHER_MS;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     let (body, comparison) = comparison(&mut io);
     assert_eq!(body["If"][0]["Stamp"], 7, "the job is compared all the same");
     let same = answer(200, serde_json::json!({ "Ledger": 9 }));
-    users.answered(comparison, &same, &Counts::new(), &mut io);
+    users.handle_response(comparison, &same, &TaskCounts::new(), &mut io);
     assert_eq!(told(&mut io)["Status"], "cancelled");
 }
 
@@ -116,10 +116,10 @@
     let mut io = io();
     let mut users = polled(&mut io);
     io.now += POLL_GATHER_MS;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     let (_, comparison) = comparison(&mut io);
     let failed = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.answered(comparison, &failed, &Counts::new(), &mut io);
+    users.handle_response(comparison, &failed, &TaskCounts::new(), &mut io);
     let path = io.effects.iter().find_map(|effect| match effect {
         Effect::Call { path, .. } => Some(path.clone()),
         _ => None,
@@ -174,10 +174,10 @@
     let (path, live, _) = call(io);
     assert_eq!(path, "/store/j/wk-1");
     io.now += 900;
-    users.answered(live, &absent(), &Counts::new(), io);
+    users.handle_response(live, &absent(), &TaskCounts::new(), io);
     let (path, ended, left) = call(io);
     assert_eq!((&*path, left), ("/store/e/wk-1", USER_STATE_TIMEOUT_MS - 900));
-    users.answered(ended, &Outcome::NoAnswer, &Counts::new(), io);
+    users.handle_response(ended, &Outcome::NoAnswer, &TaskCounts::new(), io);
     assert_eq!(status(io), 503);
     users
 }
@@ -192,10 +192,10 @@
     let (path, ended, left) = call(&mut io);
     assert_eq!((&*path, left), ("/store/e/wk-1", USER_STATE_TIMEOUT_MS));
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "done", "tasks": 2 }, "Stamp": 8 });
-    users.answered(ended, &answer(200, record), &Counts::new(), &mut io);
+    users.handle_response(ended, &answer(200, record), &TaskCounts::new(), &mut io);
     for (_, number) in ended_frames(&mut io) {
         assert_eq!(replies(&io), 0);
-        users.acknowledged(&job(), number, &mut io);
+        users.on_end_acknowledged(&job(), number, &mut io);
     }
     assert_eq!(told(&mut io)["Status"], "done");
 }
@@ -209,7 +209,7 @@
     for expected in ["/store/e/wk-1", "/store/j/wk-1", "/store/e/wk-1"] {
         let (path, call, _) = call(&mut io);
         assert_eq!(path, expected);
-        users.answered(call, &absent(), &Counts::new(), &mut io);
+        users.handle_response(call, &absent(), &TaskCounts::new(), &mut io);
     }
     assert_eq!(status(&mut io), 404);
     // That it was thought to be over is forgotten.
@@ -227,7 +227,7 @@
     assert_eq!((&*path, left), ("/store/j/wk-1", USER_STATE_TIMEOUT_MS));
     io.now += 1_400;
     let record = serde_json::json!({ "Path": "j/wk-1", "V": {}, "Stamp": 7 });
-    users.answered(live, &answer(200, record), &Counts::new(), &mut io);
+    users.handle_response(live, &answer(200, record), &TaskCounts::new(), &mut io);
     let (path, _, left) = call(&mut io);
     assert_eq!((&*path, left), ("/multi", USER_ACT_TIMEOUT_MS - 1_400));
 }
@@ -257,20 +257,20 @@
     assert!(users.peer_notices.len() <= PEER_NOTICES);
     assert!(!users.cache.has_ended(&job()), "it is forgotten");
     io.now += POLL_GATHER_MS;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     let (_, comparison) = comparison(&mut io);
     let failed = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.answered(comparison, &failed, &Counts::new(), &mut io);
+    users.handle_response(comparison, &failed, &TaskCounts::new(), &mut io);
     let (path, live, _) = call(&mut io);
     assert_eq!(path, "/store/j/wk-1");
-    users.answered(live, &absent(), &Counts::new(), &mut io);
+    users.handle_response(live, &absent(), &TaskCounts::new(), &mut io);
     let (path, ended, _) = call(&mut io);
     assert_eq!(path, "/store/e/wk-1");
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "cancelled", "tasks": 0 }, "Stamp": 8 });
-    users.answered(ended, &answer(200, record), &Counts::new(), &mut io);
+    users.handle_response(ended, &answer(200, record), &TaskCounts::new(), &mut io);
     for (_, number) in ended_frames(&mut io) {
         assert_eq!(replies(&io), 0);
-        users.acknowledged(&job(), number, &mut io);
+        users.on_end_acknowledged(&job(), number, &mut io);
     }
     assert_eq!(told(&mut io)["Status"], "cancelled");
 }
@@ -285,7 +285,7 @@
 fn ended_frames(io: &mut Io) -> Vec<(usize, u64)> {
     let frames = io.effects.iter().filter_map(|effect| match effect {
         Effect::Frame { peer, bytes } => match Frame::decode(bytes) {
-            Ok(Some((Some(Frame::EndNotice { number, .. }), _))) => Some((*peer, number)),
+            Ok(Some((Some(Frame::EndNotice { nonce: number, .. }), _))) => Some((*peer, number)),
             _ => None,
         },
         _ => None,
@@ -307,10 +307,10 @@
     let mut users = users();
     users.begin(RequestId(1), job(), JobRequest::Cancel, io);
     let (_, live, _) = call(io);
-    users.answered(live, &live_record(), &Counts::new(), io);
+    users.handle_response(live, &live_record(), &TaskCounts::new(), io);
     let (_, moved, _) = call(io);
     let committed = answer(200, serde_json::json!({ "Ledger": 9 }));
-    let done = users.answered(moved, &committed, &Counts::new(), io);
+    let done = users.handle_response(moved, &committed, &TaskCounts::new(), io);
     assert_eq!(done, Some(Some(RequestOutcome::Cancelled(job()))));
     users
 }
@@ -324,7 +324,7 @@
     assert_eq!(replies(&io), 0);
     for (at, (_, number)) in frames.iter().enumerate() {
         assert_eq!(replies(&io), 0, "{at} of {} have noted it", frames.len());
-        users.acknowledged(&job(), *number, &mut io);
+        users.on_end_acknowledged(&job(), *number, &mut io);
     }
     assert_eq!(told(&mut io)["Status"], "cancelled");
     // Everybody else is told at once.
@@ -338,10 +338,10 @@
     let mut users = withdrawn(&mut io);
     poll(&mut users, 2, &mut io);
     io.now += COMMIT_WAIT_MS - 1;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     assert_eq!(replies(&io), 0);
     io.now += 1;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     assert_eq!(replies(&io), 2);
     assert_eq!(told(&mut io)["Status"], "cancelled");
 }
@@ -354,16 +354,16 @@
     poll(&mut users, 1, &mut io);
     io.now += 1_000;
     let (_, live, _) = call(&mut io);
-    users.answered(live, &absent(), &Counts::new(), &mut io);
+    users.handle_response(live, &absent(), &TaskCounts::new(), &mut io);
     let (_, ended, _) = call(&mut io);
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "done", "tasks": 2 }, "Stamp": 8 });
-    users.answered(ended, &answer(200, record), &Counts::new(), &mut io);
+    users.handle_response(ended, &answer(200, record), &TaskCounts::new(), &mut io);
     assert_eq!(replies(&io), 0);
     io.now += POLL_RESPONSE_MS - 1_000;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     assert_eq!(status(&mut io), 503);
     io.now += COMMIT_WAIT_MS;
-    users.settle(48, &mut io);
+    users.run_due_work(48, &mut io);
     poll(&mut users, 2, &mut io);
     assert_eq!(told(&mut io)["Status"], "done");
 }
@@ -381,9 +381,9 @@
         .unwrap()
         .types;
     let counts = Default::default();
-    let types = Some(admission::KnownTypes {
+    let types = Some(admission::KnownMachineTypes {
         list: &types,
-        certain: true,
+        confirmed: true,
     });
     let spec = admission::accept(body.as_bytes(), &deployment, &counts, types, 0).unwrap();
     users.begin(RequestId(1), job(), JobRequest::Submit(Box::new(spec)), io);
@@ -396,12 +396,12 @@
     let mut users = users();
     let create = repeat(&mut users, &mut io);
     let known = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.answered(create, &known, &Counts::new(), &mut io);
+    users.handle_response(create, &known, &TaskCounts::new(), &mut io);
     let (path, live, _) = call(&mut io);
     assert_eq!(path, "/store/j/wk-1");
     io.now += 10;
     assert!(users.on_peer_notice(job(), true, io.now));
-    users.answered(live, &live_record(), &Counts::new(), &mut io);
+    users.handle_response(live, &live_record(), &TaskCounts::new(), &mut io);
     assert_eq!(replies(&io), 0);
     assert_eq!(call(&mut io).0, "/store/e/wk-1");
 }
@@ -412,14 +412,14 @@
     let mut users = users();
     let create = repeat(&mut users, &mut io);
     let known = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.answered(create, &known, &Counts::new(), &mut io);
+    users.handle_response(create, &known, &TaskCounts::new(), &mut io);
     let (_, live, _) = call(&mut io);
     io.now += LIVE_READ_MAX_AGE_MS;
-    users.answered(live, &live_record(), &Counts::new(), &mut io);
+    users.handle_response(live, &live_record(), &TaskCounts::new(), &mut io);
     assert_eq!(replies(&io), 0);
     let (_, live, _) = call(&mut io);
     io.now += LIVE_READ_MAX_AGE_MS - 1;
-    users.answered(live, &live_record(), &Counts::new(), &mut io);
+    users.handle_response(live, &live_record(), &TaskCounts::new(), &mut io);
     let until = io.effects.iter().find_map(|effect| match effect {
         Effect::Reply { until, .. } => *until,
         _ => None,
@@ -435,7 +435,7 @@
     io.now += 10;
     assert!(users.on_peer_notice(job(), true, io.now));
     let created = answer(200, serde_json::json!({ "Ledger": 9 }));
-    let done = users.answered(create, &created, &Counts::new(), &mut io);
+    let done = users.handle_response(create, &created, &TaskCounts::new(), &mut io);
     assert!(matches!(
         done,
         Some(Some(RequestOutcome::Accepted { version: 9, .. }))
@@ -451,10 +451,10 @@
     let mut users = users();
     poll(&mut users, 1, &mut io);
     let (_, live, _) = call(&mut io);
-    users.answered(live, &absent(), &Counts::new(), &mut io);
+    users.handle_response(live, &absent(), &TaskCounts::new(), &mut io);
     let (_, ended, _) = call(&mut io);
     assert!(users.on_peer_notice(job(), false, io.now));
-    users.answered(ended, &absent(), &Counts::new(), &mut io);
+    users.handle_response(ended, &absent(), &TaskCounts::new(), &mut io);
     assert_eq!(replies(&io), 0);
     assert_eq!(call(&mut io).0, "/store/j/wk-1");
 }
--- a/crates/controller/src/job_api/throttle.rs
+++ b/crates/controller/src/job_api/throttle.rs
@@ -91,7 +91,7 @@
 
     fn reject(&mut self, team: &Team, request: RequestId, io: &mut Io) {
         *self.rejected.entry(team.clone()).or_default() += 1;
-        io.reply_later(request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
+        io.reply_retry_later(request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
     }
 
     /// Requests that were rejected since this node began, by team.
@@ -152,7 +152,7 @@
         if flood && !self.write_budget.has(1.0, reserve, io.now) {
             return None;
         }
-        if !io.state.take(1.0, reserve, io.now) {
+        if !io.state_budget.take(1.0, reserve, io.now) {
             return None;
         }
         let (_, queued) = self.writes.pop()?;
@@ -164,7 +164,7 @@
 
     /// The next poll, if the budget allows one now.
     pub(super) fn next_read(&mut self, io: &mut Io) -> Option<QueuedRequest> {
-        if self.reads.is_empty() || !io.state.take(1.0, POLL_RESERVE, io.now) {
+        if self.reads.is_empty() || !io.state_budget.take(1.0, POLL_RESERVE, io.now) {
             return None;
         }
         self.reads.pop().map(|(_, queued)| queued)
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -15,7 +15,7 @@
     WRITE_RETRY_MS,
 };
 use crate::io::{Io, Method, Outcome, json};
-use crate::metrics::BookStanding;
+use crate::metrics::AccountingGauges;
 use crate::model::{Job, JobId, TaskId, Timestamp};
 use crate::protocol::{self, Shape, paths};
 use crate::settings::Settings;
@@ -173,7 +173,7 @@
             }
         }
         let last = page.items.last().map(|item| item.key.clone());
-        self.loading = last.filter(|_| page.more).map(Some);
+        self.loading = last.filter(|_| page.has_more).map(Some);
         if self.loading.is_none() && self.head_version == 0 && self.books.totals().next().is_some() {
             log::error!("accounting rebuild began: its position is missing");
             self.broken = true;
@@ -198,14 +198,14 @@
             self.fall_behind();
             return;
         }
-        let Some(changes) = outcome.read::<protocol::Changes>(&[200]) else {
+        let Some(changes) = outcome.read::<protocol::WatchResponse>(&[200]) else {
             self.follow_at = now + SECOND_MS;
             return;
         };
         self.ended = false;
         let mut ends: Vec<(Position, Option<Entry>)> = Vec::new();
         for event in changes.events {
-            if let protocol::Event::Put { key, value, version } = event {
+            if let protocol::WatchEvent::Put { key, value, version } = event {
                 let Some((position, mut entry)) = end_of(&key, &value, version) else {
                     continue;
                 };
@@ -257,7 +257,7 @@
                 }
             }
             scan.after = page.items.last().map(|item| item.key.clone());
-            scan.read_all = !page.more || scan.after.is_none();
+            scan.read_all = !page.has_more || scan.after.is_none();
             for item in &page.items {
                 let end = end_of(&item.key, &item.value, item.version);
                 if let Some((position, entry)) = end
@@ -350,12 +350,16 @@
             let path = paths::watch(records::ENDED, books.from(), 0);
             (Method::Get, path, Vec::new(), BookCall::Changes)
         } else if now >= books.write_at && !behind {
-            let most = settings.deployment.state.txn_ops.min(io.writes.available(now));
+            let most = settings
+                .deployment
+                .state
+                .txn_ops
+                .min(io.write_budget.available(now));
             let Some(changes) = books.books.write(most, TXN_BYTES) else {
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
-            io.writes.force(changes.len() as f64, now);
+            io.write_budget.force(changes.len() as f64, now);
             let changes = changes.into_iter().map(|(key, value)| match value {
                 Some(value) => protocol::Change::Put {
                     key,
@@ -404,7 +408,7 @@
                             books.head_version = answer.revision;
                         }
                     }
-                    _ if outcome.refused() => books.books.refused(),
+                    _ if outcome.is_safe_to_retry() => books.books.refused(),
                     (_, Some(409)) => {
                         let failed = outcome
                             .read::<protocol::TransactionResponse>(&[409])
@@ -477,9 +481,9 @@
     }
 
     /// How the books stand, for metrics.
-    pub fn book_standing(&self, now: Timestamp) -> BookStanding {
+    pub fn book_standing(&self, now: Timestamp) -> AccountingGauges {
         let books = &self.books;
-        BookStanding {
+        AccountingGauges {
             waiting: self.queues(now),
             ended: books
                 .books
@@ -490,7 +494,7 @@
             unowned: books.books.unowned(),
             differences: books.differences,
             checked: books.checked,
-            off: books.off,
+            suspended: books.off,
         }
     }
 
--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -9,7 +9,7 @@
 use crate::leader::LeaderTerm;
 use crate::leader::calls::TermCall;
 use crate::model::{MachineId, Timestamp};
-use crate::protocol::{ListedMachine, ListedStatus, Listing, paths};
+use crate::protocol::{ListedMachine, ListedStatus, MachinePage, paths};
 use crate::settings::Settings;
 use indigopath_fencing::GuardedOperation;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     }
 
     /// Takes in a page; returns the whole list after the last one.
-    fn page_read(&mut self, page: Option<Listing>, now: Timestamp) -> Option<Vec<ListedMachine>> {
+    fn page_read(&mut self, page: Option<MachinePage>, now: Timestamp) -> Option<Vec<ListedMachine>> {
         self.in_flight = false;
         let Some(page) = page else {
             self.machines.clear();
@@ -40,7 +40,7 @@
             self.next_at = now + CLOUD_RETRY_MS;
             return None;
         };
-        let more = page.more && !page.machines.is_empty();
+        let more = page.has_more && !page.machines.is_empty();
         self.machines.extend(page.machines);
         self.pages += 1;
         if more {
@@ -65,18 +65,18 @@
             listing.next_at = io.now + CHECK_MS;
             return;
         };
-        if !io.cloud.take(1.0, RENT_RESERVE, io.now) {
+        if !io.cloud_budget.take(1.0, RENT_RESERVE, io.now) {
             return;
         }
         listing.in_flight = true;
         let path = paths::listing(listing.machines.last().map(|machine| machine.id.as_str()));
         let call = io.cloud_call(permit, Method::Get, path, Vec::new());
-        self.calls.expect(call, TermCall::List);
+        self.calls.insert(call, TermCall::List);
     }
 
     /// Follows a page of the list.
     pub(in crate::leader) fn listed(&mut self, outcome: &Outcome, io: &mut Io) {
-        let page = outcome.read::<Listing>(&[200]);
+        let page = outcome.read::<MachinePage>(&[200]);
         let Some(machines) = self.autoscaler.listing.page_read(page, io.now) else {
             return;
         };
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -207,7 +207,7 @@
                 names.push(machine.id.clone());
             }
         }
-        if names.is_empty() || !io.cloud.take(1.0, 0.0, io.now) {
+        if names.is_empty() || !io.cloud_budget.take(1.0, 0.0, io.now) {
             return;
         }
         for name in &names {
@@ -218,8 +218,8 @@
         let body = json(&MachineNames {
             machines: names.iter().map(|name| name.to_string()).collect(),
         });
-        let call = io.cloud_call(permit, Method::Post, paths::RETURN.to_owned(), body);
-        self.calls.expect(
+        let call = io.cloud_call(permit, Method::Post, paths::RENTAL_RETURNS.to_owned(), body);
+        self.calls.insert(
             call,
             TermCall::Return {
                 machines: names,
@@ -268,7 +268,7 @@
             machine.return_in_flight = false;
             // An unanswered return may still be carried out: nothing is placed
             // there again, and it is asked for until the cloud confirms.
-            machine.return_unanswered |= !outcome.refused();
+            machine.return_unanswered |= !outcome.is_safe_to_retry();
             machine.returning = machine.return_unanswered;
             if !machine.returning {
                 // What was refused may be used again, and a successor must not finish it.
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -299,7 +299,7 @@
         };
         let mut sends = Vec::new();
         for rental in self.autoscaler.requests.values_mut() {
-            if due(rental) && io.cloud.take(1.0, RENT_RESERVE, io.now) {
+            if due(rental) && io.cloud_budget.take(1.0, RENT_RESERVE, io.now) {
                 rental.sent = true;
                 rental.in_flight = true;
                 sends.push(rental.request.clone());
@@ -308,7 +308,7 @@
         for request in sends {
             let body = json(&request);
             let call = io.cloud_call(permit, Method::Post, paths::RENTALS.to_owned(), body);
-            self.calls.expect(
+            self.calls.insert(
                 call,
                 TermCall::Rent {
                     request: request.request,
@@ -377,7 +377,7 @@
             self.end_request(key);
         } else {
             // Perhaps rented: the request is idempotent, so repeating it shows, and rents nothing twice.
-            rental.doubtful |= !outcome.refused();
+            rental.doubtful |= !outcome.is_safe_to_retry();
             rental.retry_at = io.now + CLOUD_RETRY_MS;
         }
     }
--- a/crates/controller/src/leader/calls.rs
+++ b/crates/controller/src/leader/calls.rs
@@ -59,7 +59,7 @@
         io: &mut Io,
     ) {
         let call = io.state_call(method, path, body, timeout_ms);
-        self.calls.expect(call, kind);
+        self.calls.insert(call, kind);
     }
 
     /// Reads from the state service, within its usual time.
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -207,7 +207,7 @@
                 Vec::new(),
                 SERVER_TIMEOUT_MS,
             );
-            self.calls.expect(call, TermCall::Licences { server });
+            self.calls.insert(call, TermCall::Licences { server });
         }
     }
 
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -110,7 +110,8 @@
             }
         }
         let lingering = self.counted.lingers.iter().filter(|linger| {
-            now < linger.until && asks.is_none_or(|asks| authorization::is_of(&linger.team, asks, settings))
+            now < linger.until
+                && asks.is_none_or(|asks| authorization::is_same_team(&linger.team, asks, settings))
         });
         holders.extend(lingering.map(|linger| Holder {
             count: linger.count.to_string(),
@@ -136,8 +137,13 @@
     ) -> Option<Explanation> {
         let job = self.jobs.get(id)?;
         let shown = settings.operator.show_holders && team.is_none();
-        let access = Access::shown_to_all(&authorization::owner(&job.spec), shown)
-            .or_else(|_| authorization::access(&job.spec, &authorization::asks(team, settings), settings));
+        let access = Access::shown_to_all(&authorization::job_owner(&job.spec), shown).or_else(|_| {
+            authorization::access(
+                &job.spec,
+                &authorization::requesting_team(team, settings),
+                settings,
+            )
+        });
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
         let units = self.units(definitions);
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -133,16 +133,16 @@
         let body = json(&DirectCommands {
             token,
             agent_epoch,
-            orders,
+            commands: orders,
         });
         let call = io.call(
             FencedDestination::Worker(addr),
             Method::Post,
-            paths::DIRECT.to_owned(),
+            paths::DIRECT_COMMANDS.to_owned(),
             body,
             DIRECT_COMMAND_TIMEOUT_MS,
         );
-        self.calls.expect(
+        self.calls.insert(
             call,
             TermCall::Direct(DirectCall {
                 machine: id.clone(),
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -141,7 +141,7 @@
 impl LeaderTerm {
     /// Before a pass: what time alone changes of what is known.
     pub(super) fn look_at_weights(&mut self, types: &MachineTypes, settings: &Settings, now: Timestamp) {
-        self.weights.on = settings.operator.weights;
+        self.weights.on = settings.operator.image_locality;
         if self.weights.s_per_gb.len() != types.len() {
             let known = types
                 .iter()
@@ -189,7 +189,7 @@
     /// Idle machines that had better stay for the weights that lie on them: they go back last, and
     /// all together cost a small part of what the fleet does.
     pub(super) fn kept_for_weights(&self, types: &MachineTypes, settings: &Settings) -> HashSet<MachineId> {
-        if !settings.operator.weights {
+        if !settings.operator.image_locality {
             return HashSet::new();
         }
         let price = |machine: &Machine| {
--- a/crates/controller/src/leader/job_table.rs
+++ b/crates/controller/src/leader/job_table.rs
@@ -3,7 +3,7 @@
 
 use crate::allocations::Machine;
 use crate::constants::COUNT_MS;
-use crate::job_api::Counts;
+use crate::job_api::TaskCounts;
 use crate::model::{Job, JobId, Timestamp};
 use crate::protocol::TaskState;
 use std::borrow::Borrow;
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
-    counts: Counts,
+    counts: TaskCounts,
     counted_at: Timestamp,
     /// How many notices of jobs that ended elsewhere peers have sent in this term.
     end_notices: u64,
@@ -91,7 +91,7 @@
     }
 
     /// Tasks done and running of each job, as of the last count.
-    pub(super) fn counts(&self) -> &Counts {
+    pub(super) fn counts(&self) -> &TaskCounts {
         &self.counts
     }
 
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -151,7 +151,7 @@
             Vec::new(),
             INSPECT_TIMEOUT_MS,
         );
-        self.calls.expect(call, TermCall::Inspect { machine: id.clone() });
+        self.calls.insert(call, TermCall::Inspect { machine: id.clone() });
     }
 
     /// Follows the answer to a probe.
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -31,8 +31,8 @@
 
 use crate::election::cancellation_watermark::CancellationWatermark;
 use crate::election::{Election, ElectionEvent};
-use crate::io::{CallId, Calls, Io, Outcome};
-use crate::job_api::Counts;
+use crate::io::{CallId, Io, Outcome, PendingCalls};
+use crate::job_api::TaskCounts;
 use crate::model::Timestamp;
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
@@ -94,7 +94,7 @@
     pub(crate) writer: BatchWriter,
     persistence: Persistence,
     commands: CommandQueue,
-    calls: Calls<TermCall>,
+    calls: PendingCalls<TermCall>,
     liveness: Liveness,
     partition: PartitionDetector,
     zones: Zones,
@@ -124,7 +124,7 @@
             writer: BatchWriter::new(token, settings),
             persistence: Persistence::default(),
             commands: CommandQueue::default(),
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             liveness: Liveness::new(settings, now),
             partition: PartitionDetector::default(),
             zones: Zones::default(),
@@ -163,7 +163,7 @@
     }
 
     /// Tasks done and running of each live job, for display.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &TaskCounts {
         self.jobs.counts()
     }
 
@@ -264,7 +264,7 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<Option<ElectionEvent>> {
-        let kind = self.calls.settle(call)?;
+        let kind = self.calls.complete(call)?;
         Some(self.follow(kind, outcome, election, settings, io))
     }
 
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -52,7 +52,11 @@
             return;
         }
         self.queue_shifts(io.now);
-        let most = settings.deployment.state.txn_ops.min(io.writes.available(io.now));
+        let most = settings
+            .deployment
+            .state
+            .txn_ops
+            .min(io.write_budget.available(io.now));
         let Some((body, ops)) = self.writer.batch(
             most,
             settings,
@@ -63,7 +67,7 @@
         ) else {
             return;
         };
-        io.writes.force(ops as f64, io.now);
+        io.write_budget.force(ops as f64, io.now);
         self.transact(body, TermCall::Write, io);
     }
 
@@ -129,7 +133,7 @@
                     self.condition_failed(key, io.now);
                 }
             }
-            outcome if outcome.refused() => {
+            outcome if outcome.is_safe_to_retry() => {
                 self.writer.retry_at = io.now + WRITE_RETRY_MS + io.rng.random_range(0..WRITE_RETRY_MS)
             }
             Outcome::Answer { status, body } => {
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -37,11 +37,11 @@
     pub(super) fn new(settings: &Settings) -> Shifts {
         let deployment = &settings.deployment;
         // Each clock is off by so much at most, so that two differ by twice that.
-        let bound_ms = (2.0 * deployment.clock_off_ms).ceil() as u64;
+        let bound_ms = (2.0 * deployment.clock_skew_ms).ceil() as u64;
         let value_bytes = (deployment.state.value_kb * 1024.0 * VALUE_SHARE) as usize;
         Shifts {
-            ledger: WindowState::new(settings.shifts.clone(), bound_ms, value_bytes),
-            timetable: settings.shifts.clone(),
+            ledger: WindowState::new(settings.protection_windows.clone(), bound_ms, value_bytes),
+            timetable: settings.protection_windows.clone(),
             look_at: 0,
             protection: Protection::default(),
             kept: HashMap::new(),
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -5,18 +5,18 @@
 use crate::constants::{BAD_JOB_DOUBLINGS, BAD_JOB_WAIT_MS, FULL_WAIT_MS, SECOND_MS};
 use crate::io::{Io, RequestId};
 use crate::model::{MachineId, TaskId, Timestamp};
-use crate::protocol::{Cause, Heartbeat, HeartbeatResponse, Shape};
+use crate::protocol::{Heartbeat, HeartbeatResponse, Shape, TaskEndCause};
 use crate::scheduling::placement::{self, faulty};
 use indigopath_accounting::LossCause;
 use std::sync::Arc;
 
 /// Why the work of an attempt is lost, by the cause of its end.
-fn lost_by(why: Cause) -> Option<LossCause> {
+fn lost_by(why: TaskEndCause) -> Option<LossCause> {
     match why {
-        Cause::Stopped => Some(LossCause::Stopped),
-        Cause::Peers | Cause::Alone => Some(LossCause::Gang),
-        Cause::Error | Cause::Other => Some(LossCause::Failed),
-        Cause::Done | Cause::NoRoom | Cause::Busy | Cause::Unknown => None,
+        TaskEndCause::Stopped => Some(LossCause::Stopped),
+        TaskEndCause::Peers | TaskEndCause::Alone => Some(LossCause::Gang),
+        TaskEndCause::Error | TaskEndCause::Other => Some(LossCause::Failed),
+        TaskEndCause::Done | TaskEndCause::NoRoom | TaskEndCause::Busy | TaskEndCause::Unknown => None,
     }
 }
 
@@ -60,7 +60,14 @@
             } else {
                 machine.stops(io.now)
             };
-            io.reply(request, 200, &HeartbeatResponse { token, orders });
+            io.reply(
+                request,
+                200,
+                &HeartbeatResponse {
+                    token,
+                    commands: orders,
+                },
+            );
         }
         Ok(())
     }
@@ -137,7 +144,7 @@
                 Change::Exited {
                     task,
                     number,
-                    why: Cause::Done,
+                    why: TaskEndCause::Done,
                     ran_s,
                 } => {
                     log::debug!(
@@ -277,11 +284,11 @@
     }
 
     /// An attempt has ended without completing its task.
-    fn task_ended(&mut self, id: &MachineId, task: &TaskId, number: u64, why: Cause, io: &mut Io) {
+    fn task_ended(&mut self, id: &MachineId, task: &TaskId, number: u64, why: TaskEndCause, io: &mut Io) {
         self.close(id, task, number);
         let now = io.now;
         let mut fetching = false;
-        if why == Cause::Alone {
+        if why == TaskEndCause::Alone {
             self.machines.for_each_attempt(&task.job, |_, attempt| {
                 fetching |= attempt.number == number && attempt.stop.is_none() && attempt.fetching();
             });
@@ -291,7 +298,7 @@
                 gang.ended(why, fetching);
             }
             match why {
-                Cause::Error | Cause::Unknown | Cause::Other => {
+                TaskEndCause::Error | TaskEndCause::Unknown | TaskEndCause::Other => {
                     log::info!(
                         "task failed job={} machine={id} task={} cause={why:?}",
                         task.job,
@@ -308,7 +315,7 @@
                     // same, until one of them starts other work: in a wave of faulty
                     // machines each job meets several, and had it been blamed alone, none
                     // of them would ever have been found.
-                    if why == Cause::Error
+                    if why == TaskEndCause::Error
                         && !job.failed_on_good
                         && let Some(machine) = self.machines.get_mut(id)
                     {
@@ -318,7 +325,7 @@
                         }
                     }
                 }
-                Cause::NoRoom | Cause::Busy => {
+                TaskEndCause::NoRoom | TaskEndCause::Busy => {
                     if let Some(machine) = self.machines.get_mut(id) {
                         machine.full_until = now + FULL_WAIT_MS;
                     }
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -66,7 +66,7 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         self.watch.in_flight = false;
-        let Some(changes) = outcome.read::<protocol::Changes>(&[200]) else {
+        let Some(changes) = outcome.read::<protocol::WatchResponse>(&[200]) else {
             if outcome.status() == Some(410) {
                 // Only a new reading tells which jobs are over, and only a new token fences off
                 // what this term has under way: read anew within it, the records would seem to
@@ -85,9 +85,9 @@
         None
     }
 
-    fn follow_event(&mut self, event: protocol::Event, io: &Io) {
+    fn follow_event(&mut self, event: protocol::WatchEvent, io: &Io) {
         match event {
-            protocol::Event::Put { key, value, version } => {
+            protocol::WatchEvent::Put { key, value, version } => {
                 let read = match condor::parse_open(&key) {
                     Some(cluster) => self.cluster_open(cluster, &value, version),
                     None => JobSpec::from_value(&value).map(|spec| self.job_accepted(spec, version, io)),
@@ -96,7 +96,7 @@
                     log::error!("record ignored key={key}: {problem}");
                 }
             }
-            protocol::Event::Delete { key } => {
+            protocol::WatchEvent::Delete { key } => {
                 if let Some(cluster) = condor::parse_open(&key) {
                     self.cluster_closed(cluster);
                 } else if let Some(job) = key.strip_prefix(records::JOBS) {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -106,7 +106,7 @@
             asked_at,
         });
         load.after = page.items.last().map(|item| item.key.clone());
-        let more = page.more && load.after.is_some();
+        let more = page.has_more && load.after.is_some();
         load.items.extend(page.items);
         if !more {
             load.after = None;
@@ -277,7 +277,7 @@
             shard.lingers().iter().cloned(),
             io.now,
             io.wall_ms,
-            settings.deployment.clock_off_ms as u64,
+            settings.deployment.clock_skew_ms as u64,
             |count| {
                 definitions
                     .get(count)
@@ -291,7 +291,7 @@
         let left: u64 = lingers.iter().map(|linger| u64::from(linger.units)).sum();
         let spent = left < recorded;
         self.writer.linger_read(number, item.version, lingers, spent);
-        let clock_off_ms = settings.deployment.clock_off_ms as u64;
+        let clock_off_ms = settings.deployment.clock_skew_ms as u64;
         for released in shard.released() {
             self.adopt_released(number, released, clock_off_ms, io);
         }
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -196,7 +196,7 @@
             ],
             changes: vec![change],
         };
-        io.writes.force(1.0, io.now);
+        io.write_budget.force(1.0, io.now);
         self.transact(json(&body), TermCall::Cluster, io);
     }
 
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -52,7 +52,7 @@
 
 /// How a node stands at a scrape.
 #[derive(Debug, Clone)]
-pub struct LeaderGauges {
+pub struct NodeGauges {
     pub token: Option<u64>,
     pub state_ok: bool,
     /// PeerView heard lately.
@@ -63,27 +63,27 @@
     pub watermark_age_ms: Option<u64>,
     pub counts: Vec<CountStatus>,
     /// Under which epoch this node may act on outside systems.
-    pub hold: Option<HeldLease>,
+    pub held_lease: Option<HeldLease>,
     /// Acts that were not begun for want of a permit, and that were dropped as theirs ran out.
     pub refused: Vec<(GuardedOperation, u64)>,
-    pub late: Vec<(GuardedOperation, u64)>,
+    pub expired: Vec<(GuardedOperation, u64)>,
     /// Open connections by class, and what was done for want of room.
     pub open: PerClass<u64>,
-    pub tally: ShortageCounts,
+    pub shortages: ShortageCounts,
     /// How much of what classes and teams ask for they have, from 0 to 1.
     pub shares: Vec<(ShareOwner, f64)>,
     /// Requests that found no room or waited for too long, by team.
-    pub put_off: Vec<(Team, u64)>,
+    pub throttled: Vec<(Team, u64)>,
     /// Of the teams' books, while it leads.
-    pub books: Option<BookStanding>,
+    pub accounting: Option<AccountingGauges>,
     /// How shifts stand, and replicas' worth of room that they want kept free, and that is.
-    pub shifts: Vec<ShiftStatus>,
+    pub protection_windows: Vec<ShiftStatus>,
     pub spare: (u32, u32),
 }
 
 /// How a leader's books stand.
 #[derive(Debug, Clone, Default)]
-pub struct BookStanding {
+pub struct AccountingGauges {
     pub waiting: BTreeMap<Team, Queue>,
     pub ended: BTreeMap<Team, JobTotals>,
     /// Ends that are on record and on no page yet.
@@ -93,7 +93,7 @@
     pub differences: u64,
     pub checked: bool,
     /// A later build keeps them.
-    pub off: bool,
+    pub suspended: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -411,7 +411,7 @@
     ///
     /// # Errors
     /// Only if formatting fails.
-    pub fn encode(&self, gauges: &LeaderGauges) -> Result<String, std::fmt::Error> {
+    pub fn encode(&self, gauges: &NodeGauges) -> Result<String, std::fmt::Error> {
         self.leads.set(i64::from(gauges.token.is_some()));
         self.state_ok.set(i64::from(gauges.state_ok));
         self.peers.set(amount(gauges.peers));
@@ -459,12 +459,12 @@
         self.set_counts(&gauges.counts);
         self.set_shares(&gauges.shares);
         self.set_shifts(gauges);
-        self.set_connections(&gauges.open, &gauges.tally);
+        self.set_connections(&gauges.open, &gauges.shortages);
         let epoch = gauges
-            .hold
+            .held_lease
             .map_or(0, |hold| i64::try_from(hold.epoch).unwrap_or(i64::MAX));
         self.epoch.set(epoch);
-        for (why, counts) in [("refused", &gauges.refused), ("late", &gauges.late)] {
+        for (why, counts) in [("refused", &gauges.refused), ("late", &gauges.expired)] {
             for (duty, count) in counts {
                 let labels = DutyLabels {
                     duty: duty.name(),
@@ -480,12 +480,12 @@
         Ok(text)
     }
 
-    fn set_shifts(&self, gauges: &LeaderGauges) {
+    fn set_shifts(&self, gauges: &NodeGauges) {
         for family in [&self.shift_open, &self.shift_until, &self.shift_services] {
             family.clear();
         }
         self.spare.clear();
-        for status in &gauges.shifts {
+        for status in &gauges.protection_windows {
             let labels = ShiftLabels {
                 shift: status.shift.to_string(),
             };
@@ -498,7 +498,7 @@
                 family.get_or_create(&labels).set(value);
             }
         }
-        if !gauges.shifts.is_empty() {
+        if !gauges.protection_windows.is_empty() {
             for (state, tasks) in [("wanted", gauges.spare.0), ("kept", gauges.spare.1)] {
                 self.spare
                     .get_or_create(&StateLabels { state })
@@ -550,13 +550,13 @@
         }
     }
 
-    fn set_books(&self, gauges: &LeaderGauges) {
+    fn set_books(&self, gauges: &NodeGauges) {
         let of = |team: &Team, what| AccountLabels {
             team: team.name().to_owned(),
             what,
         };
         let number = |count: u64| i64::try_from(count).unwrap_or(i64::MAX);
-        for (team, count) in &gauges.put_off {
+        for (team, count) in &gauges.throttled {
             let labels = of(team, "requests");
             self.put_off.get_or_create(&labels).set(number(*count));
         }
@@ -564,7 +564,7 @@
             family.clear();
         }
         self.books.clear();
-        let Some(books) = &gauges.books else { return };
+        let Some(books) = &gauges.accounting else { return };
         for (team, queue) in &books.waiting {
             for what in WaitReason::ALL {
                 let labels = of(team, what.text());
@@ -588,7 +588,7 @@
             ("unowned", books.unowned),
             ("differences", books.differences),
             ("checked", u64::from(books.checked)),
-            ("left_alone", u64::from(books.off)),
+            ("left_alone", u64::from(books.suspended)),
         ] {
             self.books
                 .get_or_create(&StateLabels { state })
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -20,7 +20,7 @@
         teams: Vec::new(),
         server: None,
     };
-    let mut gauges = LeaderGauges {
+    let mut gauges = NodeGauges {
         token: Some(7),
         state_ok: true,
         peers: 2,
@@ -30,19 +30,19 @@
         }),
         counts: vec![seat],
         watermark_age_ms: Some(1_500),
-        hold: Some(HeldLease { epoch: 7, until: 9 }),
+        held_lease: Some(HeldLease { epoch: 7, until: 9 }),
         refused: vec![(GuardedOperation::ReleaseMachines, 2)],
-        late: Vec::new(),
+        expired: Vec::new(),
         open: PerClass([0, 3, 40, 4, 2, 1]),
-        tally: ShortageCounts {
+        shortages: ShortageCounts {
             refused: PerClass([2, 0, 0, 0, 0, 0]),
             answered: PerClass([0, 0, 9, 0, 0, 0]),
             ..ShortageCounts::default()
         },
-        put_off: Vec::new(),
-        books: None,
+        throttled: Vec::new(),
+        accounting: None,
         shares: vec![(ShareOwner::Class("batch".to_owned()), 0.5)],
-        shifts: vec![ShiftStatus {
+        protection_windows: vec![ShiftStatus {
             shift: "trading".into(),
             open: true,
             until_ms: Some(1_796_104_800_000),
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -9,12 +9,12 @@
     MACHINE_TYPES_INTERVAL_MS, RETRY_AFTER_S, SECOND_MS, STATE_BAD_MS, STATE_PROBE_MS, STATE_TIMEOUT_MS,
 };
 use crate::election::{Election, ElectionEvent};
-use crate::io::{CallId, Calls, Content, Effect, Io, Method, Outcome, RequestId};
-use crate::job_api::admission::{self, KnownTypes, Refusal};
+use crate::io::{CallId, ContentType, Effect, Io, Method, Outcome, PendingCalls, RequestId};
+use crate::job_api::admission::{self, KnownMachineTypes, Refusal};
 use crate::job_api::authorization;
-use crate::job_api::{self, Counts, JobApi, JobRequest, RequestOutcome, TerminalState};
+use crate::job_api::{self, JobApi, JobRequest, RequestOutcome, TaskCounts, TerminalState};
 use crate::leader::{LeaderTerm, PeerView};
-use crate::metrics::{LeaderGauges, Metrics};
+use crate::metrics::{Metrics, NodeGauges};
 use crate::model::{JobId, Timestamp};
 use crate::peers::{Frame, PeerHeartbeat};
 use crate::protocol::{self, Heartbeat, MachineType, Redirect, StoredItem, paths};
@@ -45,7 +45,7 @@
     /// A frame from a peer; its heartbeat says which.
     Frame(Frame),
     /// A connection to a peer has just come about.
-    PeerUp {
+    PeerConnected {
         peer: usize,
     },
 }
@@ -86,15 +86,15 @@
     /// When requests that were told to come back were last logged.
     refused_at: Timestamp,
     /// Counts of jobs as the leader last told them.
-    told: Counts,
+    told: TaskCounts,
     /// Counts as this leader last told its peers.
-    sent: Counts,
+    sent: TaskCounts,
     /// Workers that addressed this node, and when.
     workers: HashMap<String, Timestamp>,
     state_ok_at: Timestamp,
     state_failed_at: Option<Timestamp>,
     probed_at: Timestamp,
-    calls: Calls<Question>,
+    calls: PendingCalls<Question>,
     metrics: Metrics,
     /// Open connections, and what was done for want of room.
     sockets: (PerClass<u64>, ShortageCounts),
@@ -126,13 +126,13 @@
             types_certain: false,
             beat_at: 0,
             refused_at: 0,
-            told: Counts::new(),
-            sent: Counts::new(),
+            told: TaskCounts::new(),
+            sent: TaskCounts::new(),
             workers: HashMap::new(),
             state_ok_at: now,
             state_failed_at: None,
             probed_at: now,
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             metrics: Metrics::new(),
             sockets: Default::default(),
         }
@@ -144,7 +144,7 @@
     }
 
     /// An act's permit ran out before its bytes went out: it was dropped.
-    pub fn dropped(&mut self, permit: &Permit) {
+    pub fn on_operation_dropped(&mut self, permit: &Permit) {
         log::warn!(
             "permit expired before sending operation={} epoch={}",
             permit.operation(),
@@ -154,11 +154,11 @@
     }
 
     /// How the process stands with its sockets, for metrics.
-    pub fn note_sockets(&mut self, open: PerClass<u64>, tally: ShortageCounts) {
+    pub fn set_connection_stats(&mut self, open: PerClass<u64>, tally: ShortageCounts) {
         self.sockets = (open, tally);
     }
 
-    pub fn clock(&mut self, now: Timestamp, wall_ms: u64) {
+    pub fn set_time(&mut self, now: Timestamp, wall_ms: u64) {
         self.io.now = self.io.now.max(now);
         self.io.wall_ms = wall_ms;
     }
@@ -181,12 +181,12 @@
             } => self.request(request, &method, &path, &body),
             Command::Answer { call, outcome } => self.answer(call, &outcome),
             Command::Frame(frame) => self.frame(frame),
-            Command::PeerUp { peer } => self.tell_all(peer),
+            Command::PeerConnected { peer } => self.tell_all(peer),
         }
     }
 
     /// Does what is due after a batch of commands, or at a tick.
-    pub fn settle(&mut self) {
+    pub fn run_due_work(&mut self) {
         if let Some(news) = self.election.poll(&mut self.io) {
             self.news(news);
         }
@@ -197,7 +197,7 @@
         self.poll_types();
         self.probe_state();
         self.job_api
-            .settle(4 * self.settings.deployment.state.txn_ops, &mut self.io);
+            .run_due_work(4 * self.settings.deployment.state.txn_ops, &mut self.io);
         let context = Context {
             settings: &self.settings,
             types: &self.type_list,
@@ -237,11 +237,11 @@
 
     /// One line a second at most, however many were refused.
     fn tell_refusals(&mut self) {
-        if self.io.refusals.is_empty() || self.io.now < self.refused_at + SECOND_MS {
+        if self.io.rejections.is_empty() || self.io.now < self.refused_at + SECOND_MS {
             return;
         }
         self.refused_at = self.io.now;
-        let refusals = std::mem::take(&mut self.io.refusals);
+        let refusals = std::mem::take(&mut self.io.rejections);
         let all: u32 = refusals.values().sum();
         if let Some((why, count)) = refusals.iter().max_by_key(|(_, count)| **count) {
             log::info!("requests rejected count={all} most={count} reason={why}");
@@ -251,11 +251,11 @@
     fn news(&mut self, news: ElectionEvent) {
         match news {
             ElectionEvent::Elected { token } => {
-                self.io.set_leading(true);
+                self.io.set_leader(true);
                 self.term = Some(LeaderTerm::new(token, &self.settings, self.io.now));
             }
             ElectionEvent::Deposed => {
-                self.io.set_leading(false);
+                self.io.set_leader(false);
                 if let Some(term) = self.term.take() {
                     term.end(&mut self.io);
                 }
@@ -289,7 +289,7 @@
                 self.io.reply_error(request, 404, problem);
             }
             Route::Condor(route, team) => {
-                let asks = authorization::asks(team.as_deref(), &self.settings);
+                let asks = authorization::requesting_team(team.as_deref(), &self.settings);
                 self.condor(request, route, asks, body);
             }
             Route::Cancel(job) => self.job_api.begin(request, job, JobRequest::Cancel, &mut self.io),
@@ -318,7 +318,7 @@
             None => self.send_to_leader(request),
             Some(term) if !term.has_read() => {
                 self.io
-                    .reply_later(request, RETRY_AFTER_S, "the records are being read");
+                    .reply_retry_later(request, RETRY_AFTER_S, "the records are being read");
             }
             Some(term) => {
                 let jobs = term.queue(asks, &self.settings, self.io.now);
@@ -328,9 +328,9 @@
     }
 
     fn submit(&mut self, request: RequestId, body: &[u8]) {
-        let known = KnownTypes {
+        let known = KnownMachineTypes {
             list: &self.type_list,
-            certain: self.types_certain,
+            confirmed: self.types_certain,
         };
         let types = (!self.type_list.is_empty()).then_some(known);
         let deployment = &self.settings.deployment;
@@ -403,7 +403,7 @@
             report_to: self.leader(),
         };
         let body = crate::io::json(&redirect);
-        self.io.reply_bytes(request, 421, Content::Json, body);
+        self.io.reply_bytes(request, 421, ContentType::Json, body);
     }
 
     /// Every count at a glance, as whoever leads sees it once its records are read.
@@ -422,12 +422,12 @@
         };
         if !term.has_read() {
             self.io
-                .reply_later(request, RETRY_AFTER_S, "the records are being read");
+                .reply_retry_later(request, RETRY_AFTER_S, "the records are being read");
             return;
         }
         match route {
             Route::Holders(team) if operator.show_holders => {
-                let asks = team.map(|team| authorization::asks(Some(&team), &self.settings));
+                let asks = team.map(|team| authorization::requesting_team(Some(&team), &self.settings));
                 let holders = term.holders(asks.as_ref(), &self.settings, now);
                 self.io.reply(request, 200, &HolderList { holders });
             }
@@ -451,30 +451,30 @@
         let definitions = &self.settings.operator.counts;
         let counts = self.term.as_ref().map(|term| term.count_status(definitions, now));
         let metrics_snapshot = self.term.as_ref().map(LeaderTerm::metrics_snapshot);
-        let standing = LeaderGauges {
+        let standing = NodeGauges {
             token: self.election.token(),
             state_ok: self.state_failed_at.is_none(),
             peers: self.fresh().count(),
             metrics_snapshot,
             watermark_age_ms: self.term.as_ref().map(|term| term.watermark_age_ms(now)),
             counts: counts.unwrap_or_default(),
-            hold: self.io.permits.held(),
+            held_lease: self.io.permits.held(),
             refused: self.io.permits.refused().collect(),
-            late: self.io.permits.late().collect(),
+            expired: self.io.permits.late().collect(),
             open: self.sockets.0,
-            tally: self.sockets.1,
-            put_off: {
+            shortages: self.sockets.1,
+            throttled: {
                 let put_off = self.job_api.throttled();
                 put_off.map(|(team, count)| (team.clone(), count)).collect()
             },
-            books: self.term.as_ref().map(|term| term.book_standing(now)),
+            accounting: self.term.as_ref().map(|term| term.book_standing(now)),
             shares: self.term.as_ref().map_or_else(Vec::new, |term| {
                 let shares = term.shares();
                 shares
                     .map(|(whose, share)| (whose.clone(), share.part()))
                     .collect()
             }),
-            shifts: self
+            protection_windows: self
                 .term
                 .as_ref()
                 .map_or_else(Vec::new, |term| term.shifts(self.io.wall_ms)),
@@ -483,7 +483,7 @@
         match self.metrics.encode(&standing) {
             Ok(text) => self
                 .io
-                .reply_bytes(request, 200, Content::Metrics, text.into_bytes()),
+                .reply_bytes(request, 200, ContentType::Metrics, text.into_bytes()),
             Err(error) => {
                 log::error!("metrics encoding failed: {error}");
                 self.io.reply_error(request, 503, "metrics cannot be written");
@@ -518,7 +518,7 @@
             return;
         }
         let counts = self.term.as_ref().map_or(&self.told, |term| term.counts());
-        if let Some(done) = self.job_api.answered(call, outcome, counts, &mut self.io) {
+        if let Some(done) = self.job_api.handle_response(call, outcome, counts, &mut self.io) {
             self.note_state(outcome);
             self.user_done(done);
             return;
@@ -532,7 +532,7 @@
             self.note_state(outcome);
             return;
         }
-        match self.calls.settle(call) {
+        match self.calls.complete(call) {
             None => (),
             Some(Question::Probe) => self.note_state(outcome),
             Some(Question::MachineTypes) => self.types_answered(outcome),
@@ -582,7 +582,7 @@
         match done {
             Some(RequestOutcome::Accepted { spec, version }) => {
                 // PeerView may be about to say that there is no such job.
-                self.send_all(&Frame::Changed { job: spec.id.clone() });
+                self.send_all(&Frame::JobChanged { job: spec.id.clone() });
                 if let Some(term) = &mut self.term {
                     term.job_accepted(*spec, version, &self.io);
                 }
@@ -603,7 +603,7 @@
             self.probed_at = now;
             let path = paths::key(records::LEADER);
             let call = self.io.state_call(Method::Get, path, Vec::new(), STATE_PROBE_MS);
-            self.calls.expect(call, Question::Probe);
+            self.calls.insert(call, Question::Probe);
         }
     }
 
@@ -612,9 +612,9 @@
             return;
         }
         self.types_busy = true;
-        self.io.cloud.force(1.0, self.io.now);
-        let call = self.io.types_call();
-        self.calls.expect(call, Question::MachineTypes);
+        self.io.cloud_budget.force(1.0, self.io.now);
+        let call = self.io.machine_types_call();
+        self.calls.insert(call, Question::MachineTypes);
         // A leader has stored them, and the state service answers many times sooner: a node that
         // is back after a moment has users at once, as nobody saw it go.
         if self.type_list.is_empty() {
@@ -622,7 +622,7 @@
             let call = self
                 .io
                 .state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS);
-            self.calls.expect(call, Question::StoredTypes);
+            self.calls.insert(call, Question::StoredTypes);
         }
     }
 
@@ -657,7 +657,7 @@
         PeerView {
             all: self.peers.len(),
             fresh: self.fresh().count(),
-            hears: self.fresh().map(|beat| beat.hears).max().unwrap_or(0),
+            hears: self.fresh().map(|beat| beat.workers_heard).max().unwrap_or(0),
             found_ms: self.found_ms(),
         }
     }
@@ -684,7 +684,7 @@
             token: self.election.token().unwrap_or(0),
             leads: self.term.is_some(),
             state_ok: self.state_failed_at.is_none() && now < self.state_ok_at + 2 * STATE_PROBE_MS,
-            hears: self.workers.len() as u32,
+            workers_heard: self.workers.len() as u32,
         };
         self.send_all(&Frame::PeerHeartbeat(beat));
         let Some(term) = &self.term else { return };
@@ -730,17 +730,17 @@
                     self.news(news);
                 }
             }
-            Frame::Counts { job, done, running } => {
+            Frame::TaskCounts { job, done, running } => {
                 if self.told.len() >= ENDED_CACHE {
                     self.told.clear();
                 }
                 self.told.insert(job, (done, running));
             }
             // What follows from the change, the watch tells.
-            Frame::Changed { job } => {
+            Frame::JobChanged { job } => {
                 self.job_api.on_peer_notice(job, false, self.io.now);
             }
-            Frame::EndNotice { job, number, index } => {
+            Frame::EndNotice { job, nonce, index } => {
                 // Before it is sent back: its user is told then, and from then on nothing of the job starts.
                 if let Some(term) = &mut self.term {
                     term.ended_elsewhere(&job);
@@ -750,12 +750,12 @@
                     && let Some(peer) = self.peer(index)
                 {
                     let index = self.job_api.index();
-                    let bytes = Frame::EndAcknowledged { job, number, index }.encode();
+                    let bytes = Frame::EndAcknowledged { job, nonce, index }.encode();
                     self.io.effects.push(Effect::Frame { peer, bytes });
                 }
             }
-            Frame::EndAcknowledged { job, number, .. } => {
-                self.job_api.acknowledged(&job, number, &mut self.io)
+            Frame::EndAcknowledged { job, nonce, .. } => {
+                self.job_api.on_end_acknowledged(&job, nonce, &mut self.io)
             }
         }
     }
@@ -768,7 +768,7 @@
 }
 
 fn counts_frame(job: &JobId, (done, running): (u32, u32)) -> Vec<u8> {
-    Frame::Counts {
+    Frame::TaskCounts {
         job: job.clone(),
         done,
         running,
--- a/crates/controller/src/node/routing.rs
+++ b/crates/controller/src/node/routing.rs
@@ -46,14 +46,16 @@
     {
         let job = rest.strip_prefix(paths::EXPLAIN).and_then(admission::parse_id);
         return match job {
-            Some(job) => allow("GET", Route::Explain(job, authorization::stated(query))),
-            None if rest == paths::HOLDERS => allow("GET", Route::Holders(authorization::stated(query))),
+            Some(job) => allow("GET", Route::Explain(job, authorization::team_in_query(query))),
+            None if rest == paths::HOLDERS => {
+                allow("GET", Route::Holders(authorization::team_in_query(query)))
+            }
             None => Route::Refuse(404),
         };
     }
     if let Some(rest) = path.strip_prefix(paths::CONDOR) {
         return match condor::route(method, rest) {
-            Ok(route) => Route::Condor(route, authorization::stated(query)),
+            Ok(route) => Route::Condor(route, authorization::team_in_query(query)),
             Err(status) => Route::Refuse(status),
         };
     }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -27,7 +27,7 @@
         token: 0,
         leads: false,
         state_ok,
-        hears: 0,
+        workers_heard: 0,
     };
     node.handle(Command::Frame(Frame::PeerHeartbeat(beat)));
 }
@@ -39,7 +39,7 @@
     node.learn_types(serde_json::from_str(flavors).unwrap());
     assert_eq!(health(&mut node), 200);
     node.note_state(&Outcome::NoAnswer);
-    node.clock(STATE_BAD_MS, 0);
+    node.set_time(STATE_BAD_MS, 0);
     node
 }
 
@@ -65,7 +65,7 @@
     assert_eq!(health(&mut node), 503);
     beat(&mut node, false);
     assert_eq!(health(&mut node), 200);
-    node.clock(STATE_BAD_MS + HEARTBEAT_FRESH_MS, 0);
+    node.set_time(STATE_BAD_MS + HEARTBEAT_FRESH_MS, 0);
     assert_eq!(health(&mut node), 503);
     node.note_state(&Outcome::Answer {
         status: 200,
@@ -160,11 +160,11 @@
 fn a_siblings_word_of_an_end_is_noted_and_sent_back() {
     let mut node = Node::new(settings(), 1, 0, 0);
     let job = crate::job_api::admission::parse_id("wk-1").unwrap();
-    let (number, index) = (77, 1);
+    let (nonce, index) = (77, 1);
     node.take_effects();
     node.handle(Command::Frame(Frame::EndNotice {
         job: job.clone(),
-        number,
+        nonce,
         index,
     }));
     let sender = node.members[usize::from(index)].clone();
@@ -174,11 +174,11 @@
     };
     assert_eq!(node.settings.peers[*peer].node, sender);
     let index = node.job_api.index();
-    let acknowledged = Frame::EndAcknowledged { job, number, index };
+    let acknowledged = Frame::EndAcknowledged { job, nonce, index };
     assert_eq!(Frame::decode(bytes), Ok(Some((Some(acknowledged), bytes.len()))));
     // A position that no member has.
     let job = crate::job_api::admission::parse_id("wk-1").unwrap();
     let index = u16::MAX;
-    node.handle(Command::Frame(Frame::EndNotice { job, number, index }));
+    node.handle(Command::Frame(Frame::EndNotice { job, nonce, index }));
     assert_eq!(node.take_effects(), []);
 }
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,10 +1,10 @@
 //! Frames between controllers: fixed layouts, little-endian, read in place.
 //!
-//! Heartbeats say who leads and who hears from how many workers; counts are for display; notices of
+//! Heartbeats say who leads and who workers_heard from how many workers; counts are for display; notices of
 //! changes only save time. The rules rest on two kinds alone, and on neither for a job's state: that is
 //! read in the state service. An end notice is sent by a node that knows that an end is committed, an
 //! acknowledgement by a peer that from then on gives no older reading of the job. Both are facts of the
-//! past that stay true however late, often or never they arrive. An acknowledgement returns a number
+//! past that stay true however late, often or never they arrive. An acknowledgement returns a nonce
 //! that its receiver drew for this notice and this peer: a copy, one for a former life and one for
 //! another job prove nothing. A lost frame only costs time (see `job_api/commit_wait.rs`).
 
@@ -35,7 +35,7 @@
 #[repr(C)]
 struct PeerHeartbeatBody {
     token: U64,
-    hears: U32,
+    workers_heard: U32,
     state_ok: u8,
     leads: u8,
     index: U16,
@@ -53,14 +53,14 @@
 #[repr(C)]
 struct EndNoticeBody {
     id: [u8; ID_BYTES],
-    number: U64,
+    nonce: U64,
     index: U16,
 }
 
 const HEADER: usize = size_of::<Header>();
 const KIND_HEARTBEAT: u16 = 1;
-const KIND_COUNTS: u16 = 2;
-const KIND_CHANGED: u16 = 3;
+const KIND_TASK_COUNTS: u16 = 2;
+const KIND_JOB_CHANGED: u16 = 3;
 const KIND_END_NOTICE: u16 = 4;
 const KIND_END_ACKNOWLEDGED: u16 = 5;
 
@@ -70,7 +70,7 @@
     /// The sender is alive.
     PeerHeartbeat(PeerHeartbeat),
     /// How many tasks of a job are done and running, from its leader.
-    Counts {
+    TaskCounts {
         /// The job.
         job: JobId,
         /// Completed tasks.
@@ -79,26 +79,26 @@
         running: u32,
     },
     /// A user's request changed this job: the leader may look at once.
-    Changed {
+    JobChanged {
         /// The job.
         job: JobId,
     },
-    /// The job's end is committed. The sender answers nobody about it before this number comes back, or
+    /// The job's end is committed. The sender answers nobody about it before this nonce comes back, or
     /// time has passed.
     EndNotice {
         /// The job.
         job: JobId,
-        /// The number drawn for this notice and its receiver.
-        number: u64,
+        /// The nonce drawn for this notice and its receiver.
+        nonce: u64,
         /// Position of the sender's name among all controllers' names in order.
         index: u16,
     },
-    /// What the sender read of the job before it had this number is not given any more.
+    /// What the sender read of the job before it had this nonce is not given any more.
     EndAcknowledged {
         /// The job.
         job: JobId,
-        /// The number of the notice.
-        number: u64,
+        /// The nonce of the notice.
+        nonce: u64,
         /// Position of the sender's name among all controllers' names in order.
         index: u16,
     },
@@ -116,7 +116,7 @@
     /// Its last call to the state service was answered.
     pub state_ok: bool,
     /// Workers that addressed it lately.
-    pub hears: u32,
+    pub workers_heard: u32,
 }
 
 fn id_bytes(job: &JobId) -> [u8; ID_BYTES] {
@@ -141,31 +141,31 @@
                 KIND_HEARTBEAT,
                 &PeerHeartbeatBody {
                     token: beat.token.into(),
-                    hears: beat.hears.into(),
+                    workers_heard: beat.workers_heard.into(),
                     state_ok: beat.state_ok.into(),
                     leads: beat.leads.into(),
                     index: beat.index.into(),
                 },
             ),
-            Frame::Counts { job, done, running } => frame(
-                KIND_COUNTS,
+            Frame::TaskCounts { job, done, running } => frame(
+                KIND_TASK_COUNTS,
                 &JobBody {
                     id: id_bytes(job),
                     done: (*done).into(),
                     running: (*running).into(),
                 },
             ),
-            Frame::Changed { job } => frame(
-                KIND_CHANGED,
+            Frame::JobChanged { job } => frame(
+                KIND_JOB_CHANGED,
                 &JobBody {
                     id: id_bytes(job),
                     done: 0.into(),
                     running: 0.into(),
                 },
             ),
-            Frame::EndNotice { job, number, index } => end_notice(KIND_END_NOTICE, job, *number, *index),
-            Frame::EndAcknowledged { job, number, index } => {
-                end_notice(KIND_END_ACKNOWLEDGED, job, *number, *index)
+            Frame::EndNotice { job, nonce, index } => end_notice(KIND_END_NOTICE, job, *nonce, *index),
+            Frame::EndAcknowledged { job, nonce, index } => {
+                end_notice(KIND_END_ACKNOWLEDGED, job, *nonce, *index)
             }
         }
     }
@@ -173,13 +173,13 @@
     /// Takes one frame off the front of `bytes`, and returns it with its length; a later version's frame
     /// is skipped. `Ok(None)`: more is needed. An unreadable frame is an error, after which the stream
     /// cannot be followed.
-    pub fn decode(bytes: &[u8]) -> Result<Option<(Option<Frame>, usize)>, BadFrame> {
+    pub fn decode(bytes: &[u8]) -> Result<Option<(Option<Frame>, usize)>, MalformedFrame> {
         let Ok((header, rest)) = Header::read_from_prefix(bytes) else {
             return Ok(None);
         };
         let length = usize::from(header.length.get());
         if header.magic.get() != MAGIC || HEADER + length > MAX_FRAME {
-            return Err(BadFrame);
+            return Err(MalformedFrame);
         }
         let Some(body) = rest.get(..length) else {
             return Ok(None);
@@ -189,41 +189,41 @@
     }
 
     /// `Ok(None)`: a kind that only a later version knows.
-    fn decode_body(kind: u16, body: &[u8]) -> Result<Option<Frame>, BadFrame> {
+    fn decode_body(kind: u16, body: &[u8]) -> Result<Option<Frame>, MalformedFrame> {
         Ok(match kind {
             KIND_HEARTBEAT => {
-                let body = PeerHeartbeatBody::read_from_bytes(body).map_err(|_| BadFrame)?;
+                let body = PeerHeartbeatBody::read_from_bytes(body).map_err(|_| MalformedFrame)?;
                 Some(Frame::PeerHeartbeat(PeerHeartbeat {
                     index: body.index.get(),
                     token: body.token.get(),
                     leads: body.leads != 0,
                     state_ok: body.state_ok != 0,
-                    hears: body.hears.get(),
+                    workers_heard: body.workers_heard.get(),
                 }))
             }
-            KIND_COUNTS => {
-                let body = JobBody::read_from_bytes(body).map_err(|_| BadFrame)?;
-                let job = id_from(&body.id).ok_or(BadFrame)?;
-                Some(Frame::Counts {
+            KIND_TASK_COUNTS => {
+                let body = JobBody::read_from_bytes(body).map_err(|_| MalformedFrame)?;
+                let job = id_from(&body.id).ok_or(MalformedFrame)?;
+                Some(Frame::TaskCounts {
                     job,
                     done: body.done.get(),
                     running: body.running.get(),
                 })
             }
-            KIND_CHANGED => {
-                let body = JobBody::read_from_bytes(body).map_err(|_| BadFrame)?;
-                Some(Frame::Changed {
-                    job: id_from(&body.id).ok_or(BadFrame)?,
+            KIND_JOB_CHANGED => {
+                let body = JobBody::read_from_bytes(body).map_err(|_| MalformedFrame)?;
+                Some(Frame::JobChanged {
+                    job: id_from(&body.id).ok_or(MalformedFrame)?,
                 })
             }
             kind @ (KIND_END_NOTICE | KIND_END_ACKNOWLEDGED) => {
-                let body = EndNoticeBody::read_from_bytes(body).map_err(|_| BadFrame)?;
-                let job = id_from(&body.id).ok_or(BadFrame)?;
-                let (number, index) = (body.number.get(), body.index.get());
+                let body = EndNoticeBody::read_from_bytes(body).map_err(|_| MalformedFrame)?;
+                let job = id_from(&body.id).ok_or(MalformedFrame)?;
+                let (nonce, index) = (body.nonce.get(), body.index.get());
                 Some(if kind == KIND_END_NOTICE {
-                    Frame::EndNotice { job, number, index }
+                    Frame::EndNotice { job, nonce, index }
                 } else {
-                    Frame::EndAcknowledged { job, number, index }
+                    Frame::EndAcknowledged { job, nonce, index }
                 })
             }
             _ => None,
@@ -234,12 +234,12 @@
 /// A frame that no peer of this version sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed frame")]
-pub struct BadFrame;
+pub struct MalformedFrame;
 
-fn end_notice(kind: u16, job: &JobId, number: u64, index: u16) -> Vec<u8> {
+fn end_notice(kind: u16, job: &JobId, nonce: u64, index: u16) -> Vec<u8> {
     let body = EndNoticeBody {
         id: id_bytes(job),
-        number: number.into(),
+        nonce: nonce.into(),
         index: index.into(),
     };
     frame(kind, &body)
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -9,24 +9,24 @@
         token: 41,
         leads: true,
         state_ok: false,
-        hears: 7,
+        workers_heard: 7,
     };
     for frame in [
         Frame::PeerHeartbeat(beat),
-        Frame::Counts {
+        Frame::TaskCounts {
             job: job.clone(),
             done: 3,
             running: 13,
         },
-        Frame::Changed { job: job.clone() },
+        Frame::JobChanged { job: job.clone() },
         Frame::EndNotice {
             job: job.clone(),
-            number: u64::MAX - 1,
+            nonce: u64::MAX - 1,
             index: 2,
         },
         Frame::EndAcknowledged {
             job,
-            number: 7,
+            nonce: 7,
             index: 1,
         },
     ] {
@@ -47,8 +47,8 @@
     #[test]
     fn a_flipped_byte_never_panics(at in 0usize..40, value in any::<u8>()) {
         let job = crate::job_api::admission::parse_id("wk-000412").unwrap();
-        let ended = Frame::EndNotice { job: job.clone(), number: 9, index: 1 };
-        for frame in [Frame::Changed { job }, ended] {
+        let ended = Frame::EndNotice { job: job.clone(), nonce: 9, index: 1 };
+        for frame in [Frame::JobChanged { job }, ended] {
             let mut bytes = frame.encode();
             if let Some(byte) = bytes.get_mut(at) { *byte = value; }
             let _ = Frame::decode(&bytes);
--- a/crates/controller/src/protocol.rs
+++ b/crates/controller/src/protocol.rs
@@ -23,7 +23,7 @@
 impl Shape {
     /// Of so many tasks, those that a team's limit must allow at once: one of an array, all
     /// of the others.
-    pub fn at_once(self, tasks: u64) -> u64 {
+    pub fn concurrent_tasks(self, tasks: u64) -> u64 {
         match self {
             Shape::Array => 1,
             Shape::Gang | Shape::Service => tasks,
@@ -156,7 +156,7 @@
 
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum TaskEndCause {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -187,9 +187,9 @@
     #[serde(rename = "Status")]
     pub state: TaskState,
     #[serde(rename = "Cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Cause>,
+    pub cause: Option<TaskEndCause>,
     #[serde(rename = "Kept", default)]
-    pub saved: Option<bool>,
+    pub checkpoint_saved: Option<bool>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -230,7 +230,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommand {
     #[serde(rename = "Verb")]
-    pub verb: CommandKind,
+    pub kind: CommandKind,
     #[serde(rename = "Pick")]
     pub task: String,
     #[serde(rename = "Try")]
@@ -244,7 +244,7 @@
     #[serde(rename = "Baton")]
     pub token: u64,
     #[serde(rename = "Orders")]
-    pub orders: Vec<WorkerCommand>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -254,7 +254,7 @@
     #[serde(rename = "Shift")]
     pub agent_epoch: u64,
     #[serde(rename = "Orders")]
-    pub orders: Vec<WorkerCommand>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Sends a worker to the leader.
@@ -351,11 +351,11 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Listing {
+pub struct MachinePage {
     #[serde(rename = "Hosts")]
     pub machines: Vec<ListedMachine>,
     #[serde(rename = "HasNext", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// One key of the state service.
@@ -377,7 +377,7 @@
     #[serde(rename = "Pairs")]
     pub items: Vec<StoredItem>,
     #[serde(rename = "HasNext", default)]
-    pub more: bool,
+    pub has_more: bool,
     #[serde(rename = "Ledger")]
     pub revision: u64,
 }
@@ -438,7 +438,7 @@
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Event {
+pub enum WatchEvent {
     Put {
         #[serde(rename = "Put")]
         key: String,
@@ -454,11 +454,11 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Changes {
+pub struct WatchResponse {
     #[serde(rename = "Ledger")]
     pub revision: u64,
     #[serde(rename = "News", default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 /// Paths of the outside interfaces.
@@ -478,11 +478,11 @@
     pub const CLUSTERS: &str = "/v1/condor/clusters";
     /// Where a licence server shows what `lmstat -a` prints.
     pub const LICENCES: &str = "/lmstat";
-    pub const DIRECT: &str = "/do";
+    pub const DIRECT_COMMANDS: &str = "/do";
     pub const INSPECT: &str = "/inspect";
     pub const FLAVORS: &str = "/flavors";
     pub const RENTALS: &str = "/rentals";
-    pub const RETURN: &str = "/rentals/return";
+    pub const RENTAL_RETURNS: &str = "/rentals/return";
     pub const TRANSACTION: &str = "/multi";
     pub const LEASES: &str = "/holds";
 
@@ -501,7 +501,7 @@
         format!("/changes?Under={prefix}&From={after}&HoldMs={hold_ms}")
     }
 
-    pub fn touch(lease: u64) -> String {
+    pub fn renew_lease(lease: u64) -> String {
         format!("/holds/{lease}/touch")
     }
 
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -20,7 +20,7 @@
     STARVED_TURNS,
 };
 use crate::io::{Effect, Io};
-use crate::job_api::Counts;
+use crate::job_api::TaskCounts;
 use crate::model::{Job, JobId, JobSpec, Resources, Timestamp};
 use crate::protocol::Shape;
 use crate::settings::{Deployment, Team};
@@ -165,7 +165,7 @@
     /// Jobs that are not over.
     pub jobs: &'a BTreeMap<JobId, Job>,
     /// Their tasks done and running.
-    pub counts: &'a Counts,
+    pub counts: &'a TaskCounts,
     /// Jobs that wait for units of counts.
     pub short_of_units: BTreeSet<&'a JobId>,
     /// Teams and their limits.
@@ -352,7 +352,7 @@
 }
 
 /// Measures what the job has, by its shape.
-fn job_demand<'a>(job: &'a Job, counts: &Counts) -> JobDemand<'a> {
+fn job_demand<'a>(job: &'a Job, counts: &TaskCounts) -> JobDemand<'a> {
     let spec = &job.spec;
     let (done, running) = counts.get(&spec.id).copied().unwrap_or((0, 0));
     let (done, running) = match spec.shape {
--- a/crates/controller/src/scheduling/gangs.rs
+++ b/crates/controller/src/scheduling/gangs.rs
@@ -2,7 +2,7 @@
 //! all tasks are stopped in an orderly way, and no new attempt begins while any task of the old one may be
 //! on a machine.
 
-use crate::protocol::Cause;
+use crate::protocol::TaskEndCause;
 
 /// The state of one attempt of a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,14 +33,14 @@
 
     /// Notes that a task of this attempt has ended otherwise than done; others of it may still be `fetching`
     /// their image.
-    pub fn ended(&mut self, why: Cause, fetching: bool) {
+    pub fn ended(&mut self, why: TaskEndCause, fetching: bool) {
         match why {
             // The worker refused it: another machine may take it.
-            Cause::NoRoom | Cause::Busy => self.lost(),
+            TaskEndCause::NoRoom | TaskEndCause::Busy => self.lost(),
             // Its image was there long before the others': it joins them again. A new
             // attempt would give their fetches up, and where an image takes longer
             // than a task waits for its gang, no attempt would ever start.
-            Cause::Alone if fetching => self.started = false,
+            TaskEndCause::Alone if fetching => self.started = false,
             _ => self.broken = true,
         }
     }
--- a/crates/controller/src/scheduling/gangs/tests.rs
+++ b/crates/controller/src/scheduling/gangs/tests.rs
@@ -4,7 +4,7 @@
 fn a_lost_task_is_replaced_only_before_the_start() {
     let mut gang = GangAttempt::new(7);
     gang.lost();
-    gang.ended(Cause::NoRoom, false);
+    gang.ended(TaskEndCause::NoRoom, false);
     assert!(gang.open());
     gang.started = true;
     assert!(!gang.open() && !gang.broken);
@@ -15,15 +15,20 @@
 #[test]
 fn who_waited_in_vain_joins_those_that_fetch_still() {
     let mut gang = GangAttempt::new(7);
-    gang.ended(Cause::Alone, true);
+    gang.ended(TaskEndCause::Alone, true);
     assert!(gang.open());
-    gang.ended(Cause::Alone, false);
+    gang.ended(TaskEndCause::Alone, false);
     assert!(gang.broken);
 }
 
 #[test]
 fn an_ended_task_breaks_the_attempt() {
-    for why in [Cause::Stopped, Cause::Peers, Cause::Alone, Cause::Error] {
+    for why in [
+        TaskEndCause::Stopped,
+        TaskEndCause::Peers,
+        TaskEndCause::Alone,
+        TaskEndCause::Error,
+    ] {
         let mut gang = GangAttempt::new(7);
         gang.ended(why, false);
         assert!(gang.broken, "{why:?}");
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -27,10 +27,10 @@
     pub deployment: Deployment,
     /// The operators' shifts, as checked.
     #[serde(skip)]
-    pub shifts: Timetable,
+    pub protection_windows: Timetable,
     /// The operators' own settings; not part of the platform's file.
     #[serde(skip)]
-    pub operator: Operator,
+    pub operator: OperatorSettings,
 }
 
 #[derive(Debug, Clone, Deserialize)]
@@ -58,7 +58,7 @@
     #[serde(rename = "resources")]
     pub limits: NodeLimits,
     #[serde(rename = "skew_ms", default)]
-    pub clock_off_ms: f64,
+    pub clock_skew_ms: f64,
 }
 
 /// A team's guarantee and limit; 0 means none.
@@ -139,7 +139,7 @@
 /// What operators may set themselves, beyond the platform's file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Most machines rented at a time.
     pub fleet_max: u32,
     /// Seconds a machine must be idle before it is given back.
@@ -152,34 +152,35 @@
     pub show_holders: bool,
     /// Whether places are chosen by the one measure of models' weights; without it, by the fetch
     /// and preferences.
-    pub weights: bool,
+    #[serde(rename = "weights")]
+    pub image_locality: bool,
     /// Windows in which services are protected, by name.
     #[serde(rename = "shift")]
-    pub shifts: indigopath_protection_windows::Definitions,
+    pub protection_windows: indigopath_protection_windows::Definitions,
     /// What HTCondor submit files mean here; they are served where this is given.
     pub condor: Option<CondorSettings>,
     /// Weights of teams' requests where they come faster than they can be served; 1 otherwise.
     pub request_weights: BTreeMap<String, u64>,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             fleet_max: crate::constants::FLEET_MAX,
             idle_return_s: crate::constants::IDLE_RETURN_MS as f64 / crate::constants::SECOND_MS as f64,
             counts: Definitions::new(),
             show_holders: false,
-            weights: true,
-            shifts: indigopath_protection_windows::Definitions::new(),
+            image_locality: true,
+            protection_windows: indigopath_protection_windows::Definitions::new(),
             condor: None,
             request_weights: BTreeMap::new(),
         }
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads the operators' settings from whatever notation held them.
-    pub fn from_value(value: serde_json::Value) -> Result<Operator, SettingsError> {
+    pub fn from_value(value: serde_json::Value) -> Result<OperatorSettings, SettingsError> {
         // Two blocks of one name come as a list, which reads as nonsense below.
         let twice = |block: Option<&serde_json::Value>| {
             let blocks = block?.as_object()?;
@@ -317,7 +318,7 @@
         }
         positive("deployment.cloud.rps", deployment.cloud.rps)?;
         not_negative("deployment.cloud.list_lag_s", deployment.cloud.list_lag_s)?;
-        not_negative("deployment.skew_ms", deployment.clock_off_ms)?;
+        not_negative("deployment.skew_ms", deployment.clock_skew_ms)?;
         positive("deployment.resources.ram_mb", deployment.limits.memory_mb)?;
         positive("deployment.resources.cores", deployment.limits.cores)?;
         if deployment.limits.max_connections < 16 {
@@ -327,7 +328,7 @@
     }
 
     /// Puts the operators' settings in place of the defaults.
-    pub fn with_operator(mut self, operator: Operator) -> Result<Settings, SettingsError> {
+    pub fn with_operator(mut self, operator: OperatorSettings) -> Result<Settings, SettingsError> {
         not_negative("idle_return_s", operator.idle_return_s)?;
         if operator.fleet_max == 0 {
             return Err(bad("fleet_max", "must be at least 1"));
@@ -347,13 +348,14 @@
                 return Err(bad(field(), format!("must be from 1 to {MAX_LANE_WEIGHT}")));
             }
         }
-        self.shifts = indigopath_protection_windows::check(&operator.shifts, is_team)?;
+        self.protection_windows =
+            indigopath_protection_windows::check(&operator.protection_windows, is_team)?;
         self.operator = operator;
         Ok(self)
     }
 
     /// What may be meant otherwise, a line each: the settings can be used all the same.
-    pub fn doubts(&self) -> Vec<String> {
+    pub fn warnings(&self) -> Vec<String> {
         let named = |class: &str| {
             let objectives = self.deployment.objectives.iter();
             objectives
@@ -361,7 +363,7 @@
                 .any(|known| known == class)
         };
         let mut doubts: Vec<String> =
-            indigopath_protection_windows::unknown_classes(&self.operator.shifts, named)
+            indigopath_protection_windows::unknown_classes(&self.operator.protection_windows, named)
                 .map(|(shift, class)| {
                     format!("shift.{shift}.classes: no objective names class {class}: is it misspelt?")
                 })
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -42,7 +42,7 @@
         ),
     ] {
         let value = serde_json::json!({ "condor": serde_json::from_str::<serde_json::Value>(text).unwrap() });
-        let operator = Operator::from_value(value).unwrap();
+        let operator = OperatorSettings::from_value(value).unwrap();
         let problem = Settings::parse(GOOD)
             .unwrap()
             .with_operator(operator)
@@ -61,7 +61,7 @@
         for (key, value) in change.as_object().unwrap() {
             shift[key] = value.clone();
         }
-        let operator = Operator::from_value(serde_json::json!({ "shift": { "trading": shift } }))?;
+        let operator = OperatorSettings::from_value(serde_json::json!({ "shift": { "trading": shift } }))?;
         Settings::parse(GOOD).unwrap().with_operator(operator)
     };
     for (change, line) in [
@@ -77,16 +77,16 @@
         assert!(problem.starts_with(line), "{problem}");
     }
     let settings = read("{}").unwrap();
-    assert!(settings.doubts().is_empty() && !settings.shifts.is_empty());
+    assert!(settings.warnings().is_empty() && !settings.protection_windows.is_empty());
     assert_eq!(
-        read(r#"{ "classes": ["live", "lvie"] }"#).unwrap().doubts(),
+        read(r#"{ "classes": ["live", "lvie"] }"#).unwrap().warnings(),
         ["shift.trading.classes: no objective names class lvie: is it misspelt?"]
     );
 }
 
 #[test]
 fn operators_settings_allow_nothing_unknown() {
-    let read = |text: &str| Operator::from_value(serde_json::from_str(text).unwrap());
+    let read = |text: &str| OperatorSettings::from_value(serde_json::from_str(text).unwrap());
     assert_eq!(read(r#"{ "fleet_max": 7 }"#).unwrap().fleet_max, 7);
     for (text, field) in [
         (r#"{ "fleet": 7 }"#, "fleet"),
@@ -125,7 +125,7 @@
         let mut value: serde_json::Value = serde_json::from_str(GOOD).unwrap();
         let workers = &mut value["deployment"]["workers"];
         workers["cancel_s"] = (workers["lease_s"].as_f64().unwrap() + cancel_s).into();
-        Settings::parse(&value.to_string()).unwrap().doubts()
+        Settings::parse(&value.to_string()).unwrap().warnings()
     };
     assert!(doubts(3.0).is_empty());
     for short in [2.9, 0.0, -5.0] {
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -398,8 +398,8 @@
 
 fn write_finished_job(transaction: &mut TransactionBuilder, id: &JobId, job: &Job, wall_ms: u64) -> bool {
     let key = keys::job_key(&id.0);
-    let access = Access::of_service(&authorization::owner(&job.spec));
-    let ended = authorization::ended(&job.spec, wall_ms);
+    let access = Access::of_service(&authorization::job_owner(&job.spec));
+    let ended = authorization::ended_job(&job.spec, wall_ms);
     let record = EndedRecord::done(Entry::finished(&access, &ended, job.account.clone()));
     let changes = vec![
         Change::Delete { key: key.clone() },
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -341,7 +341,7 @@
         let body = serde_json::to_vec(&DirectCommands {
             token,
             agent_epoch,
-            orders,
+            commands: orders,
         })
         .unwrap();
         match fortune {
@@ -389,7 +389,11 @@
             let orders = machine.orders(Some(newest), true, token, now);
             (
                 200,
-                serde_json::to_vec(&HeartbeatResponse { token, orders }).unwrap(),
+                serde_json::to_vec(&HeartbeatResponse {
+                    token,
+                    commands: orders,
+                })
+                .unwrap(),
             )
         });
         self.workers[at].answered(number, agent_epoch, outcome, 3, &self.jobs, now);
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -7,7 +7,7 @@
 use indigopath_controller::model::JobSpec;
 use indigopath_controller::peers::Frame;
 use indigopath_controller::protocol;
-use indigopath_controller::settings::{Operator, Settings};
+use indigopath_controller::settings::{OperatorSettings, Settings};
 use indigopath_controller::storage::records::{DoneRecord, EndedRecord, LeaderRecord, Record, ShardRecord};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -166,12 +166,12 @@
         match message.kind.as_str() {
             "stored page" => same_message::<protocol::StoredPage>(text),
             "stored item" => same_message::<protocol::StoredItem>(text),
-            "changes" => same_message::<protocol::Changes>(text),
+            "changes" => same_message::<protocol::WatchResponse>(text),
             "transaction" => same_message::<protocol::Transaction>(text),
             "transaction answer" => same_message::<protocol::TransactionResponse>(text),
             "lease request" => same_message::<protocol::LeaseRequest>(text),
             "lease answer" => same_message::<protocol::LeaseResponse>(text),
-            "listing" => same_message::<protocol::Listing>(text),
+            "listing" => same_message::<protocol::MachinePage>(text),
             "machine names" => same_message::<protocol::MachineNames>(text),
             "flavors" => same_message::<protocol::Flavors>(text),
             "rental request" => same_message::<protocol::RentalRequest>(text),
@@ -260,31 +260,31 @@
         [0.24, 190.0]
     );
     assert_eq!(deployment.limits.max_connections, 3_500);
-    assert_eq!(deployment.clock_off_ms, 900.0);
+    assert_eq!(deployment.clock_skew_ms, 900.0);
 }
 
 #[test]
 fn operators_settings_keep_their_names() {
     let value: Value = serde_json::from_str(include_str!("formats/operator.json")).unwrap();
-    let operator = Operator::from_value(value.clone()).unwrap();
+    let operator = OperatorSettings::from_value(value.clone()).unwrap();
     assert_eq!(operator.fleet_max, 4_000);
     assert_eq!(operator.idle_return_s, 30.0);
     assert!(operator.show_holders);
-    assert!(!operator.weights);
+    assert!(!operator.image_locality);
     assert_eq!(operator.request_weights["red"], 2);
     let count = &operator.counts["seat"];
     assert_eq!((count.units, count.linger_s), (4, 20.0));
     assert_eq!(count.shares["red"], 2);
     assert_eq!(count.server.unwrap().to_string(), "127.0.0.1:7788");
-    assert_eq!(operator.shifts.len(), 1);
+    assert_eq!(operator.protection_windows.len(), 1);
     assert!(operator.condor.is_some());
     let settings = Settings::parse(include_str!("formats/settings.json")).unwrap();
     let settings = settings.with_operator(operator).unwrap();
-    assert!(!settings.shifts.is_empty());
+    assert!(!settings.protection_windows.is_empty());
     // Every name is known: with any other, the file is refused.
     for (name, block) in value.as_object().unwrap() {
         let mut renamed = value.clone();
         renamed[format!("{name}_")] = block.clone();
-        assert!(Operator::from_value(renamed).is_err(), "{name}_");
+        assert!(OperatorSettings::from_value(renamed).is_err(), "{name}_");
     }
 }
--- a/crates/controller/tests/limits.rs
+++ b/crates/controller/tests/limits.rs
@@ -69,7 +69,7 @@
 #[test]
 fn a_peer_that_connects_is_told_the_counts_of_all_jobs() {
     let job = JobId(Arc::from("wk-99000000000100000000"));
-    let frame = Frame::Counts {
+    let frame = Frame::TaskCounts {
         job,
         done: u32::MAX,
         running: u32::MAX,
--- a/crates/indigopath/src/client/tests.rs
+++ b/crates/indigopath/src/client/tests.rs
@@ -11,7 +11,7 @@
     assert!(error.to_string().contains("--node"));
     let stated = query("red team/é");
     assert_eq!(
-        indigopath_controller::job_api::authorization::stated(&stated[1..]).as_deref(),
+        indigopath_controller::job_api::authorization::team_in_query(&stated[1..]).as_deref(),
         Some("red team/é")
     );
     let refused = ClientError::Refused(422, r#"{"error":"no such team"}"#.to_owned());
--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -6,7 +6,7 @@
     ConnectionClass, ConnectionLimiter, ConnectionSlot, Limits, NoCapacity, PerClass, ShortageEvent,
 };
 use indigopath_controller::constants::{CLUSTER_OPERATIONS, PEER_BACKLOG, RETRY_AFTER_S};
-use indigopath_controller::io::{CallId, Content, Destination, Effect, Outcome, RequestId};
+use indigopath_controller::io::{CallId, ContentType, Destination, Effect, Outcome, RequestId};
 use indigopath_controller::node::{Command, Node};
 use indigopath_controller::peers::{Frame, MAX_FRAME};
 use indigopath_controller::protocol::paths;
@@ -218,9 +218,9 @@
             self.swept = now;
             self.sweep(now);
         }
-        self.node.clock(now, wall_ms());
+        self.node.set_time(now, wall_ms());
         self.node
-            .note_sockets(self.sockets.open_now(), self.sockets.shortage_counts());
+            .set_connection_stats(self.sockets.open_now(), self.sockets.shortage_counts());
         if let Some(event) = self.sockets.next_event(now) {
             tell(event, &self.sockets);
         }
@@ -229,7 +229,7 @@
             for command in std::mem::take(&mut self.queue) {
                 self.node.handle(command);
             }
-            self.node.settle();
+            self.node.run_due_work();
             crate::TOKEN.store(self.node.token().unwrap_or(0), Ordering::Relaxed);
             for effect in self.node.take_effects() {
                 self.carry_out(effect, now);
@@ -616,7 +616,7 @@
                     connection.connected = true;
                     connection.since = self.started.elapsed().as_millis() as u64;
                     if let Role::ToPeer { peer } = connection.role {
-                        self.queue.push(Command::PeerUp { peer });
+                        self.queue.push(Command::PeerConnected { peer });
                     }
                 }
                 Ok(None) => (),
@@ -661,7 +661,7 @@
             && !connection.output.is_empty()
             && !permit.allows(now)
         {
-            self.node.dropped(permit);
+            self.node.on_operation_dropped(permit);
             return Fate::Close;
         }
         let mut written = 0;
@@ -811,7 +811,7 @@
             output,
             status,
             retry_after_s,
-            Content::Json,
+            ContentType::Json,
             false,
             body.as_bytes(),
         );
--- a/crates/indigopath/src/http.rs
+++ b/crates/indigopath/src/http.rs
@@ -3,7 +3,7 @@
 
 use httparse::{Header, Status};
 use indigopath_controller::constants::{MAX_BODY, MAX_SUBMIT_BODY};
-use indigopath_controller::io::Content;
+use indigopath_controller::io::ContentType;
 use indigopath_controller::protocol::paths;
 use thiserror::Error;
 
@@ -250,13 +250,13 @@
     out: &mut Vec<u8>,
     status: u16,
     retry_after_s: Option<u64>,
-    content: Content,
+    content: ContentType,
     keep_alive: bool,
     body: &[u8],
 ) {
     let content = match content {
-        Content::Json => "application/json",
-        Content::Metrics => "application/openmetrics-text; version=1.0.0; charset=utf-8",
+        ContentType::Json => "application/json",
+        ContentType::Metrics => "application/openmetrics-text; version=1.0.0; charset=utf-8",
     };
     let mut head = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: {content}\r\nContent-Length: {}\r\n",
--- a/crates/indigopath/src/http/tests.rs
+++ b/crates/indigopath/src/http/tests.rs
@@ -47,7 +47,7 @@
 #[test]
 fn answers_by_length_chunks_or_close() {
     let mut bytes = Vec::new();
-    write_answer(&mut bytes, 503, Some(1), Content::Json, true, b"{}");
+    write_answer(&mut bytes, 503, Some(1), ContentType::Json, true, b"{}");
     let answer = parse_answer(&bytes, false).unwrap().unwrap();
     assert_eq!(
         (answer.status, answer.keep_alive, answer.body.as_slice()),
--- a/crates/indigopath/src/main.rs
+++ b/crates/indigopath/src/main.rs
@@ -8,7 +8,7 @@
 mod http;
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
-use indigopath_controller::settings::{Operator, Settings, SettingsError};
+use indigopath_controller::settings::{OperatorSettings, Settings, SettingsError};
 use log::LevelFilter;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -93,7 +93,7 @@
         path: path.clone(),
         source,
     };
-    let operator = Operator::from_value(value).map_err(unusable)?;
+    let operator = OperatorSettings::from_value(value).map_err(unusable)?;
     settings.with_operator(operator).map_err(unusable)
 }
 
@@ -162,7 +162,7 @@
             return ExitCode::from(BAD_SETTINGS);
         }
     };
-    let doubts = settings.doubts();
+    let doubts = settings.warnings();
     if check {
         for doubt in &doubts {
             eprintln!("indigopath: warning: {doubt}");
--- a/crates/simulator/src/accounting_checks.rs
+++ b/crates/simulator/src/accounting_checks.rs
@@ -131,7 +131,7 @@
     pub(crate) fn hides(&self, path: &str, body: &[u8]) -> Result<(), String> {
         let Some(team) = path
             .split_once('?')
-            .and_then(|(_, query)| authorization::stated(query))
+            .and_then(|(_, query)| authorization::team_in_query(query))
         else {
             return Ok(());
         };
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the cloud, by its published protocol.
 
 use indigopath_controller::protocol::{
-    ListedMachine, ListedStatus, Listing, MachineNames, MachineType, RentalRequest,
+    ListedMachine, ListedStatus, MachineNames, MachinePage, MachineType, RentalRequest,
 };
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -160,9 +160,9 @@
                 age_s: then.saturating_sub(machine.at) as f64 / 1000.0,
             })
             .collect();
-        serde_json::to_value(Listing {
+        serde_json::to_value(MachinePage {
             machines,
-            more: false,
+            has_more: false,
         })
         .unwrap()
     }
--- a/crates/simulator/src/effect_digest.rs
+++ b/crates/simulator/src/effect_digest.rs
@@ -4,7 +4,7 @@
 //! send the same bytes to the same peers at the same times, and their digests are equal. Texts for
 //! people (warnings, and the body of a metrics page) count as one event each, whatever their wording.
 
-use indigopath_controller::io::{Content, Destination, Effect};
+use indigopath_controller::io::{ContentType, Destination, Effect};
 
 /// Accumulates effects in the order in which they were sent.
 #[derive(Debug, Default)]
@@ -44,8 +44,8 @@
                 self.number(u64::from(*status));
                 self.optional(*retry_after_s);
                 match content {
-                    Content::Json => self.bytes(body),
-                    Content::Metrics => self.number(0),
+                    ContentType::Json => self.bytes(body),
+                    ContentType::Metrics => self.number(0),
                 }
                 self.optional(*until);
             }
--- a/crates/simulator/src/fault_combinations.rs
+++ b/crates/simulator/src/fault_combinations.rs
@@ -38,7 +38,7 @@
 }
 
 fn starts(orders: &[WorkerCommand]) -> impl Iterator<Item = &str> {
-    let starts = orders.iter().filter(|order| order.verb == CommandKind::Start);
+    let starts = orders.iter().filter(|order| order.kind == CommandKind::Start);
     starts.filter_map(|order| Some(order.task.rsplit_once('/')?.0))
 }
 
@@ -227,7 +227,7 @@
             return;
         };
         let life = self.nodes[node].life;
-        for job in starts(&answer.orders) {
+        for job in starts(&answer.commands) {
             let Some(told) = self.was_told(job) else { continue };
             let after_ms = self.now - told;
             self.fault_combinations.commanded += 1;
--- a/crates/simulator/src/invariants/tests.rs
+++ b/crates/simulator/src/invariants/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::scenario::run;
-use indigopath_controller::settings::Operator;
+use indigopath_controller::settings::OperatorSettings;
 
 const NO_MACHINES: &str = "at 0 capacity 0\nat 1 submit wk-1 tasks=4\nuntil 260\n\
     unserved class=batch\nunserved team=blue\nexpect wk-1 starts = 0\n";
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_job_without_an_answer_is_forgotten_once_troubles_are_over() {
-    let mut simulation = Simulation::new(None, Operator::default());
+    let mut simulation = Simulation::new(None, OperatorSettings::default());
     let facts = ObservedJob {
         accepted: true,
         accepted_at: Some(0),
--- a/crates/simulator/src/licence_server.rs
+++ b/crates/simulator/src/licence_server.rs
@@ -3,7 +3,7 @@
 //! `lmstat -a` does.
 
 use crate::worker::{Task, Worker};
-use indigopath_controller::protocol::Cause;
+use indigopath_controller::protocol::TaskEndCause;
 use std::collections::BTreeMap;
 
 /// Which attempt on which host has a seat.
@@ -173,7 +173,7 @@
         });
         match task {
             Some(task) if task.on() => Fate::Alive,
-            Some(task) if task.why == Some(Cause::Done) => Fate::GaveBack,
+            Some(task) if task.why == Some(TaskEndCause::Done) => Fate::GaveBack,
             _ => Fate::Died,
         }
     }
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -9,7 +9,7 @@
 use crate::simulation::{ObservedJob, learn_jobs};
 use crate::state::{Reply, StateService};
 use crate::worker::{Times, Worker};
-use indigopath_controller::protocol::{Cause, TaskState};
+use indigopath_controller::protocol::{TaskEndCause, TaskState};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::Cursor;
@@ -103,7 +103,7 @@
     pub fn kill_task(&mut self, host: &str, name: &str) {
         if let Some(worker) = self.workers.get_mut(host) {
             for task in worker.tasks.iter_mut().filter(|task| task.name() == name) {
-                task.exit(Cause::Error);
+                task.exit(TaskEndCause::Error);
             }
         }
         self.settle();
--- a/crates/simulator/src/scenario/actions/machines.rs
+++ b/crates/simulator/src/scenario/actions/machines.rs
@@ -88,6 +88,6 @@
     let worker = simulation.workers.get_mut(&id).ok_or("no machine")?;
     let tasks = worker.tasks.iter_mut();
     let killed = tasks.filter(|other| other.name() == task && other.on());
-    killed.for_each(|task| task.exit(indigopath_controller::protocol::Cause::Error));
+    killed.for_each(|task| task.exit(indigopath_controller::protocol::TaskEndCause::Error));
     Ok(())
 }
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::{ObservedJob, SettingOverrides, Simulation};
 use indigopath_condor::{CondorSettings, Declared};
-use indigopath_controller::settings::Operator;
+use indigopath_controller::settings::OperatorSettings;
 use indigopath_counted_resources::Definition;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 /// What the site is like as the scenario begins.
 #[derive(Default)]
 pub(super) struct Setup {
-    operator: Operator,
+    operator: OperatorSettings,
     /// GPUs that each team may use, in place of the settings'.
     gpus_max: Option<f64>,
     /// By how much a clock may be off, in ms, in place of the settings'.
@@ -154,7 +154,7 @@
     fn line(&mut self, number: usize, word: &str, rest: &str) -> Result<(), String> {
         match word {
             "shared-fetches" => self.shares_rate = true,
-            "weights" => self.operator.weights = rest != "off",
+            "weights" => self.operator.image_locality = rest != "off",
             "limits" => self.limits = true,
             "teams" => self.gpus_max = Some(rest.parse().map_err(|error| format!("{error}"))?),
             "count" => define(&mut self.operator, rest)?,
@@ -186,7 +186,7 @@
 }
 
 /// Defines a count, or changes it.
-pub(super) fn define(operator: &mut Operator, text: &str) -> Result<(), String> {
+pub(super) fn define(operator: &mut OperatorSettings, text: &str) -> Result<(), String> {
     let (plain, keyed) = words(text);
     let name = plain.first().ok_or("a count needs a name")?;
     let mut definition = Definition::of(0);
@@ -209,11 +209,11 @@
 
 /// Defines a shift, or changes it: `shift NAME from=22:14 to=22:16 classes=live rank=1 lead=5
 /// spare=0.1 teams=red closed=2023-11-14 zone=UTC`; `gone` takes it out.
-pub(super) fn define_shift(operator: &mut Operator, text: &str) -> Result<(), String> {
+pub(super) fn define_shift(operator: &mut OperatorSettings, text: &str) -> Result<(), String> {
     let (plain, keyed) = words(text);
     let name = plain.first().ok_or("a shift needs a name")?;
     if plain.contains(&"gone") {
-        operator.shifts.remove(*name);
+        operator.protection_windows.remove(*name);
         return Ok(());
     }
     let list = |key: &str| keyed.get(key).map(|value| value.split(',').collect::<Vec<_>>());
@@ -225,7 +225,7 @@
         "lead_s": number(&get("lead", "0"))?, "spare": number(&get("spare", "0"))?,
     });
     let definition = serde_json::from_value(definition).map_err(|error| error.to_string())?;
-    operator.shifts.insert((*name).into(), definition);
+    operator.protection_windows.insert((*name).into(), definition);
     Ok(())
 }
 
@@ -301,7 +301,7 @@
 }
 
 /// Serves submit files; how long their tasks run, in s.
-fn serve_files(operator: &mut Operator, text: &str) -> Result<f64, String> {
+fn serve_files(operator: &mut OperatorSettings, text: &str) -> Result<f64, String> {
     let (_, keyed) = words(text);
     let get = |key: &str, or: &str| Some(keyed.get(key).copied().unwrap_or(or).to_owned());
     let declared = BTreeMap::from([("OpSys".to_owned(), Declared::Str("LINUX".to_owned()))]);
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -20,7 +20,7 @@
 use indigopath_controller::node::{Command, Node};
 use indigopath_controller::peers::Frame;
 use indigopath_controller::protocol::{Change, Flavors, MachineNames, RentalRequest, TaskState, Transaction};
-use indigopath_controller::settings::{Operator, Peer, Settings};
+use indigopath_controller::settings::{OperatorSettings, Peer, Settings};
 use indigopath_controller::storage::records::{Record, ShardRecord};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -424,7 +424,7 @@
     /// Largest value of the key-value store, in KB, in place of the settings'.
     pub(crate) value_kb: Option<f64>,
     /// The operators' own settings, as nodes find them when they start.
-    pub(crate) operator: Operator,
+    pub(crate) operator: OperatorSettings,
     pub(crate) licences: LicenceServer,
     pub(crate) calls: Calls,
     /// What is asked of shifts, and how it was kept.
@@ -487,7 +487,7 @@
 
 impl Simulation {
     #[cfg(test)]
-    pub(crate) fn new(gpus_max: Option<f64>, operator: Operator) -> Simulation {
+    pub(crate) fn new(gpus_max: Option<f64>, operator: OperatorSettings) -> Simulation {
         let overrides = SettingOverrides {
             gpus_max,
             ..SettingOverrides::default()
@@ -496,7 +496,7 @@
     }
 
     /// A world whose controllers have these settings.
-    pub(crate) fn with_settings(overrides: SettingOverrides, operator: Operator) -> Simulation {
+    pub(crate) fn with_settings(overrides: SettingOverrides, operator: OperatorSettings) -> Simulation {
         let mut simulation = Simulation {
             now: 0,
             queue: BTreeMap::new(),
@@ -595,12 +595,12 @@
             settings.deployment.state.value_kb = value_kb;
         }
         if let Some(skew_ms) = self.guarded.skew_ms {
-            settings.deployment.clock_off_ms = skew_ms;
+            settings.deployment.clock_skew_ms = skew_ms;
         }
         let settings = settings.with_operator(self.operator.clone()).unwrap();
         if self.guarded.timetable.is_empty() {
             // As the scenario has it; what nodes find later is theirs.
-            self.guarded.timetable = settings.shifts.clone();
+            self.guarded.timetable = settings.protection_windows.clone();
         }
         let (now, wall) = (self.now, self.wall_of(index));
         let controller = &mut self.nodes[index];
@@ -822,11 +822,11 @@
         let inbox = std::mem::take(&mut controller.inbox);
         let life = controller.life;
         let Some(node) = &mut controller.node else { return };
-        node.clock(now, wall);
+        node.set_time(now, wall);
         for command in inbox {
             node.handle(command);
         }
-        node.settle();
+        node.run_due_work();
         let effects = node.take_effects();
         self.effects.record(now, index, &effects);
         // It stands still after it has decided and before anything goes out.
@@ -871,7 +871,7 @@
                     // As the event loop does when the bytes go out.
                     if let Some(permit) = permit.filter(|permit| !permit.allows(now)) {
                         if let Some(node) = &mut self.nodes[index].node {
-                            node.dropped(&permit);
+                            node.on_operation_dropped(&permit);
                         }
                         self.late_permits += 1;
                         let outcome = Outcome::NotSent;
@@ -1550,7 +1550,7 @@
                     task.since = self.now;
                     task.progress_from = facts.saved_s;
                 } else if done && task.state == TaskState::Running {
-                    task.exit(indigopath_controller::protocol::Cause::Done);
+                    task.exit(indigopath_controller::protocol::TaskEndCause::Done);
                 } else if task.state == TaskState::Running {
                     let missing = !all;
                     task.lost_mates_at =
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the state service, by its published protocol.
 
 use indigopath_controller::protocol::{
-    Change, Changes, Event, LeaseRequest, LeaseResponse, StoredItem, StoredPage, Transaction,
+    Change, LeaseRequest, LeaseResponse, StoredItem, StoredPage, Transaction, WatchEvent, WatchResponse,
 };
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
@@ -15,7 +15,7 @@
     keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
-    history: VecDeque<(u64, Event)>,
+    history: VecDeque<(u64, WatchEvent)>,
     pub outage: bool,
     outage_began: Option<u64>,
     /// Transactions that met a condition on the leader's key that no longer held.
@@ -87,11 +87,11 @@
 
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.note(Event::Delete { key: key.to_owned() });
+            self.note(WatchEvent::Delete { key: key.to_owned() });
         }
     }
 
-    fn note(&mut self, event: Event) {
+    fn note(&mut self, event: WatchEvent) {
         self.history.push_back((self.revision, event));
         if self.history.len() > HISTORY {
             self.history.pop_front();
@@ -122,20 +122,20 @@
     pub fn news(&self, prefix: &str, after: u64) -> Option<Value> {
         // In the order of their revisions: most watches look at none of the 10,000.
         let since = self.history.partition_point(|(revision, _)| *revision <= after);
-        let events: Vec<Event> = self
+        let events: Vec<WatchEvent> = self
             .history
             .iter()
             .skip(since)
             .filter(|(_, event)| {
                 let key = match event {
-                    Event::Put { key, .. } | Event::Delete { key } => key,
+                    WatchEvent::Put { key, .. } | WatchEvent::Delete { key } => key,
                 };
                 key.starts_with(prefix)
             })
             .map(|(_, event)| event.clone())
             .collect();
         (!events.is_empty()).then(|| {
-            serde_json::to_value(Changes {
+            serde_json::to_value(WatchResponse {
                 revision: self.revision,
                 events,
             })
@@ -181,7 +181,7 @@
                 let version = self.revision;
                 self.keys.insert(key.to_owned(), (value.clone(), version, None));
                 let key = key.to_owned();
-                self.note(Event::Put { key, value, version });
+                self.note(WatchEvent::Put { key, value, version });
             }
             None => self.delete(key),
         }
@@ -286,7 +286,7 @@
             200,
             serde_json::to_value(StoredPage {
                 items,
-                more,
+                has_more: more,
                 revision: self.revision,
             })
             .unwrap(),
@@ -344,7 +344,7 @@
                     );
                     self.keys
                         .insert(key.clone(), (value.clone(), self.revision, lease));
-                    self.note(Event::Put {
+                    self.note(WatchEvent::Put {
                         key,
                         value,
                         version: self.revision,
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -3,7 +3,8 @@
 
 use crate::simulation::ObservedJob;
 use indigopath_controller::protocol::{
-    Cause, CommandKind, DirectCommands, Heartbeat, HeartbeatResponse, TaskState, TaskStatus, WorkerCommand,
+    CommandKind, DirectCommands, Heartbeat, HeartbeatResponse, TaskEndCause, TaskState, TaskStatus,
+    WorkerCommand,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -40,7 +41,7 @@
     pub index: u32,
     pub attempt: u64,
     pub state: TaskState,
-    pub why: Option<Cause>,
+    pub why: Option<TaskEndCause>,
     pub saved: bool,
     pub since: u64,
     pub progress_from: f64,
@@ -154,8 +155,8 @@
                     task: task.name(),
                     attempt: task.attempt,
                     state: task.state,
-                    why: task.why,
-                    saved: task.saved.then_some(true),
+                    cause: task.why,
+                    checkpoint_saved: task.saved.then_some(true),
                 })
                 .collect(),
         };
@@ -212,7 +213,7 @@
                 }
                 self.see_token(answer.token, now);
                 self.lease_from = sent;
-                self.execute(&answer.orders, jobs, now);
+                self.execute(&answer.commands, jobs, now);
             }
             Some((421, body)) => {
                 let to = serde_json::from_slice::<Value>(&body).ok().and_then(|body| {
@@ -244,7 +245,7 @@
             return (409, self.report(now));
         }
         self.see_token(orders.token, now);
-        self.execute(&orders.orders, jobs, now);
+        self.execute(&orders.commands, jobs, now);
         (200, self.report(now))
     }
 
@@ -256,7 +257,7 @@
                 .tasks
                 .iter()
                 .position(|task| task.job == job && task.index == index && task.attempt == order.attempt);
-            match (order.verb, known) {
+            match (order.kind, known) {
                 (CommandKind::Start, None) => self.start(job, index, order.attempt, jobs, now),
                 (CommandKind::Stop, Some(at)) => {
                     let grace_ms = (order.grace_s.unwrap_or(0.0) * 1000.0) as u64;
@@ -274,7 +275,7 @@
                         }
                         TaskState::Saving if grace_ms > 0 => (),
                         TaskState::Exited => (),
-                        _ => task.exit(Cause::Stopped),
+                        _ => task.exit(TaskEndCause::Stopped),
                     }
                 }
                 (CommandKind::Forget, Some(at)) if self.tasks[at].state == TaskState::Exited => {
@@ -302,15 +303,15 @@
             lost_mates_at: None,
         };
         if !jobs.contains_key(job) {
-            task.exit(Cause::Unknown);
+            task.exit(TaskEndCause::Unknown);
         } else if self
             .tasks
             .iter()
             .any(|other| other.name() == task.name() && other.state != TaskState::Exited)
         {
-            task.exit(Cause::Busy);
+            task.exit(TaskEndCause::Busy);
         } else if now < self.full_until {
-            task.exit(Cause::NoRoom);
+            task.exit(TaskEndCause::NoRoom);
         }
         self.tasks.push(task);
     }
@@ -349,9 +350,9 @@
                         touch(&mut self.images, &facts.image, facts.image_gb, self.cache_gb);
                         arrived.push(task.clone());
                         if facts.done.contains(&task.index) {
-                            task.exit(Cause::Done);
+                            task.exit(TaskEndCause::Done);
                         } else if self.faulty || facts.broken {
-                            task.exit(Cause::Error);
+                            task.exit(TaskEndCause::Error);
                         } else {
                             task.since = now;
                             task.progress_from = facts.saved_s;
@@ -363,17 +364,17 @@
                         }
                     }
                 }
-                TaskState::Waiting if now >= task.since + gang_wait_ms => task.exit(Cause::Alone),
+                TaskState::Waiting if now >= task.since + gang_wait_ms => task.exit(TaskEndCause::Alone),
                 TaskState::Running if facts.shape != "daemon" => {
                     let progress_s = task.progress_from + (now - task.since) as f64 / 1000.0;
                     if task.lost_mates_at.is_some_and(|at| now >= at) {
-                        task.exit(Cause::Peers);
+                        task.exit(TaskEndCause::Peers);
                     } else if progress_s >= facts.run_s {
                         facts.done.insert(task.index);
                         if facts.shape == "gang" {
                             facts.done.extend(0..facts.tasks);
                         }
-                        task.exit(Cause::Done);
+                        task.exit(TaskEndCause::Done);
                     } else if facts.checkpoint_s > 0.0 {
                         facts.saved_s = facts
                             .saved_s
@@ -383,7 +384,7 @@
                 TaskState::Saving if task.stop_at.is_some_and(|at| now >= at) => {
                     facts.saved_s = facts.saved_s.max(task.progress_from);
                     task.saved = true;
-                    task.exit(Cause::Stopped);
+                    task.exit(TaskEndCause::Stopped);
                 }
                 _ => (),
             }
@@ -444,7 +445,7 @@
 }
 
 impl Task {
-    pub fn exit(&mut self, why: Cause) {
+    pub fn exit(&mut self, why: TaskEndCause) {
         self.state = TaskState::Exited;
         self.why = Some(why);
     }
