--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -1,5 +1,5 @@
-//! What the core asks of the outside: answers to requests, calls to other
-//! systems, frames to peers. Nothing here does any input or output.
+//! Interface between the deterministic core and the outside: replies to requests, calls to other
+//! systems and frames to peers are recorded as effects. This module performs no I/O itself.
 
 mod call;
 mod effect;
@@ -21,36 +21,36 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Time, randomness, budgets and effects of the command being handled.
+/// Time, randomness, rate budgets and effects of the command being handled.
 #[derive(Debug)]
 pub struct Io {
-    /// Steady time.
+    /// Monotonic time.
     pub now: Timestamp,
-    /// Time of day in ms since 1970.
+    /// Wall-clock time in ms since 1970.
     pub wall_ms: u64,
-    /// Randomness, from a seed that is an input.
+    /// Random number generator, seeded by the caller.
     pub rng: SmallRng,
-    /// Budget of calls to the state service.
+    /// Rate budget of calls to the state service.
     pub state_budget: TokenBucket,
-    /// Budget of changes that the leader writes to the state service.
+    /// Rate budget of changes that the leader writes to the state service.
     pub write_budget: TokenBucket,
-    /// Budget of calls to the cloud.
+    /// Rate budget of calls to the cloud.
     pub cloud_budget: TokenBucket,
     /// Effects of the command so far, in order.
     pub effects: Vec<Effect>,
-    /// Permission to act on outside systems, which only a leader has.
+    /// Permits for guarded operations on other systems, which only a leader has.
     pub permits: Permits,
-    /// Requests told to come back later, by the reason, since it was last taken.
+    /// Requests rejected with `Retry-After`, by reason, since they were last logged.
     pub rejections: BTreeMap<String, u32>,
-    /// Until when this node is new: see [`NEW_MS`].
-    new_until: Timestamp,
+    /// End of this node's startup phase: see [`NEW_MS`].
+    startup_until: Timestamp,
     state_rate: f64,
     follower_share: f64,
     next_call: u64,
 }
 
 impl Io {
-    /// Full budgets and no effects yet.
+    /// Creates an `Io` with full budgets and no effects.
     pub fn new(settings: &Settings, seed: u64, now: Timestamp, wall_ms: u64) -> Io {
         let deployment = &settings.deployment;
         let follower_share = FOLLOWERS_STATE_SHARE / settings.peers.len().max(1) as f64;
@@ -67,27 +67,27 @@
             effects: Vec::new(),
             permits: Permits::default(),
             rejections: BTreeMap::new(),
-            new_until: now + NEW_MS,
+            startup_until: now + NEW_MS,
             state_rate: deployment.state.rps,
             follower_share,
             next_call: 1,
         }
     }
 
-    /// This node leads now, or leads no longer: its share of the state service changes.
-    pub fn set_leader(&mut self, leading: bool) {
-        let share = if leading {
+    /// Adjusts this node's share of the state service's rate when it becomes leader or steps down.
+    pub fn set_leader(&mut self, is_leader: bool) {
+        let share = if is_leader {
             LEADER_STATE_SHARE
         } else {
             self.follower_share
         };
         self.state_budget.set_rate(self.state_rate * share, self.now);
-        if leading {
+        if is_leader {
             self.write_budget.drain_to(NEW_LEADER_WRITES, self.now);
         }
     }
 
-    /// A call to anything but the cloud: see [`Io::cloud_call`].
+    /// Calls a system other than the cloud; for the cloud see [`Io::cloud_call`].
     pub fn call(
         &mut self,
         to: FencedDestination,
@@ -99,14 +99,14 @@
         self.send(to.into(), method, path, body, timeout_ms, None)
     }
 
-    /// A call that rents, returns or lists: the cloud compares no token, so there is none without a
-    /// permit.
+    /// Calls the cloud to rent, return or list machines. The cloud compares no fencing token, so each
+    /// such call requires a permit.
     pub fn cloud_call(&mut self, permit: Permit, method: Method, path: String, body: Vec<u8>) -> CallId {
         let to = Destination::Cloud;
         self.send(to, method, path, body, CLOUD_TIMEOUT_MS, Some(permit))
     }
 
-    /// Asks the cloud for machine types, which changes nothing, and any node may.
+    /// Reads the machine types from the cloud. Any node may call this, because it changes nothing.
     pub fn machine_types_call(&mut self) -> CallId {
         let path = paths::FLAVORS.to_owned();
         self.send(
@@ -142,13 +142,13 @@
         call
     }
 
-    /// A call to the state service, charged to its budget.
+    /// Calls the state service and charges its budget.
     pub fn state_call(&mut self, method: Method, path: String, body: Vec<u8>, timeout_ms: u64) -> CallId {
         self.state_budget.force(1.0, self.now);
         self.call(FencedDestination::State, method, path, body, timeout_ms)
     }
 
-    fn answer(
+    fn push_reply(
         &mut self,
         request: RequestId,
         status: u16,
@@ -166,7 +166,8 @@
         });
     }
 
-    /// An answer that must not be given once others may have given a newer one.
+    /// Answers with JSON unless the reply cannot be sent before `until`, after which other nodes may
+    /// have given a newer answer.
     pub fn reply_until(&mut self, request: RequestId, status: u16, body: &impl Serialize, until: Timestamp) {
         self.effects.push(Effect::Reply {
             request,
@@ -178,9 +179,9 @@
         });
     }
 
-    /// Answers a request with a body that is serialised already.
+    /// Answers a request with a serialized body.
     pub fn reply_bytes(&mut self, request: RequestId, status: u16, content: ContentType, body: Vec<u8>) {
-        self.answer(request, status, None, content, body);
+        self.push_reply(request, status, None, content, body);
     }
 
     /// Answers a request with JSON.
@@ -188,8 +189,8 @@
         self.reply_bytes(request, status, ContentType::Json, json(body));
     }
 
-    /// Refuses a request for now. While this node is new, every other request waits a second longer,
-    /// so that they do not all come back at once.
+    /// Rejects a request with status 503 and `Retry-After`. During startup, every second request is told
+    /// to wait 1 s longer, so that the retries do not all arrive at once.
     pub fn reply_retry_later(&mut self, request: RequestId, retry_after_s: u64, problem: &str) {
         match self.rejections.get_mut(problem) {
             Some(count) => *count += 1,
@@ -197,30 +198,30 @@
                 self.rejections.insert(problem.to_owned(), 1);
             }
         }
-        let later_s = if self.now < self.new_until {
+        let extra_delay_s = if self.now < self.startup_until {
             request.0 % 2
         } else {
             0
         };
         let body = json(&ErrorResponse { error: problem });
-        self.answer(
+        self.push_reply(
             request,
             503,
-            Some(retry_after_s + later_s),
+            Some(retry_after_s + extra_delay_s),
             ContentType::Json,
             body,
         );
     }
 
-    /// Refuses a request. The problem may quote what was sent: no more of it goes back than fits a
-    /// line.
+    /// Rejects a request. The problem may quote the request, so it is truncated to
+    /// [`MAX_ERROR_CHARS`].
     pub fn reply_error(&mut self, request: RequestId, status: u16, problem: &str) {
         let problem: String = problem.chars().take(MAX_ERROR_CHARS).collect();
         self.reply(request, status, &ErrorResponse { error: &problem });
     }
 }
 
-/// Plain data as JSON. It fails only on non-string map keys, which none has.
+/// Serializes plain data as JSON. This fails only for maps with non-string keys, of which there are none.
 pub fn json(value: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/controller/src/io/call.rs
+++ b/crates/controller/src/io/call.rs
@@ -4,11 +4,11 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// A call to another system whose outcome is to be told.
+/// Identifies a call to another system until its outcome is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// The system that a call goes to.
+/// The system that is called.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Destination {
     /// The state service.
@@ -17,24 +17,24 @@
     Cloud,
     /// The worker at this address.
     Worker(String),
-    /// A licence server that operators name.
+    /// A licence server from the operators' settings.
     Licences(SocketAddrV4),
 }
 
-/// Systems that compare a token, or are only asked: whoever calls them needs no permit.
+/// Destinations that need no permit, because they compare fencing tokens or are only read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FencedDestination {
     /// The state service.
     State,
     /// The worker at this address.
     Worker(String),
-    /// A licence server that operators name.
+    /// A licence server from the operators' settings.
     Licences(SocketAddrV4),
 }
 
 impl From<FencedDestination> for Destination {
-    fn from(to: FencedDestination) -> Destination {
-        match to {
+    fn from(destination: FencedDestination) -> Destination {
+        match destination {
             FencedDestination::State => Destination::State,
             FencedDestination::Worker(addr) => Destination::Worker(addr),
             FencedDestination::Licences(addr) => Destination::Licences(addr),
@@ -42,7 +42,7 @@
     }
 }
 
-/// A method of HTTP.
+/// An HTTP method.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
     /// Reads.
@@ -67,21 +67,21 @@
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// A response arrived.
     Answer {
-        /// The status of HTTP.
+        /// The HTTP status.
         status: u16,
-        /// The answer's body.
+        /// The response body.
         body: Vec<u8>,
     },
-    /// No connection came about: it was certainly not carried out.
+    /// No connection was established, so the call was certainly not executed.
     NotSent,
-    /// It may have been carried out, or may still be.
+    /// No response arrived. The call may have been executed or may still be.
     NoAnswer,
 }
 
 impl Outcome {
-    /// The status, if there is an answer.
+    /// The HTTP status, if a response arrived.
     pub fn status(&self) -> Option<u16> {
         match self {
             Outcome::Answer { status, .. } => Some(*status),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The body of an answer with one of these statuses, if it can be read.
+    /// Parses the body of a response with one of these statuses.
     pub fn read<T: DeserializeOwned>(&self, statuses: &[u16]) -> Option<T> {
         match self {
             Outcome::Answer { status, body } if statuses.contains(status) => serde_json::from_slice(body)
@@ -99,7 +99,7 @@
         }
     }
 
-    /// It was certainly not carried out, so that it may simply be sent again.
+    /// Whether the call was certainly not executed and may be sent again unchanged.
     pub fn is_safe_to_retry(&self) -> bool {
         matches!(
             self,
@@ -112,8 +112,8 @@
     }
 }
 
-/// Calls whose outcomes somebody waits for, and what each was made for.
-/// Every caller keeps its own: what is dropped with its owner is never answered.
+/// Calls in flight, each with what it was made for. Every component keeps its own; outcomes of calls
+/// whose component was dropped are ignored.
 #[derive(Debug)]
 pub struct PendingCalls<T>(HashMap<CallId, T>);
 
@@ -124,12 +124,12 @@
 }
 
 impl<T> PendingCalls<T> {
-    /// A call was made; its outcome is waited for.
-    pub fn insert(&mut self, call: CallId, what: T) {
-        self.0.insert(call, what);
+    /// Records a call whose outcome is expected.
+    pub fn insert(&mut self, call: CallId, purpose: T) {
+        self.0.insert(call, purpose);
     }
 
-    /// What the call was, if it was made here; it is expected no longer.
+    /// Removes a call whose outcome arrived and returns what it was made for, if it is known here.
     pub fn complete(&mut self, call: CallId) -> Option<T> {
         self.0.remove(&call)
     }
--- a/crates/controller/src/io/effect.rs
+++ b/crates/controller/src/io/effect.rs
@@ -1,64 +1,64 @@
-//! Effects: what the core asks of the outside.
+//! Effects that the core asks its host to perform.
 
 use super::{CallId, Destination, Method};
 use crate::model::Timestamp;
 use indigopath_fencing::Permit;
 
-/// A request of a user, a worker or a peer that is to be answered.
+/// Identifies a request of a user, a worker or a peer until it is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What the body of an answer is.
+/// Content type of a response body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContentType {
     /// JSON.
     Json,
-    /// Metrics in the OpenMetrics text form.
+    /// Metrics in the OpenMetrics text format.
     Metrics,
 }
 
-/// What the core asks of the outside.
+/// An action that the core asks its host to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// A request is answered.
+    /// Answers a request.
     Reply {
         /// The request.
         request: RequestId,
-        /// The status of HTTP.
+        /// The HTTP status.
         status: u16,
-        /// When its sender may ask again.
+        /// Seconds after which the sender may retry.
         retry_after_s: Option<u64>,
-        /// What the body is.
+        /// Content type of the body.
         content: ContentType,
         /// The body.
         body: Vec<u8>,
-        /// Too old to be given from then on, by this node's clock: its user is told to come back.
+        /// Time on this node's clock from which the reply is stale; the user is then told to retry.
         until: Option<Timestamp>,
     },
-    /// Another system is called.
+    /// Calls another system.
     Call {
         /// The call.
         call: CallId,
-        /// Where it goes.
+        /// The destination.
         to: Destination,
-        /// Its method.
+        /// The HTTP method.
         method: Method,
-        /// Its path.
+        /// The URL path.
         path: String,
-        /// Its body.
+        /// The request body.
         body: Vec<u8>,
-        /// How long its answer is waited for.
+        /// How long to wait for the response, in ms.
         timeout_ms: u64,
-        /// What must still allow it when its bytes go out; dropped, it was not sent.
+        /// Permit that must still be valid when the request is sent; otherwise the call is dropped unsent.
         permit: Option<Permit>,
     },
-    /// A frame goes to a peer.
+    /// Sends a frame to a peer.
     Frame {
-        /// The peer's position among all controllers' names in order.
+        /// Index of the peer in the settings.
         peer: usize,
-        /// The frame.
+        /// The encoded frames.
         bytes: Vec<u8>,
     },
-    /// A message for operators, on which they can act.
+    /// An actionable message for operators.
     Warning(String),
 }
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -2,9 +2,9 @@
 use proptest::prelude::*;
 
 #[test]
-fn frames_survive_encoding() {
+fn frames_round_trip() {
     let job = crate::job_api::admission::parse_id("wk-000412").unwrap();
-    let beat = PeerHeartbeat {
+    let heartbeat = PeerHeartbeat {
         index: 2,
         token: 41,
         leads: true,
@@ -12,7 +12,7 @@
         workers_heard: 7,
     };
     for frame in [
-        Frame::PeerHeartbeat(beat),
+        Frame::PeerHeartbeat(heartbeat),
         Frame::TaskCounts {
             job: job.clone(),
             done: 3,
@@ -31,8 +31,8 @@
         },
     ] {
         let bytes = frame.encode();
-        for cut in 0..bytes.len() {
-            assert_eq!(Frame::decode(&bytes[..cut]), Ok(None));
+        for length in 0..bytes.len() {
+            assert_eq!(Frame::decode(&bytes[..length]), Ok(None));
         }
         assert_eq!(Frame::decode(&bytes), Ok(Some((Some(frame), bytes.len()))));
     }
@@ -40,17 +40,17 @@
 
 proptest! {
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..80)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..80)) {
         let _ = Frame::decode(&bytes);
     }
 
     #[test]
-    fn a_flipped_byte_never_panics(at in 0usize..40, value in any::<u8>()) {
+    fn decoding_a_frame_with_a_changed_byte_never_panics(position in 0usize..40, value in any::<u8>()) {
         let job = crate::job_api::admission::parse_id("wk-000412").unwrap();
-        let ended = Frame::EndNotice { job: job.clone(), nonce: 9, index: 1 };
-        for frame in [Frame::JobChanged { job }, ended] {
+        let end_notice = Frame::EndNotice { job: job.clone(), nonce: 9, index: 1 };
+        for frame in [Frame::JobChanged { job }, end_notice] {
             let mut bytes = frame.encode();
-            if let Some(byte) = bytes.get_mut(at) { *byte = value; }
+            if let Some(byte) = bytes.get_mut(position) { *byte = value; }
             let _ = Frame::decode(&bytes);
         }
     }
--- a/crates/controller/src/protocol.rs
+++ b/crates/controller/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The platform's interfaces. Its field names (Picks, Baton, Rigs, …) appear here
-//! only; the rest of the program uses the field's usual terms.
+//! Messages of the platform's interfaces: users, workers, the cloud and the state service. The
+//! platform's own field names (Picks, Baton, Rigs, …) appear only here, as serde names.
 
 use crate::model::MachineKind;
 use indigopath_accounting::VisibleJob;
@@ -7,22 +7,26 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeMap;
 
-/// Prefix of every job's id.
+/// Prefix of every job id.
 pub const JOB_PREFIX: &str = "wk-";
 
+/// How the tasks of a job relate to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
+    /// Independent tasks.
     #[serde(rename = "sweep")]
     Array,
+    /// Tasks that run at the same time or not at all.
     #[serde(rename = "gang")]
     Gang,
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
 }
 
 impl Shape {
-    /// Of so many tasks, those that a team's limit must allow at once: one of an array, all
-    /// of the others.
+    /// The number of a job's tasks that the team's limit must allow at the same time: one task of an
+    /// array, all tasks of a gang or service.
     pub fn concurrent_tasks(self, tasks: u64) -> u64 {
         match self {
             Shape::Array => 1,
@@ -31,6 +35,7 @@
     }
 }
 
+/// Priority of a job, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
     #[serde(rename = "critical")]
@@ -43,12 +48,12 @@
     Low,
 }
 
-/// Reads a name among several as a string alone: in JSON, `{"gang":null}` would do as well.
-fn word<'de, D: Deserializer<'de>, T: Deserialize<'de>>(from: D) -> Result<T, D::Error> {
-    T::deserialize(String::deserialize(from)?.into_deserializer())
+/// Deserializes an enum from a string only: derived code would also accept `{"gang":null}` in JSON.
+fn enum_from_string<'de, D: Deserializer<'de>, T: Deserialize<'de>>(deserializer: D) -> Result<T, D::Error> {
+    T::deserialize(String::deserialize(deserializer)?.into_deserializer())
 }
 
-/// A submission as users send it. What may be null may also be missing: types, zone and deadline.
+/// A submission as users send it. Nullable fields (types, zone, deadline) may also be missing.
 #[derive(Debug, Clone, Deserialize)]
 pub struct JobSubmission {
     #[serde(rename = "Id")]
@@ -57,9 +62,9 @@
     pub class: String,
     #[serde(rename = "Crew")]
     pub team: String,
-    #[serde(rename = "Shape", deserialize_with = "word")]
+    #[serde(rename = "Shape", deserialize_with = "enum_from_string")]
     pub shape: Shape,
-    #[serde(rename = "Urgency", deserialize_with = "word")]
+    #[serde(rename = "Urgency", deserialize_with = "enum_from_string")]
     pub priority: Priority,
     #[serde(rename = "Picks")]
     pub tasks: u64,
@@ -91,11 +96,12 @@
     pub save_s: f64,
     #[serde(rename = "DueS")]
     pub deadline_s: Option<f64>,
-    /// Units of counts that each task takes, by name.
+    /// Units of counted resources that each task uses, by resource name.
     #[serde(rename = "Counts", default)]
     pub counts: Option<BTreeMap<String, u64>>,
 }
 
+/// Status of a job as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
@@ -105,7 +111,7 @@
     Cancelled,
 }
 
-/// What a user is told about a job.
+/// Response to a user's request about one job.
 #[derive(Debug, Serialize)]
 pub struct JobStatusResponse<'a> {
     #[serde(rename = "Id")]
@@ -119,7 +125,7 @@
 }
 
 impl<'a> JobStatusResponse<'a> {
-    /// The status of the visible job; its progress only if the permission covers that.
+    /// Builds the response; task counts are included only if the requester may see the job's progress.
     pub fn of(
         permission: &'a VisibleJob,
         status: JobStatus,
@@ -135,49 +141,61 @@
     }
 }
 
+/// Response to a request that failed or was rejected.
 #[derive(Debug, Serialize)]
 pub struct ErrorResponse<'a> {
     pub error: &'a str,
 }
 
+/// State of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
+    /// The worker fetches the task's image.
     #[serde(rename = "pulling")]
     Fetching,
+    /// The task waits for the other tasks of its gang.
     #[serde(rename = "waiting")]
     Waiting,
     #[serde(rename = "running")]
     Running,
+    /// The task saves a checkpoint.
     #[serde(rename = "saving")]
     Saving,
     #[serde(rename = "exited")]
     Exited,
 }
 
-/// Why a task ended.
+/// Why a task ended, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskEndCause {
     #[serde(rename = "done")]
     Done,
+    /// The worker was told to stop it.
     #[serde(rename = "halted")]
     Stopped,
+    /// Other tasks of its gang ended.
     #[serde(rename = "mates_gone")]
     Peers,
+    /// The other tasks of its gang did not arrive in time.
     #[serde(rename = "incomplete")]
     Alone,
     #[serde(rename = "error")]
     Error,
+    /// The worker lacks the capacity.
     #[serde(rename = "full")]
     NoRoom,
+    /// The worker still runs another attempt.
     #[serde(rename = "in_use")]
     Busy,
+    /// The worker does not know the task.
     #[serde(rename = "no_such")]
     Unknown,
-    /// A cause this version does not know: the task has ended all the same.
+    /// A cause unknown to this version; the task has ended regardless.
     #[serde(other)]
     Other,
 }
 
+/// Status of one task in a worker's heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskStatus {
     #[serde(rename = "Pick")]
@@ -192,6 +210,7 @@
     pub checkpoint_saved: Option<bool>,
 }
 
+/// A worker's periodic report of itself and its tasks.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
     #[serde(rename = "Host")]
@@ -216,12 +235,14 @@
     pub tasks: Vec<TaskStatus>,
 }
 
+/// What a worker is told to do with a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandKind {
     #[serde(rename = "run")]
     Start,
     #[serde(rename = "stop")]
     Stop,
+    /// Stop reporting an ended task.
     #[serde(rename = "forget")]
     Forget,
 }
@@ -239,6 +260,7 @@
     pub grace_s: Option<f64>,
 }
 
+/// Response to a heartbeat, with commands for the worker.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     #[serde(rename = "Baton")]
@@ -247,6 +269,7 @@
     pub commands: Vec<WorkerCommand>,
 }
 
+/// Commands that the leader sends to a worker without waiting for its next heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
     #[serde(rename = "Baton")]
@@ -257,14 +280,14 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Sends a worker to the leader.
+/// Redirects a sender to the leader, if it is known.
 #[derive(Debug, Serialize)]
 pub struct Redirect<'a> {
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<&'a str>,
 }
 
-/// A machine type as the cloud offers it; also kept in the state service.
+/// A machine type as the cloud offers it; also stored in the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     #[serde(rename = "Label")]
@@ -289,12 +312,14 @@
     pub zones: Vec<String>,
 }
 
+/// All machine types that the cloud offers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Flavors {
     #[serde(rename = "Rigs")]
     pub types: Vec<MachineType>,
 }
 
+/// A request to the cloud for new machines of one kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentalRequest {
     #[serde(rename = "Hire")]
@@ -315,13 +340,14 @@
     }
 }
 
-/// Names of machines: the answer to a rental, the body of a return.
+/// Machine names: the response to a rental request and the body of a return request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
     #[serde(rename = "Hosts")]
     pub machines: Vec<String>,
 }
 
+/// Status of a machine in the cloud's listing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedStatus {
     #[serde(rename = "booting")]
@@ -332,6 +358,7 @@
     Failed,
 }
 
+/// A rented machine in the cloud's listing.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
     #[serde(rename = "Id")]
@@ -350,6 +377,7 @@
     pub age_s: f64,
 }
 
+/// One page of the cloud's listing of rented machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachinePage {
     #[serde(rename = "Hosts")]
@@ -358,7 +386,7 @@
     pub has_more: bool,
 }
 
-/// One key of the state service.
+/// A key of the state service with its value and version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredItem {
     #[serde(rename = "Path")]
@@ -367,11 +395,12 @@
     pub value: serde_json::Value,
     #[serde(rename = "Stamp")]
     pub version: u64,
-    /// The lease on which it hangs.
+    /// The lease that the key is attached to.
     #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
+/// One page of the keys below a prefix.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredPage {
     #[serde(rename = "Pairs")]
@@ -382,6 +411,7 @@
     pub revision: u64,
 }
 
+/// Requires that a key has this version; version 0 means that the key is absent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     #[serde(rename = "Path")]
@@ -390,7 +420,7 @@
     pub version: u64,
 }
 
-/// A change of one key. Its value is a tree, or text that is JSON already.
+/// A change of one key. The value is a JSON tree or already serialized JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change<V = serde_json::Value> {
@@ -408,6 +438,7 @@
     },
 }
 
+/// Changes that are applied together if all conditions hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Transaction<V = serde_json::Value> {
     #[serde(rename = "If")]
@@ -416,26 +447,31 @@
     pub changes: Vec<Change<V>>,
 }
 
+/// Result of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TransactionResponse {
     #[serde(rename = "Ledger")]
     pub revision: u64,
+    /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
+/// Requests a lease of the state service.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
     #[serde(rename = "LifeMs")]
     pub ttl_ms: u64,
 }
 
+/// The id of a granted lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
     #[serde(rename = "Permit")]
     pub lease: u64,
 }
 
+/// A change of one key that a watch reports.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
@@ -453,6 +489,7 @@
     },
 }
 
+/// Response to a watch: the events since the requested revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchResponse {
     #[serde(rename = "Ledger")]
@@ -461,7 +498,7 @@
     pub events: Vec<WatchEvent>,
 }
 
-/// Paths of the outside interfaces.
+/// URL paths of the served and the called interfaces.
 pub mod paths {
     use crate::constants::LIST_PAGE_MACHINES;
 
@@ -473,10 +510,10 @@
     pub const HOLDERS: &str = "holders";
     pub const EXPLAIN: &str = "explain/";
     pub const METRICS: &str = "/metrics";
-    /// Submit files and their clusters.
+    /// HTCondor submit files and their clusters.
     pub const CONDOR: &str = "/v1/condor/";
     pub const CLUSTERS: &str = "/v1/condor/clusters";
-    /// Where a licence server shows what `lmstat -a` prints.
+    /// Path at which a licence server serves the output of `lmstat -a`.
     pub const LICENCES: &str = "/lmstat";
     pub const DIRECT_COMMANDS: &str = "/do";
     pub const INSPECT: &str = "/inspect";
