--- a/crates/condor/benches/pass.rs
+++ b/crates/condor/benches/pass.rs
@@ -95,14 +95,14 @@
         let kind = format!("t{}", number % TYPES);
         let mut machine = Machine::new(id.clone(), kind, zone.into(), (number / 2).is_multiple_of(2), 0);
         machine.synced = true;
-        machine.heard = Some(0);
+        machine.last_heard_at = Some(0);
         let tasks = if number.is_multiple_of(10) { 3 } else { 4 };
         for task in 0..tasks {
             let holder = spec(JOBS + number * 4 + task, native, &sets);
             machine.attempts.push(Attempt {
                 estimate_s: holder.estimate_s,
                 durable: true,
-                seen: Some(TaskState::Running),
+                reported_state: Some(TaskState::Running),
                 running_since: Some(0),
                 ..Attempt::planned(
                     TaskId {
--- a/crates/controller/src/allocations/attempt.rs
+++ b/crates/controller/src/allocations/attempt.rs
@@ -30,18 +30,18 @@
     /// Seconds that the task has to write a checkpoint.
     pub grace_s: f64,
     /// When the leader decided it.
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
     /// When the command was last sent.
-    pub ordered_at: Option<Timestamp>,
+    pub last_sent_at: Option<Timestamp>,
 }
 
 impl Stop {
     /// A stop that no command has carried yet.
-    pub fn asked(grace_s: f64, now: Timestamp) -> Stop {
+    pub fn requested(grace_s: f64, now: Timestamp) -> Stop {
         Stop {
             grace_s,
-            asked_at: now,
-            ordered_at: None,
+            requested_at: now,
+            last_sent_at: None,
         }
     }
 }
@@ -68,14 +68,14 @@
     pub from_previous_leader: bool,
     /// No record names it, and only a report without this leader's token speaks of it: that may be older
     /// than the records, from which a start goes only once it is provably gone. It holds no units.
-    pub unproven_stranger: bool,
+    pub unconfirmed: bool,
     /// The report in whose answer the start was sent.
-    pub sent: Option<ReportNumber>,
+    pub sent_in_reply_to: Option<ReportNumber>,
     /// A task of a gang from a former leader's record: who waited in vain joins the same attempt
     /// again, so that an end under this number may be older than the record.
     pub is_idempotent_restart: bool,
     /// A direct command with its start is under way.
-    pub in_flight: bool,
+    pub start_in_flight: bool,
     /// A peer notified this leader that its job may be over, so that its start is not sent: the number
     /// of that end notice. A reading of the job's record that was asked for later settles it.
     pub awaiting_reread: Option<u64>,
@@ -85,19 +85,19 @@
     /// still arrive, and does nothing only while the worker knows the attempt.
     pub last_delivered: Option<UnacknowledgedCommand>,
     /// Its state in the newest report that lists it.
-    pub seen: Option<TaskState>,
+    pub reported_state: Option<TaskState>,
     /// Why it ended.
-    pub why: Option<Cause>,
+    pub exit_cause: Option<Cause>,
     /// When it was first seen running.
     pub running_since: Option<Timestamp>,
     /// When it was placed.
     pub planned_at: Timestamp,
     /// When it was placed, its machine did not have its image yet.
-    pub fetches: bool,
+    pub needs_image_fetch: bool,
     /// It is to be stopped.
     pub stop: Option<Stop>,
     /// Its end is dealt with (a result durably), so the worker may forget it.
-    pub closed: bool,
+    pub end_processed: bool,
 }
 
 /// How far the start of an attempt has got.
@@ -140,71 +140,71 @@
             estimate_s: 0.0,
             durable: false,
             from_previous_leader: false,
-            unproven_stranger: false,
-            sent: None,
+            unconfirmed: false,
+            sent_in_reply_to: None,
             is_idempotent_restart: false,
-            in_flight: false,
+            start_in_flight: false,
             awaiting_reread: None,
             unacknowledged: None,
             last_delivered: None,
-            seen: None,
-            why: None,
+            reported_state: None,
+            exit_cause: None,
             running_since: None,
             planned_at: now,
-            fetches: false,
+            needs_image_fetch: false,
             stop: None,
-            closed: false,
+            end_processed: false,
         }
     }
 
     /// It has ended.
     pub fn exited(&self) -> bool {
-        self.seen == Some(TaskState::Exited)
+        self.reported_state == Some(TaskState::Exited)
     }
 
     /// It may be on the machine, now or by a command still under way.
-    pub fn may_be_there(&self) -> bool {
+    pub fn may_be_running(&self) -> bool {
         !self.exited() || self.unacknowledged.is_some()
     }
 
     /// It is done, and no record says so yet: until one does, the record of its start is all that a
     /// new leader knows of it.
-    pub(super) fn unrecorded_result(&self) -> bool {
-        self.exited() && self.why == Some(Cause::Done) && !self.closed
+    pub(super) fn has_unrecorded_result(&self) -> bool {
+        self.exited() && self.exit_cause == Some(Cause::Done) && !self.end_processed
     }
 
     /// It waits for its image, as far as is known.
-    pub fn fetching(&self) -> bool {
-        match self.seen {
+    pub fn is_fetching(&self) -> bool {
+        match self.reported_state {
             Some(TaskState::Fetching) => true,
-            None => self.fetches || self.from_previous_leader,
+            None => self.needs_image_fetch || self.from_previous_leader,
             Some(_) => false,
         }
     }
 
     /// The image that it waits for.
     pub(super) fn fetched_image(&self) -> Option<Arc<str>> {
-        self.image.clone().filter(|_| self.fetching())
+        self.image.clone().filter(|_| self.is_fetching())
     }
 
     /// It has units of counts, which nobody else may have.
     pub fn holds_units(&self) -> bool {
-        !self.counts.is_empty() && self.may_be_there() && !self.unproven_stranger
+        !self.counts.is_empty() && self.may_be_running() && !self.unconfirmed
     }
 
     /// It has ended in a way that only a task with its image can.
     pub(super) fn had_image(&self) -> bool {
-        proves_image(self.why)
+        proves_image(self.exit_cause)
     }
 
     /// The images of its gang's other tasks were not there in time. It may join them again once its
     /// worker has forgotten this end.
-    pub fn waited_in_vain(&self) -> bool {
-        self.exited() && self.why == Some(Cause::Alone)
+    pub fn gang_wait_timed_out(&self) -> bool {
+        self.exited() && self.exit_cause == Some(Cause::Alone)
     }
 
     /// Seconds for which it has been seen running.
-    pub fn ran_s(&self, now: Timestamp) -> f64 {
+    pub fn elapsed_s(&self, now: Timestamp) -> f64 {
         self.running_since
             .map_or(0.0, |since| now.saturating_sub(since) as f64 / SECOND_MS as f64)
     }
@@ -212,19 +212,19 @@
     /// No message that could start it has ever left.
     pub fn never_sent(&self) -> bool {
         !self.from_previous_leader
-            && self.sent.is_none()
-            && !self.in_flight
+            && self.sent_in_reply_to.is_none()
+            && !self.start_in_flight
             && self.unacknowledged.is_none()
-            && self.seen.is_none()
+            && self.reported_state.is_none()
     }
 
     /// What becomes of its units, now that it is no longer on its machine. Only a task
     /// that says it is done, or that was never let in, has surely given them back; what
     /// was stopped or lost may have left them with their server for a while, and so may
     /// a late start of a task that had ended.
-    pub(super) fn freed(&self, start: StartDelivery) -> Change {
+    pub(super) fn units_freed(&self, start: StartDelivery) -> Change {
         let by_itself = matches!(
-            self.why,
+            self.exit_cause,
             Some(Cause::Done | Cause::NoRoom | Cause::Busy | Cause::Unknown)
         );
         Change::Freed {
@@ -253,11 +253,11 @@
     /// was on the machine: nobody saw it, but its units may be with their server still.
     pub(super) fn may_have_run_in_earlier_epoch(&self, agent_epoch: u64) -> bool {
         !self.exited()
-            && self.seen.is_none()
+            && self.reported_state.is_none()
             && (self
                 .unacknowledged
                 .is_some_and(|unacknowledged| unacknowledged.agent_epoch < agent_epoch)
-                || self.sent.is_some_and(|(sent, _)| sent < agent_epoch))
+                || self.sent_in_reply_to.is_some_and(|(sent, _)| sent < agent_epoch))
     }
 
     pub(super) fn matches(&self, task: &TaskId, number: u64) -> bool {
--- a/crates/controller/src/allocations/commands.rs
+++ b/crates/controller/src/allocations/commands.rs
@@ -8,7 +8,7 @@
 impl Stop {
     /// It was not sent yet, or so long ago that it is repeated.
     fn is_due(&self, now: Timestamp) -> bool {
-        self.ordered_at.is_none_or(|at| now >= at + STOP_RETRY_MS)
+        self.last_sent_at.is_none_or(|at| now >= at + STOP_RETRY_MS)
     }
 }
 
@@ -16,26 +16,26 @@
     /// Its start is recorded, nobody has sent it, and nothing stands against sending it.
     fn start_is_due(&self) -> bool {
         self.durable
-            && self.seen.is_none()
-            && !self.in_flight
+            && self.reported_state.is_none()
+            && !self.start_in_flight
             && self.awaiting_reread.is_none()
             && !self.from_previous_leader
-            && self.sent.is_none()
+            && self.sent_in_reply_to.is_none()
     }
 
     /// Its worker may forget it, but for a copy of its start that this token would let in
     /// again. Attempts of former leaders have none: whatever those sent carries a lower token
     /// than any answer of this one.
-    pub fn forget_waits(&self, token: u64) -> bool {
-        self.forgettable()
+    pub fn forget_awaits_token(&self, token: u64) -> bool {
+        self.is_forgettable()
             && self
                 .last_delivered
                 .is_some_and(|last_delivered| last_delivered.token >= token)
     }
 
     /// Its end is dealt with, and nothing of its start is under way without an answer.
-    fn forgettable(&self) -> bool {
-        self.exited() && self.closed && self.unacknowledged.is_none() && !self.in_flight
+    fn is_forgettable(&self) -> bool {
+        self.exited() && self.end_processed && self.unacknowledged.is_none() && !self.start_in_flight
     }
 
     fn command(&self, verb: CommandKind, grace_s: Option<f64>) -> WorkerCommand {
@@ -51,11 +51,11 @@
     /// as each renews the lease of all that is there. Were one left out because a direct command has
     /// just carried it, a machine to which those are lost would never get it.
     fn stop_command(&mut self, answers: bool, now: Timestamp) -> Option<WorkerCommand> {
-        let state = self.seen.filter(|state| *state != TaskState::Exited)?;
+        let state = self.reported_state.filter(|state| *state != TaskState::Exited)?;
         let stop = self.stop.as_mut()?;
         // A checkpoint that takes longer than was granted is ended.
-        let overdue = now >= stop.asked_at + (stop.grace_s * SECOND_MS as f64) as u64 + STOP_RETRY_MS;
-        let grace_s = if stop.ordered_at.is_some() && overdue {
+        let overdue = now >= stop.requested_at + (stop.grace_s * SECOND_MS as f64) as u64 + STOP_RETRY_MS;
+        let grace_s = if stop.last_sent_at.is_some() && overdue {
             0.0
         } else {
             stop.grace_s
@@ -65,7 +65,7 @@
         if !stop.is_due(now) && (!answers || received) {
             return None;
         }
-        stop.ordered_at = Some(now);
+        stop.last_sent_at = Some(now);
         Some(self.command(CommandKind::Stop, Some(grace_s)))
     }
 }
@@ -77,7 +77,7 @@
     ///
     /// A worker takes in an answer's token before its commands: a `forget` under a higher
     /// token than that of the start's direct command leaves nothing that could start it.
-    pub fn orders(
+    pub fn due_commands(
         &mut self,
         answering: Option<ReportNumber>,
         starts: bool,
@@ -87,7 +87,7 @@
         let mut commands = Vec::new();
         for attempt in &mut self.attempts {
             if attempt.exited() {
-                if answering.is_some() && attempt.forgettable() && !attempt.forget_waits(token) {
+                if answering.is_some() && attempt.is_forgettable() && !attempt.forget_awaits_token(token) {
                     commands.push(attempt.command(CommandKind::Forget, None));
                 }
             } else if attempt.stop.is_some() {
@@ -95,8 +95,8 @@
             } else if starts && attempt.start_is_due() {
                 commands.push(attempt.command(CommandKind::Start, None));
                 match answering {
-                    Some(at) => attempt.sent = Some(at),
-                    None => attempt.in_flight = true,
+                    Some(at) => attempt.sent_in_reply_to = Some(at),
+                    None => attempt.start_in_flight = true,
                 }
             }
         }
@@ -105,7 +105,7 @@
 
     /// The stops that go with every answer to a report, also to one that a newer message has
     /// overtaken: nothing else may follow from what that one says, but its answer renews the lease.
-    pub fn stops(&mut self, now: Timestamp) -> Vec<WorkerCommand> {
+    pub fn stop_commands(&mut self, now: Timestamp) -> Vec<WorkerCommand> {
         let stopped = self.attempts.iter_mut();
         stopped
             .filter_map(|attempt| attempt.stop_command(true, now))
@@ -113,47 +113,47 @@
     }
 
     /// Whether a direct command is due and could be carried out.
-    pub fn direct_due(&self, starts: bool, now: Timestamp) -> bool {
-        self.can_be_told() && self.synced && self.wants_direct(starts, now)
+    pub fn is_direct_command_due(&self, starts: bool, now: Timestamp) -> bool {
+        self.accepts_commands() && self.synced && self.wants_direct_command(starts, now)
     }
 
     /// Whether a direct command could reach it now.
-    pub fn can_be_told(&self) -> bool {
-        self.addr.is_some() && !self.direct_in_flight && !self.inspect_failed && !self.return_in_flight
+    pub fn accepts_commands(&self) -> bool {
+        self.addr.is_some() && !self.direct_command_in_flight && !self.unreachable && !self.release_in_flight
     }
 
     /// Whether a direct command is worth sending.
-    pub fn wants_direct(&self, starts: bool, now: Timestamp) -> bool {
+    pub fn wants_direct_command(&self, starts: bool, now: Timestamp) -> bool {
         self.attempts.iter().any(|attempt| match &attempt.stop {
-            Some(stop) => !attempt.exited() && attempt.seen.is_some() && stop.is_due(now),
+            Some(stop) => !attempt.exited() && attempt.reported_state.is_some() && stop.is_due(now),
             None => starts && attempt.start_is_due() && attempt.unacknowledged.is_none(),
         })
     }
 
     /// The direct command got an answer, or failed in a way that says it was not
     /// carried out, now or ever; its starts are no longer under way.
-    pub fn direct_settled(&mut self, executed: bool, token: u64, agent_epoch: u64) {
+    pub fn on_direct_command_settled(&mut self, executed: bool, token: u64, agent_epoch: u64) {
         // A later agent epoch may have reported meanwhile, and lacks what this one started.
         let at = if agent_epoch == self.agent_epoch {
             (self.agent_epoch, self.seq)
         } else {
             (agent_epoch, 0)
         };
-        for attempt in self.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
-            attempt.in_flight = false;
+        for attempt in self.attempts.iter_mut().filter(|attempt| attempt.start_in_flight) {
+            attempt.start_in_flight = false;
             if executed {
                 attempt.last_delivered = Some(UnacknowledgedCommand { agent_epoch, token });
-                if attempt.seen.is_none() {
-                    attempt.sent = Some(at);
+                if attempt.reported_state.is_none() {
+                    attempt.sent_in_reply_to = Some(at);
                 }
             }
         }
     }
 
     /// The direct command got no answer: what it starts may be carried out late.
-    pub fn direct_unanswered(&mut self, token: u64, agent_epoch: u64) {
-        for attempt in self.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
-            attempt.in_flight = false;
+    pub fn on_direct_command_unanswered(&mut self, token: u64, agent_epoch: u64) {
+        for attempt in self.attempts.iter_mut().filter(|attempt| attempt.start_in_flight) {
+            attempt.start_in_flight = false;
             attempt.unacknowledged = Some(UnacknowledgedCommand { agent_epoch, token });
         }
     }
--- a/crates/controller/src/allocations/image_fetches.rs
+++ b/crates/controller/src/allocations/image_fetches.rs
@@ -29,14 +29,14 @@
             .iter()
             .filter(|attempt| !attempt.exited() && attempt.image.as_ref() == Some(image))
             .peekable();
-        own.peek().is_none() || own.any(|attempt| !attempt.fetching())
+        own.peek().is_none() || own.any(|attempt| !attempt.is_fetching())
     }
 
     /// What the end of a fetch shows about the machine's speed; `None` if it took no time.
     pub(super) fn on_fetch_completed(&mut self, fetch: &CompletedFetch, now: Timestamp) -> Option<Change> {
         let CompletedFetch { image, gb, since } = fetch;
         let since = *since;
-        let before = std::mem::replace(&mut self.image_came, now);
+        let before = std::mem::replace(&mut self.last_image_arrival_at, now);
         let took_ms = now.saturating_sub(since);
         if took_ms == 0 {
             return None;
@@ -58,7 +58,7 @@
     fn ongoing_overlap_ms(&self, image: &Arc<str>, since: Timestamp, now: Timestamp) -> Timestamp {
         let mut others: Vec<&Arc<str>> = Vec::new();
         let mut overlap_ms = 0;
-        for attempt in self.attempts.iter().filter(|attempt| attempt.fetching()) {
+        for attempt in self.attempts.iter().filter(|attempt| attempt.is_fetching()) {
             if let Some(other) = attempt.image.as_ref().filter(|other| *other != image)
                 && !others.contains(&other)
             {
@@ -91,8 +91,8 @@
         let has_it = match reported.state {
             TaskState::Fetching => {
                 // The answer to its start may name it so, whatever lies there.
-                if !self.fetches && now >= self.planned_at + IMAGE_MISS_AFTER_MS {
-                    self.fetches = true;
+                if !self.needs_image_fetch && now >= self.planned_at + IMAGE_MISS_AFTER_MS {
+                    self.needs_image_fetch = true;
                     images.missed();
                 }
                 return false;
@@ -100,10 +100,10 @@
             TaskState::Exited => proves_image(reported.why),
             _ => true,
         };
-        match self.seen {
+        match self.reported_state {
             Some(TaskState::Fetching) if has_it => {
                 images.seen(image, self.image_gb);
-                return self.fetches && !self.from_previous_leader;
+                return self.needs_image_fetch && !self.from_previous_leader;
             }
             // One that a former leader started may have had it for long.
             None if has_it && self.from_previous_leader => images.settle(),
--- a/crates/controller/src/allocations/machine.rs
+++ b/crates/controller/src/allocations/machine.rs
@@ -28,63 +28,63 @@
     /// It has reported under a token of this term.
     pub synced: bool,
     /// Last message from it.
-    pub heard: Option<Timestamp>,
+    pub last_heard_at: Option<Timestamp>,
     /// Nothing but a report under an older token names it, which may be a copy: it may be long gone.
-    pub hearsay: bool,
+    pub unconfirmed: bool,
     /// It has sent a report of its own in this term, and when it last did; before, when it was first heard.
-    pub reports: bool,
-    pub(super) reported: Option<Timestamp>,
+    pub has_own_report: bool,
+    pub(super) last_own_report_at: Option<Timestamp>,
     /// It answers, but its reports reach nobody: what runs there is killed when its lease is over.
     pub one_way_partition: bool,
     /// Last 200 that may have renewed its lease.
-    pub answered: Option<Timestamp>,
+    pub last_answered_at: Option<Timestamp>,
     /// The newest report of its own that was answered.
-    pub(super) answered_report: ReportNumber,
+    pub(super) last_answered_report: ReportNumber,
     /// When this leader first knew of it.
-    pub first_known: Timestamp,
+    pub first_known_at: Timestamp,
     /// How long before `first_known` it had been rented, in ms.
-    pub age_at_first_known: u64,
+    pub age_ms_at_first_known: u64,
     /// When this leader rented it, which shows how long its boot takes.
     pub rented_at: Option<Timestamp>,
     /// When the cloud takes this spot instance back, once it has given notice.
-    pub notice_until: Option<Timestamp>,
+    pub reclaim_notice_until: Option<Timestamp>,
     /// The record that it shares with other machines, once it had work.
     pub shard: Option<u32>,
     /// A direct command is in flight.
-    pub direct_in_flight: bool,
+    pub direct_command_in_flight: bool,
     /// The next direct command is sent even without commands in it: it fences former
     /// leaders and brings a report.
     pub needs_fencing_probe: bool,
     /// When such a command was last sent.
     pub fencing_probe_at: Option<Timestamp>,
     /// A question for its report is in flight.
-    pub inspecting: bool,
+    pub probe_in_flight: bool,
     /// The last such question failed, and no report has come since.
-    pub inspect_failed: bool,
+    pub unreachable: bool,
     /// When it last failed to answer.
-    pub silent_at: Timestamp,
+    pub last_unreachable_at: Timestamp,
     /// It is to be given back, or the request has been sent and may be carried out.
-    pub returning: bool,
+    pub releasing: bool,
     /// The request to return it is in flight.
-    pub return_in_flight: bool,
+    pub release_in_flight: bool,
     /// Its return stands in the records: only then is it asked for, so that a new leader knows of
     /// whatever the cloud carries out late.
-    pub return_recorded: bool,
+    pub release_recorded: bool,
     /// A return went unanswered, or a former leader may have asked for it: it may be carried out at
     /// any time.
-    pub return_unanswered: bool,
+    pub release_unanswered: bool,
     /// Its return is in the log already; a cloud that fails is asked many times.
-    pub return_told: bool,
+    pub release_logged: bool,
     /// Since when nothing is or may be there.
     pub idle_since: Option<Timestamp>,
     /// Jobs whose tasks failed there, since one last ran well.
-    pub errors: BTreeSet<JobId>,
+    pub failed_jobs: BTreeSet<JobId>,
     /// Nothing is placed there before then, as it refused a task for want of room.
     pub full_until: Timestamp,
     /// Images it is thought to hold, the latest used last.
     pub images: Cache,
     /// When an image last came to be there.
-    pub image_came: Timestamp,
+    pub last_image_arrival_at: Timestamp,
 }
 
 impl Machine {
@@ -101,34 +101,34 @@
             seq: 0,
             token_seen: 0,
             synced: false,
-            heard: None,
-            hearsay: false,
-            reports: false,
-            reported: None,
+            last_heard_at: None,
+            unconfirmed: false,
+            has_own_report: false,
+            last_own_report_at: None,
             one_way_partition: false,
-            answered: None,
-            answered_report: (0, 0),
-            first_known: now,
-            age_at_first_known: 0,
+            last_answered_at: None,
+            last_answered_report: (0, 0),
+            first_known_at: now,
+            age_ms_at_first_known: 0,
             rented_at: None,
-            notice_until: None,
+            reclaim_notice_until: None,
             shard: None,
-            direct_in_flight: false,
+            direct_command_in_flight: false,
             needs_fencing_probe: false,
             fencing_probe_at: None,
-            inspecting: false,
-            inspect_failed: false,
-            silent_at: 0,
-            returning: false,
-            return_in_flight: false,
-            return_recorded: false,
-            return_unanswered: false,
-            return_told: false,
+            probe_in_flight: false,
+            unreachable: false,
+            last_unreachable_at: 0,
+            releasing: false,
+            release_in_flight: false,
+            release_recorded: false,
+            release_unanswered: false,
+            release_logged: false,
             idle_since: None,
-            errors: BTreeSet::new(),
+            failed_jobs: BTreeSet::new(),
             full_until: 0,
             images: Cache::default(),
-            image_came: 0,
+            last_image_arrival_at: 0,
         }
     }
 
@@ -142,10 +142,10 @@
             now,
         );
         machine.addr = record.addr.clone();
-        machine.returning = record.returning;
-        machine.return_recorded = record.returning;
+        machine.releasing = record.releasing;
+        machine.release_recorded = record.releasing;
         // A former leader's return is finished, not reconsidered.
-        machine.return_unanswered = record.returning;
+        machine.release_unanswered = record.releasing;
         machine.images = Cache::from_record(record.images.iter().cloned());
         machine.needs_fencing_probe = true;
         machine.attempts = record
@@ -167,7 +167,7 @@
             zone: self.zone.clone(),
             spot: self.spot,
             addr: self.addr.clone(),
-            returning: self.returning,
+            releasing: self.releasing,
             images: self
                 .images
                 .held()
@@ -176,7 +176,7 @@
             starts: self
                 .attempts
                 .iter()
-                .filter(|attempt| attempt.may_be_there() || attempt.unrecorded_result())
+                .filter(|attempt| attempt.may_be_running() || attempt.has_unrecorded_result())
                 .filter(|attempt| included(attempt))
                 .map(start_record)
                 .collect(),
@@ -186,12 +186,12 @@
     /// It has reported at least once, to this leader or (by its record's
     /// attempts) to a former one.
     pub fn is_up(&self) -> bool {
-        self.heard.is_some()
+        self.last_heard_at.is_some()
     }
 
     /// It answers, but has sent no report of its own for so long.
-    pub fn own_report_late(&self, late_ms: u64, now: Timestamp) -> bool {
-        !self.inspect_failed && self.reported.is_some_and(|at| now > at + late_ms)
+    pub fn is_own_report_late(&self, late_ms: u64, now: Timestamp) -> bool {
+        !self.unreachable && self.last_own_report_at.is_some_and(|at| now > at + late_ms)
     }
 
     /// It has been up, as far as this leader knows: heard of, or recorded with work.
@@ -204,8 +204,8 @@
         Usability {
             is_up: self.is_up(),
             synced: self.synced,
-            inspect_failed: self.inspect_failed,
-            has_notice: self.notice_until.is_some(),
+            unreachable: self.unreachable,
+            has_reclaim_notice: self.reclaim_notice_until.is_some(),
         }
     }
 
@@ -217,17 +217,17 @@
     /// What the attempts that are or may be there take.
     pub fn used(&self) -> Resources {
         let mut used = Resources::default();
-        for attempt in self.attempts.iter().filter(|attempt| attempt.may_be_there()) {
+        for attempt in self.attempts.iter().filter(|attempt| attempt.may_be_running()) {
             used += attempt.needs;
         }
         used
     }
 
     /// Attempts that are or may be there.
-    pub fn tasks_there(&self) -> usize {
+    pub fn task_count(&self) -> usize {
         self.attempts
             .iter()
-            .filter(|attempt| attempt.may_be_there())
+            .filter(|attempt| attempt.may_be_running())
             .count()
     }
 
@@ -235,7 +235,7 @@
     pub fn is_empty(&self) -> bool {
         self.attempts
             .iter()
-            .all(|attempt| attempt.exited() && attempt.closed && attempt.unacknowledged.is_none())
+            .all(|attempt| attempt.exited() && attempt.end_processed && attempt.unacknowledged.is_none())
     }
 
     /// The attempt of this number at this task.
@@ -254,9 +254,9 @@
     /// It has reported under a token of this term.
     pub synced: bool,
     /// It did not answer the last question for its report.
-    pub inspect_failed: bool,
+    pub unreachable: bool,
     /// The cloud takes it back soon.
-    pub has_notice: bool,
+    pub has_reclaim_notice: bool,
 }
 
 /// An attempt as a former leader recorded its start.
--- a/crates/controller/src/allocations/reconciliation.rs
+++ b/crates/controller/src/allocations/reconciliation.rs
@@ -23,16 +23,16 @@
         /// Its number.
         number: u64,
         /// Why it ended.
-        why: Cause,
+        cause: Cause,
         /// For how long it was seen running.
-        ran_s: f64,
+        elapsed_s: f64,
     },
     /// It is there, but no record names it.
-    Stranger(TaskId),
+    Unrecorded(TaskId),
     /// It ended before, or was lost before anybody saw it, and nothing late can start it any more.
     Released(TaskId),
     /// No longer there, and not exited: lost with an agent epoch, or never arrived.
-    Vanished {
+    Lost {
         /// Its task.
         task: TaskId,
         /// Its number.
@@ -71,24 +71,29 @@
     /// A report of its own is answered with 200. A worker has one under way at a time: the answer to
     /// one that is no newer than another which was answered reaches nobody. So copies of a dead
     /// machine's reports do not put off the proof that its lease is over.
-    pub fn note_answered(&mut self, report: &Heartbeat, now: Timestamp) {
+    pub fn record_answered_report(&mut self, report: &Heartbeat, now: Timestamp) {
         let number = (report.agent_epoch, report.seq);
-        if number > self.answered_report {
-            self.answered_report = number;
-            self.answered = Some(now);
+        if number > self.last_answered_report {
+            self.last_answered_report = number;
+            self.last_answered_at = Some(now);
         }
     }
 
     /// Takes a worker's report, unless an earlier or the same one. `first_token`
     /// is the first token of this leader's term: from it on, the worker drops
     /// whatever a former leader still has under way to it.
-    pub fn absorb(&mut self, report: &Heartbeat, first_token: u64, now: Timestamp) -> Option<Vec<Change>> {
+    pub fn apply_heartbeat(
+        &mut self,
+        report: &Heartbeat,
+        first_token: u64,
+        now: Timestamp,
+    ) -> Option<Vec<Change>> {
         self.reconcile(report, ReportSource::Worker, first_token, now)
     }
 
     /// Takes a report that answers a direct command or a question. Unlike those that the worker
     /// sends by itself, it proves nothing about an answer to its last one that is in flight still.
-    pub fn absorb_answer(
+    pub fn apply_response(
         &mut self,
         report: &Heartbeat,
         first_token: u64,
@@ -129,8 +134,8 @@
         }
         for (task, status) in unmatched {
             let mut attempt = unrecorded_attempt(task, status, now);
-            attempt.unproven_stranger = !is_fenced;
-            changes.push(Change::Stranger(attempt.task.clone()));
+            attempt.unconfirmed = !is_fenced;
+            changes.push(Change::Unrecorded(attempt.task.clone()));
             self.attempts.push(attempt);
         }
         Some(changes)
@@ -141,20 +146,20 @@
         self.agent_epoch = report.agent_epoch;
         self.seq = report.seq;
         self.token_seen = self.token_seen.max(report.token);
-        self.heard = Some(now);
+        self.last_heard_at = Some(now);
         if source == ReportSource::Worker {
-            self.reports = true;
-            self.reported = Some(now);
+            self.has_own_report = true;
+            self.last_own_report_at = Some(now);
             self.one_way_partition = false;
         }
-        self.reported.get_or_insert(now);
-        self.inspect_failed = false;
+        self.last_own_report_at.get_or_insert(now);
+        self.unreachable = false;
         self.synced |= is_fenced;
-        self.hearsay &= source == ReportSource::Worker && !is_fenced;
+        self.unconfirmed &= source == ReportSource::Worker && !is_fenced;
         // Its own report has brought all that a fencing probe would.
         self.needs_fencing_probe &= !is_fenced;
         self.addr = Some(report.addr.clone());
-        self.notice_until = report
+        self.reclaim_notice_until = report
             .notice_s
             .filter(|left| left.is_finite())
             .map(|left| now + (left.max(0.0) * SECOND_MS as f64) as u64);
@@ -169,10 +174,10 @@
         let mut changes = Vec::new();
         for attempt in attempts {
             if attempt.holds_units() {
-                changes.push(attempt.freed(attempt.start_delivery()));
+                changes.push(attempt.units_freed(attempt.start_delivery()));
             }
             if !attempt.exited() {
-                changes.push(Change::Vanished {
+                changes.push(Change::Lost {
                     task: attempt.task,
                     number: attempt.number,
                 });
@@ -213,7 +218,7 @@
             held,
             // The outcome of a direct command to that epoch, if one is due, shows the same.
             held_in_earlier_epoch: held
-                && !attempt.in_flight
+                && !attempt.start_in_flight
                 && attempt.may_have_run_in_earlier_epoch(agent_epoch),
             start: attempt.start_delivery(),
         }
@@ -221,7 +226,7 @@
 
     /// Whether they are free once the report is observed.
     fn are_freed(&self, attempt: &Attempt, stays: bool) -> bool {
-        self.held_in_earlier_epoch || self.held && (!stays || !attempt.may_be_there())
+        self.held_in_earlier_epoch || self.held && (!stays || !attempt.may_be_running())
     }
 }
 
@@ -258,7 +263,7 @@
         let stays = match self.take_status(attempt) {
             Some(status) if self.may_have_restarted(attempt, status) => return true,
             Some(status) => {
-                attempt.unproven_stranger &= !self.is_fenced;
+                attempt.unconfirmed &= !self.is_fenced;
                 self.observe(attempt, status, images);
                 true
             }
@@ -269,7 +274,7 @@
             }
         };
         if units.are_freed(attempt, stays) {
-            self.changes.push(attempt.freed(units.start));
+            self.changes.push(attempt.units_freed(units.start));
             if stays && attempt.exited() {
                 // It has ended. A direct start whose answer is still due starts nothing that its worker
                 // knows, and would have it hold them again beside those that linger.
@@ -376,8 +381,8 @@
     );
     attempt.image = None;
     attempt.durable = true;
-    attempt.closed = status.state == TaskState::Exited;
-    attempt.stop = Some(Stop::asked(0.0, now));
+    attempt.end_processed = status.state == TaskState::Exited;
+    attempt.stop = Some(Stop::requested(0.0, now));
     attempt.observe(status, now, &mut Vec::new());
     attempt
 }
@@ -385,9 +390,9 @@
 impl Attempt {
     /// What a report that lists it shows about it.
     fn observe(&mut self, reported: &TaskStatus, now: Timestamp, changes: &mut Vec<Change>) {
-        self.sent = None;
+        self.sent_in_reply_to = None;
         self.from_previous_leader = false;
-        let before = self.seen.replace(reported.state);
+        let before = self.reported_state.replace(reported.state);
         match reported.state {
             TaskState::Running if self.running_since.is_none() => {
                 self.running_since = Some(now);
@@ -395,12 +400,12 @@
             }
             TaskState::Exited if before != Some(TaskState::Exited) => {
                 let why = reported.why.unwrap_or(Cause::Other);
-                self.why = Some(why);
+                self.exit_cause = Some(why);
                 changes.push(Change::Exited {
                     task: self.task.clone(),
                     number: self.number,
-                    why,
-                    ran_s: self.ran_s(now),
+                    cause: why,
+                    elapsed_s: self.elapsed_s(now),
                 });
             }
             _ => (),
@@ -417,17 +422,20 @@
         changes: &mut Vec<Change>,
     ) -> bool {
         let unproven = (self.from_previous_leader || self.is_idempotent_restart) && !is_fenced;
-        if self.in_flight || self.unacknowledged.is_some() || unproven {
+        if self.start_in_flight || self.unacknowledged.is_some() || unproven {
             return true;
         }
         if self.exited() {
             return false;
         }
-        if self.seen.is_none() && !self.from_previous_leader {
-            if self.sent.is_some_and(|sent| never_arrived(sent, report, source)) {
-                self.sent = None;
+        if self.reported_state.is_none() && !self.from_previous_leader {
+            if self
+                .sent_in_reply_to
+                .is_some_and(|sent| never_arrived(sent, report, source))
+            {
+                self.sent_in_reply_to = None;
             }
-            if self.stop.is_none() || self.sent.is_some() {
+            if self.stop.is_none() || self.sent_in_reply_to.is_some() {
                 return true;
             }
         }
@@ -435,10 +443,10 @@
         // leaves only once no copy of its start can run it here.
         if let Some(last_delivered) = self.last_delivered.take() {
             self.unacknowledged = Some(last_delivered);
-            self.stop.get_or_insert(Stop::asked(0.0, 0));
+            self.stop.get_or_insert(Stop::requested(0.0, 0));
             return true;
         }
-        changes.push(Change::Vanished {
+        changes.push(Change::Lost {
             task: self.task.clone(),
             number: self.number,
         });
--- a/crates/controller/src/allocations/tests.rs
+++ b/crates/controller/src/allocations/tests.rs
@@ -59,7 +59,7 @@
 
 fn verbs(machine: &mut Machine, answering: Option<(u64, u64)>) -> Vec<CommandKind> {
     machine
-        .orders(answering, true, TOKEN, 0)
+        .due_commands(answering, true, TOKEN, 0)
         .into_iter()
         .map(|order| order.verb)
         .collect()
@@ -68,10 +68,10 @@
 #[test]
 fn a_start_is_sent_only_once_it_is_recorded() {
     let mut machine = machine(|attempt| attempt.durable = false);
-    assert!(!machine.wants_direct(true, 0));
+    assert!(!machine.wants_direct_command(true, 0));
     assert_eq!(verbs(&mut machine, Some((1, 1))), []);
     machine.attempts[0].durable = true;
-    assert!(machine.wants_direct(true, 0));
+    assert!(machine.wants_direct_command(true, 0));
     assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Start]);
 }
 
@@ -80,13 +80,13 @@
     let mut machine = machine(|_| ());
     assert!(
         machine
-            .absorb(&report(2, 5, TOKEN, Some(TaskState::Running)), TOKEN, 0)
+            .apply_heartbeat(&report(2, 5, TOKEN, Some(TaskState::Running)), TOKEN, 0)
             .is_some()
     );
     for (agent_epoch, seq) in [(2, 5), (2, 4), (1, 99)] {
         assert!(
             machine
-                .absorb(&report(agent_epoch, seq, TOKEN, None), TOKEN, 0)
+                .apply_heartbeat(&report(agent_epoch, seq, TOKEN, None), TOKEN, 0)
                 .is_none()
         );
     }
@@ -98,11 +98,11 @@
 #[test]
 fn only_a_fenced_worker_disproves_an_inherited_start() {
     let mut machine = machine(|attempt| attempt.from_previous_leader = true);
-    machine.absorb(&report(1, 1, TOKEN - 1, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN - 1, None), TOKEN, 0);
     assert_eq!(machine.attempts.len(), 1);
     assert!(!machine.synced);
-    let changes = machine.absorb(&report(1, 2, TOKEN, None), TOKEN, 0);
-    assert!(matches!(changes.as_deref(), Some([Change::Vanished { .. }])));
+    let changes = machine.apply_heartbeat(&report(1, 2, TOKEN, None), TOKEN, 0);
+    assert!(matches!(changes.as_deref(), Some([Change::Lost { .. }])));
     assert!(machine.attempts.is_empty());
 }
 
@@ -111,11 +111,11 @@
 fn an_unanswered_start_stays_until_session_or_token_refuse_it() {
     for (agent_epoch, token, stays) in [(1, TOKEN, true), (2, TOKEN, false), (1, TOKEN + 1, false)] {
         let mut machine = machine(|attempt| {
-            attempt.in_flight = true;
-            attempt.seen = Some(TaskState::Running);
+            attempt.start_in_flight = true;
+            attempt.reported_state = Some(TaskState::Running);
         });
-        machine.direct_unanswered(TOKEN, 1);
-        machine.absorb(&report(agent_epoch, 7, token, None), TOKEN, 0);
+        machine.on_direct_command_unanswered(TOKEN, 1);
+        machine.apply_heartbeat(&report(agent_epoch, 7, token, None), TOKEN, 0);
         assert_eq!(
             machine.attempts.len(),
             usize::from(stays),
@@ -128,23 +128,23 @@
 #[test]
 fn a_start_on_its_way_stays_although_its_stop_is_wanted() {
     let mut machine = machine(|attempt| {
-        attempt.in_flight = true;
-        attempt.stop = Some(Stop::asked(0.0, 0));
+        attempt.start_in_flight = true;
+        attempt.stop = Some(Stop::requested(0.0, 0));
     });
-    machine.absorb(&report(1, 1, TOKEN, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
     assert_eq!(machine.attempts.len(), 1);
 }
 
 // After a `forget`, the late start would run the task once more.
 #[test]
 fn what_may_still_arrive_is_not_forgotten() {
-    let mut machine = machine(|attempt| attempt.in_flight = true);
-    machine.direct_unanswered(TOKEN, 1);
-    machine.absorb(&report(1, 1, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
-    machine.attempts[0].closed = true;
+    let mut machine = machine(|attempt| attempt.start_in_flight = true);
+    machine.on_direct_command_unanswered(TOKEN, 1);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
+    machine.attempts[0].end_processed = true;
     assert_eq!(verbs(&mut machine, Some((1, 1))), []);
     assert!(!machine.is_empty());
-    machine.absorb(&report(1, 2, TOKEN + 1, Some(TaskState::Exited)), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 2, TOKEN + 1, Some(TaskState::Exited)), TOKEN, 0);
     assert_eq!(verbs(&mut machine, Some((1, 2))), [CommandKind::Forget]);
 }
 
@@ -152,18 +152,18 @@
 #[test]
 fn an_answered_direct_start_is_forgotten_only_under_a_higher_token() {
     let mut machine = machine(|_| ());
-    machine.absorb(&report(1, 1, TOKEN, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
     assert_eq!(verbs(&mut machine, None), [CommandKind::Start]);
-    machine.absorb(&report(1, 2, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
-    machine.attempts[0].closed = true;
-    let forgets = |machine: &mut Machine, token| machine.orders(Some((1, 2)), true, token, 0).len();
+    machine.apply_heartbeat(&report(1, 2, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
+    machine.attempts[0].end_processed = true;
+    let forgets = |machine: &mut Machine, token| machine.due_commands(Some((1, 2)), true, token, 0).len();
     assert_eq!(forgets(&mut machine, TOKEN + 1), 0, "its answer is under way");
-    machine.direct_settled(true, TOKEN, 1);
-    assert!(machine.attempts[0].forget_waits(TOKEN));
+    machine.on_direct_command_settled(true, TOKEN, 1);
+    assert!(machine.attempts[0].forget_awaits_token(TOKEN));
     assert!(machine.is_empty());
     assert_eq!(forgets(&mut machine, TOKEN), 0);
     assert_eq!(forgets(&mut machine, TOKEN + 1), 1);
-    machine.absorb(&report(1, 3, TOKEN + 1, Some(TaskState::Exited)), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 3, TOKEN + 1, Some(TaskState::Exited)), TOKEN, 0);
     assert_eq!(forgets(&mut machine, TOKEN + 1), 1, "seen already");
 }
 
@@ -171,17 +171,17 @@
 #[test]
 fn what_is_lost_after_an_answered_direct_start_stays_until_no_copy_can_run_it() {
     for (agent_epoch, token, stays) in [(1, TOKEN, true), (2, TOKEN, false), (1, TOKEN + 1, false)] {
-        let mut machine = machine(|attempt| attempt.in_flight = true);
-        machine.absorb(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
-        machine.direct_settled(true, TOKEN, 1);
-        machine.absorb(&report(agent_epoch, 2, token, None), TOKEN, 0);
+        let mut machine = machine(|attempt| attempt.start_in_flight = true);
+        machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
+        machine.on_direct_command_settled(true, TOKEN, 1);
+        machine.apply_heartbeat(&report(agent_epoch, 2, token, None), TOKEN, 0);
         assert_eq!(
-            machine.tasks_there(),
+            machine.task_count(),
             usize::from(stays),
             "session {agent_epoch}, token {token}"
         );
-        machine.absorb(&report(agent_epoch, 3, TOKEN + 1, None), TOKEN, 0);
-        assert_eq!(machine.tasks_there(), 0);
+        machine.apply_heartbeat(&report(agent_epoch, 3, TOKEN + 1, None), TOKEN, 0);
+        assert_eq!(machine.task_count(), 0);
     }
 }
 
@@ -189,9 +189,9 @@
 #[test]
 fn a_result_is_not_forgotten_before_it_is_recorded() {
     let mut machine = machine(|_| ());
-    machine.absorb(&report(1, 1, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
     assert_eq!(verbs(&mut machine, Some((1, 1))), []);
-    machine.attempts[0].closed = true;
+    machine.attempts[0].end_processed = true;
     assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Forget]);
     assert_eq!(
         verbs(&mut machine, None),
@@ -203,10 +203,10 @@
 #[test]
 fn a_start_that_never_arrived_is_sent_again() {
     let mut machine = machine(|_| ());
-    machine.absorb(&report(1, 1, TOKEN, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
     assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Start]);
     assert_eq!(verbs(&mut machine, None), [], "it is on its way");
-    machine.absorb(&report(1, 2, TOKEN, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 2, TOKEN, None), TOKEN, 0);
     assert_eq!(verbs(&mut machine, Some((1, 2))), [CommandKind::Start]);
 }
 
@@ -214,7 +214,7 @@
 fn the_record_names_all_that_may_be_there() {
     let mut machine = machine(|attempt| attempt.durable = false);
     assert_eq!(machine.record(|_| true).starts.len(), 1);
-    machine.attempts[0].seen = Some(TaskState::Exited);
+    machine.attempts[0].reported_state = Some(TaskState::Exited);
     assert_eq!(machine.record(|_| true).starts.len(), 0);
     machine.attempts[0].unacknowledged = Some(UnacknowledgedCommand {
         agent_epoch: 1,
@@ -227,20 +227,20 @@
 fn strangers_are_stopped() {
     let mut machine = machine(|_| ());
     machine.attempts.clear();
-    machine.absorb(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
     assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Stop]);
 }
 
 // Each answer renews the lease of what it leaves running.
 #[test]
 fn a_stop_is_in_every_answer_until_the_task_has_heard_it() {
-    let mut machine = machine(|attempt| attempt.stop = Some(Stop::asked(4.0, 0)));
+    let mut machine = machine(|attempt| attempt.stop = Some(Stop::requested(4.0, 0)));
     let stops = |machine: &mut Machine, answering, now| -> Vec<f64> {
-        let orders = machine.orders(answering, true, TOKEN, now);
+        let orders = machine.due_commands(answering, true, TOKEN, now);
         let stops = orders.into_iter().filter(|order| order.verb == CommandKind::Stop);
         stops.filter_map(|order| order.grace_s).collect()
     };
-    machine.absorb(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
     assert_eq!(stops(&mut machine, None, 0), [4.0]);
     assert_eq!(
         stops(&mut machine, None, 10),
@@ -248,15 +248,19 @@
         "directly at intervals only"
     );
     assert_eq!(stops(&mut machine, Some((1, 1)), 20), [4.0]);
-    machine.absorb(&report(1, 2, TOKEN, Some(TaskState::Running)), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 2, TOKEN, Some(TaskState::Running)), TOKEN, 0);
     assert_eq!(stops(&mut machine, Some((1, 2)), 30), [4.0]);
-    machine.absorb(&report(1, 3, TOKEN, Some(TaskState::Saving)), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 3, TOKEN, Some(TaskState::Saving)), TOKEN, 0);
     assert_eq!(stops(&mut machine, Some((1, 3)), 40), [0.0; 0], "it saves");
     // Its job is over: what it saves is of no use.
-    machine.attempts[0].stop = Some(Stop::asked(0.0, 50));
+    machine.attempts[0].stop = Some(Stop::requested(0.0, 50));
     assert_eq!(stops(&mut machine, Some((1, 3)), 50), [0.0]);
     assert_eq!(stops(&mut machine, Some((1, 3)), 60), [0.0]);
-    assert_eq!(machine.stops(70).len(), 1, "also to a report that was overtaken");
+    assert_eq!(
+        machine.stop_commands(70).len(),
+        1,
+        "also to a report that was overtaken"
+    );
 }
 
 // The answer to its last report may still be under way when it answers a question: the start in it,
@@ -264,14 +268,14 @@
 #[test]
 fn only_its_own_next_report_disproves_a_start_that_answered_one() {
     let mut machine = machine(|_| ());
-    machine.absorb(&report(1, 1, TOKEN, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
     assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Start]);
-    machine.attempts[0].stop = Some(Stop::asked(0.0, 0));
-    machine.absorb_answer(&report(1, 2, TOKEN, None), TOKEN, 0);
-    assert_eq!(machine.tasks_there(), 1);
+    machine.attempts[0].stop = Some(Stop::requested(0.0, 0));
+    machine.apply_response(&report(1, 2, TOKEN, None), TOKEN, 0);
+    assert_eq!(machine.task_count(), 1);
     assert!(!machine.attempts[0].never_sent());
-    machine.absorb(&report(1, 3, TOKEN, None), TOKEN, 0);
-    assert_eq!(machine.tasks_there(), 0);
+    machine.apply_heartbeat(&report(1, 3, TOKEN, None), TOKEN, 0);
+    assert_eq!(machine.task_count(), 0);
 }
 
 // A copy of a report from before it joined its attempt again is the first that a new leader hears.
@@ -286,13 +290,13 @@
         report.tasks[0].why = Some(Cause::Alone);
         report
     };
-    machine.absorb(&report(1, 1, TOKEN - 1, Some(TaskState::Waiting)), TOKEN, 0);
-    machine.absorb(&alone(2, TOKEN - 1), TOKEN, 0);
-    assert_eq!(machine.tasks_there(), 1, "its end");
-    machine.absorb(&report(1, 3, TOKEN - 1, None), TOKEN, 0);
-    assert_eq!(machine.tasks_there(), 1, "its absence");
-    machine.absorb(&alone(4, TOKEN), TOKEN, 0);
-    assert_eq!(machine.tasks_there(), 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN - 1, Some(TaskState::Waiting)), TOKEN, 0);
+    machine.apply_heartbeat(&alone(2, TOKEN - 1), TOKEN, 0);
+    assert_eq!(machine.task_count(), 1, "its end");
+    machine.apply_heartbeat(&report(1, 3, TOKEN - 1, None), TOKEN, 0);
+    assert_eq!(machine.task_count(), 1, "its absence");
+    machine.apply_heartbeat(&alone(4, TOKEN), TOKEN, 0);
+    assert_eq!(machine.task_count(), 0);
 }
 
 // Copies of a dead machine's reports must not put off the proof that its lease is over.
@@ -300,12 +304,12 @@
 fn a_copy_of_an_answered_report_renews_no_lease() {
     let mut machine = machine(|_| ());
     let at = |seq| report(1, seq, TOKEN, None);
-    machine.note_answered(&at(7), 100);
-    machine.note_answered(&at(7), 200);
-    machine.note_answered(&at(5), 300);
-    assert_eq!(machine.answered, Some(100));
-    machine.note_answered(&at(8), 400);
-    assert_eq!(machine.answered, Some(400));
+    machine.record_answered_report(&at(7), 100);
+    machine.record_answered_report(&at(7), 200);
+    machine.record_answered_report(&at(5), 300);
+    assert_eq!(machine.last_answered_at, Some(100));
+    machine.record_answered_report(&at(8), 400);
+    assert_eq!(machine.last_answered_at, Some(400));
 }
 
 fn seat() -> Demand {
@@ -325,10 +329,10 @@
 fn units_come_back_at_once_only_from_what_says_it_is_done() {
     let done = |why| {
         let mut machine = machine(|attempt| attempt.counts = seat());
-        machine.orders(Some((1, 0)), true, TOKEN, 0);
+        machine.due_commands(Some((1, 0)), true, TOKEN, 0);
         let mut exit = report(1, 1, TOKEN, Some(TaskState::Exited));
         exit.tasks[0].why = Some(why);
-        freed(machine.absorb(&exit, TOKEN, 0).unwrap())
+        freed(machine.apply_heartbeat(&exit, TOKEN, 0).unwrap())
     };
     assert_eq!(done(Cause::Done), [false]);
     assert_eq!(done(Cause::NoRoom), [false], "it was never let in");
@@ -360,21 +364,25 @@
         changes.iter().filter(released).count()
     };
     let mut machine = machine(|attempt| attempt.counts = seat());
-    machine.absorb(&report(1, 1, TOKEN, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
     assert_eq!(verbs(&mut machine, None), [CommandKind::Start]);
-    machine.direct_unanswered(TOKEN, 1);
-    let changes = machine.absorb(&report(2, 1, TOKEN, None), TOKEN, 0).unwrap();
+    machine.on_direct_command_unanswered(TOKEN, 1);
+    let changes = machine
+        .apply_heartbeat(&report(2, 1, TOKEN, None), TOKEN, 0)
+        .unwrap();
     assert_eq!(released(&changes), 1);
     assert_eq!(freed(changes), [true]);
     assert_eq!(verbs(&mut machine, None), [], "and it is not sent again");
     assert!(machine.attempts.is_empty());
     // The answer of an earlier agent epoch arrives after a report of a later one.
     let mut machine = self::machine(|attempt| attempt.counts = seat());
-    machine.absorb(&report(2, 1, TOKEN, None), TOKEN, 0);
+    machine.apply_heartbeat(&report(2, 1, TOKEN, None), TOKEN, 0);
     assert_eq!(verbs(&mut machine, None), [CommandKind::Start]);
-    machine.absorb(&report(3, 1, TOKEN, None), TOKEN, 0);
-    machine.direct_settled(true, TOKEN, 2);
-    let changes = machine.absorb(&report(3, 2, TOKEN, None), TOKEN, 0).unwrap();
+    machine.apply_heartbeat(&report(3, 1, TOKEN, None), TOKEN, 0);
+    machine.on_direct_command_settled(true, TOKEN, 2);
+    let changes = machine
+        .apply_heartbeat(&report(3, 2, TOKEN, None), TOKEN, 0)
+        .unwrap();
     assert_eq!(released(&changes), 1);
     assert_eq!(freed(changes), [true]);
     assert!(machine.attempts.is_empty());
--- a/crates/controller/src/autoscaling/target_size.rs
+++ b/crates/controller/src/autoscaling/target_size.rs
@@ -129,7 +129,7 @@
             eligible = zones.contains(&machine.zone)
                 && types
                     .get(&machine.machine_type)
-                    .is_some_and(|known| spec.eligible(known, &machine.zone, machine.spot));
+                    .is_some_and(|known| spec.is_eligible(known, &machine.zone, machine.spot));
         }
         if !eligible || !spec.needs.fits_in(&machine.free) {
             continue;
@@ -139,14 +139,14 @@
         if machine.machine.as_ref().is_some_and(|id| avoids.contains(id)) {
             continue;
         }
-        let count = (spec.needs.count_in(&machine.free) as u32).min(left);
-        machine.free -= spec.needs.times(f64::from(count));
+        let count = (spec.needs.instances_in(&machine.free) as u32).min(left);
+        machine.free -= spec.needs.scaled_by(f64::from(count));
         left -= count;
         taken.push((at, count));
     }
     if left > 0 && spec.shape == Shape::Gang {
         for (at, count) in taken {
-            pending[at].free += spec.needs.times(f64::from(count));
+            pending[at].free += spec.needs.scaled_by(f64::from(count));
         }
         return tasks;
     }
--- a/crates/controller/src/condor/mod.rs
+++ b/crates/controller/src/condor/mod.rs
@@ -97,7 +97,7 @@
 /// Whether a team's limit would ever let tasks of the job that run together start.
 fn within_limit(spec: &JobSpec, team: &crate::settings::Team) -> bool {
     let together = spec.shape.at_once(u64::from(spec.tasks));
-    team.allows(&spec.needs.times(together as f64))
+    team.allows(&spec.needs.scaled_by(together as f64))
 }
 
 /// The job without those of its holds that the settings in force no longer call for; `None`
--- a/crates/controller/src/job_api/admission.rs
+++ b/crates/controller/src/job_api/admission.rs
@@ -191,7 +191,7 @@
     };
     // One task of an array must fit the team's limit; of the other shapes, all.
     let at_once = tasks_at_once(spec);
-    if !team.allows(&spec.needs.times(at_once as f64)) {
+    if !team.allows(&spec.needs.scaled_by(at_once as f64)) {
         return Err(impossible("over the team's limit"));
     }
     // The same holds for counted resources: a job whose tasks can never have their units at once never
@@ -224,7 +224,7 @@
     let is_sold = |zone: &&String| {
         let mut list = types.list.iter();
         // A type that the cloud does not sell in a zone is never rented there.
-        list.any(|known| known.zones.contains(*zone) && spec.eligible(known, zone, false))
+        list.any(|known| known.zones.contains(*zone) && spec.is_eligible(known, zone, false))
     };
     let zones: Vec<&String> = zones.into_iter().filter(is_sold).collect();
     if are_enough(&zones, spec) {
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -455,7 +455,7 @@
             WaitReason::Recording
         } else if blocked.units.contains(id) {
             WaitReason::Units
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             WaitReason::Retry
         } else if blocked.machines.contains(id) {
             WaitReason::Machines
@@ -515,11 +515,11 @@
             return;
         };
         let ran_s = now.saturating_sub(since) as f64 / SECOND_MS as f64;
-        let lost_s = match (job.spec.saves(), why) {
+        let lost_s = match (job.spec.writes_checkpoints(), why) {
             (true, LossCause::Stopped) => 0.0,
             (true, _) => ran_s.min(job.spec.checkpoint_s),
             (false, _) => ran_s,
         };
-        job.account.lose(why, lost_s);
+        job.execution_stats.lose(why, lost_s);
     }
 }
--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -102,17 +102,17 @@
             machine.needs_fencing_probe = listed.status == ListedStatus::Running;
             machine
         });
-        machine.hearsay = false;
+        machine.unconfirmed = false;
         let age_ms = (listed.age_s.max(0.0) * SECOND_MS as f64) as u64;
-        if age_ms > machine.age_at_first_known + now.saturating_sub(machine.first_known) {
-            machine.first_known = now;
-            machine.age_at_first_known = age_ms;
+        if age_ms > machine.age_ms_at_first_known + now.saturating_sub(machine.first_known_at) {
+            machine.first_known_at = now;
+            machine.age_ms_at_first_known = age_ms;
         }
         if machine.addr.is_none() {
             machine.addr = listed.addr;
         }
         if listed.status == ListedStatus::Failed {
-            machine.inspect_failed = true;
+            machine.unreachable = true;
         }
     }
 
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -81,7 +81,7 @@
             .boot_s
             .get(&machine.machine_type)
             .map_or(nominal_s, |seen| seen.max(nominal_s));
-        let known_ms = machine.age_at_first_known + now.saturating_sub(machine.first_known);
+        let known_ms = machine.age_ms_at_first_known + now.saturating_sub(machine.first_known_at);
         known_ms as f64 > BOOT_TIMEOUT_FACTOR * boot_s * SECOND_MS as f64
     }
 }
@@ -126,11 +126,11 @@
         };
         let mut surplus = Vec::new();
         for machine in self.machines.values() {
-            if machine.return_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
+            if machine.release_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
             let never_up = self.autoscaler.boot_failed(machine, types, now);
-            let silent = machine.inspect_failed && silence_is_proof && !kept.contains(&machine.id);
+            let silent = machine.unreachable && silence_is_proof && !kept.contains(&machine.id);
             // Asked of every machine, as it counts those of each kind that go.
             let surplus_idle = machine.is_up()
                 && machine.synced
@@ -138,9 +138,10 @@
                 && !idle.with_weights.contains(&machine.id)
                 && !self.shifts.kept.contains_key(&machine.id)
                 && idle.takes(machine);
-            let useless =
-                machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
-            let why = if machine.returning {
+            let useless = machine.is_up()
+                && machine.is_empty()
+                && (faulty(machine) || machine.reclaim_notice_until.is_some());
+            let why = if machine.releasing {
                 continue;
             } else if never_up {
                 ReturnReason::NeverUp
@@ -174,11 +175,11 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.returning = true;
-        machine.return_recorded = false;
+        machine.releasing = true;
+        machine.release_recorded = false;
         self.writer.record(machine);
         self.weights.goes(machine, settings);
-        if !std::mem::replace(&mut machine.return_told, true) {
+        if !std::mem::replace(&mut machine.release_logged, true) {
             log::info!("scale-in requested machine={id}: {}", why.text());
             if why == ReturnReason::Silent {
                 self.weights.lost();
@@ -194,19 +195,19 @@
     fn send_returns(&mut self, permit: Permit, io: &mut Io) {
         let mut names: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.returning || machine.return_in_flight || names.len() >= MAX_MACHINES_PER_RELEASE {
+            if !machine.releasing || machine.release_in_flight || names.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
             // It has answered since, with work on it, and nobody was asked to take it.
-            let back = !machine.inspect_failed && machine.is_up() && !machine.is_empty();
-            if back && !machine.return_unanswered {
+            let back = !machine.unreachable && machine.is_up() && !machine.is_empty();
+            if back && !machine.release_unanswered {
                 log::info!("scale-in cancelled machine={}: it answers again", machine.id);
-                machine.returning = false;
-                machine.return_recorded = false;
-                machine.return_told = false;
+                machine.releasing = false;
+                machine.release_recorded = false;
+                machine.release_logged = false;
                 self.writer.record(machine);
                 self.scheduler.request_pass();
-            } else if machine.return_recorded {
+            } else if machine.release_recorded {
                 names.push(machine.id.clone());
             }
         }
@@ -215,7 +216,7 @@
         }
         for name in &names {
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.return_in_flight = true;
+                machine.release_in_flight = true;
             }
         }
         let body = json(&MachineNames {
@@ -247,11 +248,11 @@
                 let Some(mut machine) = self.machines.take_gone(&id, io.now) else {
                     continue;
                 };
-                let there = machine.tasks_there();
+                let there = machine.task_count();
                 if there > 0 {
                     log::info!("machine released machine={id} tasks_lost={there}");
                 }
-                let taken = machine.inspect_failed || machine.notice_until.is_some();
+                let taken = machine.unreachable || machine.reclaim_notice_until.is_some();
                 if machine.spot && machine.is_up() && taken {
                     self.autoscaler.spot_losses.note_lost();
                 }
@@ -268,14 +269,14 @@
             let Some(machine) = self.machines.get_mut(&id) else {
                 continue;
             };
-            machine.return_in_flight = false;
+            machine.release_in_flight = false;
             // An unanswered return may still be carried out: nothing is placed
             // there again, and it is asked for until the cloud confirms.
-            machine.return_unanswered |= !outcome.refused();
-            machine.returning = machine.return_unanswered;
-            if !machine.returning {
+            machine.release_unanswered |= !outcome.refused();
+            machine.releasing = machine.release_unanswered;
+            if !machine.releasing {
                 // What was refused may be used again, and a successor must not finish it.
-                machine.return_recorded = false;
+                machine.release_recorded = false;
                 self.writer.record(machine);
             }
         }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -55,7 +55,7 @@
             let tasks = target_size::uncovered_tasks(
                 &mut coming[..most],
                 &spec,
-                job.avoids(io.now),
+                job.avoided_machines(io.now),
                 &unplaced.zones,
                 unplaced.tasks,
                 types,
@@ -78,7 +78,7 @@
                 zones = fullest_zone(zones, &in_zone);
             }
             let waste_s = self.autoscaler.waste_s(types, &machine_type.name);
-            let per_machine = job.spec.needs.count_in(&machine_type.resources());
+            let per_machine = job.spec.needs.instances_in(&machine_type.resources());
             let waiting = target_size::WaitingTasks {
                 tasks,
                 estimate_s: job.spec.estimate_s,
@@ -137,7 +137,7 @@
                     .iter()
                     .flat_map(|zone| [(zone, false), (zone, true)])
                 {
-                    if spec.eligible(machine_type, zone, spot) {
+                    if spec.is_eligible(machine_type, zone, spot) {
                         wanted.insert((machine_type.name.clone(), zone.clone(), spot));
                     }
                 }
@@ -150,8 +150,9 @@
     fn coming(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
         let machines = self.machines.values().filter(|machine| {
             let coming = !machine.is_up() && machine.attempts.is_empty() || machine.idle_since.is_some();
-            let takes = machine.notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
-            coming && !machine.returning && takes
+            let takes =
+                machine.reclaim_notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
+            coming && !machine.releasing && takes
         });
         let machines = machines.map(|machine| {
             let kind = (&machine.machine_type, &machine.zone, machine.spot);
@@ -204,7 +205,7 @@
                 let open: Vec<String> = zones
                     .iter()
                     .filter(|zone| {
-                        machine_type.zones.contains(zone) && spec.eligible(machine_type, zone, spot)
+                        machine_type.zones.contains(zone) && spec.is_eligible(machine_type, zone, spot)
                     })
                     .filter(|zone| !self.is_cut(zone) && !self.is_one_way(zone))
                     .filter(|zone| {
@@ -219,7 +220,7 @@
                 if open.is_empty() {
                     continue;
                 }
-                let per_machine = spec.needs.count_in(&machine_type.resources()).max(1.0);
+                let per_machine = spec.needs.instances_in(&machine_type.resources()).max(1.0);
                 let price = if spot {
                     machine_type.spot_price
                 } else {
@@ -342,7 +343,7 @@
                         machine.rented_at = own.then_some(io.now);
                         machine
                     });
-                    machine.hearsay = false;
+                    machine.unconfirmed = false;
                 }
             }
             if (names.machines.len() as u32) < request.count {
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -379,7 +379,7 @@
     let mut largest: BTreeMap<&Name, (u64, &JobId)> = BTreeMap::new();
     for job in jobs.values().filter(|job| !job.parked && !job.waiting.is_empty()) {
         for (count, units) in job.spec.counts.iter() {
-            let wanted = u64::from(units) * u64::from(job.together());
+            let wanted = u64::from(units) * u64::from(job.gang_size());
             let there = definitions.get(count).map_or(0, |definition| definition.units);
             let known = largest.get(count).map_or(0, |(most, _)| *most);
             if wanted > u64::from(there) && wanted > known {
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -150,7 +150,7 @@
             .collect();
         let counts = job.spec.counts.iter().map(|(count, units)| Asked {
             count: count.to_string(),
-            needs: u64::from(units) * u64::from(job.together()),
+            needs: u64::from(units) * u64::from(job.gang_size()),
             free: book.get(count).map_or(0, |pool| pool.free()),
             kept: self.counted.kept.get(count).copied().unwrap_or(0),
             ahead: if short.is_empty() {
@@ -182,7 +182,7 @@
             format!("it is held: {why}")
         } else if job.parked {
             "its cluster is not accepted yet".to_owned()
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             "it failed on several machines and is tried again in a while".to_owned()
         } else if rents {
             "it has its units and waits for machines".to_owned()
@@ -202,10 +202,10 @@
 pub(super) fn holder_state(machine: &Machine, attempt: &Attempt) -> &'static str {
     if attempt.stop.is_some() {
         "stopping"
-    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.inspect_failed {
+    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.unreachable {
         "uncertain"
     } else {
-        match attempt.seen {
+        match attempt.reported_state {
             None if attempt.durable => "sent",
             None => "planned",
             Some(_) => "running",
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -46,7 +46,7 @@
         grace_s: f64,
         now: Timestamp,
     ) {
-        attempt.stop = Some(Stop::asked(grace_s, now));
+        attempt.stop = Some(Stop::requested(grace_s, now));
         self.start_cancelled = true;
         self.due.insert(machine.clone());
     }
@@ -71,7 +71,7 @@
     pub(super) fn send_direct(&mut self, certain: bool, io: &mut Io) {
         while let Some(id) = self.commands.next_due() {
             let machine = self.machines.get(&id);
-            if machine.is_some_and(|machine| machine.direct_due(certain, io.now)) {
+            if machine.is_some_and(|machine| machine.is_direct_command_due(certain, io.now)) {
                 self.direct(&id, false, certain, io);
             }
         }
@@ -88,7 +88,7 @@
             let waited = machine
                 .fencing_probe_at
                 .is_none_or(|at| now >= at + DIRECT_COMMAND_TIMEOUT_MS / 2);
-            if machine.needs_fencing_probe && waited && machine.can_be_told() {
+            if machine.needs_fencing_probe && waited && machine.accepts_commands() {
                 let batch_only = machine.attempts.iter().all(|attempt| {
                     self.jobs
                         .get(&attempt.task.job)
@@ -115,14 +115,14 @@
         };
         let Some(addr) = machine.addr.clone() else { return };
         let orders = if machine.synced {
-            machine.orders(None, certain, token, io.now)
+            machine.due_commands(None, certain, token, io.now)
         } else {
             Vec::new()
         };
         if orders.is_empty() && !fencing_probe {
             return;
         }
-        machine.direct_in_flight = true;
+        machine.direct_command_in_flight = true;
         self.commands.in_flight += 1;
         if fencing_probe {
             machine.fencing_probe_at = Some(io.now);
@@ -170,16 +170,18 @@
         let current = self.token();
         self.commands.in_flight = self.commands.in_flight.saturating_sub(1);
         let machine = self.machines.get_mut(&id)?;
-        machine.direct_in_flight = false;
+        machine.direct_command_in_flight = false;
         if *outcome != Outcome::NotSent {
             // Else there is no socket, or nobody listens: the next check tries again.
             self.commands.mark_due(id.clone());
         }
         let status = outcome.status();
         match (outcome, status) {
-            (_, Some(200)) => machine.direct_settled(true, token, agent_epoch),
-            (Outcome::NotSent, _) | (_, Some(400 | 409)) => machine.direct_settled(false, token, agent_epoch),
-            _ => machine.direct_unanswered(token, agent_epoch),
+            (_, Some(200)) => machine.on_direct_command_settled(true, token, agent_epoch),
+            (Outcome::NotSent, _) | (_, Some(400 | 409)) => {
+                machine.on_direct_command_settled(false, token, agent_epoch)
+            }
+            _ => machine.on_direct_command_unanswered(token, agent_epoch),
         }
         let Some(report) = outcome.read::<Heartbeat>(&[200, 409]) else {
             let waited = machine.fencing_probe_at.map_or(0, |at| io.now.saturating_sub(at));
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -173,7 +173,7 @@
         let live = self.jobs.values().filter(|job| job.spec.shape == Shape::Service);
         let live: HashSet<Arc<str>> = live.map(|job| job.spec.image.clone()).collect();
         let mut copies = ImageReplicas::of(live, zones.len());
-        let there = |machine: &&Machine| machine.is_up() && !machine.returning && !machine.inspect_failed;
+        let there = |machine: &&Machine| machine.is_up() && !machine.releasing && !machine.unreachable;
         for machine in self.machines.values().filter(there) {
             let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) else {
                 continue;
@@ -207,7 +207,7 @@
         let mut idle = Vec::new();
         for machine in self.machines.values() {
             let live = |image: &str| self.weights.copies.is_live(image);
-            if machine.idle_since.is_none() || machine.returning || machine.notice_until.is_some() {
+            if machine.idle_since.is_none() || machine.releasing || machine.reclaim_notice_until.is_some() {
                 continue;
             }
             let images: Vec<Arc<str>> = machine
--- a/crates/controller/src/leader/job_events.rs
+++ b/crates/controller/src/leader/job_events.rs
@@ -37,7 +37,7 @@
         let notice = self.jobs.next_end_notice();
         let mut awaiting_reread = false;
         self.machines.for_each_attempt(id, |_, attempt| {
-            if !attempt.from_previous_leader && attempt.seen.is_none() && attempt.stop.is_none() {
+            if !attempt.from_previous_leader && attempt.reported_state.is_none() && attempt.stop.is_none() {
                 attempt.awaiting_reread = Some(notice);
                 awaiting_reread = true;
             }
@@ -68,15 +68,15 @@
     /// A job is over: whatever of it may be anywhere is stopped.
     pub fn job_over(&mut self, id: &JobId, now: Timestamp) {
         let Some(job) = self.jobs.remove(id) else { return };
-        self.books.over(id, &job.account);
+        self.books.over(id, &job.execution_stats);
         self.writer.job_over(id, &job);
         self.scheduler.request_pass();
         for machine in self.machines.values_mut() {
-            machine.errors.remove(id);
+            machine.failed_jobs.remove(id);
         }
         self.machines.for_each_attempt(id, |host, attempt| {
             if attempt.exited() {
-                attempt.closed = true;
+                attempt.end_processed = true;
             } else {
                 // Whatever grace an earlier stop had, nobody needs it now.
                 self.commands.request_stop(attempt, host, 0.0, now);
--- a/crates/controller/src/leader/job_table.rs
+++ b/crates/controller/src/leader/job_table.rs
@@ -107,8 +107,10 @@
                 .insert(job.spec.id.clone(), (job.done.len() as u32, 0));
         }
         for attempt in machines.flat_map(|machine| &machine.attempts) {
-            if matches!(attempt.seen, Some(TaskState::Running | TaskState::Saving))
-                && let Some((_, running)) = self.counts.get_mut(&attempt.task.job)
+            if matches!(
+                attempt.reported_state,
+                Some(TaskState::Running | TaskState::Saving)
+            ) && let Some((_, running)) = self.counts.get_mut(&attempt.task.job)
             {
                 *running += 1;
             }
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -72,19 +72,19 @@
             .count();
         self.autoscaler.spot_losses_mut().up(spot_up, io.now);
         for machine in self.machines.values_mut() {
-            if machine.direct_due(true, io.now) {
+            if machine.is_direct_command_due(true, io.now) {
                 self.commands.mark_due(machine.id.clone());
             }
             if !machine.has_been_up() {
                 continue;
             }
-            let last = machine.heard.unwrap_or(self.started);
+            let last = machine.last_heard_at.unwrap_or(self.started);
             let silent_ms = io.now.saturating_sub(last);
             if silent_ms < PROBE_AFTER_MS {
                 continue;
             }
-            if !machine.inspecting && machine.addr.is_some() {
-                let rank = match (machine.inspect_failed, silent_ms >= overdue_ms) {
+            if !machine.probe_in_flight && machine.addr.is_some() {
+                let rank = match (machine.unreachable, silent_ms >= overdue_ms) {
                     (false, true) => 0,
                     // Asked already; it may have come back.
                     (true, _) => 1,
@@ -96,7 +96,7 @@
             }
             // The longest that anyone could have kept its lease alive: this leader
             // until it last heard from it or answered it, a former one until it had to stop.
-            let answered = machine.answered.unwrap_or(0);
+            let answered = machine.last_answered_at.unwrap_or(0);
             let kept_until = if machine.synced {
                 last.max(answered)
             } else {
@@ -128,7 +128,7 @@
     /// Nothing can be left on machines whose leases have expired: their tasks wait again.
     fn expire_leases(&mut self, lapsed: Vec<MachineId>, io: &mut Io) {
         for id in lapsed {
-            let there = self.machines.get(&id).map_or(0, Machine::tasks_there);
+            let there = self.machines.get(&id).map_or(0, Machine::task_count);
             log::info!("lease expired machine={id} tasks_lost={there}");
             let changes = self.machines.get_mut(&id).map(Machine::clear).unwrap_or_default();
             self.apply(&id, changes, io);
@@ -140,10 +140,10 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(addr) = machine.addr.clone().filter(|_| !machine.inspecting) else {
+        let Some(addr) = machine.addr.clone().filter(|_| !machine.probe_in_flight) else {
             return;
         };
-        machine.inspecting = true;
+        machine.probe_in_flight = true;
         let call = io.call(
             FencedDestination::Worker(addr),
             Method::Get,
@@ -164,7 +164,7 @@
     ) -> Option<ElectionEvent> {
         let current = self.token();
         let machine = self.machines.get_mut(id)?;
-        machine.inspecting = false;
+        machine.probe_in_flight = false;
         match outcome
             .read::<Heartbeat>(&[200])
             .filter(|report| report.machine == *id.0)
@@ -181,11 +181,11 @@
     /// It was asked and did not answer in time.
     pub(super) fn found_silent(&mut self, id: &MachineId, now: Timestamp) {
         if let Some(machine) = self.machines.get_mut(id) {
-            if !machine.inspect_failed {
+            if !machine.unreachable {
                 log::info!("machine unreachable machine={id}: no heartbeat and no answer");
-                machine.silent_at = now;
+                machine.last_unreachable_at = now;
             }
-            machine.inspect_failed = true;
+            machine.unreachable = true;
             self.scheduler.request_pass();
         }
     }
@@ -206,7 +206,7 @@
     pub(super) fn heard_since(&self, asked: &[MachineId], called: Timestamp) -> usize {
         let asked = asked.iter().filter_map(|id| self.machines.get(id));
         asked
-            .filter(|machine| machine.heard.is_some_and(|at| at >= called))
+            .filter(|machine| machine.last_heard_at.is_some_and(|at| at >= called))
             .count()
     }
 }
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -23,7 +23,7 @@
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
             let (all, one_way_partition) = zones.entry(&machine.zone).or_default();
             *all += 1;
-            *one_way_partition += usize::from(machine.own_report_late(late_ms, now));
+            *one_way_partition += usize::from(machine.is_own_report_late(late_ms, now));
         }
         let mostly = zones.into_iter().filter(|(_, (all, one_way_partition))| {
             *one_way_partition >= MUTE_ZONE_MIN_MACHINES && 2 * one_way_partition > *all
@@ -40,8 +40,8 @@
         }
         self.one_way_partition.zones = mostly;
         for machine in self.machines.values_mut() {
-            let in_zone = !machine.reports && self.one_way_partition.zones.contains(&machine.zone);
-            let one_way_partition = machine.is_up() && (in_zone || machine.own_report_late(late_ms, now));
+            let in_zone = !machine.has_own_report && self.one_way_partition.zones.contains(&machine.zone);
+            let one_way_partition = machine.is_up() && (in_zone || machine.is_own_report_late(late_ms, now));
             if one_way_partition != std::mem::replace(&mut machine.one_way_partition, one_way_partition) {
                 self.scheduler.request_pass();
                 if one_way_partition {
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -39,8 +39,8 @@
         let newest = self
             .machines
             .values()
-            .filter(|machine| machine.inspect_failed && !machine.returning)
-            .map(|machine| machine.silent_at)
+            .filter(|machine| machine.unreachable && !machine.releasing)
+            .map(|machine| machine.last_unreachable_at)
             .max();
         if self
             .partition
@@ -63,7 +63,7 @@
         let others: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|machine| machine.is_up() && !machine.inspect_failed)
+            .filter(|machine| machine.is_up() && !machine.unreachable)
             .map(|machine| machine.id.clone())
             .collect();
         self.partition.sample = self.ask_some(others, PROBE_SAMPLE, io);
@@ -88,11 +88,11 @@
         let up = self
             .machines
             .values()
-            .filter(|machine| machine.has_been_up() && !machine.hearsay);
+            .filter(|machine| machine.has_been_up() && !machine.unconfirmed);
         let (mut silent, mut all) = (0, 0);
         for machine in up {
             all += 1;
-            silent += u32::from(machine.inspect_failed);
+            silent += u32::from(machine.unreachable);
         }
         SilentMachines { silent, all }
     }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -84,12 +84,12 @@
         let paced = now >= self.persistence.token_renewed_at.max(self.started) + FORGET_TOKEN_RENEWAL_MS;
         self.machines.values().any(|machine| {
             let mut waiting = 0;
-            !machine.returning
+            !machine.releasing
                 && machine.attempts.iter().any(|attempt| {
-                    let waits = attempt.forget_waits(token);
+                    let waits = attempt.forget_awaits_token(token);
                     waiting += usize::from(waits);
                     // Who waited in vain for its gang joins it again once it is forgotten.
-                    waits && (paced || waiting > MAX_PENDING_FORGETS || attempt.waited_in_vain())
+                    waits && (paced || waiting > MAX_PENDING_FORGETS || attempt.gang_wait_timed_out())
                         || attempt
                             .unacknowledged
                             .is_some_and(|unacknowledged| unacknowledged.token == token)
@@ -179,7 +179,7 @@
                 self.writer.shards_written(&numbers, revision);
                 for id in returns {
                     if let Some(machine) = self.machines.get_mut(&id) {
-                        machine.return_recorded = machine.returning;
+                        machine.release_recorded = machine.releasing;
                     }
                 }
                 for start in planned {
@@ -190,7 +190,7 @@
                     {
                         attempt.durable = true;
                         if let Some(job) = self.jobs.get_mut(&start.task.job) {
-                            job.account.attempt();
+                            job.execution_stats.attempt();
                         }
                         self.commands.mark_due(start.machine);
                     }
@@ -201,7 +201,7 @@
                 for ((job, _), tasks) in tasks {
                     self.machines.for_each_attempt(&job, |_, attempt| {
                         if attempt.exited() && tasks.contains(&attempt.task.index) {
-                            attempt.closed = true;
+                            attempt.end_processed = true;
                         }
                     });
                 }
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -54,13 +54,13 @@
         let newest = self.absorb(report, io);
         let token = self.token();
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.note_answered(report, io.now);
+            machine.record_answered_report(report, io.now);
             // A heartbeat superseded by the answer to a direct command still renews
             // the lease, so it carries stops; nothing may follow from what it says.
             let orders = if newest {
-                machine.orders(Some((report.agent_epoch, report.seq)), certain, token, io.now)
+                machine.due_commands(Some((report.agent_epoch, report.seq)), certain, token, io.now)
             } else {
-                machine.stops(io.now)
+                machine.stop_commands(io.now)
             };
             io.reply(request, 200, &HeartbeatResponse { token, orders });
         }
@@ -69,12 +69,12 @@
 
     /// Reconciles a heartbeat with the records; false if it is not the newest.
     pub(super) fn absorb(&mut self, report: &Heartbeat, io: &mut Io) -> bool {
-        self.take(report, Machine::absorb, io)
+        self.take(report, Machine::apply_heartbeat, io)
     }
 
     /// Takes what a machine answered to a command or a question.
     pub(super) fn absorb_answer(&mut self, report: &Heartbeat, io: &mut Io) {
-        self.take(report, Machine::absorb_answer, io);
+        self.take(report, Machine::apply_response, io);
     }
 
     fn take(
@@ -93,10 +93,10 @@
                 report.spot,
                 io.now,
             );
-            machine.hearsay = true;
+            machine.unconfirmed = true;
             machine
         });
-        let rented_at = machine.rented_at.filter(|_| machine.heard.is_none());
+        let rented_at = machine.rented_at.filter(|_| machine.last_heard_at.is_none());
         let before = machine.usability();
         let Some(changes) = absorb(machine, report, self.first_token, io.now) else {
             return false;
@@ -139,8 +139,8 @@
                 Change::Exited {
                     task,
                     number,
-                    why: Cause::Done,
-                    ran_s,
+                    cause: Cause::Done,
+                    elapsed_s: ran_s,
                 } => {
                     log::debug!(
                         "task done job={} machine={machine} task={} ran_s={ran_s:.1}",
@@ -151,13 +151,16 @@
                     self.task_done(machine, &task, number, io.now);
                 }
                 Change::Exited {
-                    task, number, why, ..
+                    task,
+                    number,
+                    cause: why,
+                    ..
                 } => {
                     self.note_end(&task, number, lost_by(why), io.now);
                     self.task_ended(machine, &task, number, why, io);
                 }
                 Change::Released(task) => self.requeue(&task, io.now),
-                Change::Stranger(task) => self.adopt_unrecorded(machine, task),
+                Change::Unrecorded(task) => self.adopt_unrecorded(machine, task),
                 Change::Fetched { gb, took_ms, others } => {
                     if let Some(machine) = self.machines.get(machine) {
                         self.weights.fetched(&machine.machine_type, gb, took_ms, others);
@@ -175,7 +178,7 @@
                         self.writer.units_freed(shard);
                     }
                 }
-                Change::Vanished { task, number } => self.task_vanished(&task, number, io.now),
+                Change::Lost { task, number } => self.task_vanished(&task, number, io.now),
             }
         }
     }
@@ -193,7 +196,7 @@
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
             gang.started = true;
-            job.began = true;
+            job.has_started = true;
         }
     }
 
@@ -226,9 +229,9 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        for job in std::mem::take(&mut machine.errors) {
+        for job in std::mem::take(&mut machine.failed_jobs) {
             if let Some(job) = self.jobs.get_mut(&job) {
-                job.failed_on_good = true;
+                job.failed_on_healthy_machine = true;
             }
         }
     }
@@ -239,9 +242,9 @@
             self.close(machine, task, number);
             return;
         };
-        job.failures = 0;
+        job.failure_rounds = 0;
         job.failed_on.clear();
-        job.failed_on_good = false;
+        job.failed_on_healthy_machine = false;
         let finished: Vec<u32> = match job.spec.shape {
             // Tasks of a gang complete together.
             Shape::Gang => (0..job.spec.tasks).collect(),
@@ -258,11 +261,11 @@
             // One that was done before, as a former leader's record says, is recorded once more:
             // only that lets its worker forget it. Else its machine was never empty, and could not
             // go back while its job's other tasks ran.
-            if job.done.insert(index) || index == task.index && !job.complete() {
+            if job.done.insert(index) || index == task.index && !job.is_complete() {
                 self.writer.done(job, index, now);
             }
         }
-        if job.complete() {
+        if job.is_complete() {
             self.writer.finishing.insert(task.job.clone());
         }
     }
@@ -274,7 +277,7 @@
             .get_mut(machine)
             .and_then(|machine| machine.attempt_mut(task, number))
         {
-            attempt.closed = true;
+            attempt.end_processed = true;
         }
     }
 
@@ -285,7 +288,7 @@
         let mut fetching = false;
         if why == Cause::Alone {
             self.machines.for_each_attempt(&task.job, |_, attempt| {
-                fetching |= attempt.number == number && attempt.stop.is_none() && attempt.fetching();
+                fetching |= attempt.number == number && attempt.stop.is_none() && attempt.is_fetching();
             });
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -301,20 +304,21 @@
                     );
                     job.failed_on.insert(id.clone());
                     job.failed_at = now;
-                    if job.to_blame() && now >= job.held_until {
-                        let wait = FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_MAX_DOUBLINGS);
-                        job.held_until = now + wait;
-                        job.failures += 1;
+                    if job.fails_on_many_machines() && now >= job.backoff_until {
+                        let wait =
+                            FAILING_JOB_BACKOFF_MS << job.failure_rounds.min(FAILING_JOB_MAX_DOUBLINGS);
+                        job.backoff_until = now + wait;
+                        job.failure_rounds += 1;
                     }
                     // A job that fails on several machines speaks against them all the
                     // same, until one of them starts other work: in a wave of faulty
                     // machines each job meets several, and had it been blamed alone, none
                     // of them would ever have been found.
                     if why == Cause::Error
-                        && !job.failed_on_good
+                        && !job.failed_on_healthy_machine
                         && let Some(machine) = self.machines.get_mut(id)
                     {
-                        machine.errors.insert(task.job.clone());
+                        machine.failed_jobs.insert(task.job.clone());
                         if faulty(machine) {
                             log::info!("machine cordoned machine={id}: tasks of different jobs failed there");
                         }
@@ -341,8 +345,8 @@
         let broken = job.gang.is_some_and(|gang| gang.broken);
         let grace_s = placement::grace_s(&job.spec);
         self.machines.for_each_attempt(&task.job, |host, attempt| {
-            left |= attempt.may_be_there();
-            elsewhere |= attempt.task.index == task.index && attempt.may_be_there();
+            left |= attempt.may_be_running();
+            elsewhere |= attempt.task.index == task.index && attempt.may_be_running();
             if broken && !attempt.exited() && attempt.stop.is_none() {
                 self.commands.request_stop(attempt, host, grace_s, now);
             }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -178,10 +178,10 @@
         for machine in self.machines.values_mut() {
             for attempt in &mut machine.attempts {
                 let Some(job) = self.jobs.get_mut(&attempt.task.job) else {
-                    attempt.stop = Some(Stop::asked(0.0, now));
+                    attempt.stop = Some(Stop::requested(0.0, now));
                     continue;
                 };
-                job.account.attempt();
+                job.execution_stats.attempt();
                 job.waiting.remove(&attempt.task.index);
                 attempt.image = Some(job.spec.image.clone());
                 attempt.image_gb = job.spec.image_gb;
@@ -254,7 +254,7 @@
             live.done.split_off(&live.spec.tasks);
             live.waiting.retain(|task| !live.done.contains(task));
             let id = live.spec.id.clone();
-            if live.complete() {
+            if live.is_complete() {
                 self.writer.finishing.insert(id.clone());
             }
             let bytes = records::chunk_bytes(live.spec.tasks);
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -181,7 +181,7 @@
             image_gb: job.spec.image_gb,
             estimate_s: job.spec.estimate_s,
             counts: counts.clone(),
-            fetches: !cached,
+            needs_image_fetch: !cached,
             ..Attempt::planned(
                 task,
                 number,
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -16,9 +16,9 @@
             ..MetricsSnapshot::default()
         };
         for machine in self.machines.values() {
-            let state = if machine.returning {
+            let state = if machine.releasing {
                 &mut metrics_snapshot.returning
-            } else if machine.inspect_failed {
+            } else if machine.unreachable {
                 &mut metrics_snapshot.silent
             } else if !machine.has_been_up() {
                 &mut metrics_snapshot.booting
@@ -28,7 +28,7 @@
                 &mut metrics_snapshot.busy
             };
             *state += 1;
-            let there = machine.attempts.iter().filter(|attempt| attempt.may_be_there());
+            let there = machine.attempts.iter().filter(|attempt| attempt.may_be_running());
             metrics_snapshot.placed += there.count();
         }
         metrics_snapshot
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -52,16 +52,16 @@
         let up = self
             .machines
             .values()
-            .filter(|machine| machine.has_been_up() && !machine.hearsay);
+            .filter(|machine| machine.has_been_up() && !machine.unconfirmed);
         for machine in up {
             let tally = match tallies.get_mut(machine.zone.as_str()) {
                 Some(tally) => tally,
                 None => tallies.entry(machine.zone.clone()).or_default(),
             };
             tally.up += 1;
-            if machine.inspect_failed && !machine.returning {
+            if machine.unreachable && !machine.releasing {
                 tally.silent += 1;
-                tally.newest = tally.newest.max(machine.silent_at);
+                tally.newest = tally.newest.max(machine.last_unreachable_at);
             }
         }
         tallies
@@ -69,9 +69,7 @@
 
     /// Asks some of a zone's other machines whenever one is newly silent, and judges.
     pub(super) fn sample_zones(&mut self, io: &mut Io) {
-        if self.zones.probe_samples.is_empty()
-            && self.machines.values().all(|machine| !machine.inspect_failed)
-        {
+        if self.zones.probe_samples.is_empty() && self.machines.values().all(|machine| !machine.unreachable) {
             return;
         }
         let tallies = self.tally();
@@ -115,7 +113,7 @@
         let others: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|machine| machine.zone == zone && machine.has_been_up() && !machine.inspect_failed)
+            .filter(|machine| machine.zone == zone && machine.has_been_up() && !machine.unreachable)
             .map(|machine| machine.id.clone())
             .collect();
         let cut = self.is_cut(zone);
@@ -185,10 +183,10 @@
                 continue;
             }
             for machine in self.machines.values() {
-                if machine.zone != *zone || !machine.inspect_failed {
+                if machine.zone != *zone || !machine.unreachable {
                     continue;
                 }
-                let heard = machine.heard.unwrap_or(self.started);
+                let heard = machine.last_heard_at.unwrap_or(self.started);
                 let long = now > heard + ZONE_OUTAGE_KEPT_LEASES * lease_ms;
                 if judging || back || !long && !self.holds_what_may_move(machine, &deployment.zones) {
                     kept.insert(machine.id.clone());
@@ -200,7 +198,7 @@
 
     /// Whether a replica on the machine may run in another zone.
     fn holds_what_may_move(&self, machine: &Machine, zones: &[String]) -> bool {
-        let there = machine.attempts.iter().filter(|attempt| attempt.may_be_there());
+        let there = machine.attempts.iter().filter(|attempt| attempt.may_be_running());
         let mut jobs = there.filter_map(|attempt| self.jobs.get(&attempt.task.job));
         jobs.any(|job| job.spec.shape == Shape::Service && self.may_move_from(job, &machine.zone, zones))
     }
@@ -217,6 +215,6 @@
             zones,
         );
         let mut others = zones.iter().zip(taken).filter(|(other, _)| *other != zone);
-        others.any(|(_, taken)| taken < spec.zone_cap())
+        others.any(|(_, taken)| taken < spec.max_tasks_per_zone())
     }
 }
--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -99,7 +99,7 @@
             && self.memory_gb <= room.memory_gb + EPSILON
     }
 
-    pub fn times(&self, n: f64) -> Resources {
+    pub fn scaled_by(&self, n: f64) -> Resources {
         Resources {
             cpus: self.cpus * n,
             gpus: self.gpus * n,
@@ -108,7 +108,7 @@
     }
 
     /// How many such tasks an empty `room` takes.
-    pub fn count_in(&self, room: &Resources) -> f64 {
+    pub fn instances_in(&self, room: &Resources) -> f64 {
         let per = |need: f64, have: f64| {
             if need > 0.0 {
                 (have + EPSILON) / need
@@ -131,7 +131,7 @@
     }
 
     /// The smallest share that is left of any of `whole`'s amounts.
-    pub fn share_free(&self, whole: &Resources) -> f64 {
+    pub fn free_share_of(&self, whole: &Resources) -> f64 {
         let share = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 1.0 };
         share(self.cpus, whole.cpus)
             .min(share(self.gpus, whole.gpus))
@@ -224,7 +224,7 @@
 impl JobSpec {
     /// Whether a task of this job may be on such a machine at all, whatever else
     /// is there. The one predicate behind intake, placement and renting.
-    pub fn eligible(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
+    pub fn is_eligible(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
         self.allows(&machine_type.name, zone, spot) && self.needs.fits_in(&machine_type.resources())
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Most tasks that may be in one zone.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -256,7 +256,7 @@
         }
     }
 
-    pub fn saves(&self) -> bool {
+    pub fn writes_checkpoints(&self) -> bool {
         self.checkpoint_s > 0.0
     }
 }
@@ -275,20 +275,20 @@
     /// When the last of them failed.
     pub failed_at: Timestamp,
     /// It failed on a machine that started other work well afterwards.
-    pub failed_on_good: bool,
+    pub failed_on_healthy_machine: bool,
     /// Rounds of failures on several machines; many tasks failing at once are one.
-    pub failures: u32,
+    pub failure_rounds: u32,
     /// Not placed before then.
-    pub held_until: Timestamp,
+    pub backoff_until: Timestamp,
     /// Not placed, nor counted as waiting, whatever the time: it is held, or its cluster is
     /// not accepted yet.
     pub parked: bool,
     /// Attempt of the gang that is being placed or runs.
     pub gang: Option<crate::scheduling::gangs::GangAttempt>,
     /// The gang was seen to run, in this term: it waits for no first start.
-    pub began: bool,
+    pub has_started: bool,
     /// What this leader saw of it, for its team's book.
-    pub account: ExecutionStats,
+    pub execution_stats: ExecutionStats,
     /// When this leader learnt of the job, for its order among equals.
     pub age_ms_at_load: u64,
     pub loaded_at: Timestamp,
@@ -305,13 +305,13 @@
             waiting,
             failed_on: BTreeSet::new(),
             failed_at: 0,
-            failed_on_good: false,
-            failures: 0,
-            held_until: 0,
+            failed_on_healthy_machine: false,
+            failure_rounds: 0,
+            backoff_until: 0,
             parked: false,
             gang: None,
-            began: false,
-            account: ExecutionStats::default(),
+            has_started: false,
+            execution_stats: ExecutionStats::default(),
             age_ms_at_load,
             loaded_at: now,
         }
@@ -323,16 +323,16 @@
     }
 
     /// Its tasks fail on different machines: the job is to blame, not they.
-    pub fn to_blame(&self) -> bool {
+    pub fn fails_on_many_machines(&self) -> bool {
         self.failed_on.len() >= crate::constants::FAILING_JOB_MACHINES
     }
 
     /// Machines on which none of its tasks is tried for a while. A job that fails everywhere avoids none;
     /// nor does one for ever: on the only machine that there was, sound but for one task's end, it waited for
     /// good.
-    pub fn avoids(&self, now: Timestamp) -> &BTreeSet<MachineId> {
+    pub fn avoided_machines(&self, now: Timestamp) -> &BTreeSet<MachineId> {
         static NONE: BTreeSet<MachineId> = BTreeSet::new();
-        if self.to_blame() || now >= self.failed_at + FAILED_MACHINE_AVOIDANCE_MS {
+        if self.fails_on_many_machines() || now >= self.failed_at + FAILED_MACHINE_AVOIDANCE_MS {
             &NONE
         } else {
             &self.failed_on
@@ -340,14 +340,14 @@
     }
 
     /// Tasks of it that start together or not at all.
-    pub fn together(&self) -> u32 {
+    pub fn gang_size(&self) -> u32 {
         match self.spec.shape {
             Shape::Gang => self.spec.tasks,
             Shape::Array | Shape::Service => 1,
         }
     }
 
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.spec.shape != Shape::Service && self.done.len() as u32 == self.spec.tasks
     }
 }
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -385,8 +385,8 @@
     for job in live.jobs.values() {
         let demand = job_demand(job, live.counts);
         let spec = &job.spec;
-        *used.entry(spec.team.as_str()).or_default() += spec.needs.times(f64::from(demand.running));
-        if job.age_ms(now) >= least_age_ms && !job.parked && !job.to_blame() {
+        *used.entry(spec.team.as_str()).or_default() += spec.needs.scaled_by(f64::from(demand.running));
+        if job.age_ms(now) >= least_age_ms && !job.parked && !job.fails_on_many_machines() {
             asking.push(demand);
         }
     }
@@ -404,7 +404,7 @@
                 if most < demand.missing { 0 } else { most }
             }
         };
-        *used += spec.needs.times(f64::from(missing));
+        *used += spec.needs.scaled_by(f64::from(missing));
         let share = Share {
             asked: demand.served + missing,
             served: demand.served,
@@ -436,7 +436,7 @@
         memory_gb: f64::INFINITY,
     };
     // Saturates: no limit at all is a number larger than any.
-    (spec.needs.count_in(&free) as u32).min(most)
+    (spec.needs.instances_in(&free) as u32).min(most)
 }
 
 #[cfg(test)]
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -168,7 +168,7 @@
         entry.tasks += 1;
         entry.longest_s = entry
             .longest_s
-            .max((job.spec.estimate_s - attempt.ran_s(now)).max(0.0));
+            .max((job.spec.estimate_s - attempt.elapsed_s(now)).max(0.0));
     }
     placed
 }
--- a/crates/controller/src/scheduling/placement/aging.rs
+++ b/crates/controller/src/scheduling/placement/aging.rs
@@ -106,7 +106,7 @@
 
     /// Whether its team's limit lets the job start: else it would hold the turns of others.
     fn may_start(&self, entry: &QueueEntry<'_>) -> bool {
-        let together = entry.job.together();
+        let together = entry.job.gang_size();
         self.quota_left(&entry.job.spec, together) >= together
     }
 }
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -232,7 +232,7 @@
         let mut candidates = self.candidates(&requirements, &zones, None);
         candidates.retain(|candidate| {
             self.has_image(&requirements, candidate.at)
-                && self.capacities[candidate.at].machine.errors.is_empty()
+                && self.capacities[candidate.at].machine.failed_jobs.is_empty()
         });
         if candidates.is_empty() {
             return 0;
--- a/crates/controller/src/scheduling/placement/consolidation.rs
+++ b/crates/controller/src/scheduling/placement/consolidation.rs
@@ -31,7 +31,7 @@
         }
         let most = REPLICA_MOVES_PER_PASS.max((REPLICA_MOVES_SHARE * self.capacities.len() as f64) as usize);
         let used_share = |capacity: &MachineCapacity<'_>| match capacity.machine_type {
-            Some(machine_type) => 1.0 - capacity.free.share_free(&machine_type.resources()),
+            Some(machine_type) => 1.0 - capacity.free.free_share_of(&machine_type.resources()),
             None => 1.0,
         };
         let mut emptiest: Vec<(f64, usize)> = (0..self.capacities.len())
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -71,7 +71,7 @@
     if !attempt.holds_units() {
         return;
     }
-    let over_s = attempt.ran_s(now) - attempt.estimate_s;
+    let over_s = attempt.elapsed_s(now) - attempt.estimate_s;
     let left_s = if attempt.estimate_s <= 0.0 {
         f64::INFINITY
     } else if over_s <= 0.0 {
@@ -146,7 +146,7 @@
             let asker = self.asker(job);
             if self
                 .book
-                .awaits_machines(&job.spec.counts, job.together(), &asker)
+                .awaits_machines(&job.spec.counts, job.gang_size(), &asker)
             {
                 self.plan.units_reserved_for.insert(job.spec.id.clone());
             }
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -31,7 +31,7 @@
         let there = machine
             .attempts
             .iter()
-            .filter(|attempt| attempt.task.job == *job && attempt.may_be_there());
+            .filter(|attempt| attempt.task.job == *job && attempt.may_be_running());
         let at = zones.iter().position(|zone| *zone == machine.zone);
         taken[at.unwrap_or(zones.len())] += there.count() as u32;
     }
@@ -40,7 +40,7 @@
 
 /// Whether the job had better stay off spot machines, which are lost at this rate.
 pub fn avoids_spot(job: &Job, deployment: &Deployment, spot_loss: f64, now: Timestamp) -> bool {
-    !job.spec.saves()
+    !job.spec.writes_checkpoints()
         && job.spec.estimate_s * spot_loss > SPOT_MAX_LOSS_PROBABILITY
         && is_short_of_time(job, RERUN_MARGIN_RUNS, deployment, now)
 }
@@ -65,7 +65,7 @@
             steps: steps.filter(RankSteps::has_preference),
             image: self.images.number(&job.spec.image),
             start_within_s: self.cluster.deployment.tightest_s("wait", &job.spec.class),
-            avoids_failed_machines: !job.avoids(self.cluster.now).is_empty(),
+            avoids_failed_machines: !job.avoided_machines(self.cluster.now).is_empty(),
             // Without the bound, work of a class without an objective on its end left idle machines to a
             // gang for which there never were enough.
             is_deadline_critical: is_short_of_time(
@@ -101,7 +101,7 @@
 
     /// Kinds that the job's own types, zone and spot setting allow.
     fn eligible_by_spec(&self, spec: &JobSpec) -> Vec<bool> {
-        self.each_kind(|machine_type, zone, spot| spec.eligible(machine_type, zone, spot))
+        self.each_kind(|machine_type, zone, spot| spec.is_eligible(machine_type, zone, spot))
     }
 
     /// A value for each type, zone and kind: see [`Self::slot`].
@@ -168,7 +168,7 @@
                     .iter()
                     .enumerate()
                     .all(|(other, count)| *count == 0 || other == zone);
-                (!spec.one_zone || alone) && taken[zone] < spec.zone_cap()
+                (!spec.one_zone || alone) && taken[zone] < spec.max_tasks_per_zone()
             })
             .collect()
     }
--- a/crates/controller/src/scheduling/placement/gang_placement.rs
+++ b/crates/controller/src/scheduling/placement/gang_placement.rs
@@ -135,7 +135,7 @@
             .filter(|machine| usable(machine, self.cluster.now))
             .flat_map(|machine| &machine.attempts)
             .any(|attempt| {
-                attempt.number == number && attempt.task.job == job.spec.id && attempt.waited_in_vain()
+                attempt.number == number && attempt.task.job == job.spec.id && attempt.gang_wait_timed_out()
             })
     }
 
@@ -171,7 +171,7 @@
             };
             let mut free = self.free_for(requirements, at);
             while fit.machines.len() < tasks
-                && tasks_by_zone[zone] < spec.zone_cap()
+                && tasks_by_zone[zone] < spec.max_tasks_per_zone()
                 && spec.needs.fits_in(&free)
             {
                 free -= spec.needs;
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -154,7 +154,7 @@
                 .then(right.has_image.cmp(&left.has_image))
                 .then(left.at.cmp(&right.at))
         });
-        let cap = requirements.job.spec.zone_cap();
+        let cap = requirements.job.spec.max_tasks_per_zone();
         let mut tasks_by_zone = tasks_by_zone.clone();
         slots.retain(|slot| {
             let Some((_, zone)) = self.capacities[slot.at].place else {
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -64,7 +64,7 @@
             reservation: None,
         };
         let mut used = Resources::default();
-        for attempt in machine.attempts.iter().filter(|attempt| attempt.may_be_there()) {
+        for attempt in machine.attempts.iter().filter(|attempt| attempt.may_be_running()) {
             used += attempt.needs;
             self.add_attempt(attempt, &mut capacity);
         }
@@ -107,7 +107,7 @@
     /// Counts the fetch for which an attempt waits, if any.
     fn add_fetch(&mut self, attempt: &'a Attempt, capacity: &mut MachineCapacity<'a>) {
         let Some(image) = &attempt.image else { return };
-        if !attempt.fetching() || capacity.machine.has_image(image) {
+        if !attempt.is_fetching() || capacity.machine.has_image(image) {
             return;
         }
         let number = self.images.intern(image, attempt.image_gb);
@@ -180,7 +180,7 @@
     if attempt.estimate_s > 0.0 {
         // A task that has run over may do so for as long again: else it seemed about to end for ever,
         // and machines beside it were reserved for a gang as long as it ran.
-        (attempt.estimate_s - attempt.ran_s(now))
+        (attempt.estimate_s - attempt.elapsed_s(now))
             .abs()
             .max(MIN_OCCUPANCY_S)
     } else {
--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -17,7 +17,7 @@
 /// stopped counts as well.
 fn has_not_begun(job: &Job, task_locations: &TaskLocations) -> bool {
     match job.spec.shape {
-        Shape::Gang => !job.began && job.gang.is_none_or(|gang| gang.open()),
+        Shape::Gang => !job.has_started && job.gang.is_none_or(|gang| gang.open()),
         Shape::Array | Shape::Service => {
             job.done.is_empty()
                 && task_locations
@@ -46,7 +46,7 @@
     let waits = |job: &&Job| {
         !job.waiting.is_empty()
             && !job.parked
-            && !job.to_blame()
+            && !job.fails_on_many_machines()
             && job.age_ms(now) >= least_age_ms
             && has_not_begun(job, task_locations)
     };
--- a/crates/controller/src/scheduling/placement/mod.rs
+++ b/crates/controller/src/scheduling/placement/mod.rs
@@ -153,7 +153,7 @@
 /// The queue entries of all jobs that may start tasks now, in scheduling order.
 fn queue_sort<'a>(pass: &Pass<'a>) -> Vec<QueueEntry<'a>> {
     let cluster = pass.cluster;
-    let schedulable = |job: &&Job| !job.waiting.is_empty() && !job.parked && job.held_until <= cluster.now;
+    let schedulable = |job: &&Job| !job.waiting.is_empty() && !job.parked && job.backoff_until <= cluster.now;
     let mut order: Vec<QueueEntry<'_>> = Vec::new();
     for job in cluster.jobs.values().filter(schedulable) {
         pass.queue_entries(job, &mut order);
@@ -166,16 +166,16 @@
 
 /// Whether so many different jobs have failed on the machine that it is taken to be at fault.
 pub fn faulty(machine: &Machine) -> bool {
-    machine.errors.len() >= FAULTY_MACHINE_FAILURES
+    machine.failed_jobs.len() >= FAULTY_MACHINE_FAILURES
 }
 
 /// Whether new tasks may be placed on the machine.
 fn usable(machine: &Machine, now: Timestamp) -> bool {
     machine.synced
-        && !machine.returning
-        && !machine.inspect_failed
+        && !machine.releasing
+        && !machine.unreachable
         && !machine.one_way_partition
-        && machine.notice_until.is_none()
+        && machine.reclaim_notice_until.is_none()
         && machine.full_until <= now
         && !faulty(machine)
 }
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -9,7 +9,7 @@
 
 /// Grace that lets a task save.
 pub fn grace_s(spec: &JobSpec) -> f64 {
-    if spec.saves() {
+    if spec.writes_checkpoints() {
         spec.save_s + STOP_GRACE_EXTRA_S
     } else {
         0.0
@@ -260,10 +260,10 @@
 
     /// Seconds of work that a stop throws away.
     pub(super) fn lost_work_s(&self, attempt: &Attempt, job: &Job) -> f64 {
-        if job.spec.saves() {
+        if job.spec.writes_checkpoints() {
             job.spec.save_s + 1.0
         } else {
-            attempt.ran_s(self.cluster.now) + 1.0
+            attempt.elapsed_s(self.cluster.now) + 1.0
         }
     }
 
@@ -273,7 +273,7 @@
     pub(super) fn drain_noticed(&mut self) {
         let mut stops = Vec::new();
         for capacity in &self.capacities {
-            if capacity.machine.notice_until.is_none() && !faulty(capacity.machine) {
+            if capacity.machine.reclaim_notice_until.is_none() && !faulty(capacity.machine) {
                 continue;
             }
             for running in capacity
@@ -285,7 +285,7 @@
                     continue;
                 };
                 let moves = job.spec.shape == Shape::Service
-                    || job.spec.saves()
+                    || job.spec.writes_checkpoints()
                     || running.attempt.running_since.is_none();
                 if moves {
                     stops.push((running.attempt, capacity.machine.id.clone()));
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -56,7 +56,7 @@
     pub fn machines(&self, jobs: &BTreeMap<JobId, Job>, types: &MachineTypes) -> f64 {
         let fills = |id: &JobId, tasks: u32| {
             let Some(job) = jobs.get(id) else { return 0.0 };
-            let per = |known: &MachineType| job.spec.needs.count_in(&known.resources());
+            let per = |known: &MachineType| job.spec.needs.instances_in(&known.resources());
             let allowed = types.values().filter(|known| {
                 let own = job.spec.types.as_ref();
                 own.is_none_or(|own| own.contains(&known.name))
@@ -186,7 +186,7 @@
             .filter_map(|at| {
                 let capacity = &self.capacities[at];
                 Some((
-                    unreserved(capacity).share_free(&capacity.machine_type?.resources()),
+                    unreserved(capacity).free_share_of(&capacity.machine_type?.resources()),
                     at,
                 ))
             })
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -165,7 +165,7 @@
         jobs.sort_by_key(|job| (Reverse(job.age_ms(now)), &job.spec.id));
         let mut total = Resources::default();
         for job in jobs {
-            total += job.spec.needs.times(f64::from(job.spec.tasks));
+            total += job.spec.needs.scaled_by(f64::from(job.spec.tasks));
             if team.guarantees(&total) {
                 within.insert(job.spec.id.clone());
             }
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -128,7 +128,7 @@
     fn reserve_quota(&mut self, job: &'a Job, tasks: usize) -> Option<f64> {
         let name = job.spec.team.as_str();
         let team = self.team(name)?;
-        let needs = job.spec.needs.times(tasks as f64);
+        let needs = job.spec.needs.scaled_by(tasks as f64);
         let mut used = self.usage.of(name);
         used += self.quota_reserved_from(&job.spec);
         used += needs;
--- a/crates/controller/src/scheduling/placement/scoring.rs
+++ b/crates/controller/src/scheduling/placement/scoring.rs
@@ -56,7 +56,7 @@
         {
             cost += RESERVED_MACHINE_COST_S;
         }
-        if !capacity.machine.errors.is_empty() {
+        if !capacity.machine.failed_jobs.is_empty() {
             cost += FAILED_MACHINE_COST_S;
         }
         if let Some(machine_type) = capacity.machine_type {
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -400,7 +400,7 @@
     let key = keys::job_key(&id.0);
     let access = Access::of_service(&authorization::owner(&job.spec));
     let ended = authorization::ended(&job.spec, wall_ms);
-    let record = EndedRecord::done(Entry::finished(&access, &ended, job.account.clone()));
+    let record = EndedRecord::done(Entry::finished(&access, &ended, job.execution_stats.clone()));
     let changes = vec![
         Change::Delete { key: key.clone() },
         put(keys::ended_key(&id.0), &record),
--- a/crates/controller/src/storage/batch_writer/machine_shards.rs
+++ b/crates/controller/src/storage/batch_writer/machine_shards.rs
@@ -470,7 +470,7 @@
         transaction: &TransactionBuilder,
         jobs: &BTreeMap<JobId, Job>,
     ) -> MachineRecord {
-        if machine.returning {
+        if machine.releasing {
             self.returns.push(machine.id.clone());
         }
         machine.record(|attempt| {
--- a/crates/controller/src/storage/records/machine_shard.rs
+++ b/crates/controller/src/storage/records/machine_shard.rs
@@ -44,7 +44,7 @@
     /// Images it is thought to hold, with their size in GB, the latest used last.
     pub images: Vec<(Arc<str>, f64)>,
     /// It is being given back: nothing may be placed there any more.
-    pub returning: bool,
+    pub releasing: bool,
 }
 
 /// A machine that the cloud has taken back, but whose clients a licence server may still name.
@@ -166,7 +166,7 @@
             addr: entry.addr.clone(),
             starts,
             images,
-            returning: entry.returning,
+            releasing: entry.releasing,
         })
     }
 
--- a/crates/controller/src/storage/records/machine_shard/encoder.rs
+++ b/crates/controller/src/storage/records/machine_shard/encoder.rs
@@ -38,7 +38,7 @@
             machine_type,
             zone,
             spot: machine.spot,
-            returning: machine.returning,
+            releasing: machine.releasing,
             addr: machine.addr.clone(),
             images,
             starts,
--- a/crates/controller/src/storage/records/machine_shard/stored.rs
+++ b/crates/controller/src/storage/records/machine_shard/stored.rs
@@ -52,7 +52,7 @@
     /// Position of its zone's name.
     pub(super) zone: usize,
     pub(super) spot: bool,
-    pub(super) returning: bool,
+    pub(super) releasing: bool,
     pub(super) addr: Option<String>,
     /// Images by the position of their names, with their size in GB.
     pub(super) images: Vec<(usize, f64)>,
@@ -78,7 +78,7 @@
             machine_type,
             zone,
             spot,
-            returning,
+            releasing: returning,
             addr,
             images,
             starts,
@@ -93,7 +93,7 @@
             self.machine_type,
             self.zone,
             self.spot,
-            self.returning,
+            self.releasing,
             &self.addr,
             &self.images,
             &self.starts,
--- a/crates/controller/src/storage/records/tests.rs
+++ b/crates/controller/src/storage/records/tests.rs
@@ -34,7 +34,7 @@
         spot: name.ends_with('2'),
         addr: (!starts.is_empty()).then(|| "10.0.0.1:9000".to_owned()),
         images: vec![(Arc::from("img-1"), 2.5)],
-        returning: starts.is_empty(),
+        releasing: starts.is_empty(),
         starts,
     }
 }
@@ -189,6 +189,6 @@
         let _ = LeaderRecord::from_value(&value).is_ok();
         let _ = RentalRequest::from_value(&value).is_ok();
         let _ = Flavors::from_value(&value).is_ok();
-        let _ = JobSpec::from_value(&value).map(|spec| (spec.zone_cap(), spec.to_value()));
+        let _ = JobSpec::from_value(&value).map(|spec| (spec.max_tasks_per_zone(), spec.to_value()));
     }
 }
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -202,7 +202,7 @@
     fn absorb(&mut self, at: usize, body: &[u8]) -> Option<(u64, u64)> {
         let report: Heartbeat = serde_json::from_slice(body).unwrap();
         let (id, first, now) = (self.id(at), self.first_token, self.now);
-        let changes = self.machines.get_mut(&id)?.absorb(&report, first, now)?;
+        let changes = self.machines.get_mut(&id)?.apply_heartbeat(&report, first, now)?;
         self.changed(changes);
         Some((report.agent_epoch, report.seq))
     }
@@ -217,7 +217,7 @@
                 let (id, now) = (self.id(*at), self.now);
                 for attempt in &mut self.machines.get_mut(&id).unwrap().attempts {
                     if !attempt.exited() {
-                        attempt.stop = Some(indigopath_controller::allocations::Stop::asked(0.0, now));
+                        attempt.stop = Some(indigopath_controller::allocations::Stop::requested(0.0, now));
                     }
                 }
             }
@@ -333,7 +333,7 @@
         let (now, token) = (self.now, self.token);
         let machine = self.machines.get_mut(&id).unwrap();
         let orders = if machine.synced {
-            machine.orders(None, true, token, now)
+            machine.due_commands(None, true, token, now)
         } else {
             Vec::new()
         };
@@ -354,10 +354,10 @@
                     self.late.push((now + ms, at, body));
                 }
                 if !matches!(fortune, Fortune::Unanswered) {
-                    machine.direct_settled(status == 200, token, agent_epoch);
+                    machine.on_direct_command_settled(status == 200, token, agent_epoch);
                     self.absorb(at, &answer);
                 } else {
-                    machine.direct_unanswered(token, agent_epoch);
+                    machine.on_direct_command_unanswered(token, agent_epoch);
                 }
             }
             _ => {
@@ -367,7 +367,7 @@
                 self.machines
                     .get_mut(&id)
                     .unwrap()
-                    .direct_unanswered(token, agent_epoch);
+                    .on_direct_command_unanswered(token, agent_epoch);
             }
         }
     }
@@ -386,7 +386,7 @@
         let (id, token) = (self.id(at), self.token);
         let outcome = newest.filter(|_| answered).map(|newest| {
             let machine = self.machines.get_mut(&id).unwrap();
-            let orders = machine.orders(Some(newest), true, token, now);
+            let orders = machine.due_commands(Some(newest), true, token, now);
             (
                 200,
                 serde_json::to_vec(&HeartbeatResponse { token, orders }).unwrap(),
--- a/crates/counted_resources/benches/pass.rs
+++ b/crates/counted_resources/benches/pass.rs
@@ -76,14 +76,14 @@
         let zone = if number.is_multiple_of(2) { "east" } else { "west" };
         let mut machine = Machine::new(id.clone(), "small".into(), zone.into(), true, 0);
         machine.synced = true;
-        machine.heard = Some(0);
+        machine.last_heard_at = Some(0);
         for task in 0..EACH {
             let holder = spec(JOBS + number * EACH + task);
             machine.attempts.push(Attempt {
                 counts: holder.counts.clone(),
                 estimate_s: holder.estimate_s,
                 durable: true,
-                seen: Some(TaskState::Running),
+                reported_state: Some(TaskState::Running),
                 running_since: Some(0),
                 ..Attempt::planned(
                     TaskId {
--- a/crates/experiments/src/play.rs
+++ b/crates/experiments/src/play.rs
@@ -346,7 +346,7 @@
             let id = MachineId(Arc::from(format!("m-{number}")));
             let mut machine = Machine::new(id.clone(), "big".into(), "east".into(), false, 0);
             machine.synced = true;
-            machine.heard = Some(0);
+            machine.last_heard_at = Some(0);
             machine.images.seen(&Arc::from("img"), 1.0);
             (id, machine)
         });
@@ -475,7 +475,7 @@
             counts: spec.counts.clone(),
             estimate_s: spec.estimate_s,
             durable: true,
-            seen: Some(TaskState::Running),
+            reported_state: Some(TaskState::Running),
             running_since: Some(self.now),
             ..Attempt::planned(
                 task.clone(),
@@ -524,7 +524,7 @@
                 continue;
             };
             job.done.insert(task.index);
-            if job.complete() {
+            if job.is_complete() {
                 self.jobs.remove(&task.job);
                 self.task_locations.remove(&task.job);
                 self.run_ms.remove(&task.job);
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1374,7 +1374,7 @@
             .filter_map(|shard| shard.machines().ok())
             .flatten();
         records
-            .filter(|record| record.returning)
+            .filter(|record| record.releasing)
             .map(|record| record.name.to_string())
             .collect()
     }
--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -282,7 +282,7 @@
                 continue;
             }
             let mut usage = used.get(facts.team.as_str()).copied().unwrap_or_default();
-            usage += ask.needs.times(tasks as f64);
+            usage += ask.needs.scaled_by(tasks as f64);
             let within = |team: &Team| team.name == facts.team && team.allows(&usage);
             if !waiting.teams.iter().any(within) || !self.has_units(facts, tasks as u32, &held) {
                 continue;
@@ -324,7 +324,7 @@
         .filter(|room| ask.needs.fits_in(&room.free) && ask.allows(room))
     {
         let (places, _) = by_zone.entry(room.zone).or_insert((0, room.id));
-        *places += ask.needs.count_in(&room.free).min(all as f64) as usize;
+        *places += ask.needs.instances_in(&room.free).min(all as f64) as usize;
     }
     let taken = |zone: &str| there.zones.get(zone).copied().unwrap_or(0);
     if ask.one_zone {
