--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -20,7 +20,7 @@
     Change, Condition, MachineType, StoredItem, StoredPage, Transaction, TransactionResponse, paths,
 };
 use crate::settings::Settings;
-use crate::storage::records::{self, EndedRecord, Ending, Record};
+use crate::storage::records::{self, EndedJobRecord, Ending, Record};
 use crate::token_bucket::TokenBucket;
 use indigopath_accounting::{Access, Entry, Owner, Team, VisibleJob, team_key_prefix};
 use indigopath_condor::cluster::{
@@ -317,7 +317,7 @@
     }
 
     fn begin(&mut self, request: RequestId, work: Work, first: Step, context: &Context<'_>, io: &mut Io) {
-        if self.ops.len() >= MAX_CLUSTER_OPERATIONS || !io.state.take(1.0, USER_WRITE_RESERVE, io.now) {
+        if self.ops.len() >= MAX_CLUSTER_OPERATIONS || !io.state.try_take(1.0, USER_WRITE_RESERVE, io.now) {
             return io.reply_later(request, RETRY_AFTER_S, "too many requests, come back later");
         }
         self.next += 1;
@@ -412,7 +412,7 @@
 
     /// Takes a step once its changes are within this node's share; until then it waits.
     fn paced(&mut self, id: u64, step: Step, changes: f64, context: &Context<'_>, io: &mut Io) {
-        if self.pace.take(changes, 0.0, io.now) {
+        if self.pace.try_take(changes, 0.0, io.now) {
             self.call(id, step, context, io);
         } else if let Some(op) = self.ops.get_mut(&id) {
             op.waiting = Some((step, changes));
@@ -442,7 +442,7 @@
                 io,
             );
         };
-        io.state.force(1.0, io.now);
+        io.state.force_take(1.0, io.now);
         let call = io.call(FencedDestination::State, method, path, body, STATE_TIMEOUT_MS);
         self.calls.expect(call, (id, step));
     }
@@ -504,7 +504,7 @@
             Step::ReadNumber => get(NUMBER),
             Step::ReadOpen => get(&open),
             Step::ReadCluster => get(&cluster_key(self.cluster)),
-            Step::ReadStaged { .. } => page(&jobs_prefix(records::JOBS, self.cluster), None),
+            Step::ReadStaged { .. } => page(&jobs_prefix(records::JOB_PREFIX, self.cluster), None),
             Step::DropKey => {
                 let key = key_key(&self.bundle.key);
                 let conditions = vec![
@@ -555,7 +555,7 @@
                 let mut changes = Vec::new();
                 for spec in positions.iter().filter_map(|at| jobs.get(*at)) {
                     conditions.push((records::job_key(&spec.id.0), 0));
-                    conditions.push((records::ended_key(&spec.id.0), 0));
+                    conditions.push((records::ended_job_key(&spec.id.0), 0));
                     changes.push(put(records::job_key(&spec.id.0), spec));
                 }
                 transaction(conditions, changes)
@@ -792,7 +792,7 @@
     fn message(&self, step: &Step, context: &Context<'_>, wall_ms: u64) -> Option<Message> {
         Some(match step {
             Step::ReadCluster => get(&cluster_key(self.target.cluster)),
-            Step::ReadJobs => page(&jobs_prefix(records::JOBS, self.target.cluster), None),
+            Step::ReadJobs => page(&jobs_prefix(records::JOB_PREFIX, self.target.cluster), None),
             Step::Apply(_) => {
                 let mut conditions = Vec::new();
                 let mut changes = Vec::new();
@@ -801,9 +801,9 @@
                     conditions.push((key.clone(), *version));
                     if self.act == Act::Remove {
                         let entry = Entry::removed(access, &authorization::ended(spec, wall_ms));
-                        let record = EndedRecord::cancelled(&VisibleJob::from(access), Some(entry));
+                        let record = EndedJobRecord::cancelled(&VisibleJob::from(access), Some(entry));
                         changes.push(Change::Delete { key });
-                        changes.push(put(records::ended_key(&spec.id.0), &record));
+                        changes.push(put(records::ended_job_key(&spec.id.0), &record));
                     } else {
                         changes.push(put(key, spec));
                     }
@@ -992,8 +992,8 @@
     match step {
         Step::Latest => get(NUMBER),
         Step::ReadBook => page(&team_key_prefix(asks), None),
-        Step::ReadEnded => page(&jobs_prefix(records::ENDED, cluster), None),
-        Step::ReadLive => page(&jobs_prefix(records::JOBS, cluster), None),
+        Step::ReadEnded => page(&jobs_prefix(records::ENDED_JOB_PREFIX, cluster), None),
+        Step::ReadLive => page(&jobs_prefix(records::JOB_PREFIX, cluster), None),
         Step::Page => {
             // The number before the first that is shown; none begins the page.
             let after = found.clusters.first().map(|record| cluster_key(record.cluster));
@@ -1096,8 +1096,8 @@
                     .first()
                     .and_then(|record| is_its(record, asks, settings));
                 let ended = page.items.iter().filter_map(|item| {
-                    let ended = EndedRecord::from_value(&item.value).ok()?;
-                    let id: Arc<str> = Arc::from(item.key.strip_prefix(records::ENDED)?);
+                    let ended = EndedJobRecord::from_value(&item.value).ok()?;
+                    let id: Arc<str> = Arc::from(item.key.strip_prefix(records::ENDED_JOB_PREFIX)?);
                     let entry = ended.entry();
                     // An earlier build did not write whose it was; its cluster may say.
                     let team = match entry {
--- a/crates/controller/src/condor/mod.rs
+++ b/crates/controller/src/condor/mod.rs
@@ -54,12 +54,15 @@
 
 /// Key that stands while a cluster is being recorded.
 pub fn open_key(cluster: u64) -> String {
-    format!("{}{OPEN}{cluster:0CLUSTER_DIGITS$}", records::JOBS)
+    format!("{}{OPEN}{cluster:0CLUSTER_DIGITS$}", records::JOB_PREFIX)
 }
 
 /// The cluster of such a key.
 pub fn parse_open(key: &str) -> Option<u64> {
-    key.strip_prefix(records::JOBS)?.strip_prefix(OPEN)?.parse().ok()
+    key.strip_prefix(records::JOB_PREFIX)?
+        .strip_prefix(OPEN)?
+        .parse()
+        .ok()
 }
 
 /// The site as submit files see it.
--- a/crates/controller/src/election/cancellation_watermark.rs
+++ b/crates/controller/src/election/cancellation_watermark.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationWatermark {
     /// Every end before that is known and followed. In ms of this node's clock.
-    seen: Timestamp,
+    observed_until: Timestamp,
     /// The records are being read: nothing is known yet.
-    unread: bool,
+    is_unread: bool,
     grace_ms: u64,
 }
 
@@ -27,32 +27,32 @@
     /// Of a leader that has read nothing yet.
     pub fn unread(workers: &Workers, now: Timestamp) -> CancellationWatermark {
         CancellationWatermark {
-            seen: now,
-            unread: true,
+            observed_until: now,
+            is_unread: true,
             grace_ms: grace_ms(workers),
         }
     }
 
     /// A reading or a watch that was sent then is answered and worked off.
     pub fn advance(&mut self, sent: Timestamp) {
-        self.unread = false;
-        self.seen = self.seen.max(sent);
+        self.is_unread = false;
+        self.observed_until = self.observed_until.max(sent);
     }
 
     /// Whether an answer that renews a worker's lease can keep alive nothing that was cancelled
     /// for too long.
     pub fn permits_lease_renewal(&self, now: Timestamp) -> bool {
-        !self.unread && !self.is_expired(now)
+        !self.is_unread && !self.is_expired(now)
     }
 
     /// Whether nothing was learned for so long that this leader can keep nobody alive.
     pub fn is_expired(&self, now: Timestamp) -> bool {
-        now >= self.seen + self.grace_ms
+        now >= self.observed_until + self.grace_ms
     }
 
     /// For how long nothing has been learned, in ms.
     pub fn age_ms(&self, now: Timestamp) -> u64 {
-        now.saturating_sub(self.seen)
+        now.saturating_sub(self.observed_until)
     }
 }
 
--- a/crates/controller/src/election/candidate.rs
+++ b/crates/controller/src/election/candidate.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{
     Change, Condition, LeaseRequest, LeaseResponse, Transaction, TransactionResponse, paths,
 };
-use crate::storage::records::{LEADER, Record};
+use crate::storage::records::{LEADER_KEY, Record};
 
 impl Election {
     pub(super) fn request_lease(&mut self, io: &mut Io) {
@@ -55,11 +55,11 @@
     fn claim_key(&mut self, lease: RequestedLease, io: &mut Io) {
         let body = Transaction {
             conditions: vec![Condition {
-                key: LEADER.to_owned(),
+                key: LEADER_KEY.to_owned(),
                 version: 0,
             }],
             changes: vec![Change::Put {
-                key: LEADER.to_owned(),
+                key: LEADER_KEY.to_owned(),
                 value: self.record().to_value(),
                 lease: Some(lease.id),
             }],
--- a/crates/controller/src/election/follower.rs
+++ b/crates/controller/src/election/follower.rs
@@ -9,7 +9,7 @@
 use crate::io::{Io, Method, Outcome};
 use crate::model::Timestamp;
 use crate::protocol::{Changes, Event, StoredItem, StoredPage, TransactionResponse, paths};
-use crate::storage::records::{LEADER, LeaderRecord, Record};
+use crate::storage::records::{LEADER_KEY, LeaderRecord, Record};
 use rand::RngExt;
 use serde_json::Value;
 
@@ -40,7 +40,7 @@
     fn from_page(outcome: &Outcome) -> Option<KeyReading> {
         let page = outcome.read::<StoredPage>(&[200])?;
         Some(KeyReading {
-            item: page.items.into_iter().find(|item| item.key == LEADER),
+            item: page.items.into_iter().find(|item| item.key == LEADER_KEY),
             revision: page.revision,
         })
     }
@@ -53,9 +53,9 @@
     /// revision.
     pub(super) fn read_key(&mut self, io: &mut Io) {
         let path = if self.revision_compacted {
-            paths::page(LEADER, None, 1)
+            paths::page(LEADER_KEY, None, 1)
         } else {
-            paths::key(LEADER)
+            paths::key(LEADER_KEY)
         };
         let call = io.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS);
         self.calls.expect(call, PendingCall::ReadKey);
@@ -68,7 +68,7 @@
             .vacant_since
             .map_or(WATCH_LONG_POLL_MS, left_ms)
             .min(WATCH_LONG_POLL_MS);
-        let path = paths::watch(LEADER, self.revision, hold_ms);
+        let path = paths::watch(LEADER_KEY, self.revision, hold_ms);
         let call = io.state_call(Method::Get, path, Vec::new(), hold_ms + WATCH_SLACK_MS);
         self.calls.expect(call, PendingCall::WatchKey);
     }
@@ -126,11 +126,11 @@
         let mut vacant = false;
         for event in &changes.events {
             match event {
-                Event::Put { key, value, .. } if key == LEADER => {
+                Event::Put { key, value, .. } if key == LEADER_KEY => {
                     self.learn_leader(value);
                     vacant = false;
                 }
-                Event::Delete { key } if key == LEADER => vacant = true,
+                Event::Delete { key } if key == LEADER_KEY => vacant = true,
                 _ => (),
             }
         }
--- a/crates/controller/src/election/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -5,7 +5,7 @@
 use crate::io::{Io, Method, Outcome, json};
 use crate::model::Timestamp;
 use crate::protocol::{Change, LeaseRequest, StoredItem, paths};
-use crate::storage::records::{LEADER, LeaderRecord, Record};
+use crate::storage::records::{LEADER_KEY, LeaderRecord, Record};
 use indigopath_fencing::HeldLease;
 
 /// What a leader holds.
@@ -20,7 +20,7 @@
 impl Leadership {
     /// The token, and until when the lease surely lives: counted from when the last renewal that was
     /// answered was sent, less the clocks' drift.
-    pub(super) fn hold(&self) -> HeldLease {
+    pub(super) fn held_lease(&self) -> HeldLease {
         let lifetime_ms = LEADER_LEASE_MS - LEADER_LEASE_MS * CLOCK_DRIFT_PPM / PARTS_PER_MILLION;
         HeldLease {
             epoch: self.token,
@@ -35,7 +35,7 @@
         // Without the state service a leader cannot tell an outage, in which it still leads, from
         // being alone refused. It goes on answering workers for as long as its cancellation watermark
         // allows, and never so long that the next leader could count their leases as expired.
-        if !self.may_renew(io.now) {
+        if !self.may_renew_worker_leases(io.now) {
             return Some(self.step_down("no word from the state service"));
         }
         let leadership = self.leadership.as_mut()?;
@@ -83,16 +83,16 @@
     }
 
     /// The change that renews the leader's key, and with it the token.
-    pub fn renewal(&self) -> Option<Change> {
+    pub fn key_renewal(&self) -> Option<Change> {
         self.lease().map(|lease| Change::Put {
-            key: LEADER.to_owned(),
+            key: LEADER_KEY.to_owned(),
             value: self.record().to_value(),
             lease: Some(lease),
         })
     }
 
     /// The leader's key was renewed: its new version is the token.
-    pub fn renewed(&mut self, token: u64) {
+    pub fn on_key_renewed(&mut self, token: u64) {
         if let Some(leadership) = &mut self.leadership {
             leadership.token = leadership.token.max(token);
         }
@@ -102,7 +102,7 @@
     /// leads by. A key goes only with its lease, so nobody else led since its claim. The name alone
     /// does not tell that: a claim of this node that was carried out late, under a lease that an
     /// outage kept alive, bears it too, and others may have led before it.
-    pub fn is_mine(&self, item: Option<&StoredItem>) -> bool {
+    pub fn is_own_key(&self, item: Option<&StoredItem>) -> bool {
         let lease = self.lease();
         lease.is_some()
             && item.is_some_and(|item| {
--- a/crates/controller/src/election/mod.rs
+++ b/crates/controller/src/election/mod.rs
@@ -119,22 +119,22 @@
     }
 
     /// The leader that others should be sent to, if it is not this node.
-    pub fn other(&self) -> Option<&str> {
+    pub fn other_leader(&self) -> Option<&str> {
         self.known_leader.as_deref().filter(|node| *node != self.node)
     }
 
     /// What this node holds, and until when nobody else can.
-    pub fn hold(&self) -> Option<HeldLease> {
-        self.leadership.as_ref().map(Leadership::hold)
+    pub fn held_lease(&self) -> Option<HeldLease> {
+        self.leadership.as_ref().map(Leadership::held_lease)
     }
 
     /// The lease has surely not expired yet.
-    pub fn certain(&self, now: Timestamp) -> bool {
-        self.hold().is_some_and(|hold| now < hold.until)
+    pub fn is_lease_live(&self, now: Timestamp) -> bool {
+        self.held_lease().is_some_and(|hold| now < hold.until)
     }
 
     /// No later leader counts on a worker's lease having expired that is renewed now.
-    pub fn may_renew(&self, now: Timestamp) -> bool {
+    pub fn may_renew_worker_leases(&self, now: Timestamp) -> bool {
         self.leadership
             .as_ref()
             .is_some_and(|leadership| now < leadership.lease.requested_at + self.grace_ms)
@@ -158,17 +158,22 @@
     }
 
     /// A call was answered. `None` if the election did not make it, else what follows.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         call: CallId,
         outcome: &Outcome,
         io: &mut Io,
     ) -> Option<Option<ElectionEvent>> {
         let call = self.calls.settle(call)?;
-        Some(self.on_answer(call, outcome, io))
+        Some(self.dispatch_response(call, outcome, io))
     }
 
-    fn on_answer(&mut self, call: PendingCall, outcome: &Outcome, io: &mut Io) -> Option<ElectionEvent> {
+    fn dispatch_response(
+        &mut self,
+        call: PendingCall,
+        outcome: &Outcome,
+        io: &mut Io,
+    ) -> Option<ElectionEvent> {
         match call {
             PendingCall::RenewLease(lease) => return self.on_lease_renewal(lease, outcome),
             PendingCall::ReleaseLease => return None,
@@ -186,7 +191,7 @@
     }
 
     /// Another node holds a higher token, or a transaction showed it.
-    pub fn deposed(&mut self, why: &str) -> Option<ElectionEvent> {
+    pub fn depose(&mut self, why: &str) -> Option<ElectionEvent> {
         self.leadership.is_some().then(|| self.step_down(why))
     }
 
--- a/crates/controller/src/election/tests.rs
+++ b/crates/controller/src/election/tests.rs
@@ -3,7 +3,7 @@
 use crate::io::Effect;
 use crate::protocol;
 use crate::settings::Settings;
-use crate::storage::records::LEADER;
+use crate::storage::records::LEADER_KEY;
 use serde_json::json;
 
 const INCARNATION: u64 = 7;
@@ -31,12 +31,14 @@
         panic!("{calls:?}");
     };
     assert_eq!(asked, path);
-    election.answered(*call, outcome, io).expect("it was its own")
+    election
+        .handle_response(*call, outcome, io)
+        .expect("it was its own")
 }
 
 fn key(node: &str, incarnation: u64, lease: Option<u64>) -> protocol::StoredItem {
     protocol::StoredItem {
-        key: LEADER.to_owned(),
+        key: LEADER_KEY.to_owned(),
         value: json!({ "node": node, "incarnation": incarnation }),
         version: 40,
         lease,
@@ -66,12 +68,12 @@
     let settings = Settings::parse(include_str!("../../tests/support/settings.json")).unwrap();
     let mut io = Io::new(&settings, 1, 0, 0);
     let mut election = leads(&mut io);
-    assert!(election.is_mine(Some(&key("n0", INCARNATION, Some(12)))));
-    assert!(!election.is_mine(Some(&key("n0", INCARNATION, Some(11)))));
-    assert!(!election.is_mine(Some(&key("n0", INCARNATION, None))));
-    assert!(!election.is_mine(Some(&key("n0", INCARNATION + 1, Some(12)))));
-    assert!(!election.is_mine(Some(&key("n1", INCARNATION, Some(12)))));
-    assert!(!election.is_mine(None));
+    assert!(election.is_own_key(Some(&key("n0", INCARNATION, Some(12)))));
+    assert!(!election.is_own_key(Some(&key("n0", INCARNATION, Some(11)))));
+    assert!(!election.is_own_key(Some(&key("n0", INCARNATION, None))));
+    assert!(!election.is_own_key(Some(&key("n0", INCARNATION + 1, Some(12)))));
+    assert!(!election.is_own_key(Some(&key("n1", INCARNATION, Some(12)))));
+    assert!(!election.is_own_key(None));
     election.hand_over("it leaves", &mut io);
-    assert!(!election.is_mine(Some(&key("n0", INCARNATION, Some(12)))));
+    assert!(!election.is_own_key(Some(&key("n0", INCARNATION, Some(12)))));
 }
--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -144,7 +144,7 @@
 
     /// A call to the state service, charged to its budget.
     pub fn state_call(&mut self, method: Method, path: String, body: Vec<u8>, timeout_ms: u64) -> CallId {
-        self.state.force(1.0, self.now);
+        self.state.force_take(1.0, self.now);
         self.call(FencedDestination::State, method, path, body, timeout_ms)
     }
 
--- a/crates/controller/src/job_api/cache.rs
+++ b/crates/controller/src/job_api/cache.rs
@@ -4,7 +4,7 @@
 use crate::constants::LIVE_JOB_CACHE_SIZE;
 use crate::expiring_cache::ExpiringCache;
 use crate::model::JobId;
-use crate::storage::records::{EndedRecord, Ending};
+use crate::storage::records::{EndedJobRecord, Ending};
 use indigopath_accounting::Team;
 use std::collections::{HashMap, HashSet};
 
@@ -17,8 +17,8 @@
     pub team: Option<Team>,
 }
 
-impl From<&EndedRecord> for TerminalState {
-    fn from(record: &EndedRecord) -> TerminalState {
+impl From<&EndedJobRecord> for TerminalState {
+    fn from(record: &EndedJobRecord) -> TerminalState {
         TerminalState {
             end: record.end,
             tasks: record.tasks,
--- a/crates/controller/src/job_api/cancel.rs
+++ b/crates/controller/src/job_api/cancel.rs
@@ -7,11 +7,11 @@
 use crate::job_api::{JobApi, RequestOutcome, authorization};
 use crate::model::{JobId, JobSpec};
 use crate::protocol::{Change, Condition, Transaction};
-use crate::storage::records::{self, EndedRecord, Record};
+use crate::storage::records::{self, EndedJobRecord, Record};
 use indigopath_accounting::{Entry, VisibleJob};
 
 /// Replaces the job's live record, if it still has this version, by the record of its end.
-pub(super) fn move_transaction(job: &JobId, version: u64, record: &EndedRecord) -> Transaction {
+pub(super) fn move_transaction(job: &JobId, version: u64, record: &EndedJobRecord) -> Transaction {
     let live_key = records::job_key(&job.0);
     Transaction {
         conditions: vec![Condition {
@@ -21,7 +21,7 @@
         changes: vec![
             Change::Delete { key: live_key },
             Change::Put {
-                key: records::ended_key(&job.0),
+                key: records::ended_job_key(&job.0),
                 value: record.to_value(),
                 lease: None,
             },
@@ -49,7 +49,7 @@
             let ended = authorization::ended(spec, io.wall_ms);
             Entry::withdrawn(&visible, &owner, &ended)
         });
-        pending.end = Some(EndedRecord::cancelled(&visible, entry));
+        pending.end = Some(EndedJobRecord::cancelled(&visible, entry));
         self.send_next_call(request, StateCall::MoveToEnded { version }, io);
     }
 
--- a/crates/controller/src/job_api/job_scan.rs
+++ b/crates/controller/src/job_api/job_scan.rs
@@ -43,7 +43,7 @@
     /// Asks for the next page, if one is due and the budget allows it.
     pub(super) fn next_page(&mut self, io: &mut Io) -> Option<PageCall> {
         let is_due = matches!(self, JobScan::Due { at, .. } if io.now >= *at);
-        if !is_due || !io.state.take(1.0, USER_WRITE_RESERVE, io.now) {
+        if !is_due || !io.state.try_take(1.0, USER_WRITE_RESERVE, io.now) {
             return None;
         }
         let JobScan::Due { after, .. } = std::mem::replace(self, JobScan::InFlight) else {
@@ -52,7 +52,7 @@
         let call = io.call(
             FencedDestination::State,
             Method::Get,
-            paths::page(records::JOBS, after.as_deref(), STATE_PAGE_ITEMS),
+            paths::page(records::JOB_PREFIX, after.as_deref(), STATE_PAGE_ITEMS),
             Vec::new(),
             STATE_TIMEOUT_MS,
         );
--- a/crates/controller/src/job_api/pending.rs
+++ b/crates/controller/src/job_api/pending.rs
@@ -4,7 +4,7 @@
 use crate::io::RequestId;
 use crate::job_api::JobRequest;
 use crate::model::{JobId, Timestamp};
-use crate::storage::records::EndedRecord;
+use crate::storage::records::EndedJobRecord;
 use std::collections::HashMap;
 
 /// Whom an answer goes to, and what they asked.
@@ -32,7 +32,7 @@
     /// When its live record was last asked for, if there was none.
     pub not_live_at: Option<Timestamp>,
     /// The record that is to replace the live one.
-    pub end: Option<EndedRecord>,
+    pub end: Option<EndedJobRecord>,
 }
 
 impl PendingRequest {
--- a/crates/controller/src/job_api/poll.rs
+++ b/crates/controller/src/job_api/poll.rs
@@ -98,7 +98,7 @@
     pub(super) fn send_comparisons(&mut self, max_polls: usize, io: &mut Io) {
         while self.polls.is_due(max_polls, io.now)
             && self.pending.has_room()
-            && io.state.take(1.0, 0.0, io.now)
+            && io.state.try_take(1.0, 0.0, io.now)
         {
             let polls = self.polls.take(max_polls);
             self.send_comparison(polls, io);
--- a/crates/controller/src/job_api/read.rs
+++ b/crates/controller/src/job_api/read.rs
@@ -8,7 +8,7 @@
 use crate::job_api::{Counts, JobApi, JobRequest};
 use crate::model::{JobId, JobSpec, Timestamp};
 use crate::protocol::StoredItem;
-use crate::storage::records::{EndedRecord, Record};
+use crate::storage::records::{EndedJobRecord, Record};
 use indigopath_accounting::{Team, VisibleJob};
 
 impl JobApi {
@@ -80,7 +80,7 @@
     fn on_found_ended(&mut self, request: RequestId, outcome: &Outcome, io: &mut Io) {
         let ended = outcome
             .read::<StoredItem>(&[200])
-            .and_then(|item| EndedRecord::from_value(&item.value).ok());
+            .and_then(|item| EndedJobRecord::from_value(&item.value).ok());
         let Some(ended) = ended else {
             return self.give_up(request, io);
         };
--- a/crates/controller/src/job_api/state_call.rs
+++ b/crates/controller/src/job_api/state_call.rs
@@ -62,7 +62,7 @@
         let job = &pending.job;
         let request = match call {
             StateCall::ReadLive => StateRequest::read(&records::job_key(&job.0)),
-            StateCall::ReadEnded => StateRequest::read(&records::ended_key(&job.0)),
+            StateCall::ReadEnded => StateRequest::read(&records::ended_job_key(&job.0)),
             StateCall::Create => {
                 let JobRequest::Submit(spec) = &pending.kind else {
                     return None;
@@ -96,7 +96,7 @@
 
     /// Sends a further call for a request, charged to the budget whatever is left there.
     pub(super) fn send_next_call(&mut self, request: RequestId, call: StateCall, io: &mut Io) {
-        io.state.force(1.0, io.now);
+        io.state.force_take(1.0, io.now);
         self.send_call(request, call, io);
     }
 
--- a/crates/controller/src/job_api/submit.rs
+++ b/crates/controller/src/job_api/submit.rs
@@ -14,7 +14,10 @@
     let live_key = records::job_key(&spec.id.0);
     let absent = |key: String| Condition { key, version: 0 };
     Transaction {
-        conditions: vec![absent(live_key.clone()), absent(records::ended_key(&spec.id.0))],
+        conditions: vec![
+            absent(live_key.clone()),
+            absent(records::ended_job_key(&spec.id.0)),
+        ],
         changes: vec![Change::Put {
             key: live_key,
             value: spec.to_value(),
--- a/crates/controller/src/job_api/throttle.rs
+++ b/crates/controller/src/job_api/throttle.rs
@@ -153,22 +153,22 @@
         };
         // Many requests of all teams may use whatever the leader leaves; a flood of one team may not.
         let flood = self.writes.longest() > FLOOD_QUEUE_LENGTH;
-        if flood && !self.write_budget.has(1.0, reserve, io.now) {
+        if flood && !self.write_budget.has_available(1.0, reserve, io.now) {
             return None;
         }
-        if !io.state.take(1.0, reserve, io.now) {
+        if !io.state.try_take(1.0, reserve, io.now) {
             return None;
         }
         let (_, queued) = self.writes.pop()?;
         if flood {
-            self.write_budget.force(1.0, io.now);
+            self.write_budget.force_take(1.0, io.now);
         }
         Some(queued)
     }
 
     /// The next poll, if the budget allows one now.
     pub(super) fn next_read(&mut self, io: &mut Io) -> Option<QueuedRequest> {
-        if self.reads.is_empty() || !io.state.take(1.0, USER_WRITE_RESERVE, io.now) {
+        if self.reads.is_empty() || !io.state.try_take(1.0, USER_WRITE_RESERVE, io.now) {
             return None;
         }
         self.reads.pop().map(|(_, queued)| queued)
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -20,7 +20,7 @@
 use crate::model::{Job, JobId, TaskId, Timestamp};
 use crate::protocol::{self, Shape, paths};
 use crate::settings::Settings;
-use crate::storage::records::{self, EndedRecord, Record};
+use crate::storage::records::{self, EndedJobRecord, Record};
 use indigopath_accounting::{
     Entry, ExecutionStats, HEAD_KEY, JobAccounting, LossCause, Position, Queue, Rebuild, Team, WaitReason,
 };
@@ -89,12 +89,12 @@
 
 /// What the record of an ended job says for the books.
 fn end_of(key: &str, value: &serde_json::Value, version: u64) -> Option<(Position, Option<Entry>)> {
-    let job = key.strip_prefix(records::ENDED)?;
+    let job = key.strip_prefix(records::ENDED_JOB_PREFIX)?;
     let position = Position {
         revision: version,
         job: Arc::from(job),
     };
-    let ended = EndedRecord::from_value(value)
+    let ended = EndedJobRecord::from_value(value)
         .inspect_err(|problem| log::error!("accounting entry skipped key={key}: {problem}"));
     Some((position, ended.ok().and_then(|ended| ended.entry().cloned())))
 }
@@ -341,14 +341,18 @@
             .as_ref()
             .filter(|scan| !scan.read_all && now >= books.scan_at)
         {
-            let path = paths::page(records::ENDED, scan.after.as_deref(), ACCOUNTING_SCAN_ITEMS);
+            let path = paths::page(
+                records::ENDED_JOB_PREFIX,
+                scan.after.as_deref(),
+                ACCOUNTING_SCAN_ITEMS,
+            );
             (Method::Get, path, Vec::new(), BookCall::Scan)
         } else if now >= books.follow_at
             && (books.ended || now >= books.follow_at + ACCOUNTING_IDLE_MS)
             && books.books.has_room()
             && !(behind && begins)
         {
-            let path = paths::watch(records::ENDED, books.from(), 0);
+            let path = paths::watch(records::ENDED_JOB_PREFIX, books.from(), 0);
             (Method::Get, path, Vec::new(), BookCall::Changes)
         } else if now >= books.write_at && !behind {
             let most = settings.deployment.state.txn_ops.min(io.writes.available(now));
@@ -356,7 +360,7 @@
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
-            io.writes.force(changes.len() as f64, now);
+            io.writes.force_take(changes.len() as f64, now);
             let changes = changes.into_iter().map(|(key, value)| match value {
                 Some(value) => protocol::Change::Put {
                     key,
@@ -371,7 +375,7 @@
             };
             let body = protocol::Transaction {
                 conditions: vec![
-                    condition(records::LEADER, token),
+                    condition(records::LEADER_KEY, token),
                     condition(HEAD_KEY, books.head_version),
                 ],
                 changes: changes.collect(),
@@ -412,7 +416,7 @@
                             .map(|answer| answer.failed)
                             .unwrap_or_default();
                         // The leader's own renewal may have been between.
-                        if failed == [records::LEADER] {
+                        if failed == [records::LEADER_KEY] {
                             books.books.refused();
                         } else {
                             books.reload(now);
--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -65,7 +65,7 @@
             listing.next_at = io.now + LIVENESS_CHECK_MS;
             return;
         };
-        if !io.cloud.take(1.0, RELEASE_CALL_RESERVE, io.now) {
+        if !io.cloud.try_take(1.0, RELEASE_CALL_RESERVE, io.now) {
             return;
         }
         listing.in_flight = true;
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -127,9 +127,9 @@
     /// Drops a request, and its record.
     fn end_request(&mut self, key: &str) {
         self.autoscaler.requests.remove(key);
-        let unrecorded = self.writer.rentals.remove(key);
+        let unrecorded = self.writer.rentals_to_record.remove(key);
         if !unrecorded {
-            self.writer.garbage.insert(records::rental_key(key));
+            self.writer.obsolete_keys.insert(records::rental_key(key));
         }
     }
 }
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -177,7 +177,7 @@
         };
         machine.releasing = true;
         machine.release_recorded = false;
-        self.writer.record(machine);
+        self.writer.queue_machine(machine);
         self.weights.goes(machine, settings);
         if !std::mem::replace(&mut machine.release_logged, true) {
             log::info!("scale-in requested machine={id}: {}", why.text());
@@ -205,13 +205,13 @@
                 machine.releasing = false;
                 machine.release_recorded = false;
                 machine.release_logged = false;
-                self.writer.record(machine);
+                self.writer.queue_machine(machine);
                 self.scheduler.request_pass();
             } else if machine.release_recorded {
                 names.push(machine.id.clone());
             }
         }
-        if names.is_empty() || !io.cloud.take(1.0, 0.0, io.now) {
+        if names.is_empty() || !io.cloud.try_take(1.0, 0.0, io.now) {
             return;
         }
         for name in &names {
@@ -256,7 +256,7 @@
                 if machine.spot && machine.is_up() && taken {
                     self.autoscaler.spot_losses.note_lost();
                 }
-                self.writer.machine_gone(&machine);
+                self.writer.remove_machine(&machine);
                 let changes = machine.clear();
                 self.apply_from(&id, machine.shard, changes, io);
                 self.remember_clients(&machine);
@@ -277,7 +277,7 @@
             if !machine.releasing {
                 // What was refused may be used again, and a successor must not finish it.
                 machine.release_recorded = false;
-                self.writer.record(machine);
+                self.writer.queue_machine(machine);
             }
         }
     }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -281,7 +281,7 @@
                 self.autoscaler
                     .requests
                     .insert(key.clone(), ScaleOutRequest::new(request));
-                self.writer.rentals.insert(key);
+                self.writer.rentals_to_record.insert(key);
             }
         }
     }
@@ -300,7 +300,7 @@
         };
         let mut sends = Vec::new();
         for rental in self.autoscaler.requests.values_mut() {
-            if due(rental) && io.cloud.take(1.0, RELEASE_CALL_RESERVE, io.now) {
+            if due(rental) && io.cloud.try_take(1.0, RELEASE_CALL_RESERVE, io.now) {
                 rental.sent = true;
                 rental.in_flight = true;
                 sends.push(rental.request.clone());
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -102,7 +102,7 @@
     /// Brings what lingers up to date, before a pass or a look.
     pub(super) fn settle_lingers(&mut self, now: Timestamp) {
         let before = self.counted.lingers.len();
-        self.counted.lingers = self.writer.lingers(now);
+        self.counted.lingers = self.writer.active_lingers(now);
         // Units that have come free are a reason to place.
         self.scheduler
             .request_pass_if(self.counted.lingers.len() < before);
@@ -140,7 +140,7 @@
                 };
                 // What is said of the count before the next pass must not lack it.
                 self.counted.lingers.push(linger.clone());
-                self.writer.linger(shard, linger);
+                self.writer.add_linger(shard, linger);
             }
         }
     }
@@ -150,7 +150,7 @@
     pub(super) fn remember_clients(&mut self, machine: &Machine) {
         let named_until = machine
             .shard
-            .and_then(|shard| self.writer.machine_released(shard, &machine.id));
+            .and_then(|shard| self.writer.on_machine_released(shard, &machine.id));
         if let Some(until) = named_until {
             // A server that falls silent then is believed for a while.
             self.machines.remember_gone(&machine.id, until + SERVER_TRUST_MS);
@@ -173,7 +173,7 @@
         if io.now < until {
             let id = MachineId(released.name.clone());
             self.machines.remember_gone(&id, until + SERVER_TRUST_MS);
-            self.writer.released_read(shard, id, until);
+            self.writer.load_released_machine(shard, id, until);
         }
     }
 
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -195,7 +195,7 @@
             return None;
         }
         if report.token > current {
-            return election.deposed("a worker has seen a newer leader");
+            return election.depose("a worker has seen a newer leader");
         }
         if fencing_probe && status == Some(200) {
             machine.needs_fencing_probe = false;
--- a/crates/controller/src/leader/job_events.rs
+++ b/crates/controller/src/leader/job_events.rs
@@ -9,7 +9,7 @@
 impl LeaderTerm {
     /// A job was accepted, by this node or another.
     pub fn job_accepted(&mut self, mut spec: JobSpec, version: u64, io: &Io) {
-        if !self.recovery.is_complete() || version <= self.writer.ended_at(&spec.id) {
+        if !self.recovery.is_complete() || version <= self.writer.ended_version(&spec.id) {
             return;
         }
         self.share(&mut spec);
@@ -43,7 +43,7 @@
             }
         });
         if awaiting_reread {
-            self.writer.reread(records::job_key(&id.0));
+            self.writer.queue_reread(records::job_key(&id.0));
         }
     }
 
@@ -61,7 +61,7 @@
             again |= attempt.awaiting_reread.is_some();
         });
         if again {
-            self.writer.reread(records::job_key(&id.0));
+            self.writer.queue_reread(records::job_key(&id.0));
         }
     }
 
@@ -69,7 +69,7 @@
     pub fn job_over(&mut self, id: &JobId, now: Timestamp) {
         let Some(job) = self.jobs.remove(id) else { return };
         self.books.over(id, &job.execution_stats);
-        self.writer.job_over(id, &job);
+        self.writer.remove_job(id, &job);
         self.scheduler.request_pass();
         for machine in self.machines.values_mut() {
             machine.failed_jobs.remove(id);
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -47,7 +47,7 @@
 
     /// Takes one probe from the budget, if that leaves the reserve.
     pub(super) fn take_probe(&mut self, reserve: f64, now: Timestamp) -> bool {
-        self.probe_budget.take(1.0, reserve, now)
+        self.probe_budget.try_take(1.0, reserve, now)
     }
 }
 
@@ -170,7 +170,7 @@
             .filter(|report| report.machine == *id.0)
         {
             Some(report) if report.token > current => {
-                return election.deposed("a worker has seen a newer leader");
+                return election.depose("a worker has seen a newer leader");
             }
             Some(report) => self.absorb_answer(&report, io),
             None => self.found_silent(id, io.now),
@@ -196,7 +196,7 @@
         let first = io.rng.random_range(0..stride);
         let asked: Vec<MachineId> = machines.into_iter().skip(first).step_by(stride).collect();
         for id in &asked {
-            self.liveness.probe_budget.force(1.0, io.now);
+            self.liveness.probe_budget.force_take(1.0, io.now);
             self.inspect(id, io);
         }
         asked
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -189,7 +189,7 @@
         }
         self.poll_watch(io);
         self.look_at_shifts(types, settings, io);
-        let certain = election.certain(io.now);
+        let certain = election.is_lease_live(io.now);
         if let Some(deposed) = self.check_fleet(election, types, settings, peers, io) {
             return Some(deposed);
         }
@@ -211,9 +211,9 @@
     /// Answers the heartbeats that came while the records were being read.
     fn answer_buffered(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
         while let Some((request, heartbeat)) = self.buffered_heartbeats.next() {
-            if let Err(superseded) = self.report(request, &heartbeat, election.certain(io.now), io) {
+            if let Err(superseded) = self.report(request, &heartbeat, election.is_lease_live(io.now), io) {
                 buffered_heartbeats::turn_away(request, io);
-                return election.deposed(&superseded.to_string());
+                return election.depose(&superseded.to_string());
             }
         }
         None
@@ -243,7 +243,7 @@
 
     /// Places tasks, sizes the fleet and looks at what depends on both, each if it is due.
     fn schedule(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.stalled(io.now) {
+        if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.is_stalled(io.now) {
             self.pass(types, settings, io);
         }
         if self.autoscaler.take_sizing_due(io.now) {
@@ -304,9 +304,9 @@
 fn give_up_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
     // Its own lease may live, but workers' do not with it: a peer may see more.
     let why = "no word of which jobs are over";
-    if election.certain(io.now) {
+    if election.is_lease_live(io.now) {
         election.hand_over(why, io)
     } else {
-        election.deposed(why)
+        election.depose(why)
     }
 }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -12,7 +12,7 @@
 use crate::protocol::{self, StoredItem, paths};
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
-use crate::storage::batch_writer::Unit;
+use crate::storage::batch_writer::WriteUnit;
 use crate::storage::records::{self, Record};
 use indigopath_accounting::Team;
 use rand::RngExt;
@@ -40,22 +40,22 @@
             self.read_state(path, kind, io);
             return;
         }
-        if !self.writer.ready(io.now) {
+        if !self.writer.can_send(io.now) {
             return;
         }
         if self.persistence.fencing_needed
             && io.now >= self.persistence.token_renewed_at + STATE_TIMEOUT_MS
-            && let Some(renewal) = election.renewal()
+            && let Some(renewal) = election.key_renewal()
         {
             self.persistence.token_renewed_at = io.now;
             self.persistence.fencing_needed = false;
-            let body = self.writer.renewal(renewal);
+            let body = self.writer.begin_renewal(renewal);
             self.transact(body, TermCall::Write, io);
             return;
         }
         self.queue_shifts(io.now);
         let most = settings.deployment.state.txn_ops.min(io.writes.available(io.now));
-        let Some((body, ops)) = self.writer.batch(
+        let Some((body, ops)) = self.writer.begin_batch(
             most,
             settings,
             self.machines.as_map_mut(),
@@ -65,7 +65,7 @@
         ) else {
             return;
         };
-        io.writes.force(ops as f64, io.now);
+        io.writes.force_take(ops as f64, io.now);
         self.transact(body, TermCall::Write, io);
     }
 
@@ -105,7 +105,7 @@
         election: &mut Election,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let units = self.writer.take_batch();
+        let units = self.writer.take_in_flight();
         if outcome.status() == Some(200)
             && let Some(answer) = outcome.read::<protocol::TransactionResponse>(&[200])
         {
@@ -114,7 +114,7 @@
             }
             return None;
         }
-        self.writer.failed(&units, io.now);
+        self.writer.requeue(&units, io.now);
         self.shifts.failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
@@ -124,8 +124,8 @@
                     .unwrap_or_default();
                 // Its own renewal, given up by then, may have been carried out before this: then
                 // nobody else leads, as the key says when it is read again.
-                if failed.iter().any(|key| key == records::LEADER) && !self.writer.may_be_renewed() {
-                    return election.deposed("a transaction met a newer leader");
+                if failed.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed() {
+                    return election.depose("a transaction met a newer leader");
                 }
                 for key in failed {
                     self.condition_failed(key, io.now);
@@ -142,12 +142,12 @@
                 self.writer.retry_at = io.now + SECOND_MS;
             }
             _ => {
-                if units.contains(&Unit::Renewal) {
-                    self.writer.renewal_unanswered();
+                if units.contains(&WriteUnit::Renewal) {
+                    self.writer.on_renewal_unanswered();
                 }
                 for unit in &units {
                     for key in unit.keys() {
-                        self.writer.reread(key);
+                        self.writer.queue_reread(key);
                     }
                 }
             }
@@ -157,26 +157,26 @@
 
     /// A record did not have the version that a transaction needed.
     fn condition_failed(&mut self, key: String, now: Timestamp) {
-        match key.strip_prefix(records::JOBS) {
+        match key.strip_prefix(records::JOB_PREFIX) {
             // Cancelled by a node that served its user. Only a cluster's jobs
             // change while they live: held, or released.
             Some(job) if !self.may_change(job) => self.job_over(&JobId(Arc::from(job)), now),
-            _ => self.writer.reread(key),
+            _ => self.writer.queue_reread(key),
         }
     }
 
-    fn unit_written(&mut self, unit: Unit, revision: u64, election: &mut Election, now: Timestamp) {
+    fn unit_written(&mut self, unit: WriteUnit, revision: u64, election: &mut Election, now: Timestamp) {
         match unit {
-            Unit::Renewal => {
-                election.renewed(revision);
+            WriteUnit::Renewal => {
+                election.on_key_renewed(revision);
                 self.writer.token = revision;
             }
-            Unit::Shards {
-                numbers,
-                planned,
-                returns,
+            WriteUnit::Shards {
+                shards: numbers,
+                planned_starts: planned,
+                releases: returns,
             } => {
-                self.writer.shards_written(&numbers, revision);
+                self.writer.on_shards_written(&numbers, revision);
                 for id in returns {
                     if let Some(machine) = self.machines.get_mut(&id) {
                         machine.release_recorded = machine.releasing;
@@ -196,8 +196,8 @@
                     }
                 }
             }
-            Unit::Done { number, tasks } => {
-                self.writer.done_version(number, revision);
+            WriteUnit::CompletedTasks { number, tasks } => {
+                self.writer.set_completed_tasks_version(number, revision);
                 for ((job, _), tasks) in tasks {
                     self.machines.for_each_attempt(&job, |_, attempt| {
                         if attempt.exited() && tasks.contains(&attempt.task.index) {
@@ -206,16 +206,16 @@
                     });
                 }
             }
-            Unit::Finish { job } => self.job_finished(job, now),
-            Unit::ScaleOutRequest { request } => {
+            WriteUnit::FinishJob { job } => self.job_finished(job, now),
+            WriteUnit::ScaleOutRequest { request } => {
                 self.autoscaler.request_recorded(&request);
             }
-            Unit::Shifts { number, deleted } => {
+            WriteUnit::ProtectionWindows { number, deleted } => {
                 self.shifts
                     .ledger
                     .written(number, if deleted { 0 } else { revision });
             }
-            Unit::Garbage { .. } => (),
+            WriteUnit::ObsoleteKey { .. } => (),
         }
     }
 
@@ -237,11 +237,11 @@
         };
         let body = protocol::Transaction {
             conditions: vec![protocol::Condition {
-                key: records::LEADER.to_owned(),
+                key: records::LEADER_KEY.to_owned(),
                 version: self.token(),
             }],
             changes: vec![protocol::Change::Put {
-                key: records::TYPES.to_owned(),
+                key: records::MACHINE_TYPES_KEY.to_owned(),
                 value: flavors.to_value(),
                 lease: None,
             }],
@@ -258,7 +258,7 @@
         let team = self.jobs.get(&job).map_or("", |job| &job.spec.team);
         let team = Team::named(team);
         self.job_over(&job, now);
-        self.writer.finished.push((job, team));
+        self.writer.recently_finished.push((job, team));
     }
 
     /// Follows a record whose version was uncertain.
@@ -275,19 +275,19 @@
             (Some(item), _) => item.version,
             (None, Some(404)) => 0,
             _ => {
-                self.writer.reread_failed(key, io.now);
+                self.writer.on_reread_failed(key, io.now);
                 return None;
             }
         };
-        self.writer.reread_done(&key);
-        if key == records::LEADER {
-            if election.is_mine(item.as_ref()) {
-                election.renewed(version);
+        self.writer.on_reread(&key);
+        if key == records::LEADER_KEY {
+            if election.is_own_key(item.as_ref()) {
+                election.on_key_renewed(version);
                 self.writer.token = version;
             } else {
-                return election.deposed("its key belongs to another");
+                return election.depose("its key belongs to another");
             }
-        } else if let Some(job) = key.strip_prefix(records::JOBS) {
+        } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
             match spec {
                 _ if version == 0 => self.job_over(&JobId(Arc::from(job)), io.now),
@@ -299,11 +299,11 @@
                 Some(Err(problem)) => log::error!("record ignored key={key}: {problem}"),
                 None => (),
             }
-        } else if let Some(number) = records::parse_number(records::SHARDS, &key) {
-            self.writer.shard_read(number, version);
-        } else if let Some(number) = records::parse_number(records::DONE, &key) {
-            self.writer.done_version(number, version);
-        } else if let Some(number) = records::parse_number(records::SHIFTS, &key) {
+        } else if let Some(number) = records::parse_numbered_key(records::SHARD_PREFIX, &key) {
+            self.writer.on_shard_reread(number, version);
+        } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &key) {
+            self.writer.set_completed_tasks_version(number, version);
+        } else if let Some(number) = records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &key) {
             self.shifts.ledger.found(number, version);
         }
         None
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -10,7 +10,7 @@
 use crate::protocol::{Shape, StoredItem};
 use crate::scheduling::placement::{MachineTypes, Protection, SpareCapacity, Unplaced};
 use crate::settings::Settings;
-use crate::storage::batch_writer::Unit;
+use crate::storage::batch_writer::WriteUnit;
 use indigopath_protection_windows::{
     CloseReason, Event, Service, ShiftStatus, Standing, Timetable, WindowState,
 };
@@ -71,9 +71,9 @@
     }
 
     /// Units that were not, or may not have been, written.
-    pub(super) fn failed(&mut self, units: &[Unit]) {
+    pub(super) fn failed(&mut self, units: &[WriteUnit]) {
         for unit in units {
-            if let Unit::Shifts { number, .. } = unit {
+            if let WriteUnit::ProtectionWindows { number, .. } = unit {
                 self.ledger.failed(*number);
             }
         }
@@ -99,8 +99,8 @@
 
     /// What is to be written of shifts goes with the next transaction.
     pub(super) fn queue_shifts(&mut self, now: Timestamp) {
-        if self.shifts.on() && self.writer.shifts.is_empty() {
-            self.writer.shifts = self.shifts.ledger.due(now);
+        if self.shifts.on() && self.writer.protection_window_writes.is_empty() {
+            self.writer.protection_window_writes = self.shifts.ledger.due(now);
         }
     }
 
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -175,7 +175,7 @@
                         self.freed(shard, &team, &counts, io.now);
                     }
                     if let Some(shard) = shard {
-                        self.writer.units_freed(shard);
+                        self.writer.on_units_freed(shard);
                     }
                 }
                 Change::Lost { task, number } => self.task_vanished(&task, number, io.now),
@@ -262,11 +262,11 @@
             // only that lets its worker forget it. Else its machine was never empty, and could not
             // go back while its job's other tasks ran.
             if job.done.insert(index) || index == task.index && !job.is_complete() {
-                self.writer.done(job, index, now);
+                self.writer.add_completed_task(job, index, now);
             }
         }
         if job.is_complete() {
-            self.writer.finishing.insert(task.job.clone());
+            self.writer.jobs_to_finish.insert(task.job.clone());
         }
     }
 
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -31,7 +31,11 @@
             return None;
         }
         self.in_flight = true;
-        Some(paths::watch(records::JOBS, self.revision, JOB_WATCH_LONG_POLL_MS))
+        Some(paths::watch(
+            records::JOB_PREFIX,
+            self.revision,
+            JOB_WATCH_LONG_POLL_MS,
+        ))
     }
 
     /// Changes up to this revision were told.
@@ -99,7 +103,7 @@
             protocol::Event::Delete { key } => {
                 if let Some(cluster) = condor::parse_open(&key) {
                     self.cluster_closed(cluster);
-                } else if let Some(job) = key.strip_prefix(records::JOBS) {
+                } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
                     self.job_over(&JobId(Arc::from(job)), io.now);
                 }
             }
--- a/crates/controller/src/leader/record_watch/tests.rs
+++ b/crates/controller/src/leader/record_watch/tests.rs
@@ -8,7 +8,7 @@
     let first = watch.next_call(0);
     assert_eq!(
         first,
-        Some(paths::watch(records::JOBS, 7, JOB_WATCH_LONG_POLL_MS))
+        Some(paths::watch(records::JOB_PREFIX, 7, JOB_WATCH_LONG_POLL_MS))
     );
     assert_eq!(watch.next_call(1), None);
     watch.in_flight = false;
@@ -16,7 +16,7 @@
     let second = watch.next_call(1);
     assert_eq!(
         second,
-        Some(paths::watch(records::JOBS, 9, JOB_WATCH_LONG_POLL_MS))
+        Some(paths::watch(records::JOB_PREFIX, 9, JOB_WATCH_LONG_POLL_MS))
     );
 }
 
@@ -27,7 +27,10 @@
     watch.begin_at(7);
     watch.advanced(5, 0);
     let path = watch.next_call(0);
-    assert_eq!(path, Some(paths::watch(records::JOBS, 7, JOB_WATCH_LONG_POLL_MS)));
+    assert_eq!(
+        path,
+        Some(paths::watch(records::JOB_PREFIX, 7, JOB_WATCH_LONG_POLL_MS))
+    );
 }
 
 #[test]
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -13,18 +13,18 @@
 use crate::protocol::{RentalRequest, Shape, StoredItem, StoredPage, paths};
 use crate::scheduling::gangs::GangAttempt;
 use crate::settings::Settings;
-use crate::storage::records::{self, DoneRecord, Record, RecordError, ShardRecord};
+use crate::storage::records::{self, CompletedTasksRecord, Record, RecordError, ShardRecord};
 use indigopath_counted_resources::{LingerEntry, Lingers};
 use std::collections::BTreeSet;
 
 /// Prefixes in the order of their reading. The records of protection windows come last: they are
 /// read only where there are some.
 const LOAD_ORDER: [&str; 5] = [
-    records::JOBS,
-    records::DONE,
-    records::SHARDS,
-    records::RENTALS,
-    records::SHIFTS,
+    records::JOB_PREFIX,
+    records::COMPLETED_TASKS_PREFIX,
+    records::SHARD_PREFIX,
+    records::RENTAL_PREFIX,
+    records::PROTECTION_WINDOWS_PREFIX,
 ];
 
 /// Whether the records have been read in this term, and else how far.
@@ -161,7 +161,7 @@
         for item in loaded.items {
             match self.adopt_record(&item, settings, io) {
                 Ok(()) => (),
-                Err(problem @ RecordError::Later(_)) => return Err(problem),
+                Err(problem @ RecordError::NewerFormat(_)) => return Err(problem),
                 Err(problem) => log::error!("record ignored key={}: {problem}", item.key),
             }
         }
@@ -208,16 +208,18 @@
     ) -> Result<(), RecordError> {
         if let Some(cluster) = condor::parse_open(&item.key) {
             self.cluster_open(cluster, &item.value, item.version)
-        } else if item.key.starts_with(records::JOBS) {
+        } else if item.key.starts_with(records::JOB_PREFIX) {
             self.adopt_job(item, io)
-        } else if let Some(number) = records::parse_number(records::DONE, &item.key) {
+        } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &item.key) {
             self.adopt_done(number, item)
-        } else if let Some(number) = records::parse_number(records::SHARDS, &item.key) {
+        } else if let Some(number) = records::parse_numbered_key(records::SHARD_PREFIX, &item.key) {
             self.adopt_shard(number, item, settings, io)
-        } else if let Some(number) = records::parse_number(records::SHIFTS, &item.key) {
+        } else if let Some(number) =
+            records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &item.key)
+        {
             self.adopt_shifts(number, item, io);
             Ok(())
-        } else if item.key.starts_with(records::RENTALS) {
+        } else if item.key.starts_with(records::RENTAL_PREFIX) {
             self.autoscaler
                 .adopt_request(RentalRequest::from_value(&item.value)?);
             Ok(())
@@ -235,9 +237,9 @@
 
     /// Takes over which tasks are done, as one record of several jobs' has it.
     fn adopt_done(&mut self, number: u32, item: &StoredItem) -> Result<(), RecordError> {
-        self.writer.done_read(number, item.version);
-        for (name, bitmap) in DoneRecord::from_value(&item.value)?.0 {
-            let Some((job, chunk)) = records::parse_chunk_name(&name) else {
+        self.writer.load_completed_tasks_version(number, item.version);
+        for (name, bitmap) in CompletedTasksRecord::from_value(&item.value)?.0 {
+            let Some((job, chunk)) = records::parse_chunk_key(&name) else {
                 continue;
             };
             // Jobs that are over may stand there still.
@@ -246,7 +248,7 @@
             };
             // Many jobs share a record: what one cannot read of itself costs no other its results.
             let mut done = BTreeSet::new();
-            if let Err(problem) = records::decode_done(&bitmap, chunk, &mut done) {
+            if let Err(problem) = records::decode_completed_tasks(&bitmap, chunk, &mut done) {
                 log::error!("record part ignored part={name} key={}: {problem}", item.key);
                 continue;
             }
@@ -255,10 +257,10 @@
             live.waiting.retain(|task| !live.done.contains(task));
             let id = live.spec.id.clone();
             if live.is_complete() {
-                self.writer.finishing.insert(id.clone());
+                self.writer.jobs_to_finish.insert(id.clone());
             }
-            let bytes = records::chunk_bytes(live.spec.tasks);
-            self.writer.join_done((id, chunk), bytes, number);
+            let bytes = records::max_chunk_bytes(live.spec.tasks);
+            self.writer.assign_chunk((id, chunk), bytes, number);
         }
         Ok(())
     }
@@ -290,7 +292,7 @@
             .sum();
         let left: u64 = lingers.iter().map(|linger| u64::from(linger.units)).sum();
         let spent = left < recorded;
-        self.writer.linger_read(number, item.version, lingers, spent);
+        self.writer.load_lingers(number, item.version, lingers, spent);
         let clock_off_ms = settings.deployment.clock_off_ms as u64;
         for released in shard.released() {
             self.adopt_released(number, released, clock_off_ms, io);
@@ -300,7 +302,7 @@
             for attempt in &mut machine.attempts {
                 self.share_demand(&mut attempt.counts);
             }
-            self.writer.join(&mut machine, number, item.version);
+            self.writer.assign_shard(&mut machine, number, item.version);
             self.machines.insert(machine);
         }
         Ok(())
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -191,7 +191,7 @@
                 now,
             )
         });
-        self.writer.record(machine);
+        self.writer.queue_machine(machine);
         self.machines.add_location(job_id, id.clone());
         if !counts.is_empty() {
             self.note_wait(&counts, age_ms);
@@ -236,7 +236,7 @@
             });
         }
         for shard in freed_in {
-            self.writer.units_freed(shard);
+            self.writer.on_units_freed(shard);
         }
         for task in dropped {
             self.requeue(&task, io.now);
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -160,10 +160,10 @@
                 let mut jobs = self.jobs.range(first..=last).peekable();
                 // Its own record goes last: whoever reads it knows that the jobs are none.
                 if jobs.peek().is_none() {
-                    self.writer.garbage.insert(key);
+                    self.writer.obsolete_keys.insert(key);
                 } else {
                     let keys = jobs.map(|(id, _)| records::job_key(&id.0));
-                    self.writer.garbage.extend(keys);
+                    self.writer.obsolete_keys.extend(keys);
                 }
             } else if io.wall_ms > record.at_ms + CLUSTER_OPEN_TIMEOUT_MS {
                 let record = OpenRecord {
@@ -189,14 +189,14 @@
         let body = protocol::Transaction {
             conditions: vec![
                 protocol::Condition {
-                    key: records::LEADER.to_owned(),
+                    key: records::LEADER_KEY.to_owned(),
                     version: self.token(),
                 },
                 protocol::Condition { key, version },
             ],
             changes: vec![change],
         };
-        io.writes.force(1.0, io.now);
+        io.writes.force_take(1.0, io.now);
         self.transact(json(&body), TermCall::Cluster, io);
     }
 
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -191,7 +191,7 @@
         if let Some(news) = self.election.poll(&mut self.io) {
             self.news(news);
         }
-        match self.election.hold() {
+        match self.election.held_lease() {
             Some(hold) => self.io.permits.hold(hold),
             None => self.io.permits.release(),
         }
@@ -217,7 +217,7 @@
             for (count, waited_s) in term.take_waits() {
                 self.metrics.waited(&count, waited_s);
             }
-            for (job, team) in std::mem::take(&mut term.writer.finished) {
+            for (job, team) in std::mem::take(&mut term.writer.recently_finished) {
                 let over = TerminalState {
                     end: Ending::Done,
                     tasks: 0,
@@ -314,7 +314,7 @@
 
     /// Only who leads, and surely still does, knows what runs.
     fn tell_queue(&mut self, request: RequestId, asks: &Team) {
-        let certain = self.election.certain(self.io.now);
+        let certain = self.election.is_lease_live(self.io.now);
         match self.term.as_ref().filter(|_| certain) {
             None => self.send_to_leader(request),
             Some(term) if !term.has_read() => {
@@ -383,13 +383,13 @@
         };
         self.workers.insert(report.machine.clone(), self.io.now);
         // Asked here as well as when time passes: a process that stood still finds reports first.
-        let may_renew = self.election.may_renew(self.io.now);
+        let may_renew = self.election.may_renew_worker_leases(self.io.now);
         if let Some(term) = self.term.as_mut().filter(|_| may_renew) {
-            let certain = self.election.certain(self.io.now);
+            let certain = self.election.is_lease_live(self.io.now);
             match term.report(request, &report, certain, &mut self.io) {
                 Ok(()) => return,
                 Err(superseded) => {
-                    if let Some(news) = self.election.deposed(&superseded.to_string()) {
+                    if let Some(news) = self.election.depose(&superseded.to_string()) {
                         self.news(news);
                     }
                 }
@@ -415,7 +415,7 @@
 
     /// Only who leads, and surely still does, knows who holds what.
     fn tell_counts(&mut self, request: RequestId, route: Route) {
-        let certain = self.election.certain(self.io.now);
+        let certain = self.election.is_lease_live(self.io.now);
         let operator = &self.settings.operator;
         let (definitions, now) = (&operator.counts, self.io.now);
         let Some(term) = self.term.as_ref().filter(|_| certain) else {
@@ -501,13 +501,15 @@
                 .filter(|beat| beat.leads && self.io.now < peer.at + HEARTBEAT_MAX_AGE_MS)?;
             Some((beat.token, self.settings.peers[index].node.as_str()))
         });
-        beat.max().map(|(_, node)| node).or_else(|| self.election.other())
+        beat.max()
+            .map(|(_, node)| node)
+            .or_else(|| self.election.other_leader())
     }
 
     // ---- answers -------------------------------------------------------------
 
     fn answer(&mut self, call: CallId, outcome: &Outcome) {
-        if let Some(news) = self.election.answered(call, outcome, &mut self.io) {
+        if let Some(news) = self.election.handle_response(call, outcome, &mut self.io) {
             self.note_state(outcome);
             self.follow(news);
             return;
@@ -602,7 +604,7 @@
         let now = self.io.now;
         if now >= self.state_ok_at + STATE_PROBE_MS && now >= self.probed_at + STATE_PROBE_MS {
             self.probed_at = now;
-            let path = paths::key(records::LEADER);
+            let path = paths::key(records::LEADER_KEY);
             let call = self.io.state_call(Method::Get, path, Vec::new(), STATE_PROBE_MS);
             self.calls.expect(call, Question::Probe);
         }
@@ -613,13 +615,13 @@
             return;
         }
         self.types_busy = true;
-        self.io.cloud.force(1.0, self.io.now);
+        self.io.cloud.force_take(1.0, self.io.now);
         let call = self.io.types_call();
         self.calls.expect(call, Question::MachineTypes);
         // A leader has stored them, and the state service answers many times sooner: a node that
         // is back after a moment has users at once, as nobody saw it go.
         if self.type_list.is_empty() {
-            let path = paths::key(records::TYPES);
+            let path = paths::key(records::MACHINE_TYPES_KEY);
             let call = self
                 .io
                 .state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS);
@@ -726,7 +728,7 @@
                 }
                 if beat.leads
                     && self.election.token().is_some_and(|own| beat.token > own)
-                    && let Some(news) = self.election.deposed("a sibling leads with a higher token")
+                    && let Some(news) = self.election.depose("a sibling leads with a higher token")
                 {
                     self.news(news);
                 }
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -10,7 +10,7 @@
 mod transaction;
 
 pub use machine_shards::ShardLinger;
-pub use transaction::Unit;
+pub use transaction::WriteUnit;
 
 use crate::allocations::Machine;
 use crate::autoscaling::scale_out_request::ScaleOutRequest;
@@ -22,7 +22,7 @@
 use crate::protocol::{Change, Condition, Transaction};
 use crate::settings::Settings;
 use crate::storage::keys;
-use crate::storage::records::EndedRecord;
+use crate::storage::records::EndedJobRecord;
 use completed_tasks::CompletedTasks;
 use indigopath_accounting::{Access, Entry, FairQueue, Team};
 use indigopath_counted_resources::{Linger, Lingers};
@@ -45,22 +45,22 @@
     /// A renewal under this token went unanswered: it may be carried out at any time.
     unanswered_renewal: Option<u64>,
     /// Units of the transaction in flight.
-    in_flight: Option<Vec<Unit>>,
+    in_flight: Option<Vec<WriteUnit>>,
     /// No transaction is sent before then.
     pub retry_at: Timestamp,
     rereads: Rereads,
     /// Jobs all of whose tasks are done.
-    pub finishing: BTreeSet<JobId>,
+    pub jobs_to_finish: BTreeSet<JobId>,
     /// Rentals to be recorded.
-    pub rentals: BTreeSet<String>,
+    pub rentals_to_record: BTreeSet<String>,
     /// Values of protection windows to be written.
-    pub shifts: Vec<indigopath_protection_windows::Write>,
+    pub protection_window_writes: Vec<indigopath_protection_windows::Write>,
     /// Keys that nobody needs any more.
-    pub garbage: BTreeSet<String>,
+    pub obsolete_keys: BTreeSet<String>,
     /// Jobs recorded as done since this was last emptied, and whose they were.
-    pub finished: Vec<(JobId, Team)>,
+    pub recently_finished: Vec<(JobId, Team)>,
     /// Jobs that ended here, with their records' versions.
-    ended: ExpiringCache<u64>,
+    ended_jobs: ExpiringCache<u64>,
     machine_shards: MachineShards,
     completed_tasks: CompletedTasks,
 }
@@ -75,12 +75,12 @@
             in_flight: None,
             retry_at: 0,
             rereads: Rereads::default(),
-            finishing: BTreeSet::new(),
-            rentals: BTreeSet::new(),
-            shifts: Vec::new(),
-            garbage: BTreeSet::new(),
-            finished: Vec::new(),
-            ended: ExpiringCache::default(),
+            jobs_to_finish: BTreeSet::new(),
+            rentals_to_record: BTreeSet::new(),
+            protection_window_writes: Vec::new(),
+            obsolete_keys: BTreeSet::new(),
+            recently_finished: Vec::new(),
+            ended_jobs: ExpiringCache::default(),
             machine_shards: MachineShards::new(max_value_bytes),
             completed_tasks: CompletedTasks::new(max_value_bytes),
         }
@@ -89,47 +89,46 @@
     // ---- shards of machines --------------------------------------------------
 
     /// Something about this machine is to be recorded before anything is sent.
-    pub fn record(&mut self, machine: &mut Machine) {
-        self.machine_shards.record(machine);
+    pub fn queue_machine(&mut self, machine: &mut Machine) {
+        self.machine_shards.queue_machine(machine);
     }
 
     /// A machine's place, as read from the records.
-    pub fn join(&mut self, machine: &mut Machine, number: u32, version: u64) {
-        self.machine_shards.join(machine, number, version);
+    pub fn assign_shard(&mut self, machine: &mut Machine, number: u32, version: u64) {
+        self.machine_shards.assign_shard(machine, number, version);
     }
 
     /// Units of an attempt that is gone linger. They are recorded where it stood, with
     /// the next record that lacks it.
-    pub fn linger(&mut self, number: Option<u32>, linger: Linger) {
-        self.machine_shards.linger(number, linger);
+    pub fn add_linger(&mut self, number: Option<u32>, linger: Linger) {
+        self.machine_shards.add_linger(number, linger);
     }
 
     /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub fn linger_read(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
-        self.machine_shards
-            .on_lingers_read(number, version, lingers, spent);
+    pub fn load_lingers(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
+        self.machine_shards.load_lingers(number, version, lingers, spent);
     }
 
     /// The machine is gone. While units linger that stood in its shard, a licence server may name its
     /// clients: until when, if at all.
-    pub fn machine_released(&mut self, shard: u32, machine: &MachineId) -> Option<Timestamp> {
-        self.machine_shards.on_released(shard, machine)
+    pub fn on_machine_released(&mut self, shard: u32, machine: &MachineId) -> Option<Timestamp> {
+        self.machine_shards.on_machine_released(shard, machine)
     }
 
     /// A machine that is gone, as read from a record.
-    pub fn released_read(&mut self, shard: u32, machine: MachineId, until: Timestamp) {
-        self.machine_shards.on_released_read(shard, machine, until);
+    pub fn load_released_machine(&mut self, shard: u32, machine: MachineId, until: Timestamp) {
+        self.machine_shards.load_released_machine(shard, machine, until);
     }
 
     /// Units that this shard's record may name are free: it is written before any start that could get
     /// them.
-    pub fn units_freed(&mut self, shard: u32) {
+    pub fn on_units_freed(&mut self, shard: u32) {
         self.machine_shards.on_units_freed(shard);
     }
 
     /// All units that linger still.
-    pub fn lingers(&mut self, now: Timestamp) -> Vec<Linger> {
-        self.machine_shards.lingers(now)
+    pub fn active_lingers(&mut self, now: Timestamp) -> Vec<Linger> {
+        self.machine_shards.active_lingers(now)
     }
 
     /// Every entry of lingering units, by shard.
@@ -138,39 +137,39 @@
     }
 
     /// A machine is gone; its shard is written without it when there is room.
-    pub fn machine_gone(&mut self, machine: &Machine) {
+    pub fn remove_machine(&mut self, machine: &Machine) {
         self.machine_shards.remove(machine);
     }
 
     /// Shards were written under this revision.
-    pub fn shards_written(&mut self, written: &[WrittenShard], version: u64) {
+    pub fn on_shards_written(&mut self, written: &[WrittenShard], version: u64) {
         self.machine_shards.on_written(written, version);
     }
 
     /// The version of a shard that was read again; it is written again.
-    pub fn shard_read(&mut self, number: u32, version: u64) {
+    pub fn on_shard_reread(&mut self, number: u32, version: u64) {
         self.machine_shards.on_reread(number, version);
     }
 
     // ---- completed tasks -----------------------------------------------------
 
     /// A task is done and must be recorded before its worker forgets it.
-    pub fn done(&mut self, job: &Job, task: u32, now: Timestamp) {
+    pub fn add_completed_task(&mut self, job: &Job, task: u32, now: Timestamp) {
         self.completed_tasks.add(job, task, now);
     }
 
     /// The place of a chunk of a job's tasks, as read from the records.
-    pub fn join_done(&mut self, chunk: (JobId, u32), bytes: usize, number: u32) {
-        self.completed_tasks.join(chunk, bytes, number);
+    pub fn assign_chunk(&mut self, chunk: (JobId, u32), bytes: usize, number: u32) {
+        self.completed_tasks.assign_chunk(chunk, bytes, number);
     }
 
     /// A record of completed tasks was read, whatever stands in it.
-    pub fn done_read(&mut self, number: u32, version: u64) {
-        self.completed_tasks.on_read(number, version);
+    pub fn load_completed_tasks_version(&mut self, number: u32, version: u64) {
+        self.completed_tasks.load_version(number, version);
     }
 
     /// The version of a record of completed tasks that was written, or read again.
-    pub fn done_version(&mut self, number: u32, version: u64) {
+    pub fn set_completed_tasks_version(&mut self, number: u32, version: u64) {
         self.completed_tasks.set_version(number, version);
     }
 
@@ -178,42 +177,42 @@
 
     /// A job is over; nothing of it will be written any more. What a record still
     /// says of it goes when the record is next written.
-    pub fn job_over(&mut self, id: &JobId, job: &Job) {
+    pub fn remove_job(&mut self, id: &JobId, job: &Job) {
         // A term may last for weeks and end four jobs a second: all of them kept were a megabyte an
         // hour. A late notice comes within seconds, and a flood ends so many in half a minute.
-        self.ended.insert(id.clone(), job.version);
-        self.finishing.remove(id);
+        self.ended_jobs.insert(id.clone(), job.version);
+        self.jobs_to_finish.remove(id);
         self.completed_tasks.remove_job(id, job.spec.tasks);
     }
 
     /// Version of a job's record when it ended here, so that a late notice of its
     /// acceptance does not bring it back.
-    pub fn ended_at(&self, id: &JobId) -> u64 {
-        self.ended.get(id).copied().unwrap_or(0)
+    pub fn ended_version(&self, id: &JobId) -> u64 {
+        self.ended_jobs.get(id).copied().unwrap_or(0)
     }
 
     // ---- transactions --------------------------------------------------------
 
     /// A transaction may be sent.
-    pub fn ready(&self, now: Timestamp) -> bool {
-        self.in_flight.is_none() && !self.stalled(now)
+    pub fn can_send(&self, now: Timestamp) -> bool {
+        self.in_flight.is_none() && !self.is_stalled(now)
     }
 
     /// Writes fail: planning more starts would only pile them up.
-    pub fn stalled(&self, now: Timestamp) -> bool {
+    pub fn is_stalled(&self, now: Timestamp) -> bool {
         now < self.retry_at || !self.rereads.is_empty()
     }
 
     fn leader_condition(&self) -> Condition {
         Condition {
-            key: keys::LEADER.to_owned(),
+            key: keys::LEADER_KEY.to_owned(),
             version: self.token,
         }
     }
 
     /// A transaction that only renews the leader's key; it counts as in flight.
-    pub fn renewal(&mut self, renewal: Change) -> Vec<u8> {
-        self.in_flight = Some(vec![Unit::Renewal]);
+    pub fn begin_renewal(&mut self, renewal: Change) -> Vec<u8> {
+        self.in_flight = Some(vec![WriteUnit::Renewal]);
         json(&Transaction {
             conditions: vec![self.leader_condition()],
             changes: vec![renewal],
@@ -223,7 +222,7 @@
     /// Puts the next transaction together, with at most `max_changes`, and counts it as in flight.
     /// What others wait for comes first; starts take what is left, which is most of it. Returns its
     /// body and how many changes it has.
-    pub(crate) fn batch(
+    pub(crate) fn begin_batch(
         &mut self,
         max_changes: usize,
         settings: &Settings,
@@ -264,7 +263,7 @@
         wall_ms: u64,
     ) {
         let mut turns = FairQueue::new(usize::MAX);
-        for id in std::mem::take(&mut self.finishing) {
+        for id in std::mem::take(&mut self.jobs_to_finish) {
             if let Some(job) = jobs.get(&id) {
                 // There is room for all.
                 let _ = turns.push(&Team::named(&job.spec.team), 1, 1, id);
@@ -272,12 +271,12 @@
         }
         while let Some((_, id)) = turns.pop() {
             if transaction.is_full() {
-                self.finishing.insert(id);
+                self.jobs_to_finish.insert(id);
                 continue;
             }
             let Some(job) = jobs.get(&id) else { continue };
             if !write_finished_job(transaction, &id, job, wall_ms) {
-                self.finishing.insert(id);
+                self.jobs_to_finish.insert(id);
             }
         }
     }
@@ -287,23 +286,23 @@
         transaction: &mut TransactionBuilder,
         rentals: &BTreeMap<String, ScaleOutRequest>,
     ) {
-        for request in std::mem::take(&mut self.rentals) {
+        for request in std::mem::take(&mut self.rentals_to_record) {
             let Some(rental) = rentals.get(&request) else {
                 continue;
             };
             let change = put(keys::rental_key(&request), &rental.request);
-            let unit = Unit::ScaleOutRequest {
+            let unit = WriteUnit::ScaleOutRequest {
                 request: request.clone(),
             };
             if transaction.is_full() || !transaction.add(unit, Vec::new(), vec![change]) {
-                self.rentals.insert(request);
+                self.rentals_to_record.insert(request);
             }
         }
     }
 
     fn write_protection_windows(&mut self, transaction: &mut TransactionBuilder) {
-        for write in std::mem::take(&mut self.shifts) {
-            let key = keys::shift_key(write.number);
+        for write in std::mem::take(&mut self.protection_window_writes) {
+            let key = keys::protection_windows_key(write.number);
             let unchanged = Condition {
                 key: key.clone(),
                 version: write.version,
@@ -312,71 +311,73 @@
                 Some(Ok(value)) => put_text(key, value),
                 _ => Change::Delete { key },
             };
-            let unit = Unit::Shifts {
+            let unit = WriteUnit::ProtectionWindows {
                 number: write.number,
                 deleted: write.text.is_none(),
             };
             if transaction.is_full() || !transaction.add(unit, vec![unchanged], vec![change]) {
-                self.shifts.push(write);
+                self.protection_window_writes.push(write);
             }
         }
     }
 
     fn delete_garbage(&mut self, transaction: &mut TransactionBuilder) {
-        while let Some(key) = self.garbage.pop_first() {
-            let unit = Unit::Garbage { key: key.clone() };
+        while let Some(key) = self.obsolete_keys.pop_first() {
+            let unit = WriteUnit::ObsoleteKey { key: key.clone() };
             let delete = Change::Delete { key: key.clone() };
             if transaction.is_full() || !transaction.add(unit, Vec::new(), vec![delete]) {
-                self.garbage.insert(key);
+                self.obsolete_keys.insert(key);
                 break;
             }
         }
     }
 
     /// The transaction in flight was answered, or given up: its units.
-    pub fn take_batch(&mut self) -> Vec<Unit> {
+    pub fn take_in_flight(&mut self) -> Vec<WriteUnit> {
         self.in_flight.take().unwrap_or_default()
     }
 
     /// The transaction was not, or may not have been, carried out: its units are
     /// written again.
-    pub fn failed(&mut self, units: &[Unit], now: Timestamp) {
+    pub fn requeue(&mut self, units: &[WriteUnit], now: Timestamp) {
         for unit in units {
             match unit {
-                Unit::Renewal | Unit::Shifts { .. } => (),
-                Unit::Shards { numbers, .. } => {
+                WriteUnit::Renewal | WriteUnit::ProtectionWindows { .. } => (),
+                WriteUnit::Shards { shards: numbers, .. } => {
                     for shard in numbers {
                         self.machine_shards.queue(shard.number);
                     }
                 }
-                Unit::Done { number, tasks } => self.completed_tasks.on_failed(*number, tasks, now),
-                Unit::Finish { job } => {
-                    self.finishing.insert(job.clone());
+                WriteUnit::CompletedTasks { number, tasks } => {
+                    self.completed_tasks.on_failed(*number, tasks, now)
                 }
-                Unit::ScaleOutRequest { request } => {
-                    self.rentals.insert(request.clone());
+                WriteUnit::FinishJob { job } => {
+                    self.jobs_to_finish.insert(job.clone());
                 }
-                Unit::Garbage { key } => {
-                    self.garbage.insert(key.clone());
+                WriteUnit::ScaleOutRequest { request } => {
+                    self.rentals_to_record.insert(request.clone());
+                }
+                WriteUnit::ObsoleteKey { key } => {
+                    self.obsolete_keys.insert(key.clone());
                 }
             }
         }
     }
 
     /// Nobody knows whether a renewal was, or will be, carried out.
-    pub fn renewal_unanswered(&mut self) {
+    pub fn on_renewal_unanswered(&mut self) {
         self.unanswered_renewal = Some(self.token);
     }
 
     /// Whether the leader's key may have another version because this leader renewed it.
-    pub fn may_be_renewed(&self) -> bool {
+    pub fn may_have_renewed(&self) -> bool {
         self.unanswered_renewal == Some(self.token)
     }
 
     // ---- keys to be read again -----------------------------------------------
 
     /// The version of this key must be read before anything more is written.
-    pub fn reread(&mut self, key: String) {
+    pub fn queue_reread(&mut self, key: String) {
         self.rereads.add(key);
     }
 
@@ -386,12 +387,12 @@
     }
 
     /// The key was read.
-    pub fn reread_done(&mut self, key: &str) {
+    pub fn on_reread(&mut self, key: &str) {
         self.rereads.on_read(key);
     }
 
     /// The key could not be read; it is read again after a while.
-    pub fn reread_failed(&mut self, key: String, now: Timestamp) {
+    pub fn on_reread_failed(&mut self, key: String, now: Timestamp) {
         self.rereads.on_failed(key, now);
     }
 }
@@ -400,16 +401,16 @@
     let key = keys::job_key(&id.0);
     let access = Access::of_service(&authorization::owner(&job.spec));
     let ended = authorization::ended(&job.spec, wall_ms);
-    let record = EndedRecord::done(Entry::finished(&access, &ended, job.execution_stats.clone()));
+    let record = EndedJobRecord::done(Entry::finished(&access, &ended, job.execution_stats.clone()));
     let changes = vec![
         Change::Delete { key: key.clone() },
-        put(keys::ended_key(&id.0), &record),
+        put(keys::ended_job_key(&id.0), &record),
     ];
     let unchanged = Condition {
         key,
         version: job.version,
     };
-    transaction.add(Unit::Finish { job: id.clone() }, vec![unchanged], changes)
+    transaction.add(WriteUnit::FinishJob { job: id.clone() }, vec![unchanged], changes)
 }
 
 #[cfg(test)]
--- a/crates/controller/src/storage/batch_writer/completed_tasks.rs
+++ b/crates/controller/src/storage/batch_writer/completed_tasks.rs
@@ -1,12 +1,14 @@
 //! Which record holds which completed tasks, and which of them are not recorded yet.
 
 use super::next_number;
-use super::transaction::{TransactionBuilder, Unit, put};
+use super::transaction::{TransactionBuilder, WriteUnit, put};
 use crate::constants::{CHUNK_SEPARATOR_BYTES, COMPLETED_TASKS_BATCH_MS};
 use crate::model::{Job, JobId, Timestamp};
 use crate::protocol::Condition;
 use crate::storage::keys;
-use crate::storage::records::{DoneRecord, chunk_bytes, chunk_name, chunk_of, encode_done};
+use crate::storage::records::{
+    CompletedTasksRecord, chunk_key, chunk_of, encode_completed_tasks, max_chunk_bytes,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A job and the number of a chunk of its tasks.
@@ -40,13 +42,13 @@
         !self.pending.is_empty() && now >= self.pending_since + COMPLETED_TASKS_BATCH_MS
     }
 
-    fn record(&self, jobs: &BTreeMap<JobId, Job>) -> DoneRecord {
-        let mut record = DoneRecord::default();
+    fn record(&self, jobs: &BTreeMap<JobId, Job>) -> CompletedTasksRecord {
+        let mut record = CompletedTasksRecord::default();
         for (id, chunk) in self.chunks.keys() {
             if let Some(job) = jobs.get(id) {
                 record
                     .0
-                    .insert(chunk_name(id, *chunk), encode_done(&job.done, *chunk));
+                    .insert(chunk_key(id, *chunk), encode_completed_tasks(&job.done, *chunk));
             }
         }
         record
@@ -73,12 +75,12 @@
     /// A task is done and is to be recorded.
     pub(super) fn add(&mut self, job: &Job, task: u32, now: Timestamp) {
         let chunk = (job.spec.id.clone(), chunk_of(task));
-        let bytes = chunk_bytes(job.spec.tasks);
+        let bytes = max_chunk_bytes(job.spec.tasks);
         let number = match self.shard_of_chunk.get(&chunk) {
             Some(number) => *number,
             None => {
                 let number = self.shard_with_room(bytes);
-                self.join(chunk.clone(), bytes, number);
+                self.assign_chunk(chunk.clone(), bytes, number);
                 number
             }
         };
@@ -95,14 +97,14 @@
     }
 
     /// A chunk's place, as chosen or as read from the records.
-    pub(super) fn join(&mut self, chunk: ChunkId, bytes: usize, number: u32) {
+    pub(super) fn assign_chunk(&mut self, chunk: ChunkId, bytes: usize, number: u32) {
         let shard = self.shards.entry(number).or_default();
         shard.chunks.insert(chunk.clone(), bytes);
         self.shard_of_chunk.insert(chunk, number);
     }
 
     /// A record was read, whatever stands in it.
-    pub(super) fn on_read(&mut self, number: u32, version: u64) {
+    pub(super) fn load_version(&mut self, number: u32, version: u64) {
         let shard = self.shards.entry(number).or_default();
         shard.version = shard.version.max(version);
     }
@@ -140,12 +142,12 @@
             if !shard.is_due(now) {
                 continue;
             }
-            let key = keys::done_key(*number);
+            let key = keys::completed_tasks_key(*number);
             let unchanged = Condition {
                 key: key.clone(),
                 version: shard.version,
             };
-            let unit = Unit::Done {
+            let unit = WriteUnit::CompletedTasks {
                 number: *number,
                 tasks: shard.pending.clone(),
             };
--- a/crates/controller/src/storage/batch_writer/machine_shards.rs
+++ b/crates/controller/src/storage/batch_writer/machine_shards.rs
@@ -2,7 +2,7 @@
 //! say.
 
 use super::next_number;
-use super::transaction::{PlannedStart, TransactionBuilder, Unit, WrittenShard, put_text};
+use super::transaction::{PlannedStart, TransactionBuilder, WriteUnit, WrittenShard, put_text};
 use crate::allocations::Machine;
 use crate::constants::{RELEASED_MACHINES_PER_SHARD, SHARD_MACHINE_BYTES, SHARD_VERSION_CONDITIONS};
 use crate::model::{Job, JobId, MachineId, Timestamp};
@@ -91,12 +91,12 @@
     }
 
     /// Something about this machine is to be recorded before anything is sent.
-    pub(super) fn record(&mut self, machine: &mut Machine) {
+    pub(super) fn queue_machine(&mut self, machine: &mut Machine) {
         let number = match machine.shard {
             Some(number) => number,
             None => {
                 let number = self.shard_with_room();
-                self.join(machine, number, 0);
+                self.assign_shard(machine, number, 0);
                 number
             }
         };
@@ -112,7 +112,7 @@
     }
 
     /// A machine's place, as chosen or as read from the records.
-    pub(super) fn join(&mut self, machine: &mut Machine, number: u32, version: u64) {
+    pub(super) fn assign_shard(&mut self, machine: &mut Machine, number: u32, version: u64) {
         let shard = self.shards.entry(number).or_default();
         shard.machines.insert(machine.id.clone());
         shard.version = shard.version.max(version);
@@ -121,7 +121,7 @@
 
     /// Units of an attempt that is gone linger. They are recorded where it stood, with
     /// the next record that lacks it.
-    pub(super) fn linger(&mut self, number: Option<u32>, linger: Linger) {
+    pub(super) fn add_linger(&mut self, number: Option<u32>, linger: Linger) {
         let number = number.unwrap_or_else(|| {
             // A machine that never had a record: any will do.
             let number = self.shards.keys().next().copied().unwrap_or(0);
@@ -132,7 +132,7 @@
     }
 
     /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub(super) fn on_lingers_read(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
+    pub(super) fn load_lingers(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
         let shard = self.shards.entry(number).or_default();
         shard.version = shard.version.max(version);
         shard.inherited_lingers = lingers.clone();
@@ -144,7 +144,7 @@
 
     /// The machine is gone. While units linger that stood here, a licence server may name its clients:
     /// until when, if at all.
-    pub(super) fn on_released(&mut self, number: u32, machine: &MachineId) -> Option<Timestamp> {
+    pub(super) fn on_machine_released(&mut self, number: u32, machine: &MachineId) -> Option<Timestamp> {
         let shard = self.shards.get_mut(&number)?;
         let until = shard.lingers.iter().map(|linger| linger.until).max()?;
         shard.add_released(machine.clone(), until);
@@ -153,7 +153,7 @@
     }
 
     /// A machine that is gone, as read from a record.
-    pub(super) fn on_released_read(&mut self, number: u32, machine: MachineId, until: Timestamp) {
+    pub(super) fn load_released_machine(&mut self, number: u32, machine: MachineId, until: Timestamp) {
         self.shards
             .entry(number)
             .or_default()
@@ -181,7 +181,7 @@
     }
 
     /// All units that linger still.
-    pub(super) fn lingers(&mut self, now: Timestamp) -> Vec<Linger> {
+    pub(super) fn active_lingers(&mut self, now: Timestamp) -> Vec<Linger> {
         let mut lingers = Vec::new();
         let mut freed = Vec::new();
         for (number, shard) in &mut self.shards {
@@ -354,10 +354,10 @@
         for shard in &numbers {
             self.stale.remove(&shard.number);
         }
-        let unit = Unit::Shards {
-            numbers,
-            planned: gathered.planned,
-            returns: gathered.returns,
+        let unit = WriteUnit::Shards {
+            shards: numbers,
+            planned_starts: gathered.planned,
+            releases: gathered.returns,
         };
         Some(transaction.add(unit, conditions, changes))
     }
@@ -408,7 +408,7 @@
 
 impl ShardContents {
     fn text(&self) -> Box<RawValue> {
-        ShardRecord::of(&self.machines, self.lingers.clone())
+        ShardRecord::from_machines(&self.machines, self.lingers.clone())
             .with_released(self.released.clone())
             .to_text()
     }
--- a/crates/controller/src/storage/batch_writer/tests.rs
+++ b/crates/controller/src/storage/batch_writer/tests.rs
@@ -22,12 +22,12 @@
     let more = 100;
     for number in 0..ENDED_JOB_CACHE_SIZE + more {
         let job = job(number);
-        writer.job_over(&job.spec.id.clone(), &job);
+        writer.remove_job(&job.spec.id.clone(), &job);
     }
-    let ended_at = |number: usize| writer.ended_at(&job(number).spec.id);
+    let ended_at = |number: usize| writer.ended_version(&job(number).spec.id);
     assert_eq!((ended_at(more - 1), ended_at(more)), (0, 7));
     assert_eq!(ended_at(ENDED_JOB_CACHE_SIZE + more - 1), 7);
-    assert_eq!(writer.ended.len(), ENDED_JOB_CACHE_SIZE);
+    assert_eq!(writer.ended_jobs.len(), ENDED_JOB_CACHE_SIZE);
 }
 
 /// Machines with numbers from 0 on, each in a shard of its own.
@@ -35,7 +35,7 @@
     let machines = (0..count).map(|number| {
         let id = MachineId(std::sync::Arc::from(format!("m-{number}").as_str()));
         let mut machine = Machine::new(id.clone(), "small".into(), "east".into(), false, 0);
-        writer.join(&mut machine, number, 1);
+        writer.assign_shard(&mut machine, number, 1);
         (id, machine)
     });
     machines.collect()
@@ -48,7 +48,7 @@
     most: usize,
 ) -> Vec<u32> {
     let settings = Settings::parse(include_str!("../../../tests/support/settings.json")).unwrap();
-    writer.batch(
+    writer.begin_batch(
         most,
         &settings,
         machines,
@@ -56,9 +56,9 @@
         &BTreeMap::new(),
         (0, 1_000),
     );
-    let units = writer.take_batch();
+    let units = writer.take_in_flight();
     let numbers = units.iter().flat_map(|unit| match unit {
-        Unit::Shards { numbers, .. } => numbers.iter().map(|shard| shard.number).collect(),
+        WriteUnit::Shards { shards: numbers, .. } => numbers.iter().map(|shard| shard.number).collect(),
         _ => Vec::new(),
     });
     numbers.collect()
@@ -72,22 +72,22 @@
     let mut writer = BatchWriter::new(1, &settings);
     let mut machines = machines_in_shards(&mut writer, 3);
     for machine in machines.values_mut() {
-        writer.record(machine);
+        writer.queue_machine(machine);
     }
-    writer.units_freed(2);
+    writer.on_units_freed(2);
     assert_eq!(shards_written(&mut writer, &mut machines, 1), [2]);
     // The transaction failed: it keeps its place before the others.
-    let units = [Unit::Shards {
-        numbers: vec![WrittenShard {
+    let units = [WriteUnit::Shards {
+        shards: vec![WrittenShard {
             number: 2,
             deleted: false,
         }],
-        planned: Vec::new(),
-        returns: Vec::new(),
+        planned_starts: Vec::new(),
+        releases: Vec::new(),
     }];
-    writer.failed(&units, 0);
+    writer.requeue(&units, 0);
     assert_eq!(shards_written(&mut writer, &mut machines, 2), [2, 0]);
-    writer.shards_written(
+    writer.on_shards_written(
         &[WrittenShard {
             number: 2,
             deleted: false,
--- a/crates/controller/src/storage/batch_writer/transaction.rs
+++ b/crates/controller/src/storage/batch_writer/transaction.rs
@@ -34,28 +34,28 @@
 
 /// One thing that a transaction writes.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Unit {
+pub enum WriteUnit {
     /// A new version of the leader's key, and so a higher token.
     Renewal,
     /// Shards that are written together, with the starts that they hold for the
     /// first time.
     Shards {
         /// The shards.
-        numbers: Vec<WrittenShard>,
+        shards: Vec<WrittenShard>,
         /// Starts that become durable.
-        planned: Vec<PlannedStart>,
+        planned_starts: Vec<PlannedStart>,
         /// Machines that are recorded as to be returned.
-        returns: Vec<MachineId>,
+        releases: Vec<MachineId>,
     },
     /// A record of completed tasks.
-    Done {
+    CompletedTasks {
         /// The record's number.
         number: u32,
         /// Tasks, by job and chunk, that it holds for the first time.
         tasks: BTreeMap<(JobId, u32), BTreeSet<u32>>,
     },
     /// A job all of whose tasks are done becomes an ended one.
-    Finish {
+    FinishJob {
         /// The job.
         job: JobId,
     },
@@ -65,39 +65,39 @@
         request: String,
     },
     /// A value of protection windows.
-    Shifts {
+    ProtectionWindows {
         /// The value's number.
         number: u32,
         /// Whether it was deleted.
         deleted: bool,
     },
     /// A key that nobody needs any more is deleted.
-    Garbage {
+    ObsoleteKey {
         /// The key.
         key: String,
     },
 }
 
-impl Unit {
+impl WriteUnit {
     /// Keys to read again when nobody knows whether the unit was written.
     pub fn keys(&self) -> Vec<String> {
         match self {
-            Unit::Renewal => vec![keys::LEADER.to_owned()],
-            Unit::Shards { numbers, .. } => numbers
+            WriteUnit::Renewal => vec![keys::LEADER_KEY.to_owned()],
+            WriteUnit::Shards { shards: numbers, .. } => numbers
                 .iter()
                 .map(|shard| keys::shard_key(shard.number))
                 .collect(),
-            Unit::Done { number, .. } => vec![keys::done_key(*number)],
-            Unit::Finish { job } => vec![keys::job_key(&job.0)],
-            Unit::Shifts { number, .. } => vec![keys::shift_key(*number)],
-            Unit::ScaleOutRequest { .. } | Unit::Garbage { .. } => Vec::new(),
+            WriteUnit::CompletedTasks { number, .. } => vec![keys::completed_tasks_key(*number)],
+            WriteUnit::FinishJob { job } => vec![keys::job_key(&job.0)],
+            WriteUnit::ProtectionWindows { number, .. } => vec![keys::protection_windows_key(*number)],
+            WriteUnit::ScaleOutRequest { .. } | WriteUnit::ObsoleteKey { .. } => Vec::new(),
         }
     }
 }
 
 /// A transaction being put together.
 pub(super) struct TransactionBuilder {
-    units: Vec<Unit>,
+    units: Vec<WriteUnit>,
     body: Transaction<Box<RawValue>>,
     conditioned_keys: BTreeSet<String>,
     bytes: usize,
@@ -107,7 +107,7 @@
 
 /// A transaction that is ready to be sent.
 pub(super) struct FinishedTransaction {
-    pub(super) units: Vec<Unit>,
+    pub(super) units: Vec<WriteUnit>,
     pub(super) body: Vec<u8>,
     pub(super) changes: usize,
 }
@@ -131,7 +131,7 @@
     /// Adds a unit, if it fits.
     pub(super) fn add(
         &mut self,
-        unit: Unit,
+        unit: WriteUnit,
         conditions: Vec<Condition>,
         changes: Vec<Change<Box<RawValue>>>,
     ) -> bool {
--- a/crates/controller/src/storage/keys.rs
+++ b/crates/controller/src/storage/keys.rs
@@ -2,53 +2,53 @@
 //! [`super::records`].
 
 /// Key of the leader's record; its version is the fencing token.
-pub const LEADER: &str = "leader";
+pub const LEADER_KEY: &str = "leader";
 /// Key of the machine types.
-pub const TYPES: &str = "types";
+pub const MACHINE_TYPES_KEY: &str = "types";
 /// Prefix of live jobs' keys.
-pub const JOBS: &str = "j/";
+pub const JOB_PREFIX: &str = "j/";
 /// Prefix of ended jobs' keys.
-pub const ENDED: &str = "e/";
+pub const ENDED_JOB_PREFIX: &str = "e/";
 /// Prefix of the keys of completed tasks.
-pub const DONE: &str = "d/";
+pub const COMPLETED_TASKS_PREFIX: &str = "d/";
 /// Prefix of the keys of machines' shards.
-pub const SHARDS: &str = "s/";
+pub const SHARD_PREFIX: &str = "s/";
 /// Prefix of the keys of rentals sent to the cloud.
-pub const RENTALS: &str = "h/";
+pub const RENTAL_PREFIX: &str = "h/";
 /// Prefix of the keys of protection windows.
-pub const SHIFTS: &str = "t/";
+pub const PROTECTION_WINDOWS_PREFIX: &str = "t/";
 
 /// Key of a live job.
 pub fn job_key(job: &str) -> String {
-    format!("{JOBS}{job}")
+    format!("{JOB_PREFIX}{job}")
 }
 
 /// Key of an ended job.
-pub fn ended_key(job: &str) -> String {
-    format!("{ENDED}{job}")
+pub fn ended_job_key(job: &str) -> String {
+    format!("{ENDED_JOB_PREFIX}{job}")
 }
 
 /// Key of a record of completed tasks.
-pub fn done_key(number: u32) -> String {
-    format!("{DONE}{number}")
+pub fn completed_tasks_key(number: u32) -> String {
+    format!("{COMPLETED_TASKS_PREFIX}{number}")
 }
 
 /// Key of a shard of machines.
 pub fn shard_key(number: u32) -> String {
-    format!("{SHARDS}{number}")
+    format!("{SHARD_PREFIX}{number}")
 }
 
 /// Key of a value of protection windows.
-pub fn shift_key(number: u32) -> String {
-    format!("{SHIFTS}{number}")
+pub fn protection_windows_key(number: u32) -> String {
+    format!("{PROTECTION_WINDOWS_PREFIX}{number}")
 }
 
 /// Key of a rental sent to the cloud.
 pub fn rental_key(request: &str) -> String {
-    format!("{RENTALS}{request}")
+    format!("{RENTAL_PREFIX}{request}")
 }
 
 /// The number in a key `<prefix><number>`.
-pub fn parse_number(prefix: &str, key: &str) -> Option<u32> {
+pub fn parse_numbered_key(prefix: &str, key: &str) -> Option<u32> {
     key.strip_prefix(prefix)?.parse().ok()
 }
--- a/crates/controller/src/storage/records.rs
+++ b/crates/controller/src/storage/records.rs
@@ -31,13 +31,15 @@
 mod machine_shard;
 
 pub use super::keys::{
-    DONE, ENDED, JOBS, LEADER, RENTALS, SHARDS, SHIFTS, TYPES, done_key, ended_key, job_key, parse_number,
-    rental_key, shard_key, shift_key,
+    COMPLETED_TASKS_PREFIX, ENDED_JOB_PREFIX, JOB_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY,
+    PROTECTION_WINDOWS_PREFIX, RENTAL_PREFIX, SHARD_PREFIX, completed_tasks_key, ended_job_key, job_key,
+    parse_numbered_key, protection_windows_key, rental_key, shard_key,
 };
 pub use completed_tasks::{
-    DoneRecord, chunk_bytes, chunk_name, chunk_of, decode_done, encode_done, parse_chunk_name,
+    CompletedTasksRecord, chunk_key, chunk_of, decode_completed_tasks, encode_completed_tasks,
+    max_chunk_bytes, parse_chunk_key,
 };
-pub use ended::{EndedRecord, Ending};
+pub use ended::{EndedJobRecord, Ending};
 pub use leader::LeaderRecord;
 pub use machine_shard::{MachineRecord, ReleasedMachine, ShardRecord, StartRecord};
 
@@ -56,7 +58,7 @@
     Json(#[from] serde_json::Error),
     /// It refers to an entry of its own lists that is not there.
     #[error("unreadable record: nothing stands at position {0}")]
-    AbsentPosition(usize),
+    InvalidPosition(usize),
     /// A bitmap of completed tasks is not base64.
     #[error("unreadable record: {0}")]
     Base64(#[from] base64::DecodeError),
@@ -68,7 +70,7 @@
     ChunkTooLarge,
     /// Whoever cannot read it must not lead: it may name starts.
     #[error("a later build wrote it, in form {0}")]
-    Later(u16),
+    NewerFormat(u16),
 }
 
 /// Anything kept as one JSON value.
@@ -92,9 +94,9 @@
 }
 
 impl Record for LeaderRecord {}
-impl Record for EndedRecord {}
+impl Record for EndedJobRecord {}
 impl Record for ShardRecord {}
-impl Record for DoneRecord {}
+impl Record for CompletedTasksRecord {}
 impl Record for JobSpec {}
 impl Record for RentalRequest {}
 impl Record for Flavors {}
--- a/crates/controller/src/storage/records/completed_tasks.rs
+++ b/crates/controller/src/storage/records/completed_tasks.rs
@@ -12,15 +12,15 @@
 /// Completed tasks: a bitmap for each `<job>/<chunk>`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct DoneRecord(pub BTreeMap<String, String>);
+pub struct CompletedTasksRecord(pub BTreeMap<String, String>);
 
 /// The name of a job's chunk in a [`DoneRecord`].
-pub fn chunk_name(job: &JobId, chunk: u32) -> String {
+pub fn chunk_key(job: &JobId, chunk: u32) -> String {
     format!("{job}/{chunk}")
 }
 
 /// Most bytes that a chunk of a job with so many tasks ever takes in a record.
-pub fn chunk_bytes(tasks: u32) -> usize {
+pub fn max_chunk_bytes(tasks: u32) -> usize {
     tasks.min(COMPLETED_TASKS_PER_CHUNK).div_ceil(u8::BITS) as usize * 4 / 3 + CHUNK_KEY_OVERHEAD_BYTES
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// The completed tasks of one chunk as a bitmap.
-pub fn encode_done(done: &BTreeSet<u32>, chunk: u32) -> String {
+pub fn encode_completed_tasks(done: &BTreeSet<u32>, chunk: u32) -> String {
     let start = chunk * COMPLETED_TASKS_PER_CHUNK;
     let mut bits: Vec<u8> = Vec::new();
     for task in done.range(start..start + COMPLETED_TASKS_PER_CHUNK) {
@@ -45,7 +45,7 @@
 }
 
 /// Adds the completed tasks of a chunk's record to `done`.
-pub fn decode_done(text: &str, chunk: u32, done: &mut BTreeSet<u32>) -> Result<(), RecordError> {
+pub fn decode_completed_tasks(text: &str, chunk: u32, done: &mut BTreeSet<u32>) -> Result<(), RecordError> {
     let bits = STANDARD_NO_PAD.decode(text)?;
     if bits.len() > (COMPLETED_TASKS_PER_CHUNK / u8::BITS) as usize {
         return Err(RecordError::BitmapTooLong);
@@ -62,7 +62,7 @@
 }
 
 /// Splits `<job>/<chunk>` into its parts.
-pub fn parse_chunk_name(name: &str) -> Option<(&str, u32)> {
+pub fn parse_chunk_key(name: &str) -> Option<(&str, u32)> {
     let (job, chunk) = name.rsplit_once('/')?;
     Some((job, chunk.parse().ok()?))
 }
--- a/crates/controller/src/storage/records/ended.rs
+++ b/crates/controller/src/storage/records/ended.rs
@@ -16,7 +16,7 @@
 
 /// A job that is over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedRecord {
+pub struct EndedJobRecord {
     /// How it ended.
     pub end: Ending,
     /// How many of its tasks are done: all, or 0 for a cancelled job.
@@ -37,10 +37,10 @@
     Ok(Entry::deserialize(Value::deserialize(value)?).ok())
 }
 
-impl EndedRecord {
+impl EndedJobRecord {
     /// All tasks of a job are done.
-    pub fn done(entry: Entry) -> EndedRecord {
-        EndedRecord {
+    pub fn done(entry: Entry) -> EndedJobRecord {
+        EndedJobRecord {
             end: Ending::Done,
             tasks: entry.tasks,
             entry: Some(entry),
@@ -49,8 +49,8 @@
 
     /// A job is cancelled by a user with access to it. Its live record tells which team's accounting
     /// the entry goes to; where that cannot be read, there is no entry.
-    pub fn cancelled(_access: &VisibleJob, entry: Option<Entry>) -> EndedRecord {
-        EndedRecord {
+    pub fn cancelled(_access: &VisibleJob, entry: Option<Entry>) -> EndedJobRecord {
+        EndedJobRecord {
             end: Ending::Cancelled,
             tasks: 0,
             entry,
--- a/crates/controller/src/storage/records/machine_shard.rs
+++ b/crates/controller/src/storage/records/machine_shard.rs
@@ -72,8 +72,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
     /// Form of the record. The first, which had no such field, knew no counts.
-    #[serde(rename = "v", default = "first_form")]
-    pub(super) form: u16,
+    #[serde(rename = "v", default = "first_format")]
+    pub(super) format: u16,
     /// Texts that entries refer to: types, zones, teams and images.
     names: Vec<Arc<str>>,
     jobs: Vec<JobEntry>,
@@ -91,21 +91,21 @@
 }
 
 /// Form of shards that this build writes.
-pub(super) const SHARD_FORM: u16 = 2;
+pub(super) const SHARD_FORMAT: u16 = 2;
 
-fn first_form() -> u16 {
+fn first_format() -> u16 {
     1
 }
 
 impl ShardRecord {
     /// The record of these machines.
-    pub fn of(machines: &[MachineRecord], lingers: Vec<LingerEntry>) -> ShardRecord {
+    pub fn from_machines(machines: &[MachineRecord], lingers: Vec<LingerEntry>) -> ShardRecord {
         let mut encoder = ShardEncoder::default();
         for machine in machines {
             encoder.add(machine);
         }
         ShardRecord {
-            form: SHARD_FORM,
+            format: SHARD_FORMAT,
             lingers,
             ..encoder.into_shard()
         }
@@ -129,8 +129,8 @@
     /// The machines' records; an error if a position names nothing, or a later build
     /// wrote what this one may not understand.
     pub fn machines(self) -> Result<Vec<MachineRecord>, RecordError> {
-        if self.form > SHARD_FORM {
-            return Err(RecordError::Later(self.form));
+        if self.format > SHARD_FORMAT {
+            return Err(RecordError::NewerFormat(self.format));
         }
         let counts: HashMap<usize, &Demand> = self
             .counts
@@ -178,7 +178,7 @@
         let job = self
             .jobs
             .get(entry.job)
-            .ok_or(RecordError::AbsentPosition(entry.job))?;
+            .ok_or(RecordError::InvalidPosition(entry.job))?;
         Ok(StartRecord {
             job: job.job.clone(),
             index: entry.index,
@@ -194,6 +194,6 @@
     fn text(&self, position: usize) -> Result<&Arc<str>, RecordError> {
         self.names
             .get(position)
-            .ok_or(RecordError::AbsentPosition(position))
+            .ok_or(RecordError::InvalidPosition(position))
     }
 }
--- a/crates/controller/src/storage/records/tests.rs
+++ b/crates/controller/src/storage/records/tests.rs
@@ -1,4 +1,4 @@
-use super::machine_shard::SHARD_FORM;
+use super::machine_shard::SHARD_FORMAT;
 use super::*;
 use crate::constants::COMPLETED_TASKS_PER_CHUNK;
 use crate::model::{JobId, Resources};
@@ -12,8 +12,8 @@
     fn done_chunks_survive_encoding(tasks in proptest::collection::btree_set(0u32..40_000, 0..300)) {
         let mut read = BTreeSet::new();
         for chunk in 0..=chunk_of(40_000) {
-            let value = encode_done(&tasks, chunk);
-            decode_done(&value, chunk, &mut read).unwrap();
+            let value = encode_completed_tasks(&tasks, chunk);
+            decode_completed_tasks(&value, chunk, &mut read).unwrap();
         }
         prop_assert_eq!(read, tasks);
     }
@@ -21,7 +21,7 @@
     #[test]
     fn any_string_is_a_bitmap_or_an_error(text in ".{0,40}", chunk in any::<u32>()) {
         let mut read = BTreeSet::new();
-        let _ = decode_done(&text, chunk, &mut read);
+        let _ = decode_completed_tasks(&text, chunk, &mut read);
         prop_assert!(read.len() <= COMPLETED_TASKS_PER_CHUNK as usize);
     }
 }
@@ -75,7 +75,7 @@
         1,
         1_700_000_000_000,
     )];
-    let value = ShardRecord::of(&machines, lingers.clone()).to_value();
+    let value = ShardRecord::from_machines(&machines, lingers.clone()).to_value();
     assert_eq!(ShardRecord::from_value(&value).unwrap().lingers(), lingers);
     let read = ShardRecord::from_value(&value).unwrap().machines().unwrap();
     assert_eq!(read, machines);
@@ -91,7 +91,7 @@
 fn records_of_the_build_before_counts_are_read() {
     let stored: BTreeMap<String, Value> = serde_json::from_str(BEFORE_COUNTS).unwrap();
     let shard = ShardRecord::from_value(&stored["s/0"]).unwrap();
-    assert_eq!((shard.form, shard.lingers().len()), (1, 0));
+    assert_eq!((shard.format, shard.lingers().len()), (1, 0));
     let machines = shard.machines().unwrap();
     assert_eq!(machines.len(), 9);
     let starts: Vec<&StartRecord> = machines.iter().flat_map(|machine| &machine.starts).collect();
@@ -108,11 +108,11 @@
         // What it did not ask for is not written for it either.
         assert!(job.to_value().get("counts").is_none());
     }
-    let done = DoneRecord::from_value(&stored["d/0"]).unwrap();
+    let done = CompletedTasksRecord::from_value(&stored["d/0"]).unwrap();
     let mut read = BTreeSet::new();
-    decode_done(&done.0["wk-11/0"], 0, &mut read).unwrap();
+    decode_completed_tasks(&done.0["wk-11/0"], 0, &mut read).unwrap();
     assert_eq!(read, (0..7).collect());
-    assert!(EndedRecord::from_value(&stored["e/wk-7"]).is_ok());
+    assert!(EndedJobRecord::from_value(&stored["e/wk-7"]).is_ok());
     assert!(LeaderRecord::from_value(&stored["leader"]).is_ok());
 }
 
@@ -134,7 +134,7 @@
         machine("m-1", vec![start(0, &none), start(1, &seat)]),
         machine("m-2", vec![start(2, &seat), start(3, &none)]),
     ];
-    let value = ShardRecord::of(&machines, Vec::new()).to_value();
+    let value = ShardRecord::from_machines(&machines, Vec::new()).to_value();
     let read = ShardRecord::from_value(&value).unwrap().machines().unwrap();
     assert_eq!(read, machines);
 }
@@ -142,14 +142,14 @@
 // The field is there only where it says something: what an earlier build wrote, or reads, has none.
 #[test]
 fn machines_that_are_gone_are_named_where_there_are_some() {
-    let without = ShardRecord::of(&[], Vec::new()).to_value();
+    let without = ShardRecord::from_machines(&[], Vec::new()).to_value();
     assert!(without.get("released").is_none());
     assert!(ShardRecord::from_value(&without).unwrap().released().is_empty());
     let released = ReleasedMachine {
         name: Arc::from("m-7"),
         until_ms: 1_700_000_000_000,
     };
-    let value = ShardRecord::of(&[], Vec::new())
+    let value = ShardRecord::from_machines(&[], Vec::new())
         .with_released(vec![released.clone()])
         .to_value();
     assert_eq!(
@@ -161,8 +161,8 @@
 
 #[test]
 fn a_later_builds_shard_is_not_guessed_at() {
-    let mut value = ShardRecord::of(&[], Vec::new()).to_value();
-    value["v"] = (SHARD_FORM + 1).into();
+    let mut value = ShardRecord::from_machines(&[], Vec::new()).to_value();
+    value["v"] = (SHARD_FORMAT + 1).into();
     assert!(ShardRecord::from_value(&value).unwrap().machines().is_err());
 }
 
@@ -181,11 +181,11 @@
         let value = serde_json::from_str(&text).unwrap_or(Value::String(text));
         let shard = ShardRecord::from_value(&value);
         let _ = shard.map(|shard| (shard.lingers().len(), shard.machines()));
-        for (name, bitmap) in DoneRecord::from_value(&value).map_or(BTreeMap::new(), |done| done.0) {
-            let chunk = parse_chunk_name(&name).map_or(0, |(_, chunk)| chunk);
-            let _ = decode_done(&bitmap, chunk, &mut BTreeSet::new());
+        for (name, bitmap) in CompletedTasksRecord::from_value(&value).map_or(BTreeMap::new(), |done| done.0) {
+            let chunk = parse_chunk_key(&name).map_or(0, |(_, chunk)| chunk);
+            let _ = decode_completed_tasks(&bitmap, chunk, &mut BTreeSet::new());
         }
-        let _ = EndedRecord::from_value(&value).map(|ended| ended.to_value());
+        let _ = EndedJobRecord::from_value(&value).map(|ended| ended.to_value());
         let _ = LeaderRecord::from_value(&value).is_ok();
         let _ = RentalRequest::from_value(&value).is_ok();
         let _ = Flavors::from_value(&value).is_ok();
--- a/crates/controller/src/token_bucket.rs
+++ b/crates/controller/src/token_bucket.rs
@@ -44,8 +44,8 @@
     }
 
     /// Takes `units` if that leaves at least `reserve` of a full bucket.
-    pub fn take(&mut self, units: f64, reserve: f64, now: Timestamp) -> bool {
-        let has_enough = self.has(units, reserve, now);
+    pub fn try_take(&mut self, units: f64, reserve: f64, now: Timestamp) -> bool {
+        let has_enough = self.has_available(units, reserve, now);
         if has_enough {
             self.level -= units;
         }
@@ -53,13 +53,13 @@
     }
 
     /// Whether `units` could be taken so that at least `reserve` of a full bucket is left.
-    pub fn has(&mut self, units: f64, reserve: f64, now: Timestamp) -> bool {
+    pub fn has_available(&mut self, units: f64, reserve: f64, now: Timestamp) -> bool {
         self.refill(now);
         self.level - units >= reserve * self.burst
     }
 
     /// Takes `units` whatever is left: for what must not wait, as lease renewals.
-    pub fn force(&mut self, units: f64, now: Timestamp) {
+    pub fn force_take(&mut self, units: f64, now: Timestamp) {
         self.refill(now);
         self.level -= units;
     }
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -196,7 +196,10 @@
             .map(|machine| machine.record(|_| true))
             .collect();
         let lingers = self.lingers.to_record(self.now, WALL_MS + self.now);
-        self.recorded = (records.clone(), ShardRecord::of(&records, lingers).to_value());
+        self.recorded = (
+            records.clone(),
+            ShardRecord::from_machines(&records, lingers).to_value(),
+        );
     }
 
     fn absorb(&mut self, at: usize, body: &[u8]) -> Option<(u64, u64)> {
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -8,7 +8,9 @@
 use indigopath_controller::peers::Frame;
 use indigopath_controller::protocol;
 use indigopath_controller::settings::{Operator, Settings};
-use indigopath_controller::storage::records::{DoneRecord, EndedRecord, LeaderRecord, Record, ShardRecord};
+use indigopath_controller::storage::records::{
+    CompletedTasksRecord, EndedJobRecord, LeaderRecord, Record, ShardRecord,
+};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -56,8 +58,8 @@
             ("", "types") => same_record::<protocol::Flavors>(&stored),
             ("j/", rest) if rest.starts_with('~') => same_record::<OpenRecord>(&stored),
             ("j/", _) => same_record::<JobSpec>(&stored),
-            ("e/", _) => same_record::<EndedRecord>(&stored),
-            ("d/", _) => same_record::<DoneRecord>(&stored),
+            ("e/", _) => same_record::<EndedJobRecord>(&stored),
+            ("d/", _) => same_record::<CompletedTasksRecord>(&stored),
             ("s/", _) => same_record::<ShardRecord>(&stored),
             ("h/", _) => same_record::<protocol::RentalRequest>(&stored),
             ("n/", _) => same_record::<NumberRecord>(&stored),
--- a/crates/simulator/src/accounting_checks.rs
+++ b/crates/simulator/src/accounting_checks.rs
@@ -4,7 +4,7 @@
 use indigopath_accounting::{HEAD_KEY, JobAccounting, Position, Rebuild};
 use indigopath_controller::job_api::authorization;
 use indigopath_controller::protocol::{Change, Transaction};
-use indigopath_controller::storage::records::{EndedRecord, Record};
+use indigopath_controller::storage::records::{EndedJobRecord, Record};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -80,7 +80,7 @@
             if state.value(&format!("j/{job}")).is_some() {
                 return Err(format!("{job} is live and over"));
             }
-            let Ok(record) = EndedRecord::from_value(value) else {
+            let Ok(record) = EndedJobRecord::from_value(value) else {
                 return Err(format!("{key} cannot be read"));
             };
             let position = Position {
