--- a/crates/controller/src/condor/mod.rs
+++ b/crates/controller/src/condor/mod.rs
@@ -54,12 +54,15 @@
 
 /// Key that stands while a cluster is being recorded.
 pub fn open_key(cluster: u64) -> String {
-    format!("{}{OPEN}{cluster:0CLUSTER_DIGITS$}", records::JOBS)
+    format!("{}{OPEN}{cluster:0CLUSTER_DIGITS$}", records::JOB_PREFIX)
 }
 
 /// The cluster of such a key.
 pub fn parse_open(key: &str) -> Option<u64> {
-    key.strip_prefix(records::JOBS)?.strip_prefix(OPEN)?.parse().ok()
+    key.strip_prefix(records::JOB_PREFIX)?
+        .strip_prefix(OPEN)?
+        .parse()
+        .ok()
 }
 
 /// The site as submit files see it.
@@ -97,7 +100,7 @@
 /// Whether a team's limit would ever let tasks of the job that run together start.
 fn within_limit(spec: &JobSpec, team: &crate::settings::Team) -> bool {
     let together = spec.shape.concurrent_tasks(u64::from(spec.tasks));
-    team.allows(&spec.needs.times(together as f64))
+    team.allows(&spec.needs.scaled_by(together as f64))
 }
 
 /// The job without those of its holds that the settings in force no longer call for; `None`
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -107,7 +107,7 @@
     /// Brings what lingers up to date, before a pass or a look.
     pub(super) fn settle_lingers(&mut self, now: Timestamp) {
         let before = self.counted.lingers.len();
-        self.counted.lingers = self.writer.lingers(now);
+        self.counted.lingers = self.writer.active_lingers(now);
         // Units that have come free are a reason to place.
         self.scheduler
             .request_pass_if(self.counted.lingers.len() < before);
@@ -145,7 +145,7 @@
                 };
                 // What is said of the count before the next pass must not lack it.
                 self.counted.lingers.push(linger.clone());
-                self.writer.linger(shard, linger);
+                self.writer.add_linger(shard, linger);
             }
         }
     }
@@ -155,7 +155,7 @@
     pub(super) fn remember_clients(&mut self, machine: &Machine) {
         let named_until = machine
             .shard
-            .and_then(|shard| self.writer.machine_released(shard, &machine.id));
+            .and_then(|shard| self.writer.on_machine_released(shard, &machine.id));
         if let Some(until) = named_until {
             // A server that falls silent then is believed for a while.
             self.machines
@@ -179,7 +179,7 @@
         if io.now < until {
             let id = MachineId(released.name.clone());
             self.machines.remember_gone(&id, until + SERVER_USAGE_VALID_MS);
-            self.writer.released_read(shard, id, until);
+            self.writer.load_released_machine(shard, id, until);
         }
     }
 
@@ -386,7 +386,7 @@
     let mut largest: BTreeMap<&Name, (u64, &JobId)> = BTreeMap::new();
     for job in jobs.values().filter(|job| !job.parked && !job.waiting.is_empty()) {
         for (count, units) in job.spec.counts.iter() {
-            let wanted = u64::from(units) * u64::from(job.together());
+            let wanted = u64::from(units) * u64::from(job.gang_size());
             let there = definitions.get(count).map_or(0, |definition| definition.units);
             let known = largest.get(count).map_or(0, |(most, _)| *most);
             if wanted > u64::from(there) && wanted > known {
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -77,7 +77,7 @@
     if !attempt.holds_units() {
         return;
     }
-    let over_s = attempt.ran_s(now) - attempt.estimate_s;
+    let over_s = attempt.elapsed_s(now) - attempt.estimate_s;
     let left_s = if attempt.estimate_s <= 0.0 {
         f64::INFINITY
     } else if over_s <= 0.0 {
@@ -152,7 +152,7 @@
             let asker = self.asker(job);
             if self
                 .book
-                .reserve_for_machines(&job.spec.counts, job.together(), &asker)
+                .reserve_for_machines(&job.spec.counts, job.gang_size(), &asker)
             {
                 self.plan.units_reserved_for.insert(job.spec.id.clone());
             }
