--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -317,7 +317,7 @@
     /// Does what is due for the books, after all else: nobody waits for them.
     pub(super) fn look_at_books(&mut self, settings: &Settings, io: &mut Io) {
         let token = self.token();
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         if books.off || books.busy {
             return;
         }
@@ -380,13 +380,20 @@
         } else {
             return;
         };
-        self.books.busy = true;
-        self.state_call(method, path, body, STATE_TIMEOUT_MS, TermCall::Books(call), io);
+        self.accounting.busy = true;
+        self.state_call(
+            method,
+            path,
+            body,
+            STATE_TIMEOUT_MS,
+            TermCall::Accounting(call),
+            io,
+        );
     }
 
     /// Follows the answer to a call about accounts.
     pub(super) fn books_answered(&mut self, call: BookCall, outcome: &Outcome, now: Timestamp) {
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         books.busy = false;
         match call {
             BookCall::Load => books.loaded(outcome, now),
@@ -428,7 +435,12 @@
     /// Jobs that found no units, and no machine, in the last pass.
     pub(super) fn blocked(&self) -> Blocked<'_> {
         Blocked {
-            units: self.counted.short.iter().map(|short| &short.job).collect(),
+            units: self
+                .counted_resources
+                .short
+                .iter()
+                .map(|short| &short.job)
+                .collect(),
             machines: self
                 .scheduler
                 .unplaced()
@@ -478,7 +490,7 @@
 
     /// How the books stand, for metrics.
     pub fn book_standing(&self, now: Timestamp) -> BookStanding {
-        let books = &self.books;
+        let books = &self.accounting;
         BookStanding {
             waiting: self.queues(now),
             ended: books
@@ -496,15 +508,15 @@
 
     /// An attempt runs.
     pub(super) fn note_run(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        if self.books.runs.len() < BOOK_RUNS {
-            self.books.runs.insert((task.clone(), number), now);
+        if self.accounting.runs.len() < BOOK_RUNS {
+            self.accounting.runs.insert((task.clone(), number), now);
         }
     }
 
     /// An attempt is over: what it ran counts for nothing where `why` says so. Of work that
     /// saves, what lies before the last save does; it is taken to be at regular intervals.
     pub(super) fn note_end(&mut self, task: &TaskId, number: u64, why: Option<LossCause>, now: Timestamp) {
-        let Some(since) = self.books.runs.remove(&(task.clone(), number)) else {
+        let Some(since) = self.accounting.runs.remove(&(task.clone(), number)) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -71,7 +71,7 @@
         listing.in_flight = true;
         let path = paths::listing(listing.machines.last().map(|machine| machine.id.as_str()));
         let call = io.cloud_call(permit, Method::Get, path, Vec::new());
-        self.calls.expect(call, TermCall::List);
+        self.calls.expect(call, TermCall::ListMachines);
     }
 
     /// Follows a page of the list.
@@ -87,7 +87,7 @@
 
     fn adopt_listed(&mut self, listed: ListedMachine, now: Timestamp) {
         let id = MachineId(Arc::from(listed.id.as_str()));
-        if self.machines.is_gone(&id) {
+        if self.machines.is_recently_released(&id) {
             return;
         }
         let machine = self.machines.get_or_adopt(&id, || {
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -112,7 +112,7 @@
         peers: PeerView,
         now: Timestamp,
     ) -> Vec<(MachineId, ReturnReason)> {
-        let silence_is_proof = self.silence_is_proof(peers, now);
+        let silence_is_proof = self.can_release_silent_machines(peers, now);
         let kept = self.kept(&settings.deployment, now);
         let mut idle = IdleSurplus {
             now,
@@ -133,7 +133,7 @@
                 && machine.synced
                 && machine.is_empty()
                 && !idle.with_weights.contains(&machine.id)
-                && !self.shifts.kept.contains_key(&machine.id)
+                && !self.protection_windows.kept.contains_key(&machine.id)
                 && idle.takes(machine);
             let useless =
                 machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
@@ -174,11 +174,11 @@
         machine.returning = true;
         machine.return_recorded = false;
         self.writer.record(machine);
-        self.weights.goes(machine, settings);
+        self.image_locality.goes(machine, settings);
         if !std::mem::replace(&mut machine.return_told, true) {
             log::info!("scale-in requested machine={id}: {}", why.text());
             if why == ReturnReason::Silent {
-                self.weights.lost();
+                self.image_locality.lost();
             }
         }
     }
@@ -221,7 +221,7 @@
         let call = io.cloud_call(permit, Method::Post, paths::RETURN.to_owned(), body);
         self.calls.expect(
             call,
-            TermCall::Return {
+            TermCall::Release {
                 machines: names,
                 sent: io.now,
             },
@@ -241,7 +241,7 @@
             self.autoscaler.release_s += BOOT_SMOOTHING * (took_s - self.autoscaler.release_s);
             for id in machines {
                 // The cloud confirms it: the machine and all that was on it are gone.
-                let Some(mut machine) = self.machines.take_gone(&id, io.now) else {
+                let Some(mut machine) = self.machines.remove_released(&id, io.now) else {
                     continue;
                 };
                 let there = machine.tasks_there();
@@ -254,7 +254,7 @@
                 }
                 self.writer.machine_gone(&machine);
                 let changes = machine.clear();
-                self.apply_from(&id, machine.shard, changes, io);
+                self.apply_changes_from_shard(&id, machine.shard, changes, io);
                 self.remember_clients(&machine);
                 self.scheduler.request_pass();
             }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -41,7 +41,12 @@
             *in_zone.entry(&machine.zone).or_default() += 1;
         }
         let mut queues: BTreeMap<(String, bool, Vec<String>), QueuedDemand> = BTreeMap::new();
-        for unplaced in self.scheduler.unplaced().iter().chain(&self.shifts.short) {
+        for unplaced in self
+            .scheduler
+            .unplaced()
+            .iter()
+            .chain(&self.protection_windows.short)
+        {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
@@ -112,7 +117,7 @@
     /// A job as machines are rented for it: what is protected, and may have any other, is kept off spot
     /// ones.
     fn spec_to_rent<'j>(&self, job: &'j Job) -> std::borrow::Cow<'j, JobSpec> {
-        let protection = &self.shifts.protection;
+        let protection = &self.protection_windows.protection;
         if !protection.avoids_spot(&job.spec, &self.forecast.satisfaction().starved) {
             return std::borrow::Cow::Borrowed(&job.spec);
         }
@@ -126,7 +131,12 @@
     /// too few must not lose those that stand ready for it.
     fn wanted_kinds(&self, types: &MachineTypes) -> HashSet<MachineKind> {
         let mut wanted = HashSet::new();
-        for unplaced in self.scheduler.unplaced().iter().chain(&self.shifts.short) {
+        for unplaced in self
+            .scheduler
+            .unplaced()
+            .iter()
+            .chain(&self.protection_windows.short)
+        {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
@@ -168,7 +178,7 @@
                 continue;
             };
             let mut free = known.resources();
-            if let Some(kept) = machine.and_then(|machine| self.shifts.kept.get(machine)) {
+            if let Some(kept) = machine.and_then(|machine| self.protection_windows.kept.get(machine)) {
                 free -= *kept;
             }
             for _ in 0..count {
@@ -310,7 +320,7 @@
             let call = io.cloud_call(permit, Method::Post, paths::RENTALS.to_owned(), body);
             self.calls.expect(
                 call,
-                TermCall::Rent {
+                TermCall::Launch {
                     request: request.request,
                 },
             );
@@ -329,7 +339,7 @@
             rental.answered = Some(io.now);
             for name in &names.machines {
                 let id = MachineId(Arc::from(name.as_str()));
-                if !self.machines.is_gone(&id) {
+                if !self.machines.is_recently_released(&id) {
                     let machine = self.machines.get_or_adopt(&id, || {
                         let mut machine = Machine::new(
                             id.clone(),
--- a/crates/controller/src/leader/calls.rs
+++ b/crates/controller/src/leader/calls.rs
@@ -13,11 +13,11 @@
 #[derive(Debug)]
 pub(super) enum TermCall {
     /// A page of records, read at the start of the term.
-    Load { sent: Timestamp },
+    RecordsPage { sent: Timestamp },
     /// Changes of live jobs' records.
     Watch { sent: Timestamp },
     /// A transaction that the batch writer put together.
-    Write,
+    Transaction,
     /// A record whose version is uncertain.
     Reread {
         key: String,
@@ -27,24 +27,24 @@
     /// A direct command to a machine.
     Direct(DirectCall),
     /// A question whether a machine answers.
-    Inspect { machine: MachineId },
+    Probe { machine: MachineId },
     /// A page of the cloud's list of machines.
-    List,
+    ListMachines,
     /// A scale-out request, by its name.
-    Rent { request: String },
+    Launch { request: String },
     /// Machines that the cloud is to take back.
-    Return {
+    Release {
         machines: Vec<MachineId>,
         sent: Timestamp,
     },
     /// The record of the machine types.
-    StoreTypes,
+    StoreMachineTypes,
     /// Usage of licences, as their server has it.
-    Licences { server: SocketAddrV4 },
+    LicenceUsage { server: SocketAddrV4 },
     /// A change of a cluster's records; the watch tells what came of it.
-    Cluster,
+    SubmitCluster,
     /// Reading or writing of teams' accounts.
-    Books(BookCall),
+    Accounting(BookCall),
 }
 
 impl LeaderTerm {
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -85,27 +85,27 @@
         Units {
             definitions,
             policy: Policy::default(),
-            reserved_since: &self.counted.keepers,
-            feeds: &self.counted.feeds,
-            lingers: &self.counted.lingers,
-            gone: self.machines.gone(),
+            reserved_since: &self.counted_resources.keepers,
+            feeds: &self.counted_resources.feeds,
+            lingers: &self.counted_resources.lingers,
+            gone: self.machines.recently_released(),
         }
     }
 
     /// Shares a demand with its equals.
     pub(super) fn share_demand(&mut self, demand: &mut Demand) {
         if !demand.is_empty() {
-            *demand = self.counted.demands.share(std::mem::take(demand));
+            *demand = self.counted_resources.demands.share(std::mem::take(demand));
         }
     }
 
     /// Brings what lingers up to date, before a pass or a look.
     pub(super) fn settle_lingers(&mut self, now: Timestamp) {
-        let before = self.counted.lingers.len();
-        self.counted.lingers = self.writer.lingers(now);
+        let before = self.counted_resources.lingers.len();
+        self.counted_resources.lingers = self.writer.lingers(now);
         // Units that have come free are a reason to place.
         self.scheduler
-            .request_pass_if(self.counted.lingers.len() < before);
+            .request_pass_if(self.counted_resources.lingers.len() < before);
     }
 
     /// Notes what a pass says of units.
@@ -116,20 +116,20 @@
         keepers: BTreeSet<JobId>,
         now: Timestamp,
     ) {
-        let before = std::mem::take(&mut self.counted.keepers);
+        let before = std::mem::take(&mut self.counted_resources.keepers);
         let since = |job: JobId| {
             let since = before.get(&job).copied().unwrap_or(now);
             (job, since)
         };
-        self.counted.keepers = keepers.into_iter().map(since).collect();
-        self.counted.short = short;
-        self.counted.kept = kept;
+        self.counted_resources.keepers = keepers.into_iter().map(since).collect();
+        self.counted_resources.short = short;
+        self.counted_resources.kept = kept;
     }
 
     /// An attempt holds its units no longer.
     pub(super) fn freed(&mut self, shard: Option<u32>, team: &Arc<str>, counts: &Demand, now: Timestamp) {
         for (count, units) in counts.iter() {
-            let linger_ms = self.counted.linger_ms.get(count).copied().unwrap_or(0);
+            let linger_ms = self.counted_resources.linger_ms.get(count).copied().unwrap_or(0);
             if linger_ms > 0 {
                 log::debug!("units linger count={count} team={team} units={units} linger_ms={linger_ms}");
                 let linger = Linger {
@@ -139,7 +139,7 @@
                     until: now + linger_ms,
                 };
                 // What is said of the count before the next pass must not lack it.
-                self.counted.lingers.push(linger.clone());
+                self.counted_resources.lingers.push(linger.clone());
                 self.writer.linger(shard, linger);
             }
         }
@@ -153,7 +153,8 @@
             .and_then(|shard| self.writer.machine_released(shard, &machine.id));
         if let Some(until) = named_until {
             // A server that falls silent then is believed for a while.
-            self.machines.remember_gone(&machine.id, until + SERVER_TRUST_MS);
+            self.machines
+                .remember_released(&machine.id, until + SERVER_TRUST_MS);
         }
     }
 
@@ -168,11 +169,17 @@
         // As with lingering units: this clock may be late, the other may have been early.
         let named_until_ms = released.until_ms.saturating_add(2 * clock_off_ms);
         let left_ms = named_until_ms.saturating_sub(io.wall_ms);
-        let longest_ms = self.counted.linger_ms.values().max().copied().unwrap_or(0);
+        let longest_ms = self
+            .counted_resources
+            .linger_ms
+            .values()
+            .max()
+            .copied()
+            .unwrap_or(0);
         let until = io.now + left_ms.min(longest_ms);
         if io.now < until {
             let id = MachineId(released.name.clone());
-            self.machines.remember_gone(&id, until + SERVER_TRUST_MS);
+            self.machines.remember_released(&id, until + SERVER_TRUST_MS);
             self.writer.released_read(shard, id, until);
         }
     }
@@ -181,12 +188,12 @@
     pub(super) fn note_wait(&mut self, counts: &Demand, age_ms: u64) {
         let age_s = age_ms as f64 / SECOND_MS as f64;
         let waits = counts.iter().map(|(count, _)| (count.clone(), age_s));
-        self.counted.waits.extend(waits);
+        self.counted_resources.waits.extend(waits);
     }
 
     /// Waits of tasks placed since this was last asked: count, and the job's age in s.
     pub fn take_waits(&mut self) -> Vec<(Name, f64)> {
-        std::mem::take(&mut self.counted.waits)
+        std::mem::take(&mut self.counted_resources.waits)
     }
 
     // ---- licence servers -----------------------------------------------------
@@ -194,7 +201,7 @@
     /// Asks the licence servers that are due for their usage.
     pub(super) fn poll_servers(&mut self, definitions: &Definitions, io: &mut Io) {
         let mut due: BTreeSet<SocketAddrV4> = BTreeSet::new();
-        for (name, feed) in &mut self.counted.feeds {
+        for (name, feed) in &mut self.counted_resources.feeds {
             if feed.ask(io.now) {
                 due.extend(definitions.get(name).and_then(|definition| definition.server));
             }
@@ -207,7 +214,7 @@
                 Vec::new(),
                 SERVER_TIMEOUT_MS,
             );
-            self.calls.expect(call, TermCall::Licences { server });
+            self.calls.expect(call, TermCall::LicenceUsage { server });
         }
     }
 
@@ -228,7 +235,7 @@
             Outcome::NotSent => Err("nobody listens there".to_owned()),
             Outcome::NoAnswer => Err("it does not answer".to_owned()),
         };
-        for (name, feed) in &mut self.counted.feeds {
+        for (name, feed) in &mut self.counted_resources.feeds {
             if definitions.get(name).and_then(|definition| definition.server) != Some(server) {
                 continue;
             }
@@ -246,10 +253,10 @@
 
     /// Looks at all counts for what operators should know.
     pub(super) fn look_at_counts(&mut self, definitions: &Definitions, io: &mut Io) {
-        if io.now < self.counted.looked_at + FORECAST_MS {
+        if io.now < self.counted_resources.looked_at + FORECAST_MS {
             return;
         }
-        self.counted.looked_at = io.now;
+        self.counted_resources.looked_at = io.now;
         self.settle_lingers(io.now);
         let units = self.units(definitions);
         let book = placement::book(self.machines.as_map(), &units, io.now);
@@ -257,7 +264,7 @@
         let mut over = BTreeSet::new();
         for pool in book.pools() {
             let name: Name = Arc::from(pool.name);
-            let waiting = waiting_for(pool.name, &self.counted.short);
+            let waiting = waiting_for(pool.name, &self.counted_resources.short);
             match pool.closed {
                 Some(Closed::Undefined) => found.push((
                     name.clone(),
@@ -280,7 +287,7 @@
                 }
                 None if pool.over() > 0 => {
                     over.insert(name.clone());
-                    if !self.counted.over.contains(&name) {
+                    if !self.counted_resources.over.contains(&name) {
                         log::warn!(
                             "counted resource oversubscribed {}",
                             self.oversubscription(pool, io.now)
@@ -310,11 +317,15 @@
         }
         drop(book);
         for name in &over {
-            if !self.counted.over.contains(name) {
-                *self.counted.oversubscribed.entry(name.clone()).or_default() += 1;
+            if !self.counted_resources.over.contains(name) {
+                *self
+                    .counted_resources
+                    .oversubscribed
+                    .entry(name.clone())
+                    .or_default() += 1;
             }
         }
-        self.counted.over = over;
+        self.counted_resources.over = over;
         self.tell_troubles(found, io);
     }
 
@@ -333,22 +344,23 @@
             .shard_lingers()
             .filter(|entry| &*entry.linger.count == pool.name && now < entry.linger.until)
             .map(|entry| LingeringUnits::of(&entry, now));
-        let feed = self.counted.feeds.get(pool.name);
-        let is_ours =
-            |host: &str| self.machines.as_map().contains_key(host) || self.machines.gone().contains_key(host);
+        let feed = self.counted_resources.feeds.get(pool.name);
+        let is_ours = |host: &str| {
+            self.machines.as_map().contains_key(host) || self.machines.recently_released().contains_key(host)
+        };
         let server = feed.and_then(|feed| UsageReport::of(feed, is_ours, now));
         Oversubscription::new(pool, attempts, lingers.collect(), server)
     }
 
     fn tell_troubles(&mut self, found: Vec<(Name, Trouble, String)>, io: &mut Io) {
-        self.counted.troubles.retain(|(name, trouble), _| {
+        self.counted_resources.troubles.retain(|(name, trouble), _| {
             found
                 .iter()
                 .any(|(other, kind, _)| other == name && kind == trouble)
         });
         for (name, trouble, text) in found {
             let key = (name.clone(), trouble);
-            let lasting = self.counted.troubles.entry(key).or_insert(Lasting {
+            let lasting = self.counted_resources.troubles.entry(key).or_insert(Lasting {
                 since: io.now,
                 told: None,
             });
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -34,7 +34,7 @@
             .collect();
         teams.sort_by(|a, b| a.team.cmp(&b.team));
         let server = definition.and_then(|definition| definition.server).map(|addr| {
-            let feed = self.counted.feeds.get(pool.name);
+            let feed = self.counted_resources.feeds.get(pool.name);
             let last = feed.and_then(|feed| feed.last(now));
             ServerStatus {
                 addr: addr.to_string(),
@@ -53,9 +53,14 @@
             lingering: pool.lingering,
             others: pool.others,
             free: pool.free(),
-            kept: self.counted.kept.get(pool.name).copied().unwrap_or(0),
+            kept: self.counted_resources.kept.get(pool.name).copied().unwrap_or(0),
             waiting: self.units_wanted(pool.name, None),
-            oversubscribed: self.counted.oversubscribed.get(pool.name).copied().unwrap_or(0),
+            oversubscribed: self
+                .counted_resources
+                .oversubscribed
+                .get(pool.name)
+                .copied()
+                .unwrap_or(0),
             closed: pool.closed.map(|closed| {
                 let text = match closed {
                     Closed::Undefined => "it is not defined any more",
@@ -71,7 +76,7 @@
     /// Units of a count that tasks wait for; with a job, only tasks before it in the
     /// order of service.
     fn units_wanted(&self, count: &str, before: Option<&JobId>) -> u64 {
-        self.counted
+        self.counted_resources
             .short
             .iter()
             .take_while(|short| before != Some(&short.job))
@@ -109,7 +114,7 @@
                 }
             }
         }
-        let lingering = self.counted.lingers.iter().filter(|linger| {
+        let lingering = self.counted_resources.lingers.iter().filter(|linger| {
             now < linger.until && asks.is_none_or(|asks| authorization::is_of(&linger.team, asks, settings))
         });
         holders.extend(lingering.map(|linger| Holder {
@@ -143,7 +148,7 @@
         let units = self.units(definitions);
         let book = placement::book(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
-            .counted
+            .counted_resources
             .short
             .iter()
             .filter(|short| short.job == *id)
@@ -152,7 +157,7 @@
             count: count.to_string(),
             needs: u64::from(units) * u64::from(job.together()),
             free: book.get(count).map_or(0, |pool| pool.free()),
-            kept: self.counted.kept.get(count).copied().unwrap_or(0),
+            kept: self.counted_resources.kept.get(count).copied().unwrap_or(0),
             ahead: if short.is_empty() {
                 0
             } else {
--- a/crates/controller/src/leader/demand_forecast.rs
+++ b/crates/controller/src/leader/demand_forecast.rs
@@ -51,7 +51,7 @@
         let input = ForecastInput {
             jobs: self.jobs.as_map(),
             machines: self.machines.as_map(),
-            unsatisfied: &self.counted.short,
+            unsatisfied: &self.counted_resources.short,
             types,
             settings,
             boot_s: self.autoscaler.boot_s(),
@@ -60,13 +60,18 @@
         self.forecast.objectives.update_large(
             self.jobs.as_map(),
             self.machines.task_locations(),
-            &self.counted.short,
+            &self.counted_resources.short,
             io,
         );
         let live = LiveDemand {
             jobs: self.jobs.as_map(),
             counts: self.jobs.counts(),
-            short_of_units: self.counted.short.iter().map(|short| &short.job).collect(),
+            short_of_units: self
+                .counted_resources
+                .short
+                .iter()
+                .map(|short| &short.job)
+                .collect(),
             deployment: &settings.deployment,
         };
         let judged = io.now >= self.started + SERVED_TERM_MS;
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -68,7 +68,7 @@
 
 impl LeaderTerm {
     /// Sends what is due to the machines that something happened to.
-    pub(super) fn send_direct(&mut self, certain: bool, io: &mut Io) {
+    pub(super) fn send_due_commands(&mut self, certain: bool, io: &mut Io) {
         while let Some(id) = self.commands.next_due() {
             let machine = self.machines.get(&id);
             if machine.is_some_and(|machine| machine.direct_due(certain, io.now)) {
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -141,12 +141,12 @@
 impl LeaderTerm {
     /// Before a pass: what time alone changes of what is known.
     pub(super) fn look_at_weights(&mut self, types: &MachineTypes, settings: &Settings, now: Timestamp) {
-        self.weights.on = settings.operator.weights;
-        if self.weights.s_per_gb.len() != types.len() {
+        self.image_locality.on = settings.operator.weights;
+        if self.image_locality.s_per_gb.len() != types.len() {
             let known = types
                 .iter()
                 .map(|(name, known)| (name.clone(), known.fetch_s(1.0)));
-            self.weights.s_per_gb = known.collect();
+            self.image_locality.s_per_gb = known.collect();
         }
         let mut up = 0;
         for machine in self.machines.values_mut() {
@@ -157,13 +157,13 @@
                 machine.images.sized(known.cache_gb);
             }
         }
-        if now >= self.weights.copies_at + COPIES_MS || self.weights.copies_at == 0 {
-            self.weights.copies_at = now;
+        if now >= self.image_locality.copies_at + COPIES_MS || self.image_locality.copies_at == 0 {
+            self.image_locality.copies_at = now;
             self.look_at_copies(settings);
         }
         let spot_loss = self.autoscaler.spot_losses().rate();
-        self.weights.up(up, spot_loss, now);
-        self.weights.forget();
+        self.image_locality.up(up, spot_loss, now);
+        self.image_locality.forget();
     }
 
     /// Where the images of live services lie.
@@ -183,7 +183,7 @@
                 }
             }
         }
-        self.weights.copies = copies;
+        self.image_locality.copies = copies;
     }
 
     /// Idle machines that had better stay for the weights that lie on them: they go back last, and
@@ -205,7 +205,7 @@
         let mut names = Vec::new();
         let mut idle = Vec::new();
         for machine in self.machines.values() {
-            let live = |image: &str| self.weights.copies.is_live(image);
+            let live = |image: &str| self.image_locality.copies.is_live(image);
             if machine.idle_since.is_none() || machine.returning || machine.notice_until.is_some() {
                 continue;
             }
@@ -231,7 +231,7 @@
         }
         let all: f64 = self.machines.values().map(price).sum();
         let keep = self
-            .weights
+            .image_locality
             .copies
             .clone()
             .worth_keeping(&idle, all * KEEP_PRICE_SHARE);
@@ -243,7 +243,7 @@
     pub(super) fn look_at_sizes(&mut self, types: &MachineTypes, io: &mut Io) {
         for job in self.jobs.values().filter(|job| job.spec.shape == Shape::Service) {
             let image = &job.spec.image;
-            let told = self.weights.told.get(image);
+            let told = self.image_locality.told.get(image);
             if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
                 continue;
             }
@@ -257,7 +257,7 @@
             let Some(problem) = WeightsError::of(image, job.spec.image_gb, largest) else {
                 continue;
             };
-            self.weights.told.insert(image.clone(), io.now);
+            self.image_locality.told.insert(image.clone(), io.now);
             if problem.is_grave() {
                 io.effects
                     .push(Effect::Warning(format!("class={} {problem}", job.spec.class)));
@@ -266,9 +266,9 @@
             }
         }
         let jobs = self.jobs.as_map();
-        if self.weights.told.len() > TOLD_IMAGES {
+        if self.image_locality.told.len() > TOLD_IMAGES {
             let live: HashSet<&Arc<str>> = jobs.values().map(|job| &job.spec.image).collect();
-            self.weights.told.retain(|image, _| live.contains(image));
+            self.image_locality.told.retain(|image, _| live.contains(image));
         }
     }
 }
--- a/crates/controller/src/leader/job_events.rs
+++ b/crates/controller/src/leader/job_events.rs
@@ -18,10 +18,10 @@
             return;
         }
         let mut job = Job::new(spec, version, io.now, io.wall_ms);
-        job.parked = self.clusters.parks(&job.spec);
+        job.parked = self.submit_clusters.parks(&job.spec);
         if job.spec.shape == Shape::Service {
             // It may be protected: that must be known before it is placed.
-            self.shifts.look_soon();
+            self.protection_windows.look_soon();
         }
         self.jobs.insert(job);
         self.scheduler.request_pass();
@@ -68,7 +68,7 @@
     /// A job is over: whatever of it may be anywhere is stopped.
     pub fn job_over(&mut self, id: &JobId, now: Timestamp) {
         let Some(job) = self.jobs.remove(id) else { return };
-        self.books.over(id, &job.account);
+        self.accounting.over(id, &job.account);
         self.writer.job_over(id, &job);
         self.scheduler.request_pass();
         for machine in self.machines.values_mut() {
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -61,7 +61,7 @@
         let overdue_ms = (workers.report_s * REPORT_LATE * SECOND_MS as f64) as u64 + REPORT_SLACK_MS;
         self.sample_when_silent(io);
         self.sample_zones(io);
-        self.look_at_one_way(peers.found_ms + overdue_ms, io.now);
+        self.look_at_one_way(peers.worker_failover_ms + overdue_ms, io.now);
         self.send_fencing_probes(io);
         let mut inspect = Vec::new();
         let mut lapsed = Vec::new();
@@ -109,7 +109,7 @@
         }
         self.probe_silent(inspect, io);
         self.expire_leases(lapsed, io);
-        self.machines.forget_gone(io.now);
+        self.machines.forget_released(io.now);
         self.update_fencing(io.now);
     }
 
@@ -131,7 +131,7 @@
             let there = self.machines.get(&id).map_or(0, Machine::tasks_there);
             log::info!("lease expired machine={id} tasks_lost={there}");
             let changes = self.machines.get_mut(&id).map(Machine::clear).unwrap_or_default();
-            self.apply(&id, changes, io);
+            self.apply_changes(&id, changes, io);
             self.scheduler.request_pass();
         }
     }
@@ -151,7 +151,7 @@
             Vec::new(),
             INSPECT_TIMEOUT_MS,
         );
-        self.calls.expect(call, TermCall::Inspect { machine: id.clone() });
+        self.calls.expect(call, TermCall::Probe { machine: id.clone() });
     }
 
     /// Follows the answer to a probe.
@@ -203,7 +203,7 @@
     }
 
     /// How many of those that were asked have been heard since.
-    pub(super) fn heard_since(&self, asked: &[MachineId], called: Timestamp) -> usize {
+    pub(super) fn count_heard_since(&self, asked: &[MachineId], called: Timestamp) -> usize {
         let asked = asked.iter().filter_map(|id| self.machines.get(id));
         asked
             .filter(|machine| machine.heard.is_some_and(|at| at >= called))
--- a/crates/controller/src/leader/machine_table.rs
+++ b/crates/controller/src/leader/machine_table.rs
@@ -15,7 +15,7 @@
     indexed_at: Timestamp,
     /// Machines that the cloud took back, and until when that is remembered: late heartbeats of theirs
     /// are refused, and their clients of a licence server are ours.
-    gone: HashMap<MachineId, Timestamp>,
+    recently_released: HashMap<MachineId, Timestamp>,
 }
 
 impl MachineTable {
@@ -25,7 +25,7 @@
             machines: BTreeMap::new(),
             task_locations: TaskLocations::new(),
             indexed_at: now,
-            gone: HashMap::new(),
+            recently_released: HashMap::new(),
         }
     }
 
@@ -80,31 +80,31 @@
     }
 
     /// Removes a machine that the cloud has taken back, and remembers it for a while.
-    pub(super) fn take_gone(&mut self, id: &MachineId, now: Timestamp) -> Option<Machine> {
+    pub(super) fn remove_released(&mut self, id: &MachineId, now: Timestamp) -> Option<Machine> {
         let machine = self.machines.remove(id)?;
-        self.remember_gone(id, now + GONE_MEMORY_MS);
+        self.remember_released(id, now + GONE_MEMORY_MS);
         Some(machine)
     }
 
     /// Remembers at least until then that the cloud took this machine back.
-    pub(super) fn remember_gone(&mut self, id: &MachineId, until: Timestamp) {
-        let known = self.gone.entry(id.clone()).or_insert(until);
+    pub(super) fn remember_released(&mut self, id: &MachineId, until: Timestamp) {
+        let known = self.recently_released.entry(id.clone()).or_insert(until);
         *known = until.max(*known);
     }
 
     /// Whether the cloud took this machine back lately.
-    pub(super) fn is_gone(&self, id: &MachineId) -> bool {
-        self.gone.contains_key(id)
+    pub(super) fn is_recently_released(&self, id: &MachineId) -> bool {
+        self.recently_released.contains_key(id)
     }
 
     /// Machines that the cloud took back lately, and until when that is remembered.
-    pub(super) fn gone(&self) -> &HashMap<MachineId, Timestamp> {
-        &self.gone
+    pub(super) fn recently_released(&self) -> &HashMap<MachineId, Timestamp> {
+        &self.recently_released
     }
 
     /// Forgets machines that went back long ago.
-    pub(super) fn forget_gone(&mut self, now: Timestamp) {
-        self.gone.retain(|_, until| now < *until);
+    pub(super) fn forget_released(&mut self, now: Timestamp) {
+        self.recently_released.retain(|_, until| now < *until);
     }
 
     /// For each job, the machines where attempts of it may be.
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -68,13 +68,13 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeerView {
     /// How many peers there are.
-    pub all: usize,
+    pub total: usize,
     /// How many of them were heard lately.
-    pub fresh: usize,
+    pub recently_heard: usize,
     /// Most workers that one of them hears.
-    pub hears: u32,
+    pub max_workers_heard: u32,
     /// How long workers take, in ms, to find a peer when they lose the leader.
-    pub found_ms: u64,
+    pub worker_failover_ms: u64,
 }
 
 /// One term of a leader, from its election to its end.
@@ -96,17 +96,17 @@
     commands: CommandQueue,
     calls: Calls<TermCall>,
     liveness: Liveness,
-    partition: PartitionDetector,
-    zones: Zones,
-    one_way_partition: OneWayPartition,
+    partition_detector: PartitionDetector,
+    zone_health: Zones,
+    one_way_partitions: OneWayPartition,
     scheduler: Scheduler,
     forecast: DemandForecast,
     autoscaler: Autoscaler,
-    counted: Counted,
-    shifts: Shifts,
-    clusters: Clusters,
-    weights: Weights,
-    books: TermBooks,
+    counted_resources: Counted,
+    protection_windows: Shifts,
+    submit_clusters: Clusters,
+    image_locality: Weights,
+    accounting: TermBooks,
 }
 
 impl LeaderTerm {
@@ -126,17 +126,17 @@
             commands: CommandQueue::default(),
             calls: Calls::default(),
             liveness: Liveness::new(settings, now),
-            partition: PartitionDetector::default(),
-            zones: Zones::default(),
-            one_way_partition: OneWayPartition::default(),
+            partition_detector: PartitionDetector::default(),
+            zone_health: Zones::default(),
+            one_way_partitions: OneWayPartition::default(),
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
             autoscaler: Autoscaler::new(),
-            counted: Counted::new(&settings.operator.counts),
-            shifts: Shifts::new(settings),
-            clusters: Clusters::default(),
-            weights: Weights::default(),
-            books: TermBooks::new(settings),
+            counted_resources: Counted::new(&settings.operator.counts),
+            protection_windows: Shifts::new(settings),
+            submit_clusters: Clusters::default(),
+            image_locality: Weights::default(),
+            accounting: TermBooks::new(settings),
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Whether the records have been read: before, this leader knows nothing.
-    pub fn has_read(&self) -> bool {
+    pub fn is_recovered(&self) -> bool {
         self.recovery.is_complete()
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Does what is due. Returns `Deposed` where leadership is given up.
-    pub fn settle(
+    pub fn run_due_work(
         &mut self,
         election: &mut Election,
         types: &MachineTypes,
@@ -201,7 +201,7 @@
         }
         self.drop_cancelled_starts(io);
         self.write(election, settings, io);
-        self.send_direct(certain, io);
+        self.send_due_commands(certain, io);
         if certain {
             self.look_at_books(settings, io);
         }
@@ -211,7 +211,8 @@
     /// Answers the heartbeats that came while the records were being read.
     fn answer_buffered(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
         while let Some((request, heartbeat)) = self.buffered_heartbeats.next() {
-            if let Err(superseded) = self.report(request, &heartbeat, election.certain(io.now), io) {
+            if let Err(superseded) = self.handle_heartbeat(request, &heartbeat, election.certain(io.now), io)
+            {
                 buffered_heartbeats::turn_away(request, io);
                 return election.deposed(&superseded.to_string());
             }
@@ -244,7 +245,7 @@
     /// Places tasks, sizes the fleet and looks at what depends on both, each if it is due.
     fn schedule(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.stalled(io.now) {
-            self.pass(types, settings, io);
+            self.run_pass(types, settings, io);
         }
         if self.autoscaler.take_sizing_due(io.now) {
             self.size_fleet(types, settings, io);
@@ -256,7 +257,7 @@
     }
 
     /// A call was answered. `None` if it was not made in this term, else what follows.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         call: CallId,
         outcome: &Outcome,
@@ -265,10 +266,10 @@
         io: &mut Io,
     ) -> Option<Option<ElectionEvent>> {
         let kind = self.calls.settle(call)?;
-        Some(self.follow(kind, outcome, election, settings, io))
+        Some(self.dispatch_response(kind, outcome, election, settings, io))
     }
 
-    fn follow(
+    fn dispatch_response(
         &mut self,
         kind: TermCall,
         outcome: &Outcome,
@@ -277,24 +278,24 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         match kind {
-            TermCall::Load { sent } => return self.loaded(sent, outcome, election, settings, io),
+            TermCall::RecordsPage { sent } => return self.loaded(sent, outcome, election, settings, io),
             TermCall::Watch { sent } => return self.watched(sent, outcome, election, io),
-            TermCall::Write => return self.written(outcome, election, io),
+            TermCall::Transaction => return self.written(outcome, election, io),
             TermCall::Reread { key, end_notices } => {
                 return self.reread(key, end_notices, outcome, election, io);
             }
             TermCall::Direct(direct) => return self.direct_answered(direct, outcome, election, io),
-            TermCall::Inspect { machine } => return self.inspected(&machine, outcome, election, io),
-            TermCall::List => self.listed(outcome, io),
-            TermCall::Rent { request } => self.rented(&request, outcome, io),
-            TermCall::Return { machines, sent } => self.returned(machines, sent, outcome, io),
-            TermCall::Licences { server } => {
+            TermCall::Probe { machine } => return self.inspected(&machine, outcome, election, io),
+            TermCall::ListMachines => self.listed(outcome, io),
+            TermCall::Launch { request } => self.rented(&request, outcome, io),
+            TermCall::Release { machines, sent } => self.returned(machines, sent, outcome, io),
+            TermCall::LicenceUsage { server } => {
                 self.licences_told(server, outcome, &settings.operator.counts, io.now);
             }
             // The watch tells.
-            TermCall::Cluster => (),
-            TermCall::Books(call) => self.books_answered(call, outcome, io.now),
-            TermCall::StoreTypes => self.types_stored(outcome),
+            TermCall::SubmitCluster => (),
+            TermCall::Accounting(call) => self.books_answered(call, outcome, io.now),
+            TermCall::StoreMachineTypes => self.types_stored(outcome),
         }
         None
     }
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -29,7 +29,7 @@
             *one_way_partition >= MUTE_ZONE_LEAST && 2 * one_way_partition > *all
         });
         let mostly: BTreeSet<String> = mostly.map(|(zone, _)| zone.to_owned()).collect();
-        for zone in mostly.symmetric_difference(&self.one_way_partition.zones) {
+        for zone in mostly.symmetric_difference(&self.one_way_partitions.zones) {
             if mostly.contains(zone) {
                 log::warn!(
                     "one-way partition detected zone={zone}: most of its machines answer but send no heartbeat, none is rented there"
@@ -38,9 +38,9 @@
                 log::info!("one-way partition ended zone={zone}");
             }
         }
-        self.one_way_partition.zones = mostly;
+        self.one_way_partitions.zones = mostly;
         for machine in self.machines.values_mut() {
-            let in_zone = !machine.reports && self.one_way_partition.zones.contains(&machine.zone);
+            let in_zone = !machine.reports && self.one_way_partitions.zones.contains(&machine.zone);
             let one_way_partition = machine.is_up() && (in_zone || machine.own_report_late(late_ms, now));
             if one_way_partition != std::mem::replace(&mut machine.one_way_partition, one_way_partition) {
                 self.scheduler.request_pass();
@@ -56,6 +56,6 @@
 
     /// Whether machines rented in the zone would be cut off one way.
     pub(super) fn is_one_way(&self, zone: &str) -> bool {
-        self.one_way_partition.zones.contains(zone)
+        self.one_way_partitions.zones.contains(zone)
     }
 }
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -43,43 +43,43 @@
             .map(|machine| machine.silent_at)
             .max();
         if self
-            .partition
+            .partition_detector
             .sampled_at
             .is_some_and(|at| io.now >= at + INSPECT_TIMEOUT_MS)
         {
             // Nobody was left to ask where all are silent.
-            self.partition.sample_unreachable =
-                newest.is_some() && (self.partition.sample.is_empty() || !self.others_answer());
+            self.partition_detector.sample_unreachable =
+                newest.is_some() && (self.partition_detector.sample.is_empty() || !self.others_answer());
         }
         let due = newest.is_some_and(|silent_at| {
-            self.partition
+            self.partition_detector
                 .sampled_at
                 .is_none_or(|at| at < silent_at && io.now >= at + INSPECT_TIMEOUT_MS)
         });
         if !due {
             return;
         }
-        self.partition.sampled_at = Some(io.now);
+        self.partition_detector.sampled_at = Some(io.now);
         let others: Vec<MachineId> = self
             .machines
             .values()
             .filter(|machine| machine.is_up() && !machine.inspect_failed)
             .map(|machine| machine.id.clone())
             .collect();
-        self.partition.sample = self.ask_some(others, PROBE_SAMPLE, io);
+        self.partition_detector.sample = self.ask_some(others, PROBE_SAMPLE, io);
     }
 
     /// Most of the machines in the last sample have been heard since it was asked.
     pub(super) fn others_answer(&self) -> bool {
-        let Some(sampled_at) = self.partition.sampled_at else {
+        let Some(sampled_at) = self.partition_detector.sampled_at else {
             return false;
         };
         let there = self
-            .partition
+            .partition_detector
             .sample
             .iter()
             .filter(|id| self.machines.contains(id));
-        2 * self.heard_since(&self.partition.sample, sampled_at) >= there.count()
+        2 * self.count_heard_since(&self.partition_detector.sample, sampled_at) >= there.count()
     }
 
     /// Machines that do not answer, and all that have been up.
@@ -102,7 +102,8 @@
     pub(super) fn suspects_own_partition(&self) -> bool {
         let SilentMachines { silent, all } = self.silent();
         silent >= 2
-            && (self.partition.sample_unreachable || f64::from(silent) > SUSPECT_SELF_SHARE * f64::from(all))
+            && (self.partition_detector.sample_unreachable
+                || f64::from(silent) > SUSPECT_SELF_SHARE * f64::from(all))
     }
 
     /// Hands leadership over where a peer hears the workers that are silent here.
@@ -113,19 +114,19 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         if !self.suspects_own_partition() {
-            if self.partition.suspected_since.take().is_some() {
-                self.partition.ruled_out_at = Some(io.now);
+            if self.partition_detector.suspected_since.take().is_some() {
+                self.partition_detector.ruled_out_at = Some(io.now);
             }
             return None;
         }
-        let since = *self.partition.suspected_since.get_or_insert(io.now);
-        if io.now >= since + SUSPECT_SELF_MS && peers.hears > 0 {
+        let since = *self.partition_detector.suspected_since.get_or_insert(io.now);
+        if io.now >= since + SUSPECT_SELF_MS && peers.max_workers_heard > 0 {
             return election.hand_over("most workers are silent here, but not to a sibling", io);
         }
         // Peers that are there and cannot be asked may hear all of them; if nobody does, nothing
         // is lost with a leader that hears none either.
-        let alone = peers.fresh == 0 && peers.all > 0;
-        if alone && self.partition.sample_unreachable && io.now >= since + SUSPECT_SELF_ALONE_MS {
+        let alone = peers.recently_heard == 0 && peers.total > 0;
+        if alone && self.partition_detector.sample_unreachable && io.now >= since + SUSPECT_SELF_ALONE_MS {
             return election.hand_over("most workers are silent here, and no sibling can be asked", io);
         }
         None
@@ -133,16 +134,16 @@
 
     /// Whether silent machines may be given back as gone. Alone in silence, with nobody to say who
     /// is cut off, nothing is given back; a peer that hears no worker either says they are gone.
-    pub(super) fn silence_is_proof(&self, peers: PeerView, now: Timestamp) -> bool {
+    pub(super) fn can_release_silent_machines(&self, peers: PeerView, now: Timestamp) -> bool {
         let suspects_itself = self.suspects_own_partition()
-            && (peers.fresh == 0
-                || peers.hears > 0
+            && (peers.recently_heard == 0
+                || peers.max_workers_heard > 0
                 || self
-                    .partition
+                    .partition_detector
                     .suspected_since
-                    .is_none_or(|since| now < since + SUSPECT_SELF_MS + peers.found_ms));
+                    .is_none_or(|since| now < since + SUSPECT_SELF_MS + peers.worker_failover_ms));
         let just_ruled_out = self
-            .partition
+            .partition_detector
             .ruled_out_at
             .is_some_and(|at| now < at + HEARD_AGAIN_MS);
         !suspects_itself && !just_ruled_out && self.others_answer()
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -48,7 +48,7 @@
             self.persistence.token_renewed_at = io.now;
             self.persistence.fencing_needed = false;
             let body = self.writer.renewal(renewal);
-            self.transact(body, TermCall::Write, io);
+            self.transact(body, TermCall::Transaction, io);
             return;
         }
         self.queue_shifts(io.now);
@@ -64,7 +64,7 @@
             return;
         };
         io.writes.force(ops as f64, io.now);
-        self.transact(body, TermCall::Write, io);
+        self.transact(body, TermCall::Transaction, io);
     }
 
     /// Notes whether the token must be renewed.
@@ -113,7 +113,7 @@
             return None;
         }
         self.writer.failed(&units, io.now);
-        self.shifts.failed(&units);
+        self.protection_windows.failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
                 let failed = outcome
@@ -209,7 +209,7 @@
                 self.autoscaler.request_recorded(&request);
             }
             Unit::Shifts { number, deleted } => {
-                self.shifts
+                self.protection_windows
                     .ledger
                     .written(number, if deleted { 0 } else { revision });
             }
@@ -244,7 +244,7 @@
                 lease: None,
             }],
         };
-        self.transact(json(&body), TermCall::StoreTypes, io);
+        self.transact(json(&body), TermCall::StoreMachineTypes, io);
     }
 
     /// The end of a job that is done is on record.
@@ -302,7 +302,7 @@
         } else if let Some(number) = records::parse_number(records::DONE, &key) {
             self.writer.done_version(number, version);
         } else if let Some(number) = records::parse_number(records::SHIFTS, &key) {
-            self.shifts.ledger.found(number, version);
+            self.protection_windows.ledger.found(number, version);
         }
         None
     }
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -82,7 +82,7 @@
     /// Takes over a record of windows and standings.
     pub(super) fn adopt_shifts(&mut self, number: u32, item: &StoredItem, io: &mut Io) {
         let read = self
-            .shifts
+            .protection_windows
             .ledger
             .adopt(number, &item.value.to_string(), item.version);
         if let Err(problem) = read {
@@ -97,17 +97,17 @@
 
     /// What is to be written of shifts goes with the next transaction.
     pub(super) fn queue_shifts(&mut self, now: Timestamp) {
-        if self.shifts.on() && self.writer.shifts.is_empty() {
-            self.writer.shifts = self.shifts.ledger.due(now);
+        if self.protection_windows.on() && self.writer.shifts.is_empty() {
+            self.writer.shifts = self.protection_windows.ledger.due(now);
         }
     }
 
     /// Compares the clock with the windows, and notes what is protected.
     pub(super) fn look_at_shifts(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        if !self.shifts.on() || io.now < self.shifts.look_at {
+        if !self.protection_windows.on() || io.now < self.protection_windows.look_at {
             return;
         }
-        self.shifts.look_at = io.now + SHIFT_LOOK_MS;
+        self.protection_windows.look_at = io.now + SHIFT_LOOK_MS;
         let jobs = self.jobs.values().filter(|job| {
             // Nothing is wanted of what is held.
             job.spec.shape == Shape::Service && !job.parked
@@ -118,17 +118,17 @@
             team: &job.spec.team,
             submitted_ms: job.spec.submitted_ms,
         });
-        let events = self.shifts.ledger.look(io.wall_ms, services);
+        let events = self.protection_windows.ledger.look(io.wall_ms, services);
         let standings: BTreeMap<JobId, Standing> = self
-            .shifts
+            .protection_windows
             .ledger
             .standings()
             .map(|(id, standing)| (JobId(id.clone()), standing))
             .collect();
-        let spares = self.shifts.ledger.spares();
+        let spares = self.protection_windows.ledger.spares();
         let part = |spec: &JobSpec| {
             let own = spares.iter().filter(|spare| {
-                let shift = self.shifts.timetable.get(&spare.shift);
+                let shift = self.protection_windows.timetable.get(&spare.shift);
                 shift.is_some_and(|shift| shift.covers(&spec.class, &spec.team))
             });
             own.map(|spare| spare.part).fold(0.0, f64::max)
@@ -139,8 +139,8 @@
             spare_rooms(jobs.map(|job| (job, part(&job.spec))))
         };
         let protection = Protection { standings, spare };
-        if protection != self.shifts.protection {
-            self.shifts.protection = protection;
+        if protection != self.protection_windows.protection {
+            self.protection_windows.protection = protection;
             self.scheduler.request_pass();
         }
         for event in events {
@@ -156,8 +156,8 @@
                 day,
                 closes_ms,
             } => {
-                self.shifts.told_large = false;
-                self.shifts.told_short = false;
+                self.protection_windows.told_large = false;
+                self.protection_windows.told_short = false;
                 log::info!("protection window opened window={shift} day={day} until_ms={closes_ms}");
                 return;
             }
@@ -191,7 +191,7 @@
     /// Tells operators, once a window, that what is protected finds no room, or that it leaves too
     /// little to others.
     fn watch_protected(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        let protection = &self.shifts.protection;
+        let protection = &self.protection_windows.protection;
         let short: u32 = self
             .scheduler
             .unplaced()
@@ -200,21 +200,28 @@
             .map(|unplaced| unplaced.tasks)
             .sum();
         if short == 0 {
-            self.shifts.short_since = None;
+            self.protection_windows.short_since = None;
         }
         let mut warning = None;
         if short > 0 {
-            let since = *self.shifts.short_since.get_or_insert(io.now);
-            if io.now >= since + PROTECTED_WAIT_MS && !std::mem::replace(&mut self.shifts.told_short, true) {
+            let since = *self.protection_windows.short_since.get_or_insert(io.now);
+            if io.now >= since + PROTECTED_WAIT_MS
+                && !std::mem::replace(&mut self.protection_windows.told_short, true)
+            {
                 warning = Some(format!(
                     "shifts: {short} protected replicas find no room: the cloud has too few machines for them, \
                      or their teams may use no more"
                 ));
             }
         }
-        let machines = self.shifts.protection.machines(self.jobs.as_map(), types);
+        let machines = self
+            .protection_windows
+            .protection
+            .machines(self.jobs.as_map(), types);
         let fleet_max = settings.operator.fleet_max;
-        if machines > f64::from(fleet_max) / 2.0 && !std::mem::replace(&mut self.shifts.told_large, true) {
+        if machines > f64::from(fleet_max) / 2.0
+            && !std::mem::replace(&mut self.protection_windows.told_large, true)
+        {
             warning = Some(format!(
                 "shifts: what is protected fills {machines:.0} of at most {fleet_max} machines: while it lasts, \
                  other classes may have less than half of what they ask for"
@@ -227,8 +234,8 @@
 
     /// How the shifts stand, for display.
     pub fn shifts(&self, wall_ms: u64) -> Vec<ShiftStatus> {
-        if self.shifts.on() {
-            self.shifts.ledger.status(wall_ms)
+        if self.protection_windows.on() {
+            self.protection_windows.ledger.status(wall_ms)
         } else {
             Vec::new()
         }
@@ -236,8 +243,19 @@
 
     /// Replicas' worth of room that shifts want kept free, and that is.
     pub fn spare(&self) -> (u32, u32) {
-        let wanted = self.shifts.protection.spare.iter().map(|spare| spare.tasks).sum();
-        let short: u32 = self.shifts.short.iter().map(|short| short.tasks).sum();
+        let wanted = self
+            .protection_windows
+            .protection
+            .spare
+            .iter()
+            .map(|spare| spare.tasks)
+            .sum();
+        let short: u32 = self
+            .protection_windows
+            .short
+            .iter()
+            .map(|short| short.tasks)
+            .sum();
         (wanted, wanted - short.min(wanted))
     }
 }
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -22,7 +22,7 @@
 
 impl LeaderTerm {
     /// A worker's heartbeat. `Err` if it has seen a newer leader.
-    pub fn report(
+    pub fn handle_heartbeat(
         &mut self,
         request: RequestId,
         report: &Heartbeat,
@@ -33,7 +33,7 @@
             return Err(Superseded);
         }
         let id = MachineId(Arc::from(report.machine.as_str()));
-        if self.machines.is_gone(&id) {
+        if self.machines.is_recently_released(&id) {
             // Sent before it went; nobody waits for the answer.
             io.reply_error(request, 503, "this machine is gone");
             return Ok(());
@@ -112,19 +112,19 @@
             self.autoscaler.learn_boot(&machine.machine_type, took_s);
             log::info!("machine ready machine={id} boot_s={took_s:.1}");
         }
-        self.apply(&id, changes, io);
+        self.apply_changes(&id, changes, io);
         self.commands.mark_due(id);
         true
     }
 
     /// Follows the changes of attempts on a machine.
-    pub(super) fn apply(&mut self, machine: &MachineId, changes: Vec<Change>, io: &mut Io) {
+    pub(super) fn apply_changes(&mut self, machine: &MachineId, changes: Vec<Change>, io: &mut Io) {
         let shard = self.machines.get(machine).and_then(|machine| machine.shard);
-        self.apply_from(machine, shard, changes, io);
+        self.apply_changes_from_shard(machine, shard, changes, io);
     }
 
     /// As `apply`, for a machine that may be gone: its record had this number.
-    pub(super) fn apply_from(
+    pub(super) fn apply_changes_from_shard(
         &mut self,
         machine: &MachineId,
         shard: Option<u32>,
@@ -158,7 +158,8 @@
                 Change::Stranger(task) => self.adopt_unrecorded(machine, task),
                 Change::Fetched { gb, took_ms, others } => {
                     if let Some(machine) = self.machines.get(machine) {
-                        self.weights.fetched(&machine.machine_type, gb, took_ms, others);
+                        self.image_locality
+                            .fetched(&machine.machine_type, gb, took_ms, others);
                     }
                 }
                 Change::Freed {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -127,7 +127,7 @@
     /// Asks for the next page of records, if no call is under way.
     pub(super) fn poll_load(&mut self, io: &mut Io) {
         if let Some(path) = self.recovery.next_call(io.now) {
-            self.read_state(path, TermCall::Load { sent: io.now }, io);
+            self.read_state(path, TermCall::RecordsPage { sent: io.now }, io);
         }
     }
 
@@ -140,7 +140,7 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let prefixes = LOAD_ORDER.len() - usize::from(!self.shifts.on());
+        let prefixes = LOAD_ORDER.len() - usize::from(!self.protection_windows.on());
         let page = outcome.read::<StoredPage>(&[200]);
         let loaded = self.recovery.page_read(page, sent, prefixes, io.now)?;
         if let Err(problem) = self.adopt_records(loaded, settings, io) {
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -87,7 +87,7 @@
 
 impl LeaderTerm {
     /// Plans where waiting tasks start and what is stopped, and orders it.
-    pub(super) fn pass(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
+    pub(super) fn run_pass(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         self.scheduler.begin_pass(io.now);
         self.settle_lingers(io.now);
         self.look_at_weights(types, settings, io.now);
@@ -101,13 +101,14 @@
             units: self.units(&settings.operator.counts),
             starved: &self.forecast.satisfaction().starved,
             aging_credit: self.scheduler.aging_credit,
-            image_statistics: &self.weights,
-            protection: &self.shifts.protection,
+            image_statistics: &self.image_locality,
+            protection: &self.protection_windows.protection,
             now: io.now,
         };
         let plan = placement::plan(&site);
         self.scheduler.unplaced = plan.unplaced;
-        self.shifts.planned(plan.spare_capacity, plan.unplaced_spare);
+        self.protection_windows
+            .planned(plan.spare_capacity, plan.unplaced_spare);
         self.note_units(
             plan.unsatisfied,
             plan.reserved_units,
@@ -124,13 +125,13 @@
                             .aging_credit
                             .placed(job, &settings.deployment, io.now);
                     }
-                    self.start(task, &machine, types, io.now);
+                    self.start_task(task, &machine, types, io.now);
                 }
                 Decision::Stop {
                     task,
                     machine,
                     grace_s,
-                } => self.stop(&task, &machine, grace_s, io.now),
+                } => self.stop_task(&task, &machine, grace_s, io.now),
             }
         }
         if starts >= STARTS_PER_PASS {
@@ -140,7 +141,7 @@
         self.machines.note_idle(io.now);
     }
 
-    fn start(&mut self, task: TaskId, id: &MachineId, types: &MachineTypes, now: Timestamp) {
+    fn start_task(&mut self, task: TaskId, id: &MachineId, types: &MachineTypes, now: Timestamp) {
         let fresh = self.scheduler.attempt_number();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -174,7 +175,7 @@
         machine.images.sized(cache_gb);
         machine.images.asked(&job.spec.image, job.spec.image_gb);
         if job.spec.shape == Shape::Service {
-            self.weights.started(&job.spec.image, cached, now);
+            self.image_locality.started(&job.spec.image, cached, now);
         }
         let job_id = task.job.clone();
         machine.attempts.push(Attempt {
@@ -199,7 +200,7 @@
     }
 
     /// Stops a task on a machine, to make room or because its job is held.
-    pub(super) fn stop(&mut self, task: &TaskId, id: &MachineId, grace_s: f64, now: Timestamp) {
+    pub(super) fn stop_task(&mut self, task: &TaskId, id: &MachineId, grace_s: f64, now: Timestamp) {
         if let Some(gang) = self.jobs.get_mut(&task.job).and_then(|job| job.gang.as_mut()) {
             gang.broken = true;
         }
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -11,8 +11,8 @@
             waiting: self.jobs.waiting_tasks(false),
             held: self.jobs.waiting_tasks(true),
             rentals: self.autoscaler.open_requests().count(),
-            models: self.weights.by_spread(),
-            replicas_placed: self.weights.placed(),
+            models: self.image_locality.by_spread(),
+            replicas_placed: self.image_locality.placed(),
             ..MetricsSnapshot::default()
         };
         for machine in self.machines.values() {
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -42,7 +42,7 @@
     pub(super) fn share(&mut self, spec: &mut JobSpec) {
         self.share_demand(&mut spec.counts);
         let Some(kinds) = &mut spec.kinds else { return };
-        let known = &mut self.clusters.kind_sets;
+        let known = &mut self.submit_clusters.kind_sets;
         if known.len() >= KIND_SETS_MAX {
             // They live on with their jobs.
             known.clear();
@@ -68,21 +68,21 @@
         version: u64,
     ) -> Result<(), records::RecordError> {
         let record = OpenRecord::from_value(value)?;
-        self.clusters.open.insert(cluster, (record, version));
+        self.submit_clusters.open.insert(cluster, (record, version));
         self.park(cluster);
         Ok(())
     }
 
     /// A cluster was accepted, or given up and its jobs with it.
     pub(super) fn cluster_closed(&mut self, cluster: u64) {
-        self.clusters.open.remove(&cluster);
+        self.submit_clusters.open.remove(&cluster);
         self.park(cluster);
     }
 
     /// Notes of every live job whether it is parked.
     pub(super) fn park_all(&mut self) {
         for job in self.jobs.values_mut() {
-            job.parked = self.clusters.parks(&job.spec);
+            job.parked = self.submit_clusters.parks(&job.spec);
         }
     }
 
@@ -90,7 +90,7 @@
         let first = condor::job_id(cluster, 0);
         let last = condor::job_id(cluster, u32::MAX);
         for (_, job) in self.jobs.range_mut(first..=last) {
-            job.parked = self.clusters.parks(&job.spec);
+            job.parked = self.submit_clusters.parks(&job.spec);
         }
         self.scheduler.request_pass();
     }
@@ -104,7 +104,7 @@
             return;
         }
         job.version = version;
-        job.parked = self.clusters.parks(&spec);
+        job.parked = self.submit_clusters.parks(&spec);
         job.spec = spec;
         self.scheduler.request_pass();
         if !job.parked {
@@ -118,16 +118,16 @@
             running.push((attempt.task.clone(), host.clone()));
         });
         for (task, host) in running {
-            self.stop(&task, &host, grace_s, now);
+            self.stop_task(&task, &host, grace_s, now);
         }
     }
 
     /// Clears away what was left open, and ends holds whose reason is gone.
     pub(super) fn look_at_clusters(&mut self, settings: &Settings, io: &mut Io) {
-        if io.now < self.clusters.looked_at + CLUSTER_LOOK_MS {
+        if io.now < self.submit_clusters.looked_at + CLUSTER_LOOK_MS {
             return;
         }
-        self.clusters.looked_at = io.now;
+        self.submit_clusters.looked_at = io.now;
         self.give_up_clusters(io);
         if let Some(condor) = &settings.operator.condor {
             let deployment = &settings.deployment;
@@ -152,7 +152,7 @@
 
     fn give_up_clusters(&mut self, io: &mut Io) {
         let mut changes = Vec::new();
-        for (cluster, (record, version)) in &self.clusters.open {
+        for (cluster, (record, version)) in &self.submit_clusters.open {
             let key = condor::open_key(*cluster);
             if record.abandoned {
                 let first = condor::job_id(*cluster, 0);
@@ -197,7 +197,7 @@
             changes: vec![change],
         };
         io.writes.force(1.0, io.now);
-        self.transact(json(&body), TermCall::Cluster, io);
+        self.transact(json(&body), TermCall::SubmitCluster, io);
     }
 
     /// Jobs of clusters that were accepted and are the asking team's, in their order.
@@ -205,7 +205,7 @@
         let blocked = self.blocked();
         let jobs = self.jobs.values().filter_map(|job| {
             let part = job.spec.condor.as_ref()?;
-            if self.clusters.open.contains_key(&part.cluster) {
+            if self.submit_clusters.open.contains_key(&part.cluster) {
                 return None;
             }
             let access = authorization::access(&job.spec, asks, settings).ok()?;
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -69,14 +69,14 @@
 
     /// Asks some of a zone's other machines whenever one is newly silent, and judges.
     pub(super) fn sample_zones(&mut self, io: &mut Io) {
-        if self.zones.probe_samples.is_empty()
+        if self.zone_health.probe_samples.is_empty()
             && self.machines.values().all(|machine| !machine.inspect_failed)
         {
             return;
         }
         let tallies = self.tally();
         let all: usize = tallies.values().map(|tally| tally.up).sum();
-        self.zones
+        self.zone_health
             .probe_samples
             .retain(|zone, probe_sample| match tallies.get(zone) {
                 Some(tally) if tally.silent > 0 => {
@@ -101,10 +101,14 @@
             // Judged by those that were asked before others are: where more are found silent all
             // the time, the next question is due as soon as the last can be judged.
             self.judge_zone(&zone, tally, io.now);
-            let due = self.zones.probe_samples.get(&zone).is_none_or(|probe_sample| {
-                probe_sample.sampled_at < tally.newest
-                    && io.now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS
-            });
+            let due = self
+                .zone_health
+                .probe_samples
+                .get(&zone)
+                .is_none_or(|probe_sample| {
+                    probe_sample.sampled_at < tally.newest
+                        && io.now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS
+                });
             if due {
                 self.sample_zone(&zone, io);
             }
@@ -120,7 +124,7 @@
             .collect();
         let cut = self.is_cut(zone);
         let back_at = self
-            .zones
+            .zone_health
             .probe_samples
             .get(zone)
             .and_then(|probe_sample| probe_sample.back_at);
@@ -131,19 +135,21 @@
             silent_at: io.now,
             back_at,
         };
-        self.zones.probe_samples.insert(zone.to_owned(), probe_sample);
+        self.zone_health
+            .probe_samples
+            .insert(zone.to_owned(), probe_sample);
     }
 
     fn judge_zone(&mut self, zone: &str, tally: Tally, now: Timestamp) {
-        let Some(probe_sample) = self.zones.probe_samples.get(zone) else {
+        let Some(probe_sample) = self.zone_health.probe_samples.get(zone) else {
             return;
         };
-        let heard = self.heard_since(&probe_sample.asked, probe_sample.sampled_at);
+        let heard = self.count_heard_since(&probe_sample.asked, probe_sample.sampled_at);
         let silent = probe_sample.asked.len() - heard;
         let answers = heard > 0 && heard >= silent;
         let over = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
         let most = tally.silent as f64 >= ZONE_SILENT * tally.up as f64;
-        let Some(probe_sample) = self.zones.probe_samples.get_mut(zone) else {
+        let Some(probe_sample) = self.zone_health.probe_samples.get_mut(zone) else {
             return;
         };
         if answers {
@@ -163,7 +169,7 @@
 
     /// Whether machines rented in the zone would be out of reach.
     pub(super) fn is_cut(&self, zone: &str) -> bool {
-        let probe_sample = self.zones.probe_samples.get(zone);
+        let probe_sample = self.zone_health.probe_samples.get(zone);
         probe_sample.is_some_and(|probe_sample| probe_sample.cut)
     }
 
@@ -173,8 +179,8 @@
     pub(super) fn kept(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
         let lease_ms = (deployment.workers.lease_s * SECOND_MS as f64) as u64;
         let mut kept = HashSet::new();
-        for (zone, probe_sample) in &self.zones.probe_samples {
-            let answered = 2 * self.heard_since(&probe_sample.asked, probe_sample.sampled_at)
+        for (zone, probe_sample) in &self.zone_health.probe_samples {
+            let answered = 2 * self.count_heard_since(&probe_sample.asked, probe_sample.sampled_at)
                 >= probe_sample.asked.len();
             let judging =
                 !probe_sample.cut && !answered && now < probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -206,7 +206,7 @@
         self.desk.settle(&context, &mut self.io);
         let peers = self.hearing();
         if let Some(term) = &mut self.term {
-            let news = term.settle(
+            let news = term.run_due_work(
                 &mut self.election,
                 &self.types,
                 &self.settings,
@@ -316,7 +316,7 @@
         let certain = self.election.certain(self.io.now);
         match self.term.as_ref().filter(|_| certain) {
             None => self.send_to_leader(request),
-            Some(term) if !term.has_read() => {
+            Some(term) if !term.is_recovered() => {
                 self.io
                     .reply_later(request, RETRY_AFTER_S, "the records are being read");
             }
@@ -385,7 +385,7 @@
         let may_renew = self.election.may_renew(self.io.now);
         if let Some(term) = self.term.as_mut().filter(|_| may_renew) {
             let certain = self.election.certain(self.io.now);
-            match term.report(request, &report, certain, &mut self.io) {
+            match term.handle_heartbeat(request, &report, certain, &mut self.io) {
                 Ok(()) => return,
                 Err(superseded) => {
                     if let Some(news) = self.election.deposed(&superseded.to_string()) {
@@ -408,7 +408,7 @@
 
     /// Every count at a glance, as whoever leads sees it once its records are read.
     pub fn counts(&self) -> Option<Vec<CountStatus>> {
-        let term = self.term.as_ref().filter(|term| term.has_read())?;
+        let term = self.term.as_ref().filter(|term| term.is_recovered())?;
         Some(term.count_status(&self.settings.operator.counts, self.io.now))
     }
 
@@ -420,7 +420,7 @@
         let Some(term) = self.term.as_ref().filter(|_| certain) else {
             return self.send_to_leader(request);
         };
-        if !term.has_read() {
+        if !term.is_recovered() {
             self.io
                 .reply_later(request, RETRY_AFTER_S, "the records are being read");
             return;
@@ -512,7 +512,8 @@
             return;
         }
         if let Some(term) = &mut self.term
-            && let Some(news) = term.answered(call, outcome, &mut self.election, &self.settings, &mut self.io)
+            && let Some(news) =
+                term.handle_response(call, outcome, &mut self.election, &self.settings, &mut self.io)
         {
             self.follow(news);
             return;
@@ -655,10 +656,10 @@
 
     fn hearing(&self) -> PeerView {
         PeerView {
-            all: self.peers.len(),
-            fresh: self.fresh().count(),
-            hears: self.fresh().map(|beat| beat.hears).max().unwrap_or(0),
-            found_ms: self.found_ms(),
+            total: self.peers.len(),
+            recently_heard: self.fresh().count(),
+            max_workers_heard: self.fresh().map(|beat| beat.hears).max().unwrap_or(0),
+            worker_failover_ms: self.found_ms(),
         }
     }
 
