--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -21,8 +21,8 @@
     /// The list has been read to its end once: what former leaders rented is known.
     complete: bool,
     machines: Vec<ListedMachine>,
-    pages: u64,
-    next_at: Timestamp,
+    pages_read: u64,
+    next_page_at: Timestamp,
 }
 
 impl CloudListing {
@@ -32,24 +32,24 @@
     }
 
     /// Takes in a page; returns the whole list after the last one.
-    fn page_read(&mut self, page: Option<Listing>, now: Timestamp) -> Option<Vec<ListedMachine>> {
+    fn add_page(&mut self, page: Option<Listing>, now: Timestamp) -> Option<Vec<ListedMachine>> {
         self.in_flight = false;
         let Some(page) = page else {
             self.machines.clear();
-            self.pages = 0;
-            self.next_at = now + CLOUD_RETRY_MS;
+            self.pages_read = 0;
+            self.next_page_at = now + CLOUD_RETRY_MS;
             return None;
         };
         let more = page.more && !page.machines.is_empty();
         self.machines.extend(page.machines);
-        self.pages += 1;
+        self.pages_read += 1;
         if more {
-            self.next_at = now;
+            self.next_page_at = now;
             return None;
         }
         self.complete = true;
         // A long list takes its calls from renting and returning.
-        self.next_at = now + LIST_INTERVAL_MS * std::mem::take(&mut self.pages).div_ceil(2);
+        self.next_page_at = now + LIST_INTERVAL_MS * std::mem::take(&mut self.pages_read).div_ceil(2);
         Some(std::mem::take(&mut self.machines))
     }
 }
@@ -58,11 +58,11 @@
     /// Asks for the next page of the list, if one is due.
     pub(in crate::leader) fn poll_listing(&mut self, io: &mut Io) {
         let listing = &mut self.autoscaler.listing;
-        if listing.in_flight || io.now < listing.next_at {
+        if listing.in_flight || io.now < listing.next_page_at {
             return;
         }
         let Ok(permit) = io.permits.request(GuardedOperation::ListMachines, io.now) else {
-            listing.next_at = io.now + CHECK_MS;
+            listing.next_page_at = io.now + CHECK_MS;
             return;
         };
         if !io.cloud.take(1.0, RENT_RESERVE, io.now) {
@@ -75,9 +75,9 @@
     }
 
     /// Follows a page of the list.
-    pub(in crate::leader) fn listed(&mut self, outcome: &Outcome, io: &mut Io) {
+    pub(in crate::leader) fn handle_list_page(&mut self, outcome: &Outcome, io: &mut Io) {
         let page = outcome.read::<Listing>(&[200]);
-        let Some(machines) = self.autoscaler.listing.page_read(page, io.now) else {
+        let Some(machines) = self.autoscaler.listing.add_page(page, io.now) else {
             return;
         };
         for listed in machines {
@@ -117,7 +117,7 @@
     }
 
     /// Drops the records of requests whose machines the list must show by now.
-    pub(in crate::leader) fn forget_requests(&mut self, settings: &Settings, now: Timestamp) {
+    pub(in crate::leader) fn remove_listed_requests(&mut self, settings: &Settings, now: Timestamp) {
         let lag_s = settings.deployment.cloud.list_lag_s * LIST_LAG_MOST;
         let pages = (self.machines.len() / LIST_PAGE_MACHINES) as u64;
         let listed_ms = (lag_s * SECOND_MS as f64) as u64 + LIST_LAG_SLACK_MS + pages * LIST_PAGE_MS;
@@ -129,7 +129,7 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in listed {
-            self.end_request(&key);
+            self.remove_request(&key);
         }
     }
 }
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -23,18 +23,18 @@
     /// Requests that this term has made: the next one's name follows from it.
     request_count: u64,
     /// Kinds of machines that the cloud has too few of, and until when they are not asked for.
-    refused: HashMap<MachineKind, Timestamp>,
+    capacity_refused_until: HashMap<MachineKind, Timestamp>,
     /// Kinds of machines that waiting work could use: none of them is surplus.
     wanted: HashSet<MachineKind>,
     spot_losses: SpotLosses,
     /// How long boots took, by machine type, in s.
-    boot_s: HashMap<String, f64>,
+    observed_boot_s: HashMap<String, f64>,
     /// How long the cloud takes to confirm a return, in s.
     release_s: f64,
     listing: CloudListing,
     /// The cloud failed: nothing is rented or returned before.
     cloud_retry_at: Timestamp,
-    sizing_at: Timestamp,
+    next_sizing_at: Timestamp,
 }
 
 impl Autoscaler {
@@ -43,14 +43,14 @@
         Autoscaler {
             requests: BTreeMap::new(),
             request_count: 0,
-            refused: HashMap::new(),
+            capacity_refused_until: HashMap::new(),
             wanted: HashSet::new(),
             spot_losses: SpotLosses::default(),
-            boot_s: HashMap::new(),
+            observed_boot_s: HashMap::new(),
             release_s: RELEASE_MS as f64 / SECOND_MS as f64,
             listing: CloudListing::default(),
             cloud_retry_at: 0,
-            sizing_at: 0,
+            next_sizing_at: 0,
         }
     }
 
@@ -93,20 +93,23 @@
     }
 
     /// How long boots took, by machine type, in s.
-    pub(super) fn boot_s(&self) -> &HashMap<String, f64> {
-        &self.boot_s
+    pub(super) fn observed_boot_s(&self) -> &HashMap<String, f64> {
+        &self.observed_boot_s
     }
 
     /// Learns how long a machine of this type took to boot.
-    pub(super) fn learn_boot(&mut self, machine_type: &str, took_s: f64) {
-        let average = self.boot_s.entry(machine_type.to_owned()).or_insert(took_s);
+    pub(super) fn record_boot_time(&mut self, machine_type: &str, took_s: f64) {
+        let average = self
+            .observed_boot_s
+            .entry(machine_type.to_owned())
+            .or_insert(took_s);
         *average += BOOT_SMOOTHING * (took_s - *average);
     }
 
     /// What renting a machine and giving it back wastes, in s.
-    fn waste_s(&self, types: &MachineTypes, name: &str) -> f64 {
+    fn overhead_s(&self, types: &MachineTypes, name: &str) -> f64 {
         let boot_s = self
-            .boot_s
+            .observed_boot_s
             .get(name)
             .copied()
             .or_else(|| types.get(name).map(|machine_type| machine_type.boot_s));
@@ -115,9 +118,9 @@
 
     /// Whether the fleet is to be sized now; the next time is set.
     pub(super) fn take_sizing_due(&mut self, now: Timestamp) -> bool {
-        let due = now >= self.sizing_at;
+        let due = now >= self.next_sizing_at;
         if due {
-            self.sizing_at = now + FLEET_LOOP_MS;
+            self.next_sizing_at = now + FLEET_LOOP_MS;
         }
         due
     }
@@ -125,7 +128,7 @@
 
 impl LeaderTerm {
     /// Drops a request, and its record.
-    fn end_request(&mut self, key: &str) {
+    fn remove_request(&mut self, key: &str) {
         self.autoscaler.requests.remove(key);
         let unrecorded = self.writer.rentals.remove(key);
         if !unrecorded {
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -18,20 +18,20 @@
 
 /// Why a machine goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReturnReason {
-    NeverUp,
-    Silent,
-    Useless,
+enum ScaleInReason {
+    BootFailed,
+    Unreachable,
+    Unusable,
     Idle,
 }
 
-impl ReturnReason {
+impl ScaleInReason {
     fn text(self) -> &'static str {
         match self {
-            ReturnReason::NeverUp => "it never came up",
-            ReturnReason::Silent => "it is silent",
-            ReturnReason::Useless => "it fails or is about to be taken",
-            ReturnReason::Idle => "it is idle",
+            ScaleInReason::BootFailed => "it never came up",
+            ScaleInReason::Unreachable => "it is silent",
+            ScaleInReason::Unusable => "it fails or is about to be taken",
+            ScaleInReason::Idle => "it is idle",
         }
     }
 }
@@ -41,20 +41,23 @@
     now: Timestamp,
     idle_ms: u64,
     /// Machines that stay for the images that lie on them.
-    with_weights: HashSet<MachineId>,
+    image_holders: HashSet<MachineId>,
     wanted: &'a HashSet<MachineKind>,
     /// Idle machines of each kind that have not been chosen.
-    alike: HashMap<MachineKind, usize>,
+    idle_by_kind: HashMap<MachineKind, usize>,
 }
 
 impl IdleSurplus<'_> {
     /// Whether the machine has been idle for too long; where many of its kind are, sooner.
-    fn takes(&mut self, machine: &Machine) -> bool {
+    fn select(&mut self, machine: &Machine) -> bool {
         let Some(since) = machine.idle_since else {
             return false;
         };
         let kind = machine.kind();
-        let alike = self.alike.get_mut(&kind).filter(|alike| **alike > IDLE_KEPT);
+        let alike = self
+            .idle_by_kind
+            .get_mut(&kind)
+            .filter(|alike| **alike > IDLE_KEPT);
         let many = alike.is_some() && self.now >= since + self.idle_ms.min(IDLE_MANY_MS);
         let goes = (many || self.now >= since + self.idle_ms) && !self.wanted.contains(&kind);
         if goes && let Some(alike) = alike {
@@ -75,7 +78,7 @@
             .get(&machine.machine_type)
             .map_or(BOOT_UNKNOWN_S, |machine_type| machine_type.boot_s);
         let boot_s = self
-            .boot_s
+            .observed_boot_s
             .get(&machine.machine_type)
             .map_or(nominal_s, |seen| seen.max(nominal_s));
         let known_ms = machine.age_at_first_known + now.saturating_sub(machine.first_known);
@@ -98,28 +101,28 @@
         let Ok(permit) = io.permits.request(GuardedOperation::ReleaseMachines, io.now) else {
             return;
         };
-        for (name, why) in self.surplus(types, settings, peers, io.now) {
-            self.mark_returning(&name, why, settings);
+        for (name, why) in self.select_surplus(types, settings, peers, io.now) {
+            self.mark_for_release(&name, why, settings);
         }
-        self.send_returns(permit, io);
+        self.send_releases(permit, io);
     }
 
     /// Machines that are to go back, and why: no more than one call may name.
-    fn surplus(
+    fn select_surplus(
         &self,
         types: &MachineTypes,
         settings: &Settings,
         peers: PeerView,
         now: Timestamp,
-    ) -> Vec<(MachineId, ReturnReason)> {
+    ) -> Vec<(MachineId, ScaleInReason)> {
         let silence_is_proof = self.can_release_silent_machines(peers, now);
-        let kept = self.kept(&settings.deployment, now);
+        let kept = self.retained_machines(&settings.deployment, now);
         let mut idle = IdleSurplus {
             now,
             idle_ms: (settings.operator.idle_return_s * SECOND_MS as f64) as u64,
-            with_weights: self.kept_for_weights(types, settings),
+            image_holders: self.kept_for_weights(types, settings),
             wanted: &self.autoscaler.wanted,
-            alike: self.idle_by_kind(),
+            idle_by_kind: self.idle_by_kind(),
         };
         let mut surplus = Vec::new();
         for machine in self.machines.values() {
@@ -132,21 +135,21 @@
             let surplus_idle = machine.is_up()
                 && machine.synced
                 && machine.is_empty()
-                && !idle.with_weights.contains(&machine.id)
+                && !idle.image_holders.contains(&machine.id)
                 && !self.protection_windows.kept.contains_key(&machine.id)
-                && idle.takes(machine);
+                && idle.select(machine);
             let useless =
                 machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
             let why = if machine.returning {
                 continue;
             } else if never_up {
-                ReturnReason::NeverUp
+                ScaleInReason::BootFailed
             } else if silent {
-                ReturnReason::Silent
+                ScaleInReason::Unreachable
             } else if useless {
-                ReturnReason::Useless
+                ScaleInReason::Unusable
             } else if surplus_idle {
-                ReturnReason::Idle
+                ScaleInReason::Idle
             } else {
                 continue;
             };
@@ -167,7 +170,7 @@
     }
 
     /// Has it recorded that the machine goes back.
-    fn mark_returning(&mut self, id: &MachineId, why: ReturnReason, settings: &Settings) {
+    fn mark_for_release(&mut self, id: &MachineId, why: ScaleInReason, settings: &Settings) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -177,7 +180,7 @@
         self.image_locality.goes(machine, settings);
         if !std::mem::replace(&mut machine.return_told, true) {
             log::info!("scale-in requested machine={id}: {}", why.text());
-            if why == ReturnReason::Silent {
+            if why == ScaleInReason::Unreachable {
                 self.image_locality.lost();
             }
         }
@@ -188,7 +191,7 @@
     /// The record comes first: nobody at the cloud compares tokens, and a leader that was
     /// replaced gave machines back on which its successor's tasks ran. A successor reads the
     /// record, places nothing there and finishes the return.
-    fn send_returns(&mut self, permit: Permit, io: &mut Io) {
+    fn send_releases(&mut self, permit: Permit, io: &mut Io) {
         let mut names: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
             if !machine.returning || machine.return_in_flight || names.len() >= RELEASE_MAX {
@@ -229,7 +232,7 @@
     }
 
     /// Follows the answer to a return.
-    pub(in crate::leader) fn returned(
+    pub(in crate::leader) fn handle_release_response(
         &mut self,
         machines: Vec<MachineId>,
         sent: Timestamp,
@@ -250,7 +253,7 @@
                 }
                 let taken = machine.inspect_failed || machine.notice_until.is_some();
                 if machine.spot && machine.is_up() && taken {
-                    self.autoscaler.spot_losses.note_lost();
+                    self.autoscaler.spot_losses.record_loss();
                 }
                 self.writer.machine_gone(&machine);
                 let changes = machine.clear();
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -25,9 +25,11 @@
         if io.now < self.autoscaler.cloud_retry_at || !self.autoscaler.listing.is_complete() {
             return;
         }
-        self.autoscaler.refused.retain(|_, until| *until > io.now);
+        self.autoscaler
+            .capacity_refused_until
+            .retain(|_, until| *until > io.now);
         self.autoscaler.wanted = self.wanted_kinds(types);
-        let mut coming = self.coming(types);
+        let mut coming = self.pending_capacity(types);
         // Work that may use spot machines does not count on ordinary ones that others
         // wait for. Spot machines stand first.
         let ordinary_short = self.scheduler.unplaced().iter().any(|unplaced| {
@@ -50,7 +52,7 @@
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
-            let spec = self.spec_to_rent(job);
+            let spec = self.scale_out_spec(job);
             // Machines that are idle or coming take what they may, of whatever kind.
             let most = if ordinary_short && spec.spot {
                 spot_ones
@@ -74,7 +76,7 @@
                 self.autoscaler.spot_losses().rate(),
                 io.now,
             );
-            let kind = self.kind_for(&spec, &unplaced.zones, avoids_spot, types);
+            let kind = self.cheapest_kind(&spec, &unplaced.zones, avoids_spot, types);
             let Some((machine_type, spot, mut zones)) = kind else {
                 continue;
             };
@@ -82,7 +84,7 @@
                 // Machines spread over zones would never take it whole.
                 zones = fullest_zone(zones, &in_zone);
             }
-            let waste_s = self.autoscaler.waste_s(types, &machine_type.name);
+            let waste_s = self.autoscaler.overhead_s(types, &machine_type.name);
             let per_machine = job.spec.needs.count_in(&machine_type.resources());
             let waiting = target_size::WaitingTasks {
                 tasks,
@@ -105,18 +107,18 @@
             .fleet_max
             .saturating_sub(self.machines.len() as u32 + pending);
         for ((name, spot, zones), queue) in queues {
-            let target = target_size::target(&queue, self.autoscaler.waste_s(types, &name));
+            let target = target_size::target(&queue, self.autoscaler.overhead_s(types, &name));
             let count = target.min(room);
             if count > 0 {
                 room -= count;
-                self.rent(&name, spot, &zones, count);
+                self.create_requests(&name, spot, &zones, count);
             }
         }
     }
 
     /// A job as machines are rented for it: what is protected, and may have any other, is kept off spot
     /// ones.
-    fn spec_to_rent<'j>(&self, job: &'j Job) -> std::borrow::Cow<'j, JobSpec> {
+    fn scale_out_spec<'j>(&self, job: &'j Job) -> std::borrow::Cow<'j, JobSpec> {
         let protection = &self.protection_windows.protection;
         if !protection.avoids_spot(&job.spec, &self.forecast.satisfaction().starved) {
             return std::borrow::Cow::Borrowed(&job.spec);
@@ -140,7 +142,7 @@
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
-            let spec = self.spec_to_rent(job);
+            let spec = self.scale_out_spec(job);
             for machine_type in types.values() {
                 for (zone, spot) in unplaced
                     .zones
@@ -157,7 +159,7 @@
     }
 
     /// Machines that are idle, booting or being rented.
-    fn coming(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
+    fn pending_capacity(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
         let machines = self.machines.values().filter(|machine| {
             let coming = !machine.is_up() && machine.attempts.is_empty() || machine.idle_since.is_some();
             let takes = machine.notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
@@ -200,7 +202,7 @@
 
     /// The cheapest kind of machine, per task, that the cloud may have; for a job that
     /// avoids spot machines, an ordinary one if there is any.
-    fn kind_for<'a>(
+    fn cheapest_kind<'a>(
         &self,
         spec: &JobSpec,
         zones: &[String],
@@ -216,9 +218,9 @@
                     .filter(|zone| {
                         machine_type.zones.contains(zone) && spec.eligible(machine_type, zone, spot)
                     })
-                    .filter(|zone| !self.is_cut(zone) && !self.is_one_way(zone))
+                    .filter(|zone| !self.is_zone_partitioned(zone) && !self.is_zone_one_way_partitioned(zone))
                     .filter(|zone| {
-                        !self.autoscaler.refused.contains_key(&(
+                        !self.autoscaler.capacity_refused_until.contains_key(&(
                             machine_type.name.clone(),
                             (*zone).clone(),
                             spot,
@@ -246,7 +248,7 @@
     }
 
     /// Spreads `count` machines over the zones with the fewest of the site's.
-    fn rent(&mut self, name: &str, spot: bool, zones: &[String], count: u32) {
+    fn create_requests(&mut self, name: &str, spot: bool, zones: &[String], count: u32) {
         let mut have: BTreeMap<&String, u32> = zones.iter().map(|zone| (zone, 0)).collect();
         for machine in self.machines.values() {
             if let Some(count) = have.get_mut(&machine.zone) {
@@ -296,7 +298,7 @@
     }
 
     /// Sends the requests that are on record, as far as the budget of calls goes.
-    pub(in crate::leader) fn send_rentals(&mut self, io: &mut Io) {
+    pub(in crate::leader) fn send_scale_out_requests(&mut self, io: &mut Io) {
         let now = io.now;
         let due = |rental: &ScaleOutRequest| {
             rental.recorded && rental.is_open() && !rental.in_flight && now >= rental.retry_at
@@ -328,7 +330,7 @@
     }
 
     /// Follows the answer to a scale-out request.
-    pub(in crate::leader) fn rented(&mut self, key: &str, outcome: &Outcome, io: &mut Io) {
+    pub(in crate::leader) fn handle_launch_response(&mut self, key: &str, outcome: &Outcome, io: &mut Io) {
         let Some(rental) = self.autoscaler.requests.get_mut(key) else {
             return;
         };
@@ -356,7 +358,7 @@
                 }
             }
             if (names.machines.len() as u32) < request.count {
-                self.refuse(&request, io);
+                self.record_capacity_refusal(&request, io);
             }
         } else if outcome.status() == Some(503) {
             #[derive(serde::Deserialize)]
@@ -369,7 +371,7 @@
                 .map(|problem| problem.error)
                 .unwrap_or_default();
             if problem.contains("capacity") {
-                self.refuse(&request, io);
+                self.record_capacity_refusal(&request, io);
             } else {
                 self.autoscaler.cloud_retry_at = io.now + CLOUD_RETRY_MS;
             }
@@ -380,11 +382,11 @@
                     rental.retry_at = io.now + CLOUD_RETRY_MS;
                 }
                 // Nothing was rented, and the need may have changed: decide afresh.
-                _ => self.end_request(key),
+                _ => self.remove_request(key),
             }
         } else if outcome.status() == Some(400) {
             log::error!("scale-out rejected request={key}: the cloud calls it malformed");
-            self.end_request(key);
+            self.remove_request(key);
         } else {
             // Perhaps rented: the request is idempotent, so repeating it shows, and rents nothing twice.
             rental.doubtful |= !outcome.refused();
@@ -393,7 +395,7 @@
     }
 
     /// The cloud has too few machines of this kind: none are asked for during a while.
-    fn refuse(&mut self, request: &RentalRequest, io: &Io) {
+    fn record_capacity_refusal(&mut self, request: &RentalRequest, io: &Io) {
         log::info!(
             "scale-out refused for want of capacity type={} zone={}{}",
             request.machine_type,
@@ -401,7 +403,9 @@
             if request.spot { " spot=true" } else { "" }
         );
         let kind = request.kind();
-        self.autoscaler.refused.insert(kind.clone(), io.now + REFUSED_MS);
+        self.autoscaler
+            .capacity_refused_until
+            .insert(kind.clone(), io.now + REFUSED_MS);
         // What has not been sent of the same kind would be refused too, a call each.
         let in_vain: Vec<String> = self
             .autoscaler
@@ -411,7 +415,7 @@
             .map(|rental| rental.request.request.clone())
             .collect();
         for key in in_vain {
-            self.end_request(&key);
+            self.remove_request(&key);
         }
     }
 }
--- a/crates/controller/src/leader/buffered_heartbeats.rs
+++ b/crates/controller/src/leader/buffered_heartbeats.rs
@@ -11,13 +11,13 @@
 
 /// A heartbeat whose worker waits for an answer.
 #[derive(Debug)]
-struct Buffered {
+struct BufferedHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
-impl Buffered {
+impl BufferedHeartbeat {
     fn size(&self) -> usize {
         1 + self.heartbeat.tasks.len()
     }
@@ -26,48 +26,48 @@
 /// Heartbeats in the order of their arrival, bounded by their size.
 #[derive(Debug, Default)]
 pub(super) struct BufferedHeartbeats {
-    waiting: VecDeque<Buffered>,
+    queue: VecDeque<BufferedHeartbeat>,
     /// What they hold, as [`BUFFERED_HEARTBEATS`] counts it.
     size: usize,
 }
 
 impl BufferedHeartbeats {
     /// Keeps a heartbeat, or turns its worker away where there are too many.
-    pub(super) fn keep(&mut self, request: RequestId, heartbeat: &Heartbeat, io: &mut Io) {
-        let buffered = Buffered {
+    pub(super) fn push(&mut self, request: RequestId, heartbeat: &Heartbeat, io: &mut Io) {
+        let buffered = BufferedHeartbeat {
             request,
             heartbeat: heartbeat.clone(),
-            at: io.now,
+            received_at: io.now,
         };
         if self.size + buffered.size() > BUFFERED_HEARTBEATS {
-            turn_away(request, io);
+            reject(request, io);
             return;
         }
         self.size += buffered.size();
-        self.waiting.push_back(buffered);
+        self.queue.push_back(buffered);
     }
 
     /// Turns away whoever has waited for too long.
-    pub(super) fn give_up(&mut self, io: &mut Io) {
+    pub(super) fn reject_expired(&mut self, io: &mut Io) {
         let now = io.now;
-        let late = |buffered: &Buffered| now >= buffered.at + BUFFERED_HEARTBEAT_MS;
-        while self.waiting.front().is_some_and(late) {
-            if let Some((request, _)) = self.next() {
-                turn_away(request, io);
+        let late = |buffered: &BufferedHeartbeat| now >= buffered.received_at + BUFFERED_HEARTBEAT_MS;
+        while self.queue.front().is_some_and(late) {
+            if let Some((request, _)) = self.pop() {
+                reject(request, io);
             }
         }
     }
 
     /// The longest kept one, to be answered now.
-    pub(super) fn next(&mut self) -> Option<(RequestId, Heartbeat)> {
-        let buffered = self.waiting.pop_front()?;
+    pub(super) fn pop(&mut self) -> Option<(RequestId, Heartbeat)> {
+        let buffered = self.queue.pop_front()?;
         self.size -= buffered.size();
         Some((buffered.request, buffered.heartbeat))
     }
 }
 
 /// Refuses a heartbeat: its worker asks another node.
-pub(super) fn turn_away(request: RequestId, io: &mut Io) {
+pub(super) fn reject(request: RequestId, io: &mut Io) {
     io.reply_error(request, 503, "which jobs are over is not known here");
 }
 
--- a/crates/controller/src/leader/buffered_heartbeats/tests.rs
+++ b/crates/controller/src/leader/buffered_heartbeats/tests.rs
@@ -35,17 +35,17 @@
 fn a_report_is_kept_for_less_than_its_worker_waits() {
     let mut io = io(1_000);
     let mut reports = BufferedHeartbeats::default();
-    reports.keep(RequestId(1), &heartbeat(0), &mut io);
+    reports.push(RequestId(1), &heartbeat(0), &mut io);
     io.now += 1_000;
-    reports.keep(RequestId(2), &heartbeat(0), &mut io);
+    reports.push(RequestId(2), &heartbeat(0), &mut io);
     io.now = 1_000 + BUFFERED_HEARTBEAT_MS - 1;
-    reports.give_up(&mut io);
+    reports.reject_expired(&mut io);
     assert!(turned_away(&mut io).is_empty());
     io.now += 1;
-    reports.give_up(&mut io);
+    reports.reject_expired(&mut io);
     assert_eq!(turned_away(&mut io), [1]);
-    assert_eq!(reports.next().map(|(request, _)| request), Some(RequestId(2)));
-    assert!(reports.next().is_none());
+    assert_eq!(reports.pop().map(|(request, _)| request), Some(RequestId(2)));
+    assert!(reports.pop().is_none());
 }
 
 // What is kept is bounded by what it holds, and what was answered makes room again.
@@ -56,12 +56,12 @@
     let tasks = 99;
     let most = BUFFERED_HEARTBEATS / (1 + tasks);
     for request in 0..most {
-        reports.keep(RequestId(request as u64), &heartbeat(tasks), &mut io);
+        reports.push(RequestId(request as u64), &heartbeat(tasks), &mut io);
     }
     assert!(turned_away(&mut io).is_empty());
-    reports.keep(RequestId(u64::MAX), &heartbeat(0), &mut io);
+    reports.push(RequestId(u64::MAX), &heartbeat(0), &mut io);
     assert_eq!(turned_away(&mut io), [u64::MAX]);
-    assert!(reports.next().is_some());
-    reports.keep(RequestId(u64::MAX), &heartbeat(0), &mut io);
+    assert!(reports.pop().is_some());
+    reports.push(RequestId(u64::MAX), &heartbeat(0), &mut io);
     assert!(turned_away(&mut io).is_empty());
 }
--- a/crates/controller/src/leader/demand_forecast.rs
+++ b/crates/controller/src/leader/demand_forecast.rs
@@ -54,7 +54,7 @@
             unsatisfied: &self.counted_resources.short,
             types,
             settings,
-            boot_s: self.autoscaler.boot_s(),
+            boot_s: self.autoscaler.observed_boot_s(),
         };
         self.forecast.objectives.update(&input, io);
         self.forecast.objectives.update_large(
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -29,7 +29,7 @@
     due: BTreeSet<MachineId>,
     in_flight: usize,
     /// A start may have been cancelled before it was sent.
-    start_cancelled: bool,
+    start_may_be_cancelled: bool,
 }
 
 impl CommandQueue {
@@ -47,13 +47,13 @@
         now: Timestamp,
     ) {
         attempt.stop = Some(Stop::asked(grace_s, now));
-        self.start_cancelled = true;
+        self.start_may_be_cancelled = true;
         self.due.insert(machine.clone());
     }
 
     /// Whether a start may have been cancelled before it was sent, since this was last asked.
     pub(super) fn take_start_cancelled(&mut self) -> bool {
-        std::mem::take(&mut self.start_cancelled)
+        std::mem::take(&mut self.start_may_be_cancelled)
     }
 
     /// The next machine that may need a command, while fewer than the most are under way.
@@ -72,7 +72,7 @@
         while let Some(id) = self.commands.next_due() {
             let machine = self.machines.get(&id);
             if machine.is_some_and(|machine| machine.direct_due(certain, io.now)) {
-                self.direct(&id, false, certain, io);
+                self.send_direct_command(&id, false, certain, io);
             }
         }
     }
@@ -101,14 +101,14 @@
         for (_, id) in due {
             // Machines that nobody can reach must not use up the questions that would
             // prove it.
-            if !self.liveness.take_probe(PROBES_RESERVE, now) {
+            if !self.liveness.try_take_probe(PROBES_RESERVE, now) {
                 return;
             }
-            self.direct(&id, true, false, io);
+            self.send_direct_command(&id, true, false, io);
         }
     }
 
-    fn direct(&mut self, id: &MachineId, fencing_probe: bool, certain: bool, io: &mut Io) {
+    fn send_direct_command(&mut self, id: &MachineId, fencing_probe: bool, certain: bool, io: &mut Io) {
         let token = self.token();
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -154,7 +154,7 @@
     }
 
     /// Follows the answer to a direct command.
-    pub(super) fn direct_answered(
+    pub(super) fn handle_direct_response(
         &mut self,
         direct: DirectCall,
         outcome: &Outcome,
@@ -184,7 +184,7 @@
         let Some(report) = outcome.read::<Heartbeat>(&[200, 409]) else {
             let waited = machine.fencing_probe_at.map_or(0, |at| io.now.saturating_sub(at));
             if fencing_probe && waited >= INSPECT_TIMEOUT_MS {
-                self.found_silent(&id, io.now);
+                self.mark_unreachable(&id, io.now);
             }
             return None;
         };
@@ -200,7 +200,7 @@
         } else if fencing_probe {
             machine.fencing_probe_at = None;
         }
-        self.absorb_answer(&report, io);
+        self.reconcile_response(&report, io);
         None
     }
 }
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -20,7 +20,7 @@
 /// When machines are checked, and how many may be probed.
 #[derive(Debug)]
 pub(super) struct Liveness {
-    check_at: Timestamp,
+    next_check_at: Timestamp,
     /// Probes that the leader sends without being asked.
     probe_budget: TokenBucket,
 }
@@ -31,22 +31,22 @@
         let cores = settings.deployment.limits.cores;
         let probes_per_s = (PROBES_PER_CORE * cores).min(PROBES_PER_S);
         Liveness {
-            check_at: 0,
+            next_check_at: 0,
             probe_budget: TokenBucket::new(probes_per_s, probes_per_s, now),
         }
     }
 
     /// Whether machines are to be checked now; the next time is set.
     pub(super) fn take_check_due(&mut self, now: Timestamp) -> bool {
-        let due = now >= self.check_at;
+        let due = now >= self.next_check_at;
         if due {
-            self.check_at = now + CHECK_MS;
+            self.next_check_at = now + CHECK_MS;
         }
         due
     }
 
     /// Takes one probe from the budget, if that leaves the reserve.
-    pub(super) fn take_probe(&mut self, reserve: f64, now: Timestamp) -> bool {
+    pub(super) fn try_take_probe(&mut self, reserve: f64, now: Timestamp) -> bool {
         self.probe_budget.take(1.0, reserve, now)
     }
 }
@@ -59,9 +59,9 @@
         let lease_ms = lease_ms + lease_ms * CLOCK_DRIFT_PPM / 1_000_000 + LEASE_MARGIN_MS;
         // A heartbeat later than this is missing, not just slow.
         let overdue_ms = (workers.report_s * REPORT_LATE * SECOND_MS as f64) as u64 + REPORT_SLACK_MS;
-        self.sample_when_silent(io);
-        self.sample_zones(io);
-        self.look_at_one_way(peers.worker_failover_ms + overdue_ms, io.now);
+        self.sample_reachability(io);
+        self.update_zone_health(io);
+        self.update_one_way_partitions(peers.worker_failover_ms + overdue_ms, io.now);
         self.send_fencing_probes(io);
         let mut inspect = Vec::new();
         let mut lapsed = Vec::new();
@@ -70,7 +70,7 @@
             .values()
             .filter(|machine| machine.spot && machine.is_up())
             .count();
-        self.autoscaler.spot_losses_mut().up(spot_up, io.now);
+        self.autoscaler.spot_losses_mut().add_uptime(spot_up, io.now);
         for machine in self.machines.values_mut() {
             if machine.direct_due(true, io.now) {
                 self.commands.mark_due(machine.id.clone());
@@ -107,21 +107,21 @@
                 lapsed.push(machine.id.clone());
             }
         }
-        self.probe_silent(inspect, io);
+        self.probe_silent_machines(inspect, io);
         self.expire_leases(lapsed, io);
         self.machines.forget_released(io.now);
         self.update_fencing(io.now);
     }
 
     /// Probes silent machines, the most urgent first, as far as the budget goes.
-    fn probe_silent(&mut self, mut due: Vec<(u8, Reverse<u64>, MachineId)>, io: &mut Io) {
+    fn probe_silent_machines(&mut self, mut due: Vec<(u8, Reverse<u64>, MachineId)>, io: &mut Io) {
         due.sort();
         for (rank, _, id) in due {
             let reserve = if rank == 0 { 0.0 } else { PROBES_RESERVE };
-            if !self.liveness.take_probe(reserve, io.now) {
+            if !self.liveness.try_take_probe(reserve, io.now) {
                 break;
             }
-            self.inspect(&id, io);
+            self.probe(&id, io);
         }
     }
 
@@ -136,7 +136,7 @@
         }
     }
 
-    fn inspect(&mut self, id: &MachineId, io: &mut Io) {
+    fn probe(&mut self, id: &MachineId, io: &mut Io) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -155,7 +155,7 @@
     }
 
     /// Follows the answer to a probe.
-    pub(super) fn inspected(
+    pub(super) fn handle_probe_response(
         &mut self,
         id: &MachineId,
         outcome: &Outcome,
@@ -172,14 +172,14 @@
             Some(report) if report.token > current => {
                 return election.deposed("a worker has seen a newer leader");
             }
-            Some(report) => self.absorb_answer(&report, io),
-            None => self.found_silent(id, io.now),
+            Some(report) => self.reconcile_response(&report, io),
+            None => self.mark_unreachable(id, io.now),
         }
         None
     }
 
     /// It was asked and did not answer in time.
-    pub(super) fn found_silent(&mut self, id: &MachineId, now: Timestamp) {
+    pub(super) fn mark_unreachable(&mut self, id: &MachineId, now: Timestamp) {
         if let Some(machine) = self.machines.get_mut(id) {
             if !machine.inspect_failed {
                 log::info!("machine unreachable machine={id}: no heartbeat and no answer");
@@ -191,13 +191,18 @@
     }
 
     /// Asks so many of these machines, spread over them; returns which.
-    pub(super) fn ask_some(&mut self, machines: Vec<MachineId>, most: usize, io: &mut Io) -> Vec<MachineId> {
+    pub(super) fn probe_sample(
+        &mut self,
+        machines: Vec<MachineId>,
+        most: usize,
+        io: &mut Io,
+    ) -> Vec<MachineId> {
         let stride = machines.len().div_ceil(most).max(1);
         let first = io.rng.random_range(0..stride);
         let asked: Vec<MachineId> = machines.into_iter().skip(first).step_by(stride).collect();
         for id in &asked {
             self.liveness.probe_budget.force(1.0, io.now);
-            self.inspect(id, io);
+            self.probe(id, io);
         }
         asked
     }
--- a/crates/controller/src/leader/machine_table.rs
+++ b/crates/controller/src/leader/machine_table.rs
@@ -12,7 +12,7 @@
     machines: BTreeMap<MachineId, Machine>,
     /// Machines that may hold attempts of a job: a superset, made exact by the next reindexing.
     task_locations: TaskLocations,
-    indexed_at: Timestamp,
+    reindexed_at: Timestamp,
     /// Machines that the cloud took back, and until when that is remembered: late heartbeats of theirs
     /// are refused, and their clients of a licence server are ours.
     recently_released: HashMap<MachineId, Timestamp>,
@@ -24,7 +24,7 @@
         MachineTable {
             machines: BTreeMap::new(),
             task_locations: TaskLocations::new(),
-            indexed_at: now,
+            reindexed_at: now,
             recently_released: HashMap::new(),
         }
     }
@@ -131,7 +131,7 @@
 
     /// Builds the index of task locations anew, which drops those where nothing is left.
     pub(super) fn reindex(&mut self, now: Timestamp) {
-        self.indexed_at = now;
+        self.reindexed_at = now;
         self.task_locations.clear();
         for machine in self.machines.values() {
             for attempt in &machine.attempts {
@@ -145,13 +145,13 @@
 
     /// Reindexes at bounded intervals.
     pub(super) fn reindex_when_due(&mut self, now: Timestamp) {
-        if now >= self.indexed_at + INDEX_MS {
+        if now >= self.reindexed_at + INDEX_MS {
             self.reindex(now);
         }
     }
 
     /// Notes since when each machine has been idle, after a pass.
-    pub(super) fn note_idle(&mut self, now: Timestamp) {
+    pub(super) fn update_idle_since(&mut self, now: Timestamp) {
         for machine in self.machines.values_mut() {
             if machine.is_up() && machine.is_empty() {
                 machine.idle_since.get_or_insert(now);
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -55,7 +55,7 @@
 use recovery::Recovery;
 use scheduling_pass::Scheduler;
 use submit_clusters::Clusters;
-use zone_health::Zones;
+use zone_health::ZoneHealth;
 
 pub use image_locality::Weights;
 
@@ -97,7 +97,7 @@
     calls: Calls<TermCall>,
     liveness: Liveness,
     partition_detector: PartitionDetector,
-    zone_health: Zones,
+    zone_health: ZoneHealth,
     one_way_partitions: OneWayPartition,
     scheduler: Scheduler,
     forecast: DemandForecast,
@@ -127,7 +127,7 @@
             calls: Calls::default(),
             liveness: Liveness::new(settings, now),
             partition_detector: PartitionDetector::default(),
-            zone_health: Zones::default(),
+            zone_health: ZoneHealth::default(),
             one_way_partitions: OneWayPartition::default(),
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
@@ -147,8 +147,8 @@
 
     /// The term is over: whoever waits here must ask elsewhere.
     pub fn end(mut self, io: &mut Io) {
-        while let Some((request, _)) = self.buffered_heartbeats.next() {
-            buffered_heartbeats::turn_away(request, io);
+        while let Some((request, _)) = self.buffered_heartbeats.pop() {
+            buffered_heartbeats::reject(request, io);
         }
     }
 
@@ -177,14 +177,14 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         if self.watermark.is_expired(io.now) {
-            return give_up_expired(election, io);
+            return step_down_expired(election, io);
         }
         if !self.recovery.is_complete() {
-            self.poll_load(io);
-            self.buffered_heartbeats.give_up(io);
+            self.poll_recovery(io);
+            self.buffered_heartbeats.reject_expired(io);
             return None;
         }
-        if let Some(deposed) = self.answer_buffered(election, io) {
+        if let Some(deposed) = self.answer_buffered_heartbeats(election, io) {
             return Some(deposed);
         }
         self.poll_watch(io);
@@ -200,7 +200,7 @@
             self.store_types_once(types, io);
         }
         self.drop_cancelled_starts(io);
-        self.write(election, settings, io);
+        self.send_due_write(election, settings, io);
         self.send_due_commands(certain, io);
         if certain {
             self.look_at_books(settings, io);
@@ -209,11 +209,11 @@
     }
 
     /// Answers the heartbeats that came while the records were being read.
-    fn answer_buffered(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
-        while let Some((request, heartbeat)) = self.buffered_heartbeats.next() {
+    fn answer_buffered_heartbeats(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
+        while let Some((request, heartbeat)) = self.buffered_heartbeats.pop() {
             if let Err(superseded) = self.handle_heartbeat(request, &heartbeat, election.certain(io.now), io)
             {
-                buffered_heartbeats::turn_away(request, io);
+                buffered_heartbeats::reject(request, io);
                 return election.deposed(&superseded.to_string());
             }
         }
@@ -234,8 +234,8 @@
         }
         self.machines.reindex_when_due(io.now);
         self.check_machines(settings, peers, io);
-        self.forget_requests(settings, io.now);
-        if let Some(deposed) = self.check_self(election, peers, io) {
+        self.remove_listed_requests(settings, io.now);
+        if let Some(deposed) = self.check_own_partition(election, peers, io) {
             return Some(deposed);
         }
         self.scale_in(types, settings, peers, io);
@@ -253,7 +253,7 @@
         self.forecast_when_due(types, settings, io);
         self.look_at_counts(&settings.operator.counts, io);
         self.look_at_clusters(settings, io);
-        self.send_rentals(io);
+        self.send_scale_out_requests(io);
     }
 
     /// A call was answered. `None` if it was not made in this term, else what follows.
@@ -278,31 +278,35 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         match kind {
-            TermCall::RecordsPage { sent } => return self.loaded(sent, outcome, election, settings, io),
+            TermCall::RecordsPage { sent } => {
+                return self.handle_records_page(sent, outcome, election, settings, io);
+            }
             TermCall::Watch { sent } => return self.watched(sent, outcome, election, io),
-            TermCall::Transaction => return self.written(outcome, election, io),
+            TermCall::Transaction => return self.handle_transaction_response(outcome, election, io),
             TermCall::Reread { key, end_notices } => {
-                return self.reread(key, end_notices, outcome, election, io);
+                return self.handle_reread(key, end_notices, outcome, election, io);
+            }
+            TermCall::Direct(direct) => return self.handle_direct_response(direct, outcome, election, io),
+            TermCall::Probe { machine } => {
+                return self.handle_probe_response(&machine, outcome, election, io);
             }
-            TermCall::Direct(direct) => return self.direct_answered(direct, outcome, election, io),
-            TermCall::Probe { machine } => return self.inspected(&machine, outcome, election, io),
-            TermCall::ListMachines => self.listed(outcome, io),
-            TermCall::Launch { request } => self.rented(&request, outcome, io),
-            TermCall::Release { machines, sent } => self.returned(machines, sent, outcome, io),
+            TermCall::ListMachines => self.handle_list_page(outcome, io),
+            TermCall::Launch { request } => self.handle_launch_response(&request, outcome, io),
+            TermCall::Release { machines, sent } => self.handle_release_response(machines, sent, outcome, io),
             TermCall::LicenceUsage { server } => {
                 self.licences_told(server, outcome, &settings.operator.counts, io.now);
             }
             // The watch tells.
             TermCall::SubmitCluster => (),
             TermCall::Accounting(call) => self.books_answered(call, outcome, io.now),
-            TermCall::StoreMachineTypes => self.types_stored(outcome),
+            TermCall::StoreMachineTypes => self.handle_types_stored(outcome),
         }
         None
     }
 }
 
 /// Leadership ends, as nobody has told for too long which jobs are over.
-fn give_up_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
+fn step_down_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
     // Its own lease may live, but workers' do not with it: a peer may see more.
     let why = "no word of which jobs are over";
     if election.certain(io.now) {
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -18,7 +18,7 @@
 impl LeaderTerm {
     /// Judges machines by their own heartbeats. `late_ms`: longer than a worker that lost its node takes
     /// to report to another. A zone's judgement goes before a machine's, which may be up for the first time.
-    pub(super) fn look_at_one_way(&mut self, late_ms: u64, now: Timestamp) {
+    pub(super) fn update_one_way_partitions(&mut self, late_ms: u64, now: Timestamp) {
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
             let (all, one_way_partition) = zones.entry(&machine.zone).or_default();
@@ -55,7 +55,7 @@
     }
 
     /// Whether machines rented in the zone would be cut off one way.
-    pub(super) fn is_one_way(&self, zone: &str) -> bool {
+    pub(super) fn is_zone_one_way_partitioned(&self, zone: &str) -> bool {
         self.one_way_partitions.zones.contains(zone)
     }
 }
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -26,7 +26,7 @@
 
 /// How many machines are silent, of all that have been up.
 #[derive(Debug, Clone, Copy)]
-struct SilentMachines {
+struct ReachabilityCount {
     silent: u32,
     all: u32,
 }
@@ -35,7 +35,7 @@
     /// Machines fall silent one after the other, as their heartbeats fall due, also
     /// when it is the leader who is cut off. So whenever one is newly silent, some of
     /// the others, spread over the fleet, are asked before it is given back.
-    pub(super) fn sample_when_silent(&mut self, io: &mut Io) {
+    pub(super) fn sample_reachability(&mut self, io: &mut Io) {
         let newest = self
             .machines
             .values()
@@ -48,8 +48,8 @@
             .is_some_and(|at| io.now >= at + INSPECT_TIMEOUT_MS)
         {
             // Nobody was left to ask where all are silent.
-            self.partition_detector.sample_unreachable =
-                newest.is_some() && (self.partition_detector.sample.is_empty() || !self.others_answer());
+            self.partition_detector.sample_unreachable = newest.is_some()
+                && (self.partition_detector.sample.is_empty() || !self.sample_is_reachable());
         }
         let due = newest.is_some_and(|silent_at| {
             self.partition_detector
@@ -66,11 +66,11 @@
             .filter(|machine| machine.is_up() && !machine.inspect_failed)
             .map(|machine| machine.id.clone())
             .collect();
-        self.partition_detector.sample = self.ask_some(others, PROBE_SAMPLE, io);
+        self.partition_detector.sample = self.probe_sample(others, PROBE_SAMPLE, io);
     }
 
     /// Most of the machines in the last sample have been heard since it was asked.
-    pub(super) fn others_answer(&self) -> bool {
+    pub(super) fn sample_is_reachable(&self) -> bool {
         let Some(sampled_at) = self.partition_detector.sampled_at else {
             return false;
         };
@@ -83,7 +83,7 @@
     }
 
     /// Machines that do not answer, and all that have been up.
-    fn silent(&self) -> SilentMachines {
+    fn count_unreachable(&self) -> ReachabilityCount {
         // Late copies of heartbeats from machines that went back suggested that this node was cut off.
         let up = self
             .machines
@@ -94,20 +94,20 @@
             all += 1;
             silent += u32::from(machine.inspect_failed);
         }
-        SilentMachines { silent, all }
+        ReachabilityCount { silent, all }
     }
 
     /// So many machines fall silent at once that this node may be the one cut off: most of all,
     /// or of those in the last sample. It takes longer than a lease to ask all of a large fleet.
     pub(super) fn suspects_own_partition(&self) -> bool {
-        let SilentMachines { silent, all } = self.silent();
+        let ReachabilityCount { silent, all } = self.count_unreachable();
         silent >= 2
             && (self.partition_detector.sample_unreachable
                 || f64::from(silent) > SUSPECT_SELF_SHARE * f64::from(all))
     }
 
     /// Hands leadership over where a peer hears the workers that are silent here.
-    pub(super) fn check_self(
+    pub(super) fn check_own_partition(
         &mut self,
         election: &mut Election,
         peers: PeerView,
@@ -146,6 +146,6 @@
             .partition_detector
             .ruled_out_at
             .is_some_and(|at| now < at + HEARD_AGAIN_MS);
-        !suspects_itself && !just_ruled_out && self.others_answer()
+        !suspects_itself && !just_ruled_out && self.sample_is_reachable()
     }
 }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -28,7 +28,7 @@
 
 impl LeaderTerm {
     /// Sends the next re-read, renewal or batch, if one is due.
-    pub(super) fn write(&mut self, election: &Election, settings: &Settings, io: &mut Io) {
+    pub(super) fn send_due_write(&mut self, election: &Election, settings: &Settings, io: &mut Io) {
         if let Some(key) = self.writer.next_reread(io.now) {
             let path = paths::key(&key);
             let kind = TermCall::Reread {
@@ -97,7 +97,7 @@
     }
 
     /// Follows the answer to a transaction.
-    pub(super) fn written(
+    pub(super) fn handle_transaction_response(
         &mut self,
         outcome: &Outcome,
         election: &mut Election,
@@ -108,7 +108,7 @@
             && let Some(answer) = outcome.read::<protocol::TransactionResponse>(&[200])
         {
             for unit in units {
-                self.unit_written(unit, answer.revision, election, io.now);
+                self.on_unit_committed(unit, answer.revision, election, io.now);
             }
             return None;
         }
@@ -126,7 +126,7 @@
                     return election.deposed("a transaction met a newer leader");
                 }
                 for key in failed {
-                    self.condition_failed(key, io.now);
+                    self.on_condition_failed(key, io.now);
                 }
             }
             outcome if outcome.refused() => {
@@ -154,7 +154,7 @@
     }
 
     /// A record did not have the version that a transaction needed.
-    fn condition_failed(&mut self, key: String, now: Timestamp) {
+    fn on_condition_failed(&mut self, key: String, now: Timestamp) {
         match key.strip_prefix(records::JOBS) {
             // Cancelled by a node that served its user. Only a cluster's jobs
             // change while they live: held, or released.
@@ -163,7 +163,7 @@
         }
     }
 
-    fn unit_written(&mut self, unit: Unit, revision: u64, election: &mut Election, now: Timestamp) {
+    fn on_unit_committed(&mut self, unit: Unit, revision: u64, election: &mut Election, now: Timestamp) {
         match unit {
             Unit::Renewal => {
                 election.renewed(revision);
@@ -204,7 +204,7 @@
                     });
                 }
             }
-            Unit::Finish { job } => self.job_finished(job, now),
+            Unit::Finish { job } => self.on_job_finished(job, now),
             Unit::ScaleOutRequest { request } => {
                 self.autoscaler.request_recorded(&request);
             }
@@ -225,7 +225,7 @@
     }
 
     /// Follows the answer to the record of the machine types.
-    pub(super) fn types_stored(&mut self, outcome: &Outcome) {
+    pub(super) fn handle_types_stored(&mut self, outcome: &Outcome) {
         self.persistence.types_stored = outcome.status() == Some(200);
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// The end of a job that is done is on record.
-    fn job_finished(&mut self, job: JobId, now: Timestamp) {
+    fn on_job_finished(&mut self, job: JobId, now: Timestamp) {
         log::info!("job finished job={job}");
         if let Some(over) = self.jobs.get(&job) {
             self.forecast.finished(over, now);
@@ -260,7 +260,7 @@
     }
 
     /// Follows a record whose version was uncertain.
-    pub(super) fn reread(
+    pub(super) fn handle_reread(
         &mut self,
         key: String,
         end_notices: u64,
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// Why the work of an attempt is lost, by the cause of its end.
-fn lost_by(why: Cause) -> Option<LossCause> {
+fn loss_cause(why: Cause) -> Option<LossCause> {
     match why {
         Cause::Stopped => Some(LossCause::Stopped),
         Cause::Peers | Cause::Alone => Some(LossCause::Gang),
@@ -39,17 +39,17 @@
             return Ok(());
         }
         if !self.recovery.is_complete() {
-            self.buffered_heartbeats.keep(request, report, io);
+            self.buffered_heartbeats.push(request, report, io);
             return Ok(());
         }
         if !self.watermark.permits_lease_renewal(io.now) {
             // A cancellation that another node confirmed may be unknown here: the worker's lease must
             // run out in time. Without this, an outage of the state service after this leader alone
             // was refused, or amid its reading, kept cancelled tasks alive beyond their bound.
-            buffered_heartbeats::turn_away(request, io);
+            buffered_heartbeats::reject(request, io);
             return Ok(());
         }
-        let newest = self.absorb(report, io);
+        let newest = self.reconcile_heartbeat(report, io);
         let token = self.token();
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.note_answered(report, io.now);
@@ -66,16 +66,16 @@
     }
 
     /// Reconciles a heartbeat with the records; false if it is not the newest.
-    pub(super) fn absorb(&mut self, report: &Heartbeat, io: &mut Io) -> bool {
-        self.take(report, Machine::absorb, io)
+    pub(super) fn reconcile_heartbeat(&mut self, report: &Heartbeat, io: &mut Io) -> bool {
+        self.reconcile(report, Machine::absorb, io)
     }
 
     /// Takes what a machine answered to a command or a question.
-    pub(super) fn absorb_answer(&mut self, report: &Heartbeat, io: &mut Io) {
-        self.take(report, Machine::absorb_answer, io);
+    pub(super) fn reconcile_response(&mut self, report: &Heartbeat, io: &mut Io) {
+        self.reconcile(report, Machine::absorb_answer, io);
     }
 
-    fn take(
+    fn reconcile(
         &mut self,
         report: &Heartbeat,
         absorb: fn(&mut Machine, &Heartbeat, u64, Timestamp) -> Option<Vec<Change>>,
@@ -109,7 +109,7 @@
             // Only what this leader rented itself shows how long a boot takes:
             // machines found running have no start to count from.
             let took_s = (io.now - rented_at) as f64 / SECOND_MS as f64;
-            self.autoscaler.learn_boot(&machine.machine_type, took_s);
+            self.autoscaler.record_boot_time(&machine.machine_type, took_s);
             log::info!("machine ready machine={id} boot_s={took_s:.1}");
         }
         self.apply_changes(&id, changes, io);
@@ -133,7 +133,7 @@
     ) {
         for change in changes {
             match change {
-                Change::Running(task, number) => self.task_runs(machine, &task, number, io.now),
+                Change::Running(task, number) => self.on_task_running(machine, &task, number, io.now),
                 Change::Exited {
                     task,
                     number,
@@ -146,13 +146,13 @@
                         task.index
                     );
                     self.note_end(&task, number, None, io.now);
-                    self.task_done(machine, &task, number, io.now);
+                    self.on_task_completed(machine, &task, number, io.now);
                 }
                 Change::Exited {
                     task, number, why, ..
                 } => {
-                    self.note_end(&task, number, lost_by(why), io.now);
-                    self.task_ended(machine, &task, number, why, io);
+                    self.note_end(&task, number, loss_cause(why), io.now);
+                    self.on_task_failed(machine, &task, number, why, io);
                 }
                 Change::Released(task) => self.requeue(&task, io.now),
                 Change::Stranger(task) => self.adopt_unrecorded(machine, task),
@@ -174,20 +174,20 @@
                         self.writer.units_freed(shard);
                     }
                 }
-                Change::Vanished { task, number } => self.task_vanished(&task, number, io.now),
+                Change::Vanished { task, number } => self.on_task_lost(&task, number, io.now),
             }
         }
     }
 
     /// An attempt has begun to run.
-    fn task_runs(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
+    fn on_task_running(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         log::debug!(
             "task running job={} machine={machine} task={}",
             task.job,
             task.index
         );
         self.note_run(task, number, now);
-        self.starts_well(machine);
+        self.clear_machine_errors(machine);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
@@ -210,7 +210,7 @@
     }
 
     /// An attempt is gone with its machine.
-    fn task_vanished(&mut self, task: &TaskId, number: u64, now: Timestamp) {
+    fn on_task_lost(&mut self, task: &TaskId, number: u64, now: Timestamp) {
         self.note_end(task, number, Some(LossCause::Machine), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
@@ -221,7 +221,7 @@
     }
 
     /// Work runs there: the machine is sound, and the jobs that failed on it are not.
-    fn starts_well(&mut self, id: &MachineId) {
+    fn clear_machine_errors(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -233,9 +233,9 @@
     }
 
     /// A task has completed: it is recorded as done.
-    fn task_done(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
+    fn on_task_completed(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            self.close(machine, task, number);
+            self.close_attempt(machine, task, number);
             return;
         };
         job.failures = 0;
@@ -247,7 +247,7 @@
             Shape::Array => vec![task.index],
             // A replica runs until it is cancelled; one that ends is replaced.
             Shape::Service => {
-                self.close(machine, task, number);
+                self.close_attempt(machine, task, number);
                 self.requeue(task, now);
                 return;
             }
@@ -267,7 +267,7 @@
     }
 
     /// The end of an attempt needs no record: its worker may forget it.
-    fn close(&mut self, machine: &MachineId, task: &TaskId, number: u64) {
+    fn close_attempt(&mut self, machine: &MachineId, task: &TaskId, number: u64) {
         if let Some(attempt) = self
             .machines
             .get_mut(machine)
@@ -278,8 +278,8 @@
     }
 
     /// An attempt has ended without completing its task.
-    fn task_ended(&mut self, id: &MachineId, task: &TaskId, number: u64, why: Cause, io: &mut Io) {
-        self.close(id, task, number);
+    fn on_task_failed(&mut self, id: &MachineId, task: &TaskId, number: u64, why: Cause, io: &mut Io) {
+        self.close_attempt(id, task, number);
         let now = io.now;
         let mut fetching = false;
         if why == Cause::Alone {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -38,17 +38,17 @@
 #[derive(Debug, Default)]
 struct Load {
     /// Index into [`LOAD_ORDER`].
-    prefix: usize,
+    prefix_index: usize,
     after: Option<String>,
     in_flight: bool,
     retry_at: Timestamp,
     items: Vec<StoredItem>,
-    begun: Option<Beginning>,
+    first_page: Option<FirstPage>,
 }
 
 /// The first page of jobs.
 #[derive(Debug, Clone, Copy, Default)]
-struct Beginning {
+struct FirstPage {
     revision: u64,
     /// When it was asked for: no job that ended before that is in it.
     asked_at: Timestamp,
@@ -57,7 +57,7 @@
 /// All that was read.
 struct Loaded {
     items: Vec<StoredItem>,
-    begun: Beginning,
+    begun: FirstPage,
 }
 
 impl Recovery {
@@ -81,14 +81,14 @@
         }
         load.in_flight = true;
         Some(paths::page(
-            LOAD_ORDER[load.prefix],
+            LOAD_ORDER[load.prefix_index],
             load.after.as_deref(),
             PAGE_ITEMS,
         ))
     }
 
     /// Takes in a page; returns all of them after the last of so many prefixes.
-    fn page_read(
+    fn add_page(
         &mut self,
         page: Option<StoredPage>,
         asked_at: Timestamp,
@@ -101,7 +101,7 @@
             load.retry_at = now + WRITE_RETRY_MS;
             return None;
         };
-        load.begun.get_or_insert(Beginning {
+        load.first_page.get_or_insert(FirstPage {
             revision: page.revision,
             asked_at,
         });
@@ -110,29 +110,29 @@
         load.items.extend(page.items);
         if !more {
             load.after = None;
-            load.prefix += 1;
+            load.prefix_index += 1;
         }
-        if load.prefix != prefixes {
+        if load.prefix_index != prefixes {
             return None;
         }
         let load = self.load.take()?;
         Some(Loaded {
             items: load.items,
-            begun: load.begun.unwrap_or_default(),
+            begun: load.first_page.unwrap_or_default(),
         })
     }
 }
 
 impl LeaderTerm {
     /// Asks for the next page of records, if no call is under way.
-    pub(super) fn poll_load(&mut self, io: &mut Io) {
+    pub(super) fn poll_recovery(&mut self, io: &mut Io) {
         if let Some(path) = self.recovery.next_call(io.now) {
             self.read_state(path, TermCall::RecordsPage { sent: io.now }, io);
         }
     }
 
     /// Follows a page of records, and begins the work of the term after the last.
-    pub(super) fn loaded(
+    pub(super) fn handle_records_page(
         &mut self,
         sent: Timestamp,
         outcome: &Outcome,
@@ -142,7 +142,7 @@
     ) -> Option<ElectionEvent> {
         let prefixes = LOAD_ORDER.len() - usize::from(!self.protection_windows.on());
         let page = outcome.read::<StoredPage>(&[200]);
-        let loaded = self.recovery.page_read(page, sent, prefixes, io.now)?;
+        let loaded = self.recovery.add_page(page, sent, prefixes, io.now)?;
         if let Err(problem) = self.adopt_records(loaded, settings, io) {
             // Starts may stand there that nobody here can know of.
             log::error!("leadership declined: {problem}");
@@ -167,14 +167,14 @@
         }
         self.park_all();
         self.machines.reindex(io.now);
-        self.join_attempts_and_jobs(io.now);
+        self.link_attempts_to_jobs(io.now);
         self.watermark.advance(loaded.begun.asked_at);
         Ok(())
     }
 
     /// Completes what the records of machines say of attempts by what their jobs say, and stops
     /// attempts of jobs that are over.
-    fn join_attempts_and_jobs(&mut self, now: Timestamp) {
+    fn link_attempts_to_jobs(&mut self, now: Timestamp) {
         for machine in self.machines.values_mut() {
             for attempt in &mut machine.attempts {
                 let Some(job) = self.jobs.get_mut(&attempt.task.job) else {
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -20,12 +20,12 @@
     first_token: u64,
     /// Something was placed in this term.
     any_placed: bool,
-    attempts: u64,
+    attempt_count: u64,
     /// How much of the late work may go first.
     aging_credit: AgingCredit,
     /// When the next pass is due though nothing has changed.
-    regular_at: Timestamp,
-    last_at: Timestamp,
+    next_regular_at: Timestamp,
+    last_pass_at: Timestamp,
     /// Something has changed that the next pass may use.
     requested: bool,
     /// Who found no machine in the last pass, in the order of service.
@@ -38,10 +38,10 @@
         Scheduler {
             first_token,
             any_placed: false,
-            attempts: 0,
+            attempt_count: 0,
             aging_credit: AgingCredit::default(),
-            regular_at: 0,
-            last_at: 0,
+            next_regular_at: 0,
+            last_pass_at: 0,
             requested: true,
             unplaced: Vec::new(),
         }
@@ -65,23 +65,23 @@
     /// Whether a pass over so many machines is due.
     pub(super) fn is_due(&self, machines: usize, now: Timestamp) -> bool {
         let due_at = if self.requested {
-            self.last_at + pass_spacing_ms(machines)
+            self.last_pass_at + pass_spacing_ms(machines)
         } else {
-            self.regular_at
+            self.next_regular_at
         };
         now >= due_at
     }
 
     fn begin_pass(&mut self, now: Timestamp) {
         self.requested = false;
-        self.last_at = now;
-        self.regular_at = now + PASS_INTERVAL_MS;
+        self.last_pass_at = now;
+        self.next_regular_at = now + PASS_INTERVAL_MS;
     }
 
     /// A number for a new attempt, higher than those of all former terms.
-    fn attempt_number(&mut self) -> u64 {
-        self.attempts += 1;
-        (self.first_token << ATTEMPT_BITS) + self.attempts
+    fn next_attempt_number(&mut self) -> u64 {
+        self.attempt_count += 1;
+        (self.first_token << ATTEMPT_BITS) + self.attempt_count
     }
 }
 
@@ -138,11 +138,11 @@
             self.scheduler.request_pass();
         }
         self.jobs.count_when_due(self.machines.values(), io.now);
-        self.machines.note_idle(io.now);
+        self.machines.update_idle_since(io.now);
     }
 
     fn start_task(&mut self, task: TaskId, id: &MachineId, types: &MachineTypes, now: Timestamp) {
-        let fresh = self.scheduler.attempt_number();
+        let fresh = self.scheduler.next_attempt_number();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
--- a/crates/controller/src/leader/scheduling_pass/tests.rs
+++ b/crates/controller/src/leader/scheduling_pass/tests.rs
@@ -26,8 +26,8 @@
 fn attempt_numbers_rise_within_a_term_and_from_term_to_term() {
     let mut former = Scheduler::new(1);
     let mut later = Scheduler::new(2);
-    let first = former.attempt_number();
-    let second = former.attempt_number();
+    let first = former.next_attempt_number();
+    let second = former.next_attempt_number();
     assert!(first < second);
-    assert!(second < later.attempt_number());
+    assert!(second < later.next_attempt_number());
 }
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -23,32 +23,32 @@
 #[derive(Debug)]
 struct ProbeSample {
     sampled_at: Timestamp,
-    asked: Vec<MachineId>,
+    probed: Vec<MachineId>,
     /// Most of its machines are silent.
-    cut: bool,
+    partitioned: bool,
     /// When any of its machines was last silent, and there still.
     silent_at: Timestamp,
     /// When it answered again after a cut.
-    back_at: Option<Timestamp>,
+    recovered_at: Option<Timestamp>,
 }
 
 /// What a leader knows of zones.
 #[derive(Debug, Default)]
-pub(super) struct Zones {
+pub(super) struct ZoneHealth {
     probe_samples: BTreeMap<String, ProbeSample>,
 }
 
 /// How many of a zone's machines there are, and how many of them are silent.
 #[derive(Debug, Clone, Copy, Default)]
-struct Tally {
+struct ZoneTally {
     up: usize,
     silent: usize,
-    newest: Timestamp,
+    last_unreachable_at: Timestamp,
 }
 
 impl LeaderTerm {
-    fn tally(&self) -> BTreeMap<String, Tally> {
-        let mut tallies: BTreeMap<String, Tally> = BTreeMap::new();
+    fn tally_zones(&self) -> BTreeMap<String, ZoneTally> {
+        let mut tallies: BTreeMap<String, ZoneTally> = BTreeMap::new();
         let up = self
             .machines
             .values()
@@ -61,20 +61,20 @@
             tally.up += 1;
             if machine.inspect_failed && !machine.returning {
                 tally.silent += 1;
-                tally.newest = tally.newest.max(machine.silent_at);
+                tally.last_unreachable_at = tally.last_unreachable_at.max(machine.silent_at);
             }
         }
         tallies
     }
 
     /// Asks some of a zone's other machines whenever one is newly silent, and judges.
-    pub(super) fn sample_zones(&mut self, io: &mut Io) {
+    pub(super) fn update_zone_health(&mut self, io: &mut Io) {
         if self.zone_health.probe_samples.is_empty()
             && self.machines.values().all(|machine| !machine.inspect_failed)
         {
             return;
         }
-        let tallies = self.tally();
+        let tallies = self.tally_zones();
         let all: usize = tallies.values().map(|tally| tally.up).sum();
         self.zone_health
             .probe_samples
@@ -84,13 +84,13 @@
                     true
                 }
                 Some(tally) if tally.up >= ZONE_LEAST => {
-                    if probe_sample.cut {
+                    if probe_sample.partitioned {
                         log::info!("zone reachable again zone={zone}");
                     }
                     false
                 }
                 // Its machines are given back: after a while it is worth another try.
-                _ => probe_sample.cut && io.now < probe_sample.silent_at + ZONE_AVOIDED_MS,
+                _ => probe_sample.partitioned && io.now < probe_sample.silent_at + ZONE_AVOIDED_MS,
             });
         for (zone, tally) in tallies {
             // A site that has one zone only, or nearly so, has no other to judge by.
@@ -100,52 +100,52 @@
             }
             // Judged by those that were asked before others are: where more are found silent all
             // the time, the next question is due as soon as the last can be judged.
-            self.judge_zone(&zone, tally, io.now);
+            self.evaluate_zone(&zone, tally, io.now);
             let due = self
                 .zone_health
                 .probe_samples
                 .get(&zone)
                 .is_none_or(|probe_sample| {
-                    probe_sample.sampled_at < tally.newest
+                    probe_sample.sampled_at < tally.last_unreachable_at
                         && io.now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS
                 });
             if due {
-                self.sample_zone(&zone, io);
+                self.start_zone_sample(&zone, io);
             }
         }
     }
 
-    fn sample_zone(&mut self, zone: &str, io: &mut Io) {
+    fn start_zone_sample(&mut self, zone: &str, io: &mut Io) {
         let others: Vec<MachineId> = self
             .machines
             .values()
             .filter(|machine| machine.zone == zone && machine.has_been_up() && !machine.inspect_failed)
             .map(|machine| machine.id.clone())
             .collect();
-        let cut = self.is_cut(zone);
+        let cut = self.is_zone_partitioned(zone);
         let back_at = self
             .zone_health
             .probe_samples
             .get(zone)
-            .and_then(|probe_sample| probe_sample.back_at);
+            .and_then(|probe_sample| probe_sample.recovered_at);
         let probe_sample = ProbeSample {
             sampled_at: io.now,
-            asked: self.ask_some(others, ZONE_SAMPLE, io),
-            cut,
+            probed: self.probe_sample(others, ZONE_SAMPLE, io),
+            partitioned: cut,
             silent_at: io.now,
-            back_at,
+            recovered_at: back_at,
         };
         self.zone_health
             .probe_samples
             .insert(zone.to_owned(), probe_sample);
     }
 
-    fn judge_zone(&mut self, zone: &str, tally: Tally, now: Timestamp) {
+    fn evaluate_zone(&mut self, zone: &str, tally: ZoneTally, now: Timestamp) {
         let Some(probe_sample) = self.zone_health.probe_samples.get(zone) else {
             return;
         };
-        let heard = self.count_heard_since(&probe_sample.asked, probe_sample.sampled_at);
-        let silent = probe_sample.asked.len() - heard;
+        let heard = self.count_heard_since(&probe_sample.probed, probe_sample.sampled_at);
+        let silent = probe_sample.probed.len() - heard;
         let answers = heard > 0 && heard >= silent;
         let over = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
         let most = tally.silent as f64 >= ZONE_SILENT * tally.up as f64;
@@ -153,12 +153,12 @@
             return;
         };
         if answers {
-            if std::mem::take(&mut probe_sample.cut) {
-                probe_sample.back_at = Some(now);
+            if std::mem::take(&mut probe_sample.partitioned) {
+                probe_sample.recovered_at = Some(now);
                 log::info!("zone reachable again zone={zone}");
             }
-        } else if (most || over && silent > heard) && !probe_sample.cut {
-            probe_sample.cut = true;
+        } else if (most || over && silent > heard) && !probe_sample.partitioned {
+            probe_sample.partitioned = true;
             log::warn!(
                 "zone unreachable zone={zone} silent={} machines={}: they are kept meanwhile",
                 tally.silent,
@@ -168,24 +168,26 @@
     }
 
     /// Whether machines rented in the zone would be out of reach.
-    pub(super) fn is_cut(&self, zone: &str) -> bool {
+    pub(super) fn is_zone_partitioned(&self, zone: &str) -> bool {
         let probe_sample = self.zone_health.probe_samples.get(zone);
-        probe_sample.is_some_and(|probe_sample| probe_sample.cut)
+        probe_sample.is_some_and(|probe_sample| probe_sample.partitioned)
     }
 
     /// Silent machines that are not given back now: while nobody knows yet whether their zone is
     /// cut off, and while it is, for [`ZONE_KEPT_LEASES`] leases, unless a replica on them
     /// could run in another zone, where people reach it.
-    pub(super) fn kept(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
+    pub(super) fn retained_machines(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
         let lease_ms = (deployment.workers.lease_s * SECOND_MS as f64) as u64;
         let mut kept = HashSet::new();
         for (zone, probe_sample) in &self.zone_health.probe_samples {
-            let answered = 2 * self.count_heard_since(&probe_sample.asked, probe_sample.sampled_at)
-                >= probe_sample.asked.len();
+            let answered = 2 * self.count_heard_since(&probe_sample.probed, probe_sample.sampled_at)
+                >= probe_sample.probed.len();
             let judging =
-                !probe_sample.cut && !answered && now < probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-            let back = probe_sample.back_at.is_some_and(|at| now < at + HEARD_AGAIN_MS);
-            if !probe_sample.cut && !judging && !back {
+                !probe_sample.partitioned && !answered && now < probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
+            let back = probe_sample
+                .recovered_at
+                .is_some_and(|at| now < at + HEARD_AGAIN_MS);
+            if !probe_sample.partitioned && !judging && !back {
                 continue;
             }
             for machine in self.machines.values() {
@@ -194,7 +196,7 @@
                 }
                 let heard = machine.heard.unwrap_or(self.started);
                 let long = now > heard + ZONE_KEPT_LEASES * lease_ms;
-                if judging || back || !long && !self.holds_what_may_move(machine, &deployment.zones) {
+                if judging || back || !long && !self.has_movable_replica(machine, &deployment.zones) {
                     kept.insert(machine.id.clone());
                 }
             }
@@ -203,13 +205,13 @@
     }
 
     /// Whether a replica on the machine may run in another zone.
-    fn holds_what_may_move(&self, machine: &Machine, zones: &[String]) -> bool {
+    fn has_movable_replica(&self, machine: &Machine, zones: &[String]) -> bool {
         let there = machine.attempts.iter().filter(|attempt| attempt.may_be_there());
         let mut jobs = there.filter_map(|attempt| self.jobs.get(&attempt.task.job));
-        jobs.any(|job| job.spec.shape == Shape::Service && self.may_move_from(job, &machine.zone, zones))
+        jobs.any(|job| job.spec.shape == Shape::Service && self.can_move_from(job, &machine.zone, zones))
     }
 
-    fn may_move_from(&self, job: &Job, zone: &str, zones: &[String]) -> bool {
+    fn can_move_from(&self, job: &Job, zone: &str, zones: &[String]) -> bool {
         let spec = &job.spec;
         if spec.zone.is_some() || spec.one_zone && spec.tasks > 1 {
             return false;
