--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -1,4 +1,4 @@
-//! Liveness of machines: which are probed, which are found silent, and whose lease has run out.
+//! Liveness of machines: probes, detection of unreachable machines, and expiry of worker leases.
 
 use super::calls::TermCall;
 use super::{LeaderTerm, PeerView};
@@ -17,16 +17,16 @@
 use rand::RngExt;
 use std::cmp::Reverse;
 
-/// When machines are checked, and how many may be probed.
+/// The schedule of liveness checks and the probe budget.
 #[derive(Debug)]
 pub(super) struct Liveness {
     next_check_at: Timestamp,
-    /// Probes that the leader sends without being asked.
+    /// Limits the rate of probes.
     probe_budget: TokenBucket,
 }
 
 impl Liveness {
-    /// With a budget of probes for the node's cores.
+    /// Creates a probe budget that fits the cores of this node.
     pub(super) fn new(settings: &Settings, now: Timestamp) -> Liveness {
         let cores = settings.deployment.limits.cores;
         let probes_per_s = (PROBES_PER_CORE * cores).min(PROBES_PER_S);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether machines are to be checked now; the next time is set.
+    /// Returns whether a check is due, and schedules the next one if so.
     pub(super) fn take_check_due(&mut self, now: Timestamp) -> bool {
         let due = now >= self.next_check_at;
         if due {
@@ -45,26 +45,26 @@
         due
     }
 
-    /// Takes one probe from the budget, if that leaves the reserve.
+    /// Takes one probe from the budget, unless that would use up the reserve.
     pub(super) fn try_take_probe(&mut self, reserve: f64, now: Timestamp) -> bool {
         self.probe_budget.take(1.0, reserve, now)
     }
 }
 
 impl LeaderTerm {
-    /// Looks at every machine: who is to be asked, who is silent, whose lease has run out.
+    /// Checks every machine: probes silent machines and expires leases that can no longer be valid.
     pub(super) fn check_machines(&mut self, settings: &Settings, peers: PeerView, io: &mut Io) {
         let workers = &settings.deployment.workers;
         let lease_ms = (workers.lease_s * SECOND_MS as f64) as u64;
         let lease_ms = lease_ms + lease_ms * CLOCK_DRIFT_PPM / 1_000_000 + LEASE_MARGIN_MS;
-        // A heartbeat later than this is missing, not just slow.
+        // A heartbeat that is later than this counts as missing rather than slow.
         let overdue_ms = (workers.report_s * REPORT_LATE * SECOND_MS as f64) as u64 + REPORT_SLACK_MS;
         self.sample_reachability(io);
         self.update_zone_health(io);
         self.update_one_way_partitions(peers.worker_failover_ms + overdue_ms, io.now);
         self.send_fencing_probes(io);
-        let mut inspect = Vec::new();
-        let mut lapsed = Vec::new();
+        let mut to_probe = Vec::new();
+        let mut expired = Vec::new();
         let spot_up = self
             .machines
             .values()
@@ -78,42 +78,43 @@
             if !machine.has_been_up() {
                 continue;
             }
-            let last = machine.heard.unwrap_or(self.started);
-            let silent_ms = io.now.saturating_sub(last);
+            let last_heard_at = machine.heard.unwrap_or(self.started);
+            let silent_ms = io.now.saturating_sub(last_heard_at);
             if silent_ms < PROBE_AFTER_MS {
                 continue;
             }
             if !machine.inspecting && machine.addr.is_some() {
                 let rank = match (machine.inspect_failed, silent_ms >= overdue_ms) {
                     (false, true) => 0,
-                    // Asked already; it may have come back.
+                    // Probed before without a response; it may be reachable again.
                     (true, _) => 1,
-                    // Its heartbeat is not due yet, but replicas on a dead machine wait
-                    // for the proof.
+                    // Its heartbeat is not overdue yet, but replicas on a dead machine can only be
+                    // replaced once a probe has failed.
                     (false, false) => 2,
                 };
-                inspect.push((rank, Reverse(silent_ms), machine.id.clone()));
+                to_probe.push((rank, Reverse(silent_ms), machine.id.clone()));
             }
-            // The longest that anyone could have kept its lease alive: this leader
-            // until it last heard from it or answered it, a former one until it had to stop.
-            let answered = machine.answered.unwrap_or(0);
-            let kept_until = if machine.synced {
-                last.max(answered)
+            // The latest time at which any leader can have renewed the machine's lease: this leader when
+            // it last_heard_at heard from the machine or answered_at it, a former leader when it had to step down.
+            let answered_at = machine.answered.unwrap_or(0);
+            let renewed_until = if machine.synced {
+                last_heard_at.max(answered_at)
             } else {
-                answered.max(self.started + cancellation_watermark::grace_ms(&settings.deployment.workers))
+                answered_at.max(self.started + cancellation_watermark::grace_ms(&settings.deployment.workers))
             };
-            if io.now > kept_until + lease_ms && machine.attempts.iter().any(|attempt| !attempt.never_sent())
+            if io.now > renewed_until + lease_ms
+                && machine.attempts.iter().any(|attempt| !attempt.never_sent())
             {
-                lapsed.push(machine.id.clone());
+                expired.push(machine.id.clone());
             }
         }
-        self.probe_silent_machines(inspect, io);
-        self.expire_leases(lapsed, io);
+        self.probe_silent_machines(to_probe, io);
+        self.expire_leases(expired, io);
         self.machines.forget_released(io.now);
         self.update_fencing(io.now);
     }
 
-    /// Probes silent machines, the most urgent first, as far as the budget goes.
+    /// Probes silent machines in order of urgency, within the probe budget.
     fn probe_silent_machines(&mut self, mut due: Vec<(u8, Reverse<u64>, MachineId)>, io: &mut Io) {
         due.sort();
         for (rank, _, id) in due {
@@ -125,11 +126,11 @@
         }
     }
 
-    /// Nothing can be left on machines whose leases have expired: their tasks wait again.
-    fn expire_leases(&mut self, lapsed: Vec<MachineId>, io: &mut Io) {
-        for id in lapsed {
-            let there = self.machines.get(&id).map_or(0, Machine::tasks_there);
-            log::info!("lease expired machine={id} tasks_lost={there}");
+    /// Requeues the tasks of machines whose lease has expired, as their workers have killed them.
+    fn expire_leases(&mut self, expired: Vec<MachineId>, io: &mut Io) {
+        for id in expired {
+            let tasks_lost = self.machines.get(&id).map_or(0, Machine::tasks_there);
+            log::info!("lease expired machine={id} tasks_lost={tasks_lost}");
             let changes = self.machines.get_mut(&id).map(Machine::clear).unwrap_or_default();
             self.apply_changes(&id, changes, io);
             self.scheduler.request_pass();
@@ -154,7 +155,7 @@
         self.calls.expect(call, TermCall::Probe { machine: id.clone() });
     }
 
-    /// Follows the answer to a probe.
+    /// Handles the response to a probe.
     pub(super) fn handle_probe_response(
         &mut self,
         id: &MachineId,
@@ -178,7 +179,7 @@
         None
     }
 
-    /// It was asked and did not answer in time.
+    /// Marks a machine as unreachable because it did not answer a probe in time.
     pub(super) fn mark_unreachable(&mut self, id: &MachineId, now: Timestamp) {
         if let Some(machine) = self.machines.get_mut(id) {
             if !machine.inspect_failed {
@@ -190,28 +191,29 @@
         }
     }
 
-    /// Asks so many of these machines, spread over them; returns which.
+    /// Probes an evenly spaced sample of these machines, at most `max_sample` of them, and returns the
+    /// sample.
     pub(super) fn probe_sample(
         &mut self,
         machines: Vec<MachineId>,
-        most: usize,
+        max_sample: usize,
         io: &mut Io,
     ) -> Vec<MachineId> {
-        let stride = machines.len().div_ceil(most).max(1);
+        let stride = machines.len().div_ceil(max_sample).max(1);
         let first = io.rng.random_range(0..stride);
-        let asked: Vec<MachineId> = machines.into_iter().skip(first).step_by(stride).collect();
-        for id in &asked {
+        let sample: Vec<MachineId> = machines.into_iter().skip(first).step_by(stride).collect();
+        for id in &sample {
             self.liveness.probe_budget.force(1.0, io.now);
             self.probe(id, io);
         }
-        asked
+        sample
     }
 
-    /// How many of those that were asked have been heard since.
-    pub(super) fn count_heard_since(&self, asked: &[MachineId], called: Timestamp) -> usize {
-        let asked = asked.iter().filter_map(|id| self.machines.get(id));
-        asked
-            .filter(|machine| machine.heard.is_some_and(|at| at >= called))
+    /// Counts the sampled machines that have been heard since the sample was taken.
+    pub(super) fn count_heard_since(&self, sample: &[MachineId], sampled_at: Timestamp) -> usize {
+        let sample = sample.iter().filter_map(|id| self.machines.get(id));
+        sample
+            .filter(|machine| machine.heard.is_some_and(|at| at >= sampled_at))
             .count()
     }
 }
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -1,8 +1,8 @@
-//! What the leading controller does in its term: it reads the records, fences
-//! former leaders, places tasks, sizes the fleet and writes everything down.
+//! The leader: recovers the recorded state, fences former leaders, schedules tasks, scales the fleet and
+//! persists every change.
 //!
-//! [`LeaderTerm`] composes the owners of the term's state, each in a module of its own, calls what is
-//! due and passes answers on.
+//! [`LeaderTerm`] composes the components that own the state of one term, each in its own module. It runs
+//! the work that is due and dispatches responses to the component that made the call.
 
 mod accounting;
 mod autoscaling;
@@ -59,34 +59,34 @@
 
 pub use image_locality::Weights;
 
-/// A worker has seen a newer leader, so this term is over.
+/// A worker has seen a newer fencing token, so this term is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a worker has seen a newer leader")]
 pub struct Superseded;
 
-/// What the leader knows of its peers: whether it is cut off itself.
+/// What the other controllers report. The leader uses it to tell whether it is partitioned itself.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeerView {
-    /// How many peers there are.
+    /// Number of configured peers.
     pub total: usize,
-    /// How many of them were heard lately.
+    /// Number of peers that were heard recently.
     pub recently_heard: usize,
-    /// Most workers that one of them hears.
+    /// Largest number of workers that any single peer hears.
     pub max_workers_heard: u32,
-    /// How long workers take, in ms, to find a peer when they lose the leader.
+    /// How long workers take to find a peer after they lose the leader, in ms.
     pub worker_failover_ms: u64,
 }
 
-/// One term of a leader, from its election to its end.
+/// The state of one leadership term, from election to step-down.
 #[derive(Debug)]
 pub struct LeaderTerm {
-    /// The fencing token with which the term began: renewals raise it.
+    /// The fencing token at the start of the term. Renewals raise the current token, not this one.
     first_token: u64,
     started: Timestamp,
     recovery: Recovery,
-    /// Which ends of jobs this leader knows, and so whose lease it may renew.
+    /// How recent the known cancellations are, which decides whether worker leases may be renewed.
     watermark: CancellationWatermark,
-    /// Heartbeats that came while the records were being read.
+    /// Heartbeats received during recovery.
     buffered_heartbeats: BufferedHeartbeats,
     watch: RecordWatch,
     jobs: JobTable,
@@ -110,7 +110,7 @@
 }
 
 impl LeaderTerm {
-    /// A term that begins now, with this fencing token.
+    /// Starts a term with this fencing token.
     pub fn new(token: u64, settings: &Settings, now: Timestamp) -> LeaderTerm {
         LeaderTerm {
             first_token: token,
@@ -140,34 +140,34 @@
         }
     }
 
-    /// The fencing token of all that this leader sends now.
+    /// The current fencing token, sent with every command and write.
     pub fn token(&self) -> u64 {
         self.writer.token
     }
 
-    /// The term is over: whoever waits here must ask elsewhere.
+    /// Ends the term and rejects all buffered heartbeats, so that their workers ask another controller.
     pub fn end(mut self, io: &mut Io) {
         while let Some((request, _)) = self.buffered_heartbeats.pop() {
             buffered_heartbeats::reject(request, io);
         }
     }
 
-    /// For how long, in ms, this leader has not learned which jobs are over.
+    /// Age of the cancellation watermark, in ms.
     pub fn watermark_age_ms(&self, now: Timestamp) -> u64 {
         self.watermark.age_ms(now)
     }
 
-    /// Whether the records have been read: before, this leader knows nothing.
+    /// Whether recovery is complete. Before that, the leader has no state to answer from.
     pub fn is_recovered(&self) -> bool {
         self.recovery.is_complete()
     }
 
-    /// Tasks done and running of each live job, for display.
+    /// Number of completed and running tasks of each live job, for display.
     pub fn counts(&self) -> &Counts {
         self.jobs.counts()
     }
 
-    /// Does what is due. Returns `Deposed` where leadership is given up.
+    /// Runs all work that is due. Returns an event if leadership ends.
     pub fn run_due_work(
         &mut self,
         election: &mut Election,
@@ -184,14 +184,14 @@
             self.buffered_heartbeats.reject_expired(io);
             return None;
         }
-        if let Some(deposed) = self.answer_buffered_heartbeats(election, io) {
-            return Some(deposed);
+        if let Some(event) = self.answer_buffered_heartbeats(election, io) {
+            return Some(event);
         }
         self.poll_watch(io);
         self.look_at_shifts(types, settings, io);
         let certain = election.certain(io.now);
-        if let Some(deposed) = self.check_fleet(election, types, settings, peers, io) {
-            return Some(deposed);
+        if let Some(event) = self.check_fleet(election, types, settings, peers, io) {
+            return Some(event);
         }
         self.poll_listing(io);
         self.poll_servers(&settings.operator.counts, io);
@@ -208,7 +208,7 @@
         None
     }
 
-    /// Answers the heartbeats that came while the records were being read.
+    /// Answers the heartbeats that were buffered during recovery.
     fn answer_buffered_heartbeats(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
         while let Some((request, heartbeat)) = self.buffered_heartbeats.pop() {
             if let Err(superseded) = self.handle_heartbeat(request, &heartbeat, election.certain(io.now), io)
@@ -220,7 +220,7 @@
         None
     }
 
-    /// Checks the machines, and gives back what is not needed, if that is due.
+    /// Checks the liveness of machines and scales in, if a check is due.
     fn check_fleet(
         &mut self,
         election: &mut Election,
@@ -235,14 +235,14 @@
         self.machines.reindex_when_due(io.now);
         self.check_machines(settings, peers, io);
         self.remove_listed_requests(settings, io.now);
-        if let Some(deposed) = self.check_own_partition(election, peers, io) {
-            return Some(deposed);
+        if let Some(event) = self.check_own_partition(election, peers, io) {
+            return Some(event);
         }
         self.scale_in(types, settings, peers, io);
         None
     }
 
-    /// Places tasks, sizes the fleet and looks at what depends on both, each if it is due.
+    /// Runs a scheduling pass, scales out and updates what depends on both, each if it is due.
     fn schedule(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.stalled(io.now) {
             self.run_pass(types, settings, io);
@@ -256,7 +256,8 @@
         self.send_scale_out_requests(io);
     }
 
-    /// A call was answered. `None` if it was not made in this term, else what follows.
+    /// Handles the response to a call. Returns `None` if the call was not made in this term, otherwise the
+    /// leadership event that results, if any.
     pub fn handle_response(
         &mut self,
         call: CallId,
@@ -296,7 +297,7 @@
             TermCall::LicenceUsage { server } => {
                 self.licences_told(server, outcome, &settings.operator.counts, io.now);
             }
-            // The watch tells.
+            // The record watch delivers the result.
             TermCall::SubmitCluster => (),
             TermCall::Accounting(call) => self.books_answered(call, outcome, io.now),
             TermCall::StoreMachineTypes => self.handle_types_stored(outcome),
@@ -305,13 +306,14 @@
     }
 }
 
-/// Leadership ends, as nobody has told for too long which jobs are over.
+/// Gives up leadership because the cancellation watermark has expired.
 fn step_down_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
-    // Its own lease may live, but workers' do not with it: a peer may see more.
-    let why = "no word of which jobs are over";
+    // The leader's own lease may still be valid, but worker leases can no longer be renewed here. A peer may
+    // be able to read newer cancellations.
+    let reason = "no word of which jobs are over";
     if election.certain(io.now) {
-        election.hand_over(why, io)
+        election.hand_over(reason, io)
     } else {
-        election.deposed(why)
+        election.deposed(reason)
     }
 }
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -1,36 +1,38 @@
-//! One-way partitions: machines that answer every probe and carry out every command, but whose own
-//! heartbeats reach no controller. Only the answer to such a heartbeat renews a lease, so what runs there
-//! is killed at its expiry, however well the machine seems. Nothing is started there, and nothing is rented
-//! in a zone most of whose machines are so.
+//! Detection of one-way partitions: machines that answer probes and execute commands, but whose own
+//! heartbeats reach no controller. Only the response to a heartbeat renews a worker's lease, so the tasks on
+//! such a machine are killed when the lease expires, although the machine seems healthy. No task is started
+//! on such a machine, and no machine is rented in a zone where most machines are affected.
 
 use super::LeaderTerm;
 use crate::constants::MUTE_ZONE_LEAST;
 use crate::model::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a leader knows of one-way partitions.
+/// The zones that are affected by a one-way partition.
 #[derive(Debug, Default)]
 pub(super) struct OneWayPartition {
-    /// Zones most of whose machines are cut off one way: so would be what is rented there.
+    /// Zones in which most machines are affected. A new machine there would be affected too.
     zones: BTreeSet<String>,
 }
 
 impl LeaderTerm {
-    /// Judges machines by their own heartbeats. `late_ms`: longer than a worker that lost its node takes
-    /// to report to another. A zone's judgement goes before a machine's, which may be up for the first time.
+    /// Updates which zones and machines are affected, from the age of the machines' own heartbeats.
+    ///
+    /// `late_ms` must exceed the time that a worker takes to fail over to another controller. A machine
+    /// that has never sent a heartbeat, as it may have just booted, takes the state of its zone.
     pub(super) fn update_one_way_partitions(&mut self, late_ms: u64, now: Timestamp) {
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
-            let (all, one_way_partition) = zones.entry(&machine.zone).or_default();
-            *all += 1;
-            *one_way_partition += usize::from(machine.own_report_late(late_ms, now));
+            let (total, affected) = zones.entry(&machine.zone).or_default();
+            *total += 1;
+            *affected += usize::from(machine.own_report_late(late_ms, now));
         }
-        let mostly = zones.into_iter().filter(|(_, (all, one_way_partition))| {
-            *one_way_partition >= MUTE_ZONE_LEAST && 2 * one_way_partition > *all
-        });
-        let mostly: BTreeSet<String> = mostly.map(|(zone, _)| zone.to_owned()).collect();
-        for zone in mostly.symmetric_difference(&self.one_way_partitions.zones) {
-            if mostly.contains(zone) {
+        let affected_zones = zones
+            .into_iter()
+            .filter(|(_, (total, affected))| *affected >= MUTE_ZONE_LEAST && 2 * affected > *total);
+        let affected_zones: BTreeSet<String> = affected_zones.map(|(zone, _)| zone.to_owned()).collect();
+        for zone in affected_zones.symmetric_difference(&self.one_way_partitions.zones) {
+            if affected_zones.contains(zone) {
                 log::warn!(
                     "one-way partition detected zone={zone}: most of its machines answer but send no heartbeat, none is rented there"
                 );
@@ -38,10 +40,11 @@
                 log::info!("one-way partition ended zone={zone}");
             }
         }
-        self.one_way_partitions.zones = mostly;
+        self.one_way_partitions.zones = affected_zones;
         for machine in self.machines.values_mut() {
-            let in_zone = !machine.reports && self.one_way_partitions.zones.contains(&machine.zone);
-            let one_way_partition = machine.is_up() && (in_zone || machine.own_report_late(late_ms, now));
+            let in_affected_zone = !machine.reports && self.one_way_partitions.zones.contains(&machine.zone);
+            let one_way_partition =
+                machine.is_up() && (in_affected_zone || machine.own_report_late(late_ms, now));
             if one_way_partition != std::mem::replace(&mut machine.one_way_partition, one_way_partition) {
                 self.scheduler.request_pass();
                 if one_way_partition {
@@ -54,7 +57,7 @@
         }
     }
 
-    /// Whether machines rented in the zone would be cut off one way.
+    /// Whether machines rented in this zone would be affected by a one-way partition.
     pub(super) fn is_zone_one_way_partitioned(&self, zone: &str) -> bool {
         self.one_way_partitions.zones.contains(zone)
     }
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -1,5 +1,5 @@
-//! Whether this node may be the one that is cut off: a sample of the machines that still answer is
-//! probed whenever others fall silent.
+//! Detection of a partition of this node: when a machine becomes unreachable, a sample of the others is
+//! probed to tell a failed machine from a leader that is cut off itself.
 
 use super::{LeaderTerm, PeerView};
 use crate::constants::{
@@ -10,33 +10,34 @@
 use crate::io::Io;
 use crate::model::{MachineId, Timestamp};
 
-/// The last sample of machines, and what it says of this node.
+/// The last probed sample, and the suspicion that follows from it.
 #[derive(Debug, Default)]
 pub(super) struct PartitionDetector {
-    /// When machines were last sampled, because one was silent.
+    /// When a sample was last probed.
     sampled_at: Option<Timestamp>,
     sample: Vec<MachineId>,
-    /// Most of the last sample did not answer in time, and have not been heard since.
+    /// Whether most of the last sample did not answer in time and have not been heard since.
     sample_unreachable: bool,
-    /// Since when this node may be the one that is cut off.
+    /// Since when this node is suspected of being partitioned.
     suspected_since: Option<Timestamp>,
-    /// When it was last found not to be.
+    /// When the suspicion was last ruled out.
     ruled_out_at: Option<Timestamp>,
 }
 
-/// How many machines are silent, of all that have been up.
+/// Number of unreachable machines, and of all machines that have been up.
 #[derive(Debug, Clone, Copy)]
 struct ReachabilityCount {
-    silent: u32,
-    all: u32,
+    unreachable: u32,
+    total: u32,
 }
 
 impl LeaderTerm {
-    /// Machines fall silent one after the other, as their heartbeats fall due, also
-    /// when it is the leader who is cut off. So whenever one is newly silent, some of
-    /// the others, spread over the fleet, are asked before it is given back.
+    /// Probes a sample of the other machines when one has newly become unreachable.
+    ///
+    /// Machines become unreachable one after the other, as their heartbeats fall due, also when it is the
+    /// leader that is cut off. The sample, spread over the fleet, is probed before any of them is released.
     pub(super) fn sample_reachability(&mut self, io: &mut Io) {
-        let newest = self
+        let last_unreachable_at = self
             .machines
             .values()
             .filter(|machine| machine.inspect_failed && !machine.returning)
@@ -47,14 +48,14 @@
             .sampled_at
             .is_some_and(|at| io.now >= at + INSPECT_TIMEOUT_MS)
         {
-            // Nobody was left to ask where all are silent.
-            self.partition_detector.sample_unreachable = newest.is_some()
+            // An empty sample means that no reachable machine was left to probe.
+            self.partition_detector.sample_unreachable = last_unreachable_at.is_some()
                 && (self.partition_detector.sample.is_empty() || !self.sample_is_reachable());
         }
-        let due = newest.is_some_and(|silent_at| {
+        let due = last_unreachable_at.is_some_and(|unreachable_at| {
             self.partition_detector
                 .sampled_at
-                .is_none_or(|at| at < silent_at && io.now >= at + INSPECT_TIMEOUT_MS)
+                .is_none_or(|at| at < unreachable_at && io.now >= at + INSPECT_TIMEOUT_MS)
         });
         if !due {
             return;
@@ -69,44 +70,45 @@
         self.partition_detector.sample = self.probe_sample(others, PROBE_SAMPLE, io);
     }
 
-    /// Most of the machines in the last sample have been heard since it was asked.
+    /// Whether at least half of the known machines in the last sample have been heard since it was probed.
     pub(super) fn sample_is_reachable(&self) -> bool {
         let Some(sampled_at) = self.partition_detector.sampled_at else {
             return false;
         };
-        let there = self
+        let still_known = self
             .partition_detector
             .sample
             .iter()
             .filter(|id| self.machines.contains(id));
-        2 * self.count_heard_since(&self.partition_detector.sample, sampled_at) >= there.count()
+        2 * self.count_heard_since(&self.partition_detector.sample, sampled_at) >= still_known.count()
     }
 
-    /// Machines that do not answer, and all that have been up.
+    /// Counts the unreachable machines among all that have been up.
     fn count_unreachable(&self) -> ReachabilityCount {
-        // Late copies of heartbeats from machines that went back suggested that this node was cut off.
+        // Machines known only from a heartbeat are left out: delayed duplicates from released machines would
+        // otherwise suggest that this node is cut off.
         let up = self
             .machines
             .values()
             .filter(|machine| machine.has_been_up() && !machine.hearsay);
-        let (mut silent, mut all) = (0, 0);
+        let (mut unreachable, mut total) = (0, 0);
         for machine in up {
-            all += 1;
-            silent += u32::from(machine.inspect_failed);
+            total += 1;
+            unreachable += u32::from(machine.inspect_failed);
         }
-        ReachabilityCount { silent, all }
+        ReachabilityCount { unreachable, total }
     }
 
-    /// So many machines fall silent at once that this node may be the one cut off: most of all,
-    /// or of those in the last sample. It takes longer than a lease to ask all of a large fleet.
+    /// Whether this node may be the one that is partitioned: most of the fleet, or of the last sample, is
+    /// unreachable. The sample is needed because probing all of a large fleet takes longer than a lease.
     pub(super) fn suspects_own_partition(&self) -> bool {
-        let ReachabilityCount { silent, all } = self.count_unreachable();
-        silent >= 2
+        let ReachabilityCount { unreachable, total } = self.count_unreachable();
+        unreachable >= 2
             && (self.partition_detector.sample_unreachable
-                || f64::from(silent) > SUSPECT_SELF_SHARE * f64::from(all))
+                || f64::from(unreachable) > SUSPECT_SELF_SHARE * f64::from(total))
     }
 
-    /// Hands leadership over where a peer hears the workers that are silent here.
+    /// Hands leadership over if this node seems partitioned and a peer hears the workers, or may hear them.
     pub(super) fn check_own_partition(
         &mut self,
         election: &mut Election,
@@ -123,19 +125,21 @@
         if io.now >= since + SUSPECT_SELF_MS && peers.max_workers_heard > 0 {
             return election.hand_over("most workers are silent here, but not to a sibling", io);
         }
-        // Peers that are there and cannot be asked may hear all of them; if nobody does, nothing
-        // is lost with a leader that hears none either.
-        let alone = peers.recently_heard == 0 && peers.total > 0;
-        if alone && self.partition_detector.sample_unreachable && io.now >= since + SUSPECT_SELF_ALONE_MS {
+        // Peers that this node cannot reach may hear all workers. If none does, handing over costs
+        // nothing, as this leader hears no worker either.
+        let isolated = peers.recently_heard == 0 && peers.total > 0;
+        if isolated && self.partition_detector.sample_unreachable && io.now >= since + SUSPECT_SELF_ALONE_MS {
             return election.hand_over("most workers are silent here, and no sibling can be asked", io);
         }
         None
     }
 
-    /// Whether silent machines may be given back as gone. Alone in silence, with nobody to say who
-    /// is cut off, nothing is given back; a peer that hears no worker either says they are gone.
+    /// Whether unreachable machines may be released as failed.
+    ///
+    /// While this node may be partitioned and no peer can be consulted, nothing is released. A peer that
+    /// hears no worker either confirms that the machines have failed.
     pub(super) fn can_release_silent_machines(&self, peers: PeerView, now: Timestamp) -> bool {
-        let suspects_itself = self.suspects_own_partition()
+        let may_be_partitioned = self.suspects_own_partition()
             && (peers.recently_heard == 0
                 || peers.max_workers_heard > 0
                 || self
@@ -146,6 +150,6 @@
             .partition_detector
             .ruled_out_at
             .is_some_and(|at| now < at + HEARD_AGAIN_MS);
-        !suspects_itself && !just_ruled_out && self.sample_is_reachable()
+        !may_be_partitioned && !just_ruled_out && self.sample_is_reachable()
     }
 }
