--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation: what machines say in heartbeats and answers, and what follows for jobs and tasks.
+//! Reconciliation of the state that workers report with the state of jobs and tasks.
 
 use super::{LeaderTerm, Superseded, buffered_heartbeats};
 use crate::allocations::{Change, Machine};
@@ -10,9 +10,9 @@
 use indigopath_accounting::LossCause;
 use std::sync::Arc;
 
-/// Why the work of an attempt is lost, by the cause of its end.
-fn loss_cause(why: Cause) -> Option<LossCause> {
-    match why {
+/// The accounting cause of lost work, if an attempt that ended in this way loses its work.
+fn loss_cause(cause: Cause) -> Option<LossCause> {
+    match cause {
         Cause::Stopped => Some(LossCause::Stopped),
         Cause::Peers | Cause::Alone => Some(LossCause::Gang),
         Cause::Error | Cause::Other => Some(LossCause::Failed),
@@ -21,7 +21,11 @@
 }
 
 impl LeaderTerm {
-    /// A worker's heartbeat. `Err` if it has seen a newer leader.
+    /// Handles a heartbeat and replies with commands.
+    ///
+    /// # Errors
+    ///
+    /// [`Superseded`] if the worker has seen a newer leader.
     pub fn handle_heartbeat(
         &mut self,
         request: RequestId,
@@ -34,7 +38,7 @@
         }
         let id = MachineId(Arc::from(report.machine.as_str()));
         if self.machines.is_recently_released(&id) {
-            // Sent before it went; nobody waits for the answer.
+            // Sent before the release; no worker waits for the reply.
             io.reply_error(request, 503, "this machine is gone");
             return Ok(());
         }
@@ -43,9 +47,9 @@
             return Ok(());
         }
         if !self.watermark.permits_lease_renewal(io.now) {
-            // A cancellation that another node confirmed may be unknown here: the worker's lease must
-            // run out in time. Without this, an outage of the state service after this leader alone
-            // was refused, or amid its reading, kept cancelled tasks alive beyond their bound.
+            // A cancellation that another controller has confirmed may be unknown here, so the worker's
+            // lease must expire in time. Otherwise cancelled tasks outlive their bound when the state
+            // service rejects this leader alone and then fails, or fails during recovery.
             buffered_heartbeats::reject(request, io);
             return Ok(());
         }
@@ -53,8 +57,8 @@
         let token = self.token();
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.note_answered(report, io.now);
-            // A heartbeat superseded by the answer to a direct command still renews
-            // the lease, so it carries stops; nothing may follow from what it says.
+            // A heartbeat that is older than the response to a direct command still renews the lease, so
+            // its reply carries stop commands. Its contents must have no other effect.
             let orders = if newest {
                 machine.orders(Some((report.agent_epoch, report.seq)), certain, token, io.now)
             } else {
@@ -65,16 +69,18 @@
         Ok(())
     }
 
-    /// Reconciles a heartbeat with the records; false if it is not the newest.
+    /// Reconciles a heartbeat. Returns false if newer state of the machine is known already.
     pub(super) fn reconcile_heartbeat(&mut self, report: &Heartbeat, io: &mut Io) -> bool {
         self.reconcile(report, Machine::absorb, io)
     }
 
-    /// Takes what a machine answered to a command or a question.
+    /// Reconciles the state in the response to a direct command or probe.
     pub(super) fn reconcile_response(&mut self, report: &Heartbeat, io: &mut Io) {
         self.reconcile(report, Machine::absorb_answer, io);
     }
 
+    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false if
+    /// the report is outdated.
     fn reconcile(
         &mut self,
         report: &Heartbeat,
@@ -99,15 +105,15 @@
         let Some(changes) = absorb(machine, report, self.first_token, io.now) else {
             return false;
         };
-        // Most heartbeats say nothing new, and call for no pass.
+        // Most heartbeats bring no change and need no scheduling pass.
         self.scheduler
             .request_pass_if(!changes.is_empty() || machine.usability() != before);
         if let Some(rented_at) = rented_at {
             if machine.attempts.is_empty() {
                 machine.images = indigopath_image_locality::Cache::empty();
             }
-            // Only what this leader rented itself shows how long a boot takes:
-            // machines found running have no start to count from.
+            // Only machines that this leader launched show how long a boot takes: the start of the
+            // others is unknown.
             let took_s = (io.now - rented_at) as f64 / SECOND_MS as f64;
             self.autoscaler.record_boot_time(&machine.machine_type, took_s);
             log::info!("machine ready machine={id} boot_s={took_s:.1}");
@@ -117,13 +123,13 @@
         true
     }
 
-    /// Follows the changes of attempts on a machine.
-    pub(super) fn apply_changes(&mut self, machine: &MachineId, changes: Vec<Change>, io: &mut Io) {
-        let shard = self.machines.get(machine).and_then(|machine| machine.shard);
-        self.apply_changes_from_shard(machine, shard, changes, io);
+    /// Applies changes of attempts on a machine to their jobs.
+    pub(super) fn apply_changes(&mut self, machine_id: &MachineId, changes: Vec<Change>, io: &mut Io) {
+        let shard = self.machines.get(machine_id).and_then(|machine| machine.shard);
+        self.apply_changes_from_shard(machine_id, shard, changes, io);
     }
 
-    /// As `apply`, for a machine that may be gone: its record had this number.
+    /// Like [`Self::apply_changes`], for a machine that may have been removed: `shard` held its record.
     pub(super) fn apply_changes_from_shard(
         &mut self,
         machine: &MachineId,
@@ -179,7 +185,7 @@
         }
     }
 
-    /// An attempt has begun to run.
+    /// Handles an attempt that has started to run.
     fn on_task_running(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         log::debug!(
             "task running job={} machine={machine} task={}",
@@ -196,7 +202,7 @@
         }
     }
 
-    /// A machine runs an attempt that no record names: what it holds, its job may say.
+    /// Adopts an attempt that is not in the records: takes the counted resources it holds from its job.
     fn adopt_unrecorded(&mut self, machine_id: &MachineId, task: TaskId) {
         if let Some(job) = self.jobs.get(&task.job)
             && let Some(machine) = self.machines.get_mut(machine_id)
@@ -209,7 +215,7 @@
         self.machines.add_location(task.job, machine_id.clone());
     }
 
-    /// An attempt is gone with its machine.
+    /// Handles an attempt that was lost with its machine.
     fn on_task_lost(&mut self, task: &TaskId, number: u64, now: Timestamp) {
         self.note_end(task, number, Some(LossCause::Machine), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
@@ -220,7 +226,8 @@
         self.requeue(task, now);
     }
 
-    /// Work runs there: the machine is sound, and the jobs that failed on it are not.
+    /// Clears the failures counted against a machine, as a task has started on it, and marks the jobs that
+    /// failed there as failing on a good machine.
     fn clear_machine_errors(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -232,7 +239,7 @@
         }
     }
 
-    /// A task has completed: it is recorded as done.
+    /// Records a completed task as done.
     fn on_task_completed(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             self.close_attempt(machine, task, number);
@@ -241,7 +248,7 @@
         job.failures = 0;
         job.failed_on.clear();
         job.failed_on_good = false;
-        let finished: Vec<u32> = match job.spec.shape {
+        let completed: Vec<u32> = match job.spec.shape {
             // Tasks of a gang complete together.
             Shape::Gang => (0..job.spec.tasks).collect(),
             Shape::Array => vec![task.index],
@@ -252,11 +259,11 @@
                 return;
             }
         };
-        for index in finished {
+        for index in completed {
             job.waiting.remove(&index);
-            // One that was done before, as a former leader's record says, is recorded once more:
-            // only that lets its worker forget it. Else its machine was never empty, and could not
-            // go back while its job's other tasks ran.
+            // A task that a former leader has recorded as done is recorded once more, as only a written
+            // record lets the worker forget the attempt. Otherwise the machine is never empty and cannot
+            // be released while other tasks of the job run.
             if job.done.insert(index) || index == task.index && !job.complete() {
                 self.writer.done(job, index, now);
             }
@@ -266,7 +273,7 @@
         }
     }
 
-    /// The end of an attempt needs no record: its worker may forget it.
+    /// Marks an attempt as closed, so that its worker may forget it. Its end needs no record.
     fn close_attempt(&mut self, machine: &MachineId, task: &TaskId, number: u64) {
         if let Some(attempt) = self
             .machines
@@ -277,39 +284,39 @@
         }
     }
 
-    /// An attempt has ended without completing its task.
-    fn on_task_failed(&mut self, id: &MachineId, task: &TaskId, number: u64, why: Cause, io: &mut Io) {
+    /// Handles an attempt that ended without completing its task.
+    fn on_task_failed(&mut self, id: &MachineId, task: &TaskId, number: u64, cause: Cause, io: &mut Io) {
         self.close_attempt(id, task, number);
         let now = io.now;
         let mut fetching = false;
-        if why == Cause::Alone {
+        if cause == Cause::Alone {
             self.machines.for_each_attempt(&task.job, |_, attempt| {
                 fetching |= attempt.number == number && attempt.stop.is_none() && attempt.fetching();
             });
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number) {
-                gang.ended(why, fetching);
+                gang.ended(cause, fetching);
             }
-            match why {
+            match cause {
                 Cause::Error | Cause::Unknown | Cause::Other => {
                     log::info!(
-                        "task failed job={} machine={id} task={} cause={why:?}",
+                        "task failed job={} machine={id} task={} cause={cause:?}",
                         task.job,
                         task.index
                     );
                     job.failed_on.insert(id.clone());
                     job.failed_at = now;
                     if job.to_blame() && now >= job.held_until {
-                        let wait = BAD_JOB_WAIT_MS << job.failures.min(BAD_JOB_DOUBLINGS);
-                        job.held_until = now + wait;
+                        let backoff_ms = BAD_JOB_WAIT_MS << job.failures.min(BAD_JOB_DOUBLINGS);
+                        job.held_until = now + backoff_ms;
                         job.failures += 1;
                     }
-                    // A job that fails on several machines speaks against them all the
-                    // same, until one of them starts other work: in a wave of faulty
-                    // machines each job meets several, and had it been blamed alone, none
-                    // of them would ever have been found.
-                    if why == Cause::Error
+                    // A failure counts against the machine even if the job has failed on several
+                    // machines, until another task starts on one of them. In a wave of faulty machines
+                    // each job fails on several; blaming only the job would leave all of them
+                    // undetected.
+                    if cause == Cause::Error
                         && !job.failed_on_good
                         && let Some(machine) = self.machines.get_mut(id)
                     {
@@ -330,26 +337,26 @@
         self.requeue(task, now);
     }
 
-    /// The task waits again, unless it is done or may still be somewhere.
+    /// Queues the task again, unless it is done or may still run somewhere. Stops the rest of a broken gang.
     pub(super) fn requeue(&mut self, task: &TaskId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let mut elsewhere = false;
-        let mut left = false;
+        let mut any_left = false;
         let broken = job.gang.is_some_and(|gang| gang.broken);
         let grace_s = placement::grace_s(&job.spec);
-        self.machines.for_each_attempt(&task.job, |host, attempt| {
-            left |= attempt.may_be_there();
+        self.machines.for_each_attempt(&task.job, |machine_id, attempt| {
+            any_left |= attempt.may_be_there();
             elsewhere |= attempt.task.index == task.index && attempt.may_be_there();
             if broken && !attempt.exited() && attempt.stop.is_none() {
-                self.commands.request_stop(attempt, host, grace_s, now);
+                self.commands.request_stop(attempt, machine_id, grace_s, now);
             }
         });
         if !elsewhere && !job.done.contains(&task.index) && task.index < job.spec.tasks {
             job.waiting.insert(task.index);
         }
-        if !left {
+        if !any_left {
             job.gang = None;
         }
     }
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -1,10 +1,10 @@
-//! Zones that are cut off: their machines are kept, as they go on working.
+//! Detection of zone partitions, and retention of the machines in a partitioned zone.
 //!
-//! A machine that is silent among others that answer is given back at once. Where a whole zone
-//! is silent, its machines run on inside it, and are all there when the cut is over: giving them
-//! back ends hundreds of tasks and empties as many caches, while often nothing could run them
-//! elsewhere. So they are kept for as long as the cut may last, and their tasks wait for
-//! their leases to run out, as for the proof that nothing runs there.
+//! A machine that is unreachable while others in its zone answer is released at once. If a whole zone is
+//! unreachable, its machines usually keep running and return when the partition heals. Releasing them would
+//! end hundreds of tasks and empty as many caches, often without capacity elsewhere to run the tasks. The
+//! machines are therefore retained for a bounded time, and their tasks are requeued only after the leases
+//! have expired, which proves that nothing runs there any more.
 
 use super::LeaderTerm;
 use crate::allocations::Machine;
@@ -19,26 +19,26 @@
 use crate::settings::Deployment;
 use std::collections::{BTreeMap, HashSet};
 
-/// Machines of a zone that were asked because others of it are silent.
+/// A probed sample of a zone's machines, taken because others in the zone are unreachable.
 #[derive(Debug)]
 struct ProbeSample {
     sampled_at: Timestamp,
     probed: Vec<MachineId>,
-    /// Most of its machines are silent.
+    /// Whether the zone is considered partitioned.
     partitioned: bool,
-    /// When any of its machines was last silent, and there still.
+    /// When the zone last had an unreachable machine that was not released.
     silent_at: Timestamp,
-    /// When it answered again after a cut.
+    /// When the zone was reachable again after a partition.
     recovered_at: Option<Timestamp>,
 }
 
-/// What a leader knows of zones.
+/// The latest probe sample of each zone that has unreachable machines.
 #[derive(Debug, Default)]
 pub(super) struct ZoneHealth {
     probe_samples: BTreeMap<String, ProbeSample>,
 }
 
-/// How many of a zone's machines there are, and how many of them are silent.
+/// Number of machines of a zone that have been up, and of the unreachable ones among them.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneTally {
     up: usize,
@@ -47,6 +47,7 @@
 }
 
 impl LeaderTerm {
+    /// Counts machines and unreachable machines by zone.
     fn tally_zones(&self) -> BTreeMap<String, ZoneTally> {
         let mut tallies: BTreeMap<String, ZoneTally> = BTreeMap::new();
         let up = self
@@ -67,7 +68,8 @@
         tallies
     }
 
-    /// Asks some of a zone's other machines whenever one is newly silent, and judges.
+    /// Probes a sample of a zone's other machines when one has newly become unreachable, and updates whether
+    /// the zone is partitioned.
     pub(super) fn update_zone_health(&mut self, io: &mut Io) {
         if self.zone_health.probe_samples.is_empty()
             && self.machines.values().all(|machine| !machine.inspect_failed)
@@ -75,7 +77,7 @@
             return;
         }
         let tallies = self.tally_zones();
-        let all: usize = tallies.values().map(|tally| tally.up).sum();
+        let total: usize = tallies.values().map(|tally| tally.up).sum();
         self.zone_health
             .probe_samples
             .retain(|zone, probe_sample| match tallies.get(zone) {
@@ -89,17 +91,17 @@
                     }
                     false
                 }
-                // Its machines are given back: after a while it is worth another try.
+                // Its machines have been released. The zone is avoided for a while, then tried again.
                 _ => probe_sample.partitioned && io.now < probe_sample.silent_at + ZONE_AVOIDED_MS,
             });
         for (zone, tally) in tallies {
-            // A site that has one zone only, or nearly so, has no other to judge by.
-            let alone = tally.up as f64 > ZONE_MOST * all as f64;
-            if tally.silent == 0 || tally.up < ZONE_LEAST || alone {
+            // A zone with nearly total of the fleet cannot be compared with other zones.
+            let dominates_fleet = tally.up as f64 > ZONE_MOST * total as f64;
+            if tally.silent == 0 || tally.up < ZONE_LEAST || dominates_fleet {
                 continue;
             }
-            // Judged by those that were asked before others are: where more are found silent all
-            // the time, the next question is due as soon as the last can be judged.
+            // Evaluate the last sample before a new one replaces it: while machines keep becoming
+            // unreachable, the next sample is due as soon as the last one can be evaluated.
             self.evaluate_zone(&zone, tally, io.now);
             let due = self
                 .zone_health
@@ -122,8 +124,8 @@
             .filter(|machine| machine.zone == zone && machine.has_been_up() && !machine.inspect_failed)
             .map(|machine| machine.id.clone())
             .collect();
-        let cut = self.is_zone_partitioned(zone);
-        let back_at = self
+        let partitioned = self.is_zone_partitioned(zone);
+        let recovered_at = self
             .zone_health
             .probe_samples
             .get(zone)
@@ -131,33 +133,34 @@
         let probe_sample = ProbeSample {
             sampled_at: io.now,
             probed: self.probe_sample(others, ZONE_SAMPLE, io),
-            partitioned: cut,
+            partitioned,
             silent_at: io.now,
-            recovered_at: back_at,
+            recovered_at,
         };
         self.zone_health
             .probe_samples
             .insert(zone.to_owned(), probe_sample);
     }
 
+    /// Updates whether the zone is partitioned, from its last sample and the share of unreachable machines.
     fn evaluate_zone(&mut self, zone: &str, tally: ZoneTally, now: Timestamp) {
         let Some(probe_sample) = self.zone_health.probe_samples.get(zone) else {
             return;
         };
         let heard = self.count_heard_since(&probe_sample.probed, probe_sample.sampled_at);
         let silent = probe_sample.probed.len() - heard;
-        let answers = heard > 0 && heard >= silent;
-        let over = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-        let most = tally.silent as f64 >= ZONE_SILENT * tally.up as f64;
+        let answering = heard > 0 && heard >= silent;
+        let timed_out = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
+        let mostly_silent = tally.silent as f64 >= ZONE_SILENT * tally.up as f64;
         let Some(probe_sample) = self.zone_health.probe_samples.get_mut(zone) else {
             return;
         };
-        if answers {
+        if answering {
             if std::mem::take(&mut probe_sample.partitioned) {
                 probe_sample.recovered_at = Some(now);
                 log::info!("zone reachable again zone={zone}");
             }
-        } else if (most || over && silent > heard) && !probe_sample.partitioned {
+        } else if (mostly_silent || timed_out && silent > heard) && !probe_sample.partitioned {
             probe_sample.partitioned = true;
             log::warn!(
                 "zone unreachable zone={zone} silent={} machines={}: they are kept meanwhile",
@@ -167,62 +170,72 @@
         }
     }
 
-    /// Whether machines rented in the zone would be out of reach.
+    /// Whether the zone is partitioned, so that machines rented there would be unreachable.
     pub(super) fn is_zone_partitioned(&self, zone: &str) -> bool {
         let probe_sample = self.zone_health.probe_samples.get(zone);
         probe_sample.is_some_and(|probe_sample| probe_sample.partitioned)
     }
 
-    /// Silent machines that are not given back now: while nobody knows yet whether their zone is
-    /// cut off, and while it is, for [`ZONE_KEPT_LEASES`] leases, unless a replica on them
-    /// could run in another zone, where people reach it.
+    /// Unreachable machines that must not be released now.
+    ///
+    /// They are retained while their zone is being evaluated, for a while after it has become reachable
+    /// again, and for [`ZONE_KEPT_LEASES`] leases while it is partitioned. The last does not hold for a
+    /// machine with a replica that could run in another zone, where its users can reach it.
     pub(super) fn retained_machines(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
         let lease_ms = (deployment.workers.lease_s * SECOND_MS as f64) as u64;
-        let mut kept = HashSet::new();
+        let mut retained = HashSet::new();
         for (zone, probe_sample) in &self.zone_health.probe_samples {
-            let answered = 2 * self.count_heard_since(&probe_sample.probed, probe_sample.sampled_at)
+            let sample_answered = 2 * self.count_heard_since(&probe_sample.probed, probe_sample.sampled_at)
                 >= probe_sample.probed.len();
-            let judging =
-                !probe_sample.partitioned && !answered && now < probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-            let back = probe_sample
+            let evaluating = !probe_sample.partitioned
+                && !sample_answered
+                && now < probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
+            let just_recovered = probe_sample
                 .recovered_at
                 .is_some_and(|at| now < at + HEARD_AGAIN_MS);
-            if !probe_sample.partitioned && !judging && !back {
+            if !probe_sample.partitioned && !evaluating && !just_recovered {
                 continue;
             }
             for machine in self.machines.values() {
                 if machine.zone != *zone || !machine.inspect_failed {
                     continue;
                 }
-                let heard = machine.heard.unwrap_or(self.started);
-                let long = now > heard + ZONE_KEPT_LEASES * lease_ms;
-                if judging || back || !long && !self.has_movable_replica(machine, &deployment.zones) {
-                    kept.insert(machine.id.clone());
+                let last_heard_at = machine.heard.unwrap_or(self.started);
+                let retention_expired = now > last_heard_at + ZONE_KEPT_LEASES * lease_ms;
+                if evaluating
+                    || just_recovered
+                    || !retention_expired && !self.has_movable_replica(machine, &deployment.zones)
+                {
+                    retained.insert(machine.id.clone());
                 }
             }
         }
-        kept
+        retained
     }
 
-    /// Whether a replica on the machine may run in another zone.
+    /// Whether a replica on the machine could run in another zone.
     fn has_movable_replica(&self, machine: &Machine, zones: &[String]) -> bool {
-        let there = machine.attempts.iter().filter(|attempt| attempt.may_be_there());
-        let mut jobs = there.filter_map(|attempt| self.jobs.get(&attempt.task.job));
+        let present = machine.attempts.iter().filter(|attempt| attempt.may_be_there());
+        let mut jobs = present.filter_map(|attempt| self.jobs.get(&attempt.task.job));
         jobs.any(|job| job.spec.shape == Shape::Service && self.can_move_from(job, &machine.zone, zones))
     }
 
+    /// Whether another zone has room for one more task of the job, within its limit per zone.
     fn can_move_from(&self, job: &Job, zone: &str, zones: &[String]) -> bool {
         let spec = &job.spec;
         if spec.zone.is_some() || spec.one_zone && spec.tasks > 1 {
             return false;
         }
-        let taken = placement::tasks_by_zone(
+        let tasks_by_zone = placement::tasks_by_zone(
             &spec.id,
             self.machines.task_locations(),
             self.machines.as_map(),
             zones,
         );
-        let mut others = zones.iter().zip(taken).filter(|(other, _)| *other != zone);
-        others.any(|(_, taken)| taken < spec.zone_cap())
+        let mut others = zones
+            .iter()
+            .zip(tasks_by_zone)
+            .filter(|(other, _)| *other != zone);
+        others.any(|(_, tasks)| tasks < spec.zone_cap())
     }
 }
