--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -3,8 +3,8 @@
 
 use super::{LeaderTerm, PeerView};
 use crate::constants::{
-    HEARD_AGAIN_MS, INSPECT_TIMEOUT_MS, PROBE_SAMPLE, SUSPECT_SELF_ALONE_MS, SUSPECT_SELF_MS,
-    SUSPECT_SELF_SHARE,
+    INSPECT_TIMEOUT_MS, PROBE_SAMPLE, RECONNECT_GRACE_MS, SELF_PARTITION_HANDOVER_ALONE_MS,
+    SELF_PARTITION_HANDOVER_MS, SELF_PARTITION_SILENT_SHARE,
 };
 use crate::election::{Election, ElectionEvent};
 use crate::io::Io;
@@ -105,7 +105,7 @@
         let ReachabilityCount { unreachable, total } = self.count_unreachable();
         unreachable >= 2
             && (self.partition_detector.sample_unreachable
-                || f64::from(unreachable) > SUSPECT_SELF_SHARE * f64::from(total))
+                || f64::from(unreachable) > SELF_PARTITION_SILENT_SHARE * f64::from(total))
     }
 
     /// Hands leadership over if this node seems partitioned and a peer hears the workers, or may hear them.
@@ -122,13 +122,13 @@
             return None;
         }
         let since = *self.partition_detector.suspected_since.get_or_insert(io.now);
-        if io.now >= since + SUSPECT_SELF_MS && peers.max_workers_heard > 0 {
+        if io.now >= since + SELF_PARTITION_HANDOVER_MS && peers.max_workers_heard > 0 {
             return election.hand_over("most workers are silent here, but not to a sibling", io);
         }
         // Peers that this node cannot reach may hear all workers. If none does, handing over costs
         // nothing, as this leader hears no worker either.
         let isolated = peers.recently_heard == 0 && peers.total > 0;
-        if isolated && self.partition_detector.sample_unreachable && io.now >= since + SUSPECT_SELF_ALONE_MS {
+        if isolated && self.partition_detector.sample_unreachable && io.now >= since + SELF_PARTITION_HANDOVER_ALONE_MS {
             return election.hand_over("most workers are silent here, and no sibling can be asked", io);
         }
         None
@@ -145,11 +145,11 @@
                 || self
                     .partition_detector
                     .suspected_since
-                    .is_none_or(|since| now < since + SUSPECT_SELF_MS + peers.worker_failover_ms));
+                    .is_none_or(|since| now < since + SELF_PARTITION_HANDOVER_MS + peers.worker_failover_ms));
         let just_ruled_out = self
             .partition_detector
             .ruled_out_at
-            .is_some_and(|at| now < at + HEARD_AGAIN_MS);
+            .is_some_and(|at| now < at + RECONNECT_GRACE_MS);
         !may_be_partitioned && !just_ruled_out && self.sample_is_reachable()
     }
 }
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -9,8 +9,8 @@
 use super::LeaderTerm;
 use crate::allocations::Machine;
 use crate::constants::{
-    HEARD_AGAIN_MS, INSPECT_TIMEOUT_MS, SECOND_MS, ZONE_AVOIDED_MS, ZONE_KEPT_LEASES, ZONE_LEAST, ZONE_MOST,
-    ZONE_SAMPLE, ZONE_SILENT,
+    INSPECT_TIMEOUT_MS, RECONNECT_GRACE_MS, SECOND_MS, ZONE_OUTAGE_KEPT_LEASES, ZONE_OUTAGE_MAX_FLEET_SHARE,
+    ZONE_OUTAGE_MIN_MACHINES, ZONE_OUTAGE_SILENT_SHARE, ZONE_PROBE_SAMPLE, ZONE_RENTAL_BACKOFF_MS,
 };
 use crate::io::Io;
 use crate::model::{Job, MachineId, Timestamp};
@@ -85,19 +85,19 @@
                     probe_sample.silent_at = io.now;
                     true
                 }
-                Some(tally) if tally.up >= ZONE_LEAST => {
+                Some(tally) if tally.up >= ZONE_OUTAGE_MIN_MACHINES => {
                     if probe_sample.partitioned {
                         log::info!("zone reachable again zone={zone}");
                     }
                     false
                 }
                 // Its machines have been released. The zone is avoided for a while, then tried again.
-                _ => probe_sample.partitioned && io.now < probe_sample.silent_at + ZONE_AVOIDED_MS,
+                _ => probe_sample.partitioned && io.now < probe_sample.silent_at + ZONE_RENTAL_BACKOFF_MS,
             });
         for (zone, tally) in tallies {
             // A zone with nearly total of the fleet cannot be compared with other zones.
-            let dominates_fleet = tally.up as f64 > ZONE_MOST * total as f64;
-            if tally.silent == 0 || tally.up < ZONE_LEAST || dominates_fleet {
+            let dominates_fleet = tally.up as f64 > ZONE_OUTAGE_MAX_FLEET_SHARE * total as f64;
+            if tally.silent == 0 || tally.up < ZONE_OUTAGE_MIN_MACHINES || dominates_fleet {
                 continue;
             }
             // Evaluate the last sample before a new one replaces it: while machines keep becoming
@@ -132,7 +132,7 @@
             .and_then(|probe_sample| probe_sample.recovered_at);
         let probe_sample = ProbeSample {
             sampled_at: io.now,
-            probed: self.probe_sample(others, ZONE_SAMPLE, io),
+            probed: self.probe_sample(others, ZONE_PROBE_SAMPLE, io),
             partitioned,
             silent_at: io.now,
             recovered_at,
@@ -151,7 +151,7 @@
         let silent = probe_sample.probed.len() - heard;
         let answering = heard > 0 && heard >= silent;
         let timed_out = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-        let mostly_silent = tally.silent as f64 >= ZONE_SILENT * tally.up as f64;
+        let mostly_silent = tally.silent as f64 >= ZONE_OUTAGE_SILENT_SHARE * tally.up as f64;
         let Some(probe_sample) = self.zone_health.probe_samples.get_mut(zone) else {
             return;
         };
@@ -179,7 +179,7 @@
     /// Unreachable machines that must not be released now.
     ///
     /// They are retained while their zone is being evaluated, for a while after it has become reachable
-    /// again, and for [`ZONE_KEPT_LEASES`] leases while it is partitioned. The last does not hold for a
+    /// again, and for [`ZONE_OUTAGE_KEPT_LEASES`] leases while it is partitioned. The last does not hold for a
     /// machine with a replica that could run in another zone, where its users can reach it.
     pub(super) fn retained_machines(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
         let lease_ms = (deployment.workers.lease_s * SECOND_MS as f64) as u64;
@@ -192,7 +192,7 @@
                 && now < probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
             let just_recovered = probe_sample
                 .recovered_at
-                .is_some_and(|at| now < at + HEARD_AGAIN_MS);
+                .is_some_and(|at| now < at + RECONNECT_GRACE_MS);
             if !probe_sample.partitioned && !evaluating && !just_recovered {
                 continue;
             }
@@ -201,7 +201,7 @@
                     continue;
                 }
                 let last_heard_at = machine.heard.unwrap_or(self.started);
-                let retention_expired = now > last_heard_at + ZONE_KEPT_LEASES * lease_ms;
+                let retention_expired = now > last_heard_at + ZONE_OUTAGE_KEPT_LEASES * lease_ms;
                 if evaluating
                     || just_recovered
                     || !retention_expired && !self.has_movable_replica(machine, &deployment.zones)
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -7,10 +7,10 @@
 use super::queue_order::within_guarantee;
 use super::{ClusterSnapshot, Plan, usable};
 use crate::allocations::{Attempt, Machine};
-use crate::constants::{HELD_LASTING_S, HELD_LEAST_S};
+use crate::constants::{DEFAULT_OCCUPANCY_S, MIN_OCCUPANCY_S};
 use crate::model::{Resources, Timestamp};
 use crate::protocol::{MachineType, Priority};
-use indigopath_counted_resources::Book;
+use indigopath_counted_resources::UnitLedger;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 
@@ -20,7 +20,7 @@
     types: Vec<&'a MachineType>,
     images: ImageCatalog<'a>,
     usage: UsageByTeam<'a>,
-    book: Book<'a>,
+    book: UnitLedger<'a>,
     any_leaving: bool,
 }
 
@@ -31,7 +31,7 @@
             types: cluster.types.values().collect(),
             images: ImageCatalog::default(),
             usage: UsageByTeam::default(),
-            book: Book::with_policy(cluster.units.definitions, cluster.units.policy),
+            book: UnitLedger::with_policy(cluster.units.definitions, cluster.units.policy),
             any_leaving: false,
         }
     }
@@ -180,8 +180,10 @@
     if attempt.estimate_s > 0.0 {
         // A task that has run over may do so for as long again: else it seemed about to end for ever,
         // and machines beside it were reserved for a gang as long as it ran.
-        (attempt.estimate_s - attempt.ran_s(now)).abs().max(HELD_LEAST_S)
+        (attempt.estimate_s - attempt.ran_s(now))
+            .abs()
+            .max(MIN_OCCUPANCY_S)
     } else {
-        HELD_LASTING_S
+        DEFAULT_OCCUPANCY_S
     }
 }
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -3,7 +3,7 @@
 use super::pass::Pass;
 use super::queue_order::QueueEntry;
 use crate::allocations::Attempt;
-use crate::constants::UNIT_STOPS_PER_PASS;
+use crate::constants::UNIT_PREEMPTIONS_PER_PASS;
 use crate::model::{Job, JobId};
 use crate::protocol::Shape;
 use indigopath_counted_resources::{Demand, Name};
@@ -13,7 +13,7 @@
     /// Stops what holds these units, if enough of it may be stopped for the job: work of
     /// lower priority, or of a team that borrows, for one that its team is guaranteed.
     pub(super) fn free_units(&mut self, entry: &QueueEntry<'a>, mut missing: Vec<(Name, u32)>) -> bool {
-        if self.unit_stops >= UNIT_STOPS_PER_PASS {
+        if self.unit_stops >= UNIT_PREEMPTIONS_PER_PASS {
             return false;
         }
         self.resolve_running_jobs();
@@ -67,7 +67,7 @@
     fn stop_unit_victim(&mut self, victim: &UnitVictim<'a>, missing: &mut [(Name, u32)]) {
         self.unit_stops += 1;
         for _ in 0..victim.tasks {
-            self.book.stops(victim.team, victim.counts, missing);
+            self.book.record_stops(victim.team, victim.counts, missing);
         }
         let capacity = &mut self.capacities[victim.at];
         let machine = capacity.machine.id.clone();
@@ -127,7 +127,7 @@
             .counts
             .iter()
             .map(|(count, _)| &**count)
-            .filter(|count| self.book.get(count).is_some_and(|pool| pool.is_shared()))
+            .filter(|count| self.book.get(count).is_some_and(|pool| pool.has_shares()))
             .map(|count| (count, victim.units(count)))
             .collect();
         let enough = !held.is_empty()
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -14,7 +14,7 @@
 
 use crate::allocations::Machine;
 use crate::autoscaling::scale_out_request::ScaleOutRequest;
-use crate::constants::{BYTES_PER_KB, VALUE_SHARE};
+use crate::constants::{BYTES_PER_KB, MAX_VALUE_SHARE};
 use crate::expiring_cache::ExpiringCache;
 use crate::io::json;
 use crate::job_api::authorization;
@@ -25,7 +25,7 @@
 use crate::storage::records::EndedRecord;
 use completed_tasks::CompletedTasks;
 use indigopath_accounting::{Access, Entry, FairQueue, Team};
-use indigopath_counted_resources::{Linger, Lingers};
+use indigopath_counted_resources::{Linger, LingerSet};
 use machine_shards::{MachineShards, ShardSources};
 use rereads::Rereads;
 use serde_json::value::RawValue;
@@ -68,7 +68,7 @@
 impl BatchWriter {
     /// A writer that knows no record yet.
     pub fn new(token: u64, settings: &Settings) -> BatchWriter {
-        let max_value_bytes = (settings.deployment.state.value_kb * BYTES_PER_KB * VALUE_SHARE) as usize;
+        let max_value_bytes = (settings.deployment.state.value_kb * BYTES_PER_KB * MAX_VALUE_SHARE) as usize;
         BatchWriter {
             token,
             unanswered_renewal: None,
@@ -105,7 +105,7 @@
     }
 
     /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub fn linger_read(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
+    pub fn linger_read(&mut self, number: u32, version: u64, lingers: LingerSet, spent: bool) {
         self.machine_shards
             .on_lingers_read(number, version, lingers, spent);
     }
