--- a/crates/controller/src/leader/buffered_heartbeats.rs
+++ b/crates/controller/src/leader/buffered_heartbeats.rs
@@ -1,7 +1,9 @@
-//! Heartbeats that come while the records are being read. Until then a leader cannot tell which of a
-//! worker's tasks belong to jobs that are over, so an answer would renew its lease for nothing that
-//! can be proved; turned away, the whole fleet would go round all nodes. So they are kept, for less
-//! than their workers wait.
+//! Buffer for heartbeats that arrive during recovery.
+//!
+//! Before recovery is complete, the leader cannot tell which of a worker's tasks belong to jobs that have
+//! ended, so a reply would renew the lease of tasks that may have been cancelled. If the heartbeats were
+//! rejected, the whole fleet would try all controllers in turn. They are therefore buffered, for less than
+//! the time that a worker waits for a reply.
 
 use crate::constants::{BUFFERED_HEARTBEAT_MS, BUFFERED_HEARTBEATS};
 use crate::io::{Io, RequestId};
@@ -9,7 +11,7 @@
 use crate::protocol::Heartbeat;
 use std::collections::VecDeque;
 
-/// A heartbeat whose worker waits for an answer.
+/// A heartbeat whose worker waits for a reply.
 #[derive(Debug)]
 struct BufferedHeartbeat {
     request: RequestId,
@@ -18,21 +20,22 @@
 }
 
 impl BufferedHeartbeat {
+    /// Number of entries that the heartbeat counts for: one, and one per task.
     fn size(&self) -> usize {
         1 + self.heartbeat.tasks.len()
     }
 }
 
-/// Heartbeats in the order of their arrival, bounded by their size.
+/// Heartbeats in order of arrival, bounded by their total size.
 #[derive(Debug, Default)]
 pub(super) struct BufferedHeartbeats {
     queue: VecDeque<BufferedHeartbeat>,
-    /// What they hold, as [`BUFFERED_HEARTBEATS`] counts it.
+    /// Total size, limited to [`BUFFERED_HEARTBEATS`].
     size: usize,
 }
 
 impl BufferedHeartbeats {
-    /// Keeps a heartbeat, or turns its worker away where there are too many.
+    /// Buffers a heartbeat, or rejects it if the buffer is full.
     pub(super) fn push(&mut self, request: RequestId, heartbeat: &Heartbeat, io: &mut Io) {
         let buffered = BufferedHeartbeat {
             request,
@@ -47,18 +50,18 @@
         self.queue.push_back(buffered);
     }
 
-    /// Turns away whoever has waited for too long.
+    /// Rejects heartbeats that have been buffered for [`BUFFERED_HEARTBEAT_MS`].
     pub(super) fn reject_expired(&mut self, io: &mut Io) {
         let now = io.now;
-        let late = |buffered: &BufferedHeartbeat| now >= buffered.received_at + BUFFERED_HEARTBEAT_MS;
-        while self.queue.front().is_some_and(late) {
+        let expired = |buffered: &BufferedHeartbeat| now >= buffered.received_at + BUFFERED_HEARTBEAT_MS;
+        while self.queue.front().is_some_and(expired) {
             if let Some((request, _)) = self.pop() {
                 reject(request, io);
             }
         }
     }
 
-    /// The longest kept one, to be answered now.
+    /// Removes and returns the oldest heartbeat.
     pub(super) fn pop(&mut self) -> Option<(RequestId, Heartbeat)> {
         let buffered = self.queue.pop_front()?;
         self.size -= buffered.size();
@@ -66,7 +69,7 @@
     }
 }
 
-/// Refuses a heartbeat: its worker asks another node.
+/// Rejects a heartbeat, so that its worker tries another controller.
 pub(super) fn reject(request: RequestId, io: &mut Io) {
     io.reply_error(request, 503, "which jobs are over is not known here");
 }
--- a/crates/controller/src/leader/buffered_heartbeats/tests.rs
+++ b/crates/controller/src/leader/buffered_heartbeats/tests.rs
@@ -8,7 +8,7 @@
     Io::new(&Settings::parse(settings).unwrap(), 1, now, 0)
 }
 
-/// A report that names so many tasks.
+/// A heartbeat that lists this number of tasks.
 fn heartbeat(tasks: usize) -> Heartbeat {
     let task = json!({ "Pick": "wk-1/0", "Try": 1, "Status": "running" });
     let body = json!({
@@ -18,8 +18,8 @@
     serde_json::from_value(body).unwrap()
 }
 
-/// Who was turned away, since it was last asked.
-fn turned_away(io: &mut Io) -> Vec<u64> {
+/// Takes the requests that were rejected since the last call.
+fn take_rejected(io: &mut Io) -> Vec<u64> {
     let effects = std::mem::take(&mut io.effects);
     let replies = effects.into_iter().map(|effect| match effect {
         Effect::Reply {
@@ -30,38 +30,38 @@
     replies.collect()
 }
 
-// Its worker waits for 4 s: whoever was kept longest hears in time, the others wait on.
+// A worker waits 4 s for a reply. The oldest heartbeat must be rejected before that, while newer ones stay.
 #[test]
-fn a_report_is_kept_for_less_than_its_worker_waits() {
+fn heartbeat_is_rejected_before_its_worker_times_out() {
     let mut io = io(1_000);
-    let mut reports = BufferedHeartbeats::default();
-    reports.push(RequestId(1), &heartbeat(0), &mut io);
+    let mut buffer = BufferedHeartbeats::default();
+    buffer.push(RequestId(1), &heartbeat(0), &mut io);
     io.now += 1_000;
-    reports.push(RequestId(2), &heartbeat(0), &mut io);
+    buffer.push(RequestId(2), &heartbeat(0), &mut io);
     io.now = 1_000 + BUFFERED_HEARTBEAT_MS - 1;
-    reports.reject_expired(&mut io);
-    assert!(turned_away(&mut io).is_empty());
+    buffer.reject_expired(&mut io);
+    assert!(take_rejected(&mut io).is_empty());
     io.now += 1;
-    reports.reject_expired(&mut io);
-    assert_eq!(turned_away(&mut io), [1]);
-    assert_eq!(reports.pop().map(|(request, _)| request), Some(RequestId(2)));
-    assert!(reports.pop().is_none());
+    buffer.reject_expired(&mut io);
+    assert_eq!(take_rejected(&mut io), [1]);
+    assert_eq!(buffer.pop().map(|(request, _)| request), Some(RequestId(2)));
+    assert!(buffer.pop().is_none());
 }
 
-// What is kept is bounded by what it holds, and what was answered makes room again.
+// The buffer is bounded by the total size of its heartbeats, and removing one frees space.
 #[test]
-fn what_finds_no_room_is_turned_away_at_once() {
+fn heartbeat_is_rejected_when_the_buffer_is_full() {
     let mut io = io(1_000);
-    let mut reports = BufferedHeartbeats::default();
+    let mut buffer = BufferedHeartbeats::default();
     let tasks = 99;
     let most = BUFFERED_HEARTBEATS / (1 + tasks);
     for request in 0..most {
-        reports.push(RequestId(request as u64), &heartbeat(tasks), &mut io);
+        buffer.push(RequestId(request as u64), &heartbeat(tasks), &mut io);
     }
-    assert!(turned_away(&mut io).is_empty());
-    reports.push(RequestId(u64::MAX), &heartbeat(0), &mut io);
-    assert_eq!(turned_away(&mut io), [u64::MAX]);
-    assert!(reports.pop().is_some());
-    reports.push(RequestId(u64::MAX), &heartbeat(0), &mut io);
-    assert!(turned_away(&mut io).is_empty());
+    assert!(take_rejected(&mut io).is_empty());
+    buffer.push(RequestId(u64::MAX), &heartbeat(0), &mut io);
+    assert_eq!(take_rejected(&mut io), [u64::MAX]);
+    assert!(buffer.pop().is_some());
+    buffer.push(RequestId(u64::MAX), &heartbeat(0), &mut io);
+    assert!(take_rejected(&mut io).is_empty());
 }
--- a/crates/controller/src/leader/calls.rs
+++ b/crates/controller/src/leader/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that a leader makes in its term. With the term, whoever waits for an answer is gone.
+//! Calls that a leader makes during its term. Responses that arrive after the term are dropped.
 
 use super::LeaderTerm;
 use super::accounting::BookCall;
@@ -9,41 +9,41 @@
 use crate::protocol::paths;
 use std::net::SocketAddrV4;
 
-/// A call under way, with what is needed to follow its answer.
+/// A call in flight, with the context needed to handle its response.
 #[derive(Debug)]
 pub(super) enum TermCall {
-    /// A page of records, read at the start of the term.
+    /// Reads a page of records during recovery.
     RecordsPage { sent: Timestamp },
-    /// Changes of live jobs' records.
+    /// Watches the records of live jobs for changes.
     Watch { sent: Timestamp },
-    /// A transaction that the batch writer put together.
+    /// A transaction assembled by the batch writer, or a token renewal.
     Transaction,
-    /// A record whose version is uncertain.
+    /// Reads a record whose version is uncertain.
     Reread {
         key: String,
-        /// Notices of peers that jobs had ended that had come when it was asked.
+        /// Number of end-of-job notices received from peers when the read was sent.
         end_notices: u64,
     },
     /// A direct command to a machine.
     Direct(DirectCall),
-    /// A question whether a machine answers.
+    /// Probes a machine.
     Probe { machine: MachineId },
-    /// A page of the cloud's list of machines.
+    /// Reads a page of the cloud's machine list.
     ListMachines,
-    /// A scale-out request, by its name.
+    /// Sends a scale-out request, identified by its key.
     Launch { request: String },
-    /// Machines that the cloud is to take back.
+    /// Releases machines to the cloud.
     Release {
         machines: Vec<MachineId>,
         sent: Timestamp,
     },
-    /// The record of the machine types.
+    /// Writes the machine types.
     StoreMachineTypes,
-    /// Usage of licences, as their server has it.
+    /// Reads licence usage from a licence server.
     LicenceUsage { server: SocketAddrV4 },
-    /// A change of a cluster's records; the watch tells what came of it.
+    /// Changes the records of a submitted cluster. The record watch delivers the result.
     SubmitCluster,
-    /// Reading or writing of teams' accounts.
+    /// Reads or writes the accounts of teams.
     Accounting(BookCall),
 }
 
@@ -62,7 +62,7 @@
         self.calls.expect(call, kind);
     }
 
-    /// Reads from the state service, within its usual time.
+    /// Reads from the state service with the default timeout.
     pub(super) fn read_state(&mut self, path: String, kind: TermCall, io: &mut Io) {
         self.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS, kind, io);
     }
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -184,7 +184,8 @@
         let until = io.now + left_ms.min(longest_ms);
         if io.now < until {
             let id = MachineId(released.name.clone());
-            self.machines.remember_released(&id, until + SERVER_USAGE_VALID_MS);
+            self.machines
+                .remember_released(&id, until + SERVER_USAGE_VALID_MS);
             self.writer.released_read(shard, id, until);
         }
     }
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -1,5 +1,5 @@
-//! Direct commands: orders that are sent to a machine at once, without waiting for its next
-//! heartbeat. An empty one fences former leaders and brings a heartbeat.
+//! Direct commands: commands that are sent to a worker at once, without waiting for its next heartbeat.
+//! An empty one serves as a fencing probe: it fences off former leaders and is answered with a heartbeat.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -13,32 +13,32 @@
 use crate::protocol::{DirectCommands, Heartbeat, Shape, paths};
 use std::collections::BTreeSet;
 
-/// A direct command on its way.
+/// A direct command in flight.
 #[derive(Debug)]
 pub(super) struct DirectCall {
     machine: MachineId,
     token: u64,
     agent_epoch: u64,
-    /// Sent to fence former leaders and to get a heartbeat, not for its orders.
+    /// Whether the command is a fencing probe.
     fencing_probe: bool,
 }
 
-/// Machines that may need a direct command, and how many commands are under way.
+/// Machines that may need a direct command, and the number of commands in flight.
 #[derive(Debug, Default)]
 pub(super) struct CommandQueue {
     due: BTreeSet<MachineId>,
     in_flight: usize,
-    /// A start may have been cancelled before it was sent.
+    /// Whether a start may have been cancelled before it was sent.
     start_may_be_cancelled: bool,
 }
 
 impl CommandQueue {
-    /// A direct command may be due for this machine.
+    /// Marks that this machine may need a direct command.
     pub(super) fn mark_due(&mut self, machine: MachineId) {
         self.due.insert(machine);
     }
 
-    /// Asks for an attempt's stop.
+    /// Requests the stop of an attempt.
     pub(super) fn request_stop(
         &mut self,
         attempt: &mut Attempt,
@@ -51,12 +51,12 @@
         self.due.insert(machine.clone());
     }
 
-    /// Whether a start may have been cancelled before it was sent, since this was last asked.
+    /// Returns whether a start may have been cancelled before it was sent, and resets this.
     pub(super) fn take_start_cancelled(&mut self) -> bool {
         std::mem::take(&mut self.start_may_be_cancelled)
     }
 
-    /// The next machine that may need a command, while fewer than the most are under way.
+    /// Returns the next machine that may need a command, if another one may be in flight.
     fn next_due(&mut self) -> Option<MachineId> {
         if self.in_flight < DIRECT_COMMANDS_IN_FLIGHT {
             self.due.pop_first()
@@ -67,7 +67,7 @@
 }
 
 impl LeaderTerm {
-    /// Sends what is due to the machines that something happened to.
+    /// Sends direct commands to the marked machines for which they are due.
     pub(super) fn send_due_commands(&mut self, certain: bool, io: &mut Io) {
         while let Some(id) = self.commands.next_due() {
             let machine = self.machines.get(&id);
@@ -77,18 +77,18 @@
         }
     }
 
-    /// Machines that a former leader may still command get an empty direct command:
-    /// it fences that one and brings a heartbeat. As most workers come by themselves
-    /// within seconds, no more are asked at a time than sockets and processor bear;
-    /// those with replicas or a gang, where people wait, come first.
+    /// Sends fencing probes to the machines that may still accept commands of a former leader.
+    ///
+    /// Most workers report on their own within seconds, so the probes are limited to what sockets and
+    /// processor can handle. Machines with replicas or gang tasks come first, as users wait for those.
     pub(super) fn send_fencing_probes(&mut self, io: &mut Io) {
         let now = io.now;
         let mut due: Vec<(bool, MachineId)> = Vec::new();
         for machine in self.machines.values() {
-            let waited = machine
+            let retry_due = machine
                 .fencing_probe_at
                 .is_none_or(|at| now >= at + DIRECT_COMMAND_TIMEOUT_MS / 2);
-            if machine.needs_fencing_probe && waited && machine.can_be_told() {
+            if machine.needs_fencing_probe && retry_due && machine.can_be_told() {
                 let batch_only = machine.attempts.iter().all(|attempt| {
                     self.jobs
                         .get(&attempt.task.job)
@@ -99,8 +99,7 @@
         }
         due.sort();
         for (_, id) in due {
-            // Machines that nobody can reach must not use up the questions that would
-            // prove it.
+            // Unreachable machines must not use up the probes that would prove them unreachable.
             if !self.liveness.try_take_probe(URGENT_PROBE_RESERVE, now) {
                 return;
             }
@@ -108,9 +107,15 @@
         }
     }
 
-    fn send_direct_command(&mut self, id: &MachineId, fencing_probe: bool, certain: bool, io: &mut Io) {
+    fn send_direct_command(
+        &mut self,
+        machine_id: &MachineId,
+        fencing_probe: bool,
+        certain: bool,
+        io: &mut Io,
+    ) {
         let token = self.token();
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let Some(addr) = machine.addr.clone() else { return };
@@ -127,8 +132,8 @@
         if fencing_probe {
             machine.fencing_probe_at = Some(io.now);
         }
-        // A machine from a record was last seen in an unknown agent epoch; nearly
-        // always the first. A wrong guess is answered with a heartbeat.
+        // The agent epoch of a machine restored from a record is unknown, and nearly always the first. A
+        // worker in another epoch responds with a heartbeat.
         let agent_epoch = machine.agent_epoch.max(1);
         let body = json(&DirectCommands {
             token,
@@ -145,7 +150,7 @@
         self.calls.expect(
             call,
             TermCall::Direct(DirectCall {
-                machine: id.clone(),
+                machine: machine_id.clone(),
                 token,
                 agent_epoch,
                 fencing_probe,
@@ -153,7 +158,7 @@
         );
     }
 
-    /// Follows the answer to a direct command.
+    /// Handles the response to a direct command.
     pub(super) fn handle_direct_response(
         &mut self,
         direct: DirectCall,
@@ -162,18 +167,18 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         let DirectCall {
-            machine: id,
+            machine: machine_id,
             token,
             agent_epoch,
             fencing_probe,
         } = direct;
-        let current = self.token();
+        let current_token = self.token();
         self.commands.in_flight = self.commands.in_flight.saturating_sub(1);
-        let machine = self.machines.get_mut(&id)?;
+        let machine = self.machines.get_mut(&machine_id)?;
         machine.direct_in_flight = false;
         if *outcome != Outcome::NotSent {
-            // Else there is no socket, or nobody listens: the next check tries again.
-            self.commands.mark_due(id.clone());
+            // If it was not sent, no socket was free or the connection was refused: the next check retries.
+            self.commands.mark_due(machine_id.clone());
         }
         let status = outcome.status();
         match (outcome, status) {
@@ -182,17 +187,17 @@
             _ => machine.direct_unanswered(token, agent_epoch),
         }
         let Some(report) = outcome.read::<Heartbeat>(&[200, 409]) else {
-            let waited = machine.fencing_probe_at.map_or(0, |at| io.now.saturating_sub(at));
-            if fencing_probe && waited >= INSPECT_TIMEOUT_MS {
-                self.mark_unreachable(&id, io.now);
+            let waited_ms = machine.fencing_probe_at.map_or(0, |at| io.now.saturating_sub(at));
+            if fencing_probe && waited_ms >= INSPECT_TIMEOUT_MS {
+                self.mark_unreachable(&machine_id, io.now);
             }
             return None;
         };
-        if report.machine != *id.0 {
-            // Another machine has this address now.
+        if report.machine != *machine_id.0 {
+            // The address now belongs to another machine.
             return None;
         }
-        if report.token > current {
+        if report.token > current_token {
             return election.deposed("a worker has seen a newer leader");
         }
         if fencing_probe && status == Some(200) {
--- a/crates/controller/src/leader/direct_commands/tests.rs
+++ b/crates/controller/src/leader/direct_commands/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_machine_that_is_marked_twice_is_due_once() {
+fn machine_marked_twice_is_due_once() {
     let mut commands = CommandQueue::default();
     commands.mark_due(machine(1));
     commands.mark_due(machine(1));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn no_machine_is_due_while_the_most_commands_are_under_way() {
+fn no_machine_is_due_at_the_limit_of_commands_in_flight() {
     let mut commands = CommandQueue::default();
     commands.mark_due(machine(1));
     commands.in_flight = DIRECT_COMMANDS_IN_FLIGHT;
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -158,7 +158,9 @@
                 machine.images.sized(known.cache_gb);
             }
         }
-        if now >= self.image_locality.copies_at + IMAGE_COPIES_INTERVAL_MS || self.image_locality.copies_at == 0 {
+        if now >= self.image_locality.copies_at + IMAGE_COPIES_INTERVAL_MS
+            || self.image_locality.copies_at == 0
+        {
             self.image_locality.copies_at = now;
             self.look_at_copies(settings);
         }
--- a/crates/controller/src/leader/machine_table.rs
+++ b/crates/controller/src/leader/machine_table.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Rebuilds the index if the last rebuild is older than [`INDEX_MS`].
+    /// Rebuilds the index if the last rebuild is older than [`MACHINE_INDEX_REBUILD_MS`].
     pub(super) fn reindex_when_due(&mut self, now: Timestamp) {
         if now >= self.reindexed_at + MACHINE_INDEX_REBUILD_MS {
             self.reindex(now);
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -128,7 +128,10 @@
         // Peers that this node cannot reach may hear all workers. If none does, handing over costs
         // nothing, as this leader hears no worker either.
         let isolated = peers.recently_heard == 0 && peers.total > 0;
-        if isolated && self.partition_detector.sample_unreachable && io.now >= since + SELF_PARTITION_HANDOVER_ALONE_MS {
+        if isolated
+            && self.partition_detector.sample_unreachable
+            && io.now >= since + SELF_PARTITION_HANDOVER_ALONE_MS
+        {
             return election.hand_over("most workers are silent here, and no sibling can be asked", io);
         }
         None
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -1,5 +1,5 @@
-//! What becomes of the transactions that the batch writer puts together, and when the leader renews
-//! its token to fence commands of its own.
+//! Persistence: sends the transactions that the batch writer assembles, handles their responses, and renews
+//! the fencing token when the leader must fence off its own delayed commands.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -18,18 +18,18 @@
 use rand::RngExt;
 use std::sync::Arc;
 
-/// What is to be written beside the batches.
+/// Writes that are due outside the regular batches.
 #[derive(Debug, Default)]
 pub(super) struct Persistence {
-    /// A late command must be fenced off by a higher token.
+    /// Whether a delayed command must be fenced off with a higher token.
     fencing_needed: bool,
     token_renewed_at: Timestamp,
-    /// The machine types are on record, or on their way there.
+    /// Whether the machine types have been written in this term, or a write is in flight.
     types_stored: bool,
 }
 
 impl LeaderTerm {
-    /// Sends the next re-read, renewal or batch, if one is due.
+    /// Sends the next re-read, token renewal or batch, if one is due.
     pub(super) fn send_due_write(&mut self, election: &Election, settings: &Settings, io: &mut Io) {
         if let Some(key) = self.writer.next_reread(io.now) {
             let path = paths::key(&key);
@@ -54,9 +54,9 @@
             return;
         }
         self.queue_shifts(io.now);
-        let most = settings.deployment.state.txn_ops.min(io.writes.available(io.now));
+        let max_ops = settings.deployment.state.txn_ops.min(io.writes.available(io.now));
         let Some((body, ops)) = self.writer.batch(
-            most,
+            max_ops,
             settings,
             self.machines.as_map_mut(),
             self.jobs.as_map(),
@@ -69,27 +69,33 @@
         self.transact(body, TermCall::Transaction, io);
     }
 
-    /// Notes whether the token must be renewed.
+    /// Updates whether the token must be renewed.
     pub(super) fn update_fencing(&mut self, now: Timestamp) {
         self.persistence.fencing_needed = self.fencing_needed(now);
     }
 
-    /// A start that nobody answered may arrive minutes later, even for a job that
-    /// has been cancelled since. A higher token, once the worker has seen it,
-    /// refuses it; so the leader renews its own. Ended tasks whose start went by a direct
-    /// command wait for it as well, as a copy of that would run them again once they are
-    /// forgotten: these gather for a while, as a new token makes every worker report.
+    /// Whether the leader must renew its token to fence off its own delayed commands.
+    ///
+    /// A start command without a response may arrive minutes later, even after its job was cancelled. A
+    /// worker that has seen a higher token rejects it. Ended tasks that were started by a direct command
+    /// also need a higher token before the worker may forget them, as a duplicate of the command would run
+    /// them again. These are batched for [`FORGET_TOKEN_RENEWAL_MS`], because a new token makes every worker
+    /// report.
     fn fencing_needed(&self, now: Timestamp) -> bool {
         let token = self.writer.token;
-        let paced = now >= self.persistence.token_renewed_at.max(self.started) + FORGET_TOKEN_RENEWAL_MS;
+        let interval_passed =
+            now >= self.persistence.token_renewed_at.max(self.started) + FORGET_TOKEN_RENEWAL_MS;
         self.machines.values().any(|machine| {
-            let mut waiting = 0;
+            let mut pending_forgets = 0;
             !machine.returning
                 && machine.attempts.iter().any(|attempt| {
-                    let waits = attempt.forget_waits(token);
-                    waiting += usize::from(waits);
-                    // Who waited in vain for its gang joins it again once it is forgotten.
-                    waits && (paced || waiting > MAX_PENDING_FORGETS || attempt.waited_in_vain())
+                    let awaits_renewal = attempt.forget_waits(token);
+                    pending_forgets += usize::from(awaits_renewal);
+                    // A task that gave up waiting for its gang can rejoin only once it is forgotten.
+                    awaits_renewal
+                        && (interval_passed
+                            || pending_forgets > MAX_PENDING_FORGETS
+                            || attempt.waited_in_vain())
                         || attempt
                             .unacknowledged
                             .is_some_and(|unacknowledged| unacknowledged.token == token)
@@ -98,7 +104,7 @@
         })
     }
 
-    /// Follows the answer to a transaction.
+    /// Handles the response to a transaction.
     pub(super) fn handle_transaction_response(
         &mut self,
         outcome: &Outcome,
@@ -107,10 +113,10 @@
     ) -> Option<ElectionEvent> {
         let units = self.writer.take_batch();
         if outcome.status() == Some(200)
-            && let Some(answer) = outcome.read::<protocol::TransactionResponse>(&[200])
+            && let Some(response) = outcome.read::<protocol::TransactionResponse>(&[200])
         {
             for unit in units {
-                self.on_unit_committed(unit, answer.revision, election, io.now);
+                self.on_unit_committed(unit, response.revision, election, io.now);
             }
             return None;
         }
@@ -118,16 +124,16 @@
         self.protection_windows.failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
-                let failed = outcome
+                let failed_keys = outcome
                     .read::<protocol::TransactionResponse>(&[409])
-                    .map(|answer| answer.failed)
+                    .map(|response| response.failed)
                     .unwrap_or_default();
-                // Its own renewal, given up by then, may have been carried out before this: then
-                // nobody else leads, as the key says when it is read again.
-                if failed.iter().any(|key| key == records::LEADER) && !self.writer.may_be_renewed() {
+                // An earlier renewal of this leader that was given up may have been executed before
+                // this transaction. Then there is no other leader, as re-reading the key shows.
+                if failed_keys.iter().any(|key| key == records::LEADER) && !self.writer.may_be_renewed() {
                     return election.deposed("a transaction met a newer leader");
                 }
-                for key in failed {
+                for key in failed_keys {
                     self.on_condition_failed(key, io.now);
                 }
             }
@@ -155,16 +161,17 @@
         None
     }
 
-    /// A record did not have the version that a transaction needed.
+    /// Handles a record that did not have the version required by a transaction.
     fn on_condition_failed(&mut self, key: String, now: Timestamp) {
         match key.strip_prefix(records::JOBS) {
-            // Cancelled by a node that served its user. Only a cluster's jobs
-            // change while they live: held, or released.
+            // Another controller cancelled the job. Only jobs of a submitted cluster can change before
+            // they end, when they are held or released.
             Some(job) if !self.may_change(job) => self.job_over(&JobId(Arc::from(job)), now),
             _ => self.writer.reread(key),
         }
     }
 
+    /// Applies the effects of a committed unit of a transaction.
     fn on_unit_committed(&mut self, unit: Unit, revision: u64, election: &mut Election, now: Timestamp) {
         match unit {
             Unit::Renewal => {
@@ -219,14 +226,14 @@
         }
     }
 
-    /// Records the machine types, once in a term.
+    /// Writes the machine types, once per term.
     pub(super) fn store_types_once(&mut self, types: &MachineTypes, io: &mut Io) {
         if !std::mem::replace(&mut self.persistence.types_stored, true) {
             self.store_types(types, io);
         }
     }
 
-    /// Follows the answer to the record of the machine types.
+    /// Handles the response to the write of the machine types.
     pub(super) fn handle_types_stored(&mut self, outcome: &Outcome) {
         self.persistence.types_stored = outcome.status() == Some(200);
     }
@@ -249,11 +256,11 @@
         self.transact(json(&body), TermCall::StoreMachineTypes, io);
     }
 
-    /// The end of a job that is done is on record.
+    /// Handles a finished job whose end has been recorded.
     fn on_job_finished(&mut self, job: JobId, now: Timestamp) {
         log::info!("job finished job={job}");
-        if let Some(over) = self.jobs.get(&job) {
-            self.forecast.finished(over, now);
+        if let Some(finished) = self.jobs.get(&job) {
+            self.forecast.finished(finished, now);
         }
         let team = self.jobs.get(&job).map_or("", |job| &job.spec.team);
         let team = Team::named(team);
@@ -261,7 +268,7 @@
         self.writer.finished.push((job, team));
     }
 
-    /// Follows a record whose version was uncertain.
+    /// Handles the re-read of a record whose version was uncertain.
     pub(super) fn handle_reread(
         &mut self,
         key: String,
@@ -296,7 +303,7 @@
                     self.job_accepted(spec, version, io);
                     self.on_job_reread(&job, end_notices);
                 }
-                Some(Err(problem)) => log::error!("record ignored key={key}: {problem}"),
+                Some(Err(error)) => log::error!("record ignored key={key}: {error}"),
                 None => (),
             }
         } else if let Some(number) = records::parse_number(records::SHARDS, &key) {
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -31,21 +31,21 @@
     pub fn handle_heartbeat(
         &mut self,
         request: RequestId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         certain: bool,
         io: &mut Io,
     ) -> Result<(), Superseded> {
-        if report.token > self.token() {
+        if heartbeat.token > self.token() {
             return Err(Superseded);
         }
-        let id = MachineId(Arc::from(report.machine.as_str()));
+        let id = MachineId(Arc::from(heartbeat.machine.as_str()));
         if self.machines.is_recently_released(&id) {
             // Sent before the release; no worker waits for the reply.
             io.reply_error(request, 503, "this machine is gone");
             return Ok(());
         }
         if !self.recovery.is_complete() {
-            self.buffered_heartbeats.push(request, report, io);
+            self.buffered_heartbeats.push(request, heartbeat, io);
             return Ok(());
         }
         if !self.watermark.permits_lease_renewal(io.now) {
@@ -55,14 +55,19 @@
             buffered_heartbeats::reject(request, io);
             return Ok(());
         }
-        let newest = self.reconcile_heartbeat(report, io);
+        let is_newest = self.reconcile_heartbeat(heartbeat, io);
         let token = self.token();
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.note_answered(report, io.now);
+            machine.note_answered(heartbeat, io.now);
             // A heartbeat that is older than the response to a direct command still renews the lease, so
             // its reply carries stop commands. Its contents must have no other effect.
-            let orders = if newest {
-                machine.orders(Some((report.agent_epoch, report.seq)), certain, token, io.now)
+            let orders = if is_newest {
+                machine.orders(
+                    Some((heartbeat.agent_epoch, heartbeat.seq)),
+                    certain,
+                    token,
+                    io.now,
+                )
             } else {
                 machine.stops(io.now)
             };
@@ -72,8 +77,8 @@
     }
 
     /// Reconciles a heartbeat. Returns false if newer state of the machine is known already.
-    pub(super) fn reconcile_heartbeat(&mut self, report: &Heartbeat, io: &mut Io) -> bool {
-        self.reconcile(report, Machine::absorb, io)
+    pub(super) fn reconcile_heartbeat(&mut self, heartbeat: &Heartbeat, io: &mut Io) -> bool {
+        self.reconcile(heartbeat, Machine::absorb, io)
     }
 
     /// Reconciles the state in the response to a direct command or probe.
@@ -310,7 +315,8 @@
                     job.failed_on.insert(id.clone());
                     job.failed_at = now;
                     if job.to_blame() && now >= job.held_until {
-                        let backoff_ms = FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_MAX_DOUBLINGS);
+                        let backoff_ms =
+                            FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_MAX_DOUBLINGS);
                         job.held_until = now + backoff_ms;
                         job.failures += 1;
                     }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,6 +1,6 @@
-//! Recovery at the start of a term: the records are read prefix by prefix and page by page, and
-//! what they say of jobs, machines and scale-out requests is taken over. Before that is complete,
-//! the leader knows nothing and orders nothing.
+//! Recovery at the start of a term: the leader reads the records prefix by prefix and page by page, and
+//! restores jobs, machines and scale-out requests from them. Until recovery is complete, the leader sends
+//! no commands.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -17,8 +17,8 @@
 use indigopath_counted_resources::{LingerEntry, LingerSet};
 use std::collections::BTreeSet;
 
-/// Prefixes in the order of their reading. The records of protection windows come last: they are
-/// read only where there are some.
+/// Key prefixes in the order in which they are read. The records of protection windows come last, as they
+/// are read only if windows are configured.
 const LOAD_ORDER: [&str; 5] = [
     records::JOBS,
     records::DONE,
@@ -27,14 +27,14 @@
     records::SHIFTS,
 ];
 
-/// Whether the records have been read in this term, and else how far.
+/// Progress of the recovery.
 #[derive(Debug)]
 pub(super) struct Recovery {
-    /// `None` once all of them are read.
+    /// `None` once all records have been read.
     load: Option<Load>,
 }
 
-/// A reading of the records under way.
+/// An unfinished read of the records.
 #[derive(Debug, Default)]
 struct Load {
     /// Index into [`LOAD_ORDER`].
@@ -46,22 +46,22 @@
     first_page: Option<FirstPage>,
 }
 
-/// The first page of jobs.
+/// The state of the first page, at which the record watch and the cancellation watermark start.
 #[derive(Debug, Clone, Copy, Default)]
 struct FirstPage {
     revision: u64,
-    /// When it was asked for: no job that ended before that is in it.
+    /// When the page was requested. It contains no job that ended before that.
     asked_at: Timestamp,
 }
 
-/// All that was read.
+/// All records, once they have been read.
 struct Loaded {
     items: Vec<StoredItem>,
-    begun: FirstPage,
+    first_page: FirstPage,
 }
 
 impl Recovery {
-    /// Nothing is read yet.
+    /// Starts a recovery; nothing has been read yet.
     pub(super) fn new() -> Recovery {
         Recovery {
             load: Some(Load::default()),
@@ -73,7 +73,7 @@
         self.load.is_none()
     }
 
-    /// The path of the next page, if a call is due; it counts as sent.
+    /// Returns the path of the next page if a call is due, and marks the call as sent.
     fn next_call(&mut self, now: Timestamp) -> Option<String> {
         let load = self.load.as_mut()?;
         if load.in_flight || now < load.retry_at {
@@ -87,7 +87,7 @@
         ))
     }
 
-    /// Takes in a page; returns all of them after the last of so many prefixes.
+    /// Adds a page. Returns all records after the last page of the last of `prefixes` prefixes.
     fn add_page(
         &mut self,
         page: Option<StoredPage>,
@@ -118,20 +118,20 @@
         let load = self.load.take()?;
         Some(Loaded {
             items: load.items,
-            begun: load.first_page.unwrap_or_default(),
+            first_page: load.first_page.unwrap_or_default(),
         })
     }
 }
 
 impl LeaderTerm {
-    /// Asks for the next page of records, if no call is under way.
+    /// Requests the next page of records, unless a call is in flight.
     pub(super) fn poll_recovery(&mut self, io: &mut Io) {
         if let Some(path) = self.recovery.next_call(io.now) {
             self.read_state(path, TermCall::RecordsPage { sent: io.now }, io);
         }
     }
 
-    /// Follows a page of records, and begins the work of the term after the last.
+    /// Handles a page of records, and restores the state after the last page.
     pub(super) fn handle_records_page(
         &mut self,
         sent: Timestamp,
@@ -143,9 +143,9 @@
         let prefixes = LOAD_ORDER.len() - usize::from(!self.protection_windows.on());
         let page = outcome.read::<StoredPage>(&[200]);
         let loaded = self.recovery.add_page(page, sent, prefixes, io.now)?;
-        if let Err(problem) = self.adopt_records(loaded, settings, io) {
-            // Starts may stand there that nobody here can know of.
-            log::error!("leadership declined: {problem}");
+        if let Err(error) = self.adopt_records(loaded, settings, io) {
+            // The records may contain starts that this version cannot read.
+            log::error!("leadership declined: {error}");
             return election.hand_over("a later build's records", io);
         }
         log::info!(
@@ -157,23 +157,23 @@
     }
 
     fn adopt_records(&mut self, loaded: Loaded, settings: &Settings, io: &mut Io) -> Result<(), RecordError> {
-        self.watch.begin_at(loaded.begun.revision);
+        self.watch.begin_at(loaded.first_page.revision);
         for item in loaded.items {
             match self.adopt_record(&item, settings, io) {
                 Ok(()) => (),
-                Err(problem @ RecordError::Later(_)) => return Err(problem),
-                Err(problem) => log::error!("record ignored key={}: {problem}", item.key),
+                Err(error @ RecordError::Later(_)) => return Err(error),
+                Err(error) => log::error!("record ignored key={}: {error}", item.key),
             }
         }
         self.park_all();
         self.machines.reindex(io.now);
         self.link_attempts_to_jobs(io.now);
-        self.watermark.advance(loaded.begun.asked_at);
+        self.watermark.advance(loaded.first_page.asked_at);
         Ok(())
     }
 
-    /// Completes what the records of machines say of attempts by what their jobs say, and stops
-    /// attempts of jobs that are over.
+    /// Completes attempts restored from machine records with the data of their jobs, and stops attempts of
+    /// jobs that have ended.
     fn link_attempts_to_jobs(&mut self, now: Timestamp) {
         for machine in self.machines.values_mut() {
             for attempt in &mut machine.attempts {
@@ -188,8 +188,8 @@
                 attempt.estimate_s = job.spec.estimate_s;
                 if job.spec.shape == Shape::Gang {
                     attempt.is_idempotent_restart = true;
-                    // Whether it has started is not recorded: the reports
-                    // tell, and until then nothing joins it.
+                    // Whether the gang has started is not recorded. It counts as started until its
+                    // workers report, so that no replacement joins it.
                     let gang = job.gang.get_or_insert(GangAttempt {
                         started: true,
                         ..GangAttempt::new(attempt.number)
@@ -200,6 +200,7 @@
         }
     }
 
+    /// Restores state from one record, by the prefix of its key.
     fn adopt_record(
         &mut self,
         item: &StoredItem,
@@ -233,21 +234,21 @@
         Ok(())
     }
 
-    /// Takes over which tasks are done, as one record of several jobs' has it.
+    /// Restores which tasks are done, from a record shared by several jobs.
     fn adopt_done(&mut self, number: u32, item: &StoredItem) -> Result<(), RecordError> {
         self.writer.done_read(number, item.version);
         for (name, bitmap) in DoneRecord::from_value(&item.value)?.0 {
             let Some((job, chunk)) = records::parse_chunk_name(&name) else {
                 continue;
             };
-            // Jobs that are over may stand there still.
+            // The record may still contain jobs that have ended.
             let Some(live) = self.jobs.get_mut(job) else {
                 continue;
             };
-            // Many jobs share a record: what one cannot read of itself costs no other its results.
+            // Many jobs share a record: an unreadable part must not cost the other jobs their results.
             let mut done = BTreeSet::new();
-            if let Err(problem) = records::decode_done(&bitmap, chunk, &mut done) {
-                log::error!("record part ignored part={name} key={}: {problem}", item.key);
+            if let Err(error) = records::decode_done(&bitmap, chunk, &mut done) {
+                log::error!("record part ignored part={name} key={}: {error}", item.key);
                 continue;
             }
             live.done.append(&mut done);
@@ -263,7 +264,7 @@
         Ok(())
     }
 
-    /// Takes over the machines of one shard, with the attempts on them and the units that linger.
+    /// Restores the machines of one shard, with their attempts, and the units that linger.
     fn adopt_shard(
         &mut self,
         number: u32,
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -1,4 +1,4 @@
-//! Scheduling passes: when one is due, and what becomes of its plan.
+//! Scheduling passes: when a pass is due, and how its plan is carried out.
 
 use super::LeaderTerm;
 use crate::allocations::Attempt;
@@ -14,26 +14,26 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// When passes are due, and what the last one left.
+/// The schedule of passes, and the tasks that the last one could not place.
 #[derive(Debug)]
 pub(super) struct Scheduler {
     first_token: u64,
-    /// Something was placed in this term.
+    /// Whether any task has been placed in this term.
     any_placed: bool,
     attempt_count: u64,
-    /// How much of the late work may go first.
+    /// Credit for placing overdue work first.
     aging_credit: AgingCredit,
-    /// When the next pass is due though nothing has changed.
+    /// When the next pass is due even if nothing has changed.
     next_regular_at: Timestamp,
     last_pass_at: Timestamp,
-    /// Something has changed that the next pass may use.
+    /// Whether a change requires a pass.
     requested: bool,
-    /// Who found no machine in the last pass, in the order of service.
+    /// Tasks that could not be placed in the last pass, in scheduling order.
     unplaced: Vec<Unplaced>,
 }
 
 impl Scheduler {
-    /// The scheduler of a term that began with this token.
+    /// Creates the scheduler of a term that started with this token.
     pub(super) fn new(first_token: u64) -> Scheduler {
         Scheduler {
             first_token,
@@ -47,22 +47,22 @@
         }
     }
 
-    /// Something has changed that calls for a pass.
+    /// Requests a pass because of a change.
     pub(super) fn request_pass(&mut self) {
         self.requested = true;
     }
 
-    /// Something may have changed that calls for a pass.
+    /// Requests a pass if `changed` is true.
     pub(super) fn request_pass_if(&mut self, changed: bool) {
         self.requested |= changed;
     }
 
-    /// Who found no machine in the last pass, in the order of service.
+    /// Tasks that could not be placed in the last pass, in scheduling order.
     pub(super) fn unplaced(&self) -> &[Unplaced] {
         &self.unplaced
     }
 
-    /// Whether a pass over so many machines is due.
+    /// Whether a pass over this number of machines is due.
     pub(super) fn is_due(&self, machines: usize, now: Timestamp) -> bool {
         let due_at = if self.requested {
             self.last_pass_at + pass_spacing_ms(machines)
@@ -78,7 +78,7 @@
         self.next_regular_at = now + PASS_INTERVAL_MS;
     }
 
-    /// A number for a new attempt, higher than those of all former terms.
+    /// Returns the number of a new attempt, higher than all numbers of former terms.
     fn next_attempt_number(&mut self) -> u64 {
         self.attempt_count += 1;
         (self.first_token << ATTEMPT_BITS) + self.attempt_count
@@ -86,12 +86,12 @@
 }
 
 impl LeaderTerm {
-    /// Plans where waiting tasks start and what is stopped, and orders it.
+    /// Runs a scheduling pass: plans which waiting tasks start and which running tasks stop, and requests both.
     pub(super) fn run_pass(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         self.scheduler.begin_pass(io.now);
         self.settle_lingers(io.now);
         self.look_at_weights(types, settings, io.now);
-        let site = ClusterSnapshot {
+        let snapshot = ClusterSnapshot {
             deployment: &settings.deployment,
             types,
             jobs: self.jobs.as_map(),
@@ -105,7 +105,7 @@
             protection: &self.protection_windows.protection,
             now: io.now,
         };
-        let plan = placement::plan(&site);
+        let plan = placement::plan(&snapshot);
         self.scheduler.unplaced = plan.unplaced;
         self.protection_windows
             .planned(plan.spare_capacity, plan.unplaced_spare);
@@ -141,17 +141,18 @@
         self.machines.update_idle_since(io.now);
     }
 
-    fn start_task(&mut self, task: TaskId, id: &MachineId, types: &MachineTypes, now: Timestamp) {
-        let fresh = self.scheduler.next_attempt_number();
+    /// Places an attempt on a machine and queues its record.
+    fn start_task(&mut self, task: TaskId, machine_id: &MachineId, types: &MachineTypes, now: Timestamp) {
+        let new_number = self.scheduler.next_attempt_number();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let number = match job.spec.shape {
-            Shape::Gang => job.gang.get_or_insert(GangAttempt::new(fresh)).number,
-            Shape::Array | Shape::Service => fresh,
+            Shape::Gang => job.gang.get_or_insert(GangAttempt::new(new_number)).number,
+            Shape::Array | Shape::Service => new_number,
         };
         if !std::mem::replace(&mut self.scheduler.any_placed, true) {
             let took_s = now.saturating_sub(self.started) as f64 / SECOND_MS as f64;
@@ -160,10 +161,10 @@
         job.waiting.remove(&task.index);
         self.forecast.satisfaction_mut().starved.placed(&job.spec);
         let counts = job.spec.counts.clone();
-        let age_ms = job.age_ms(now);
+        let waited_ms = job.age_ms(now);
         let cached = machine.has_image(&job.spec.image);
         log::debug!(
-            "task placed job={} machine={id} image={} task={}{}",
+            "task placed job={} machine={machine_id} image={} task={}{}",
             task.job,
             job.spec.image,
             task.index,
@@ -193,18 +194,18 @@
             )
         });
         self.writer.record(machine);
-        self.machines.add_location(job_id, id.clone());
+        self.machines.add_location(job_id, machine_id.clone());
         if !counts.is_empty() {
-            self.note_wait(&counts, age_ms);
+            self.note_wait(&counts, waited_ms);
         }
     }
 
-    /// Stops a task on a machine, to make room or because its job is held.
-    pub(super) fn stop_task(&mut self, task: &TaskId, id: &MachineId, grace_s: f64, now: Timestamp) {
+    /// Stops a task on a machine, to preempt it or because its job is held.
+    pub(super) fn stop_task(&mut self, task: &TaskId, machine_id: &MachineId, grace_s: f64, now: Timestamp) {
         if let Some(gang) = self.jobs.get_mut(&task.job).and_then(|job| job.gang.as_mut()) {
             gang.broken = true;
         }
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let running = machine
@@ -212,31 +213,35 @@
             .iter_mut()
             .filter(|attempt| attempt.task == *task && !attempt.exited() && attempt.stop.is_none());
         for attempt in running {
-            log::debug!("preempted job={} machine={id} task={}", task.job, task.index);
-            self.commands.request_stop(attempt, id, grace_s, now);
+            log::debug!(
+                "preempted job={} machine={machine_id} task={}",
+                task.job,
+                task.index
+            );
+            self.commands.request_stop(attempt, machine_id, grace_s, now);
         }
     }
 
-    /// Starts that were cancelled before anything was sent never were.
+    /// Drops starts that were cancelled before they were sent, and requeues their tasks.
     pub(super) fn drop_cancelled_starts(&mut self, io: &mut Io) {
         if !self.commands.take_start_cancelled() {
             return;
         }
         let mut dropped = Vec::new();
-        let mut freed_in = BTreeSet::new();
+        let mut shards_with_freed_units = BTreeSet::new();
         for machine in self.machines.values_mut() {
             machine.attempts.retain(|attempt| {
                 let cancelled = attempt.never_sent() && attempt.stop.is_some();
                 if cancelled {
                     dropped.push(attempt.task.clone());
                     if !attempt.counts.is_empty() {
-                        freed_in.extend(machine.shard);
+                        shards_with_freed_units.extend(machine.shard);
                     }
                 }
                 !cancelled
             });
         }
-        for shard in freed_in {
+        for shard in shards_with_freed_units {
             self.writer.units_freed(shard);
         }
         for task in dropped {
@@ -246,8 +251,8 @@
     }
 }
 
-/// Shortest time between two scheduling passes: a pass looks at every machine, so a
-/// larger fleet gathers more changes for each.
+/// Minimum time between two scheduling passes, in ms. A pass visits every machine, so a larger fleet batches
+/// more changes into each pass.
 fn pass_spacing_ms(machines: usize) -> u64 {
     PASS_SPACING_MS + PASS_SPACING_PER_MACHINE_US * machines as u64 / 1_000
 }
--- a/crates/controller/src/leader/scheduling_pass/tests.rs
+++ b/crates/controller/src/leader/scheduling_pass/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_requested_pass_waits_for_the_spacing_only() {
+fn requested_pass_waits_only_for_the_spacing() {
     let mut scheduler = Scheduler::new(1);
     let start = PASS_INTERVAL_MS;
     scheduler.begin_pass(start);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn nothing_new_takes_no_request_back() {
+fn unchanged_state_keeps_the_request() {
     let mut scheduler = Scheduler::new(1);
     scheduler.begin_pass(0);
     scheduler.request_pass_if(true);
@@ -21,7 +21,7 @@
     assert!(scheduler.is_due(0, PASS_SPACING_MS));
 }
 
-// Attempts of a later term have higher numbers than all of a former one.
+// Attempt numbers of a later term are higher than all numbers of a former one.
 #[test]
 fn attempt_numbers_rise_within_a_term_and_from_term_to_term() {
     let mut former = Scheduler::new(1);
