--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -220,7 +220,7 @@
                 Vec::new(),
                 SERVER_TIMEOUT_MS,
             );
-            self.calls.expect(call, TermCall::LicenceUsage { server });
+            self.calls.insert(call, TermCall::LicenceUsage { server });
         }
     }
 
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -152,7 +152,7 @@
             Vec::new(),
             INSPECT_TIMEOUT_MS,
         );
-        self.calls.expect(call, TermCall::Probe { machine: id.clone() });
+        self.calls.insert(call, TermCall::Probe { machine: id.clone() });
     }
 
     /// Handles the response to a probe.
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -54,7 +54,11 @@
             return;
         }
         self.queue_shifts(io.now);
-        let max_ops = settings.deployment.state.txn_ops.min(io.writes.available(io.now));
+        let max_ops = settings
+            .deployment
+            .state
+            .txn_ops
+            .min(io.write_budget.available(io.now));
         let Some((body, ops)) = self.writer.batch(
             max_ops,
             settings,
@@ -65,7 +69,7 @@
         ) else {
             return;
         };
-        io.writes.force(ops as f64, io.now);
+        io.write_budget.force(ops as f64, io.now);
         self.transact(body, TermCall::Transaction, io);
     }
 
@@ -137,7 +141,7 @@
                     self.on_condition_failed(key, io.now);
                 }
             }
-            outcome if outcome.refused() => {
+            outcome if outcome.is_safe_to_retry() => {
                 self.writer.retry_at = io.now + WRITE_RETRY_MS + io.rng.random_range(0..WRITE_RETRY_MS)
             }
             Outcome::Answer { status, body } => {
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -7,18 +7,18 @@
 };
 use crate::io::{Io, RequestId};
 use crate::model::{MachineId, TaskId, Timestamp};
-use crate::protocol::{Cause, Heartbeat, HeartbeatResponse, Shape};
+use crate::protocol::{Heartbeat, HeartbeatResponse, Shape, TaskEndCause};
 use crate::scheduling::placement::{self, faulty};
 use indigopath_accounting::LossCause;
 use std::sync::Arc;
 
 /// The accounting cause of lost work, if an attempt that ended in this way loses its work.
-fn loss_cause(cause: Cause) -> Option<LossCause> {
+fn loss_cause(cause: TaskEndCause) -> Option<LossCause> {
     match cause {
-        Cause::Stopped => Some(LossCause::Stopped),
-        Cause::Peers | Cause::Alone => Some(LossCause::Gang),
-        Cause::Error | Cause::Other => Some(LossCause::Failed),
-        Cause::Done | Cause::NoRoom | Cause::Busy | Cause::Unknown => None,
+        TaskEndCause::Stopped => Some(LossCause::Stopped),
+        TaskEndCause::Peers | TaskEndCause::Alone => Some(LossCause::Gang),
+        TaskEndCause::Error | TaskEndCause::Other => Some(LossCause::Failed),
+        TaskEndCause::Done | TaskEndCause::NoRoom | TaskEndCause::Busy | TaskEndCause::Unknown => None,
     }
 }
 
@@ -71,7 +71,14 @@
             } else {
                 machine.stops(io.now)
             };
-            io.reply(request, 200, &HeartbeatResponse { token, orders });
+            io.reply(
+                request,
+                200,
+                &HeartbeatResponse {
+                    token,
+                    commands: orders,
+                },
+            );
         }
         Ok(())
     }
@@ -150,7 +157,7 @@
                 Change::Exited {
                     task,
                     number,
-                    why: Cause::Done,
+                    why: TaskEndCause::Done,
                     ran_s,
                 } => {
                     log::debug!(
@@ -292,11 +299,11 @@
     }
 
     /// Handles an attempt that ended without completing its task.
-    fn on_task_failed(&mut self, id: &MachineId, task: &TaskId, number: u64, cause: Cause, io: &mut Io) {
+    fn on_task_failed(&mut self, id: &MachineId, task: &TaskId, number: u64, cause: TaskEndCause, io: &mut Io) {
         self.close_attempt(id, task, number);
         let now = io.now;
         let mut fetching = false;
-        if cause == Cause::Alone {
+        if cause == TaskEndCause::Alone {
             self.machines.for_each_attempt(&task.job, |_, attempt| {
                 fetching |= attempt.number == number && attempt.stop.is_none() && attempt.fetching();
             });
@@ -306,7 +313,7 @@
                 gang.ended(cause, fetching);
             }
             match cause {
-                Cause::Error | Cause::Unknown | Cause::Other => {
+                TaskEndCause::Error | TaskEndCause::Unknown | TaskEndCause::Other => {
                     log::info!(
                         "task failed job={} machine={id} task={} cause={cause:?}",
                         task.job,
@@ -324,7 +331,7 @@
                     // machines, until another task starts on one of them. In a wave of faulty machines
                     // each job fails on several; blaming only the job would leave all of them
                     // undetected.
-                    if cause == Cause::Error
+                    if cause == TaskEndCause::Error
                         && !job.failed_on_good
                         && let Some(machine) = self.machines.get_mut(id)
                     {
@@ -334,7 +341,7 @@
                         }
                     }
                 }
-                Cause::NoRoom | Cause::Busy => {
+                TaskEndCause::NoRoom | TaskEndCause::Busy => {
                     if let Some(machine) = self.machines.get_mut(id) {
                         machine.full_until = now + FULL_MACHINE_BACKOFF_MS;
                     }
