--- a/crates/counted_resources/src/constants.rs
+++ b/crates/counted_resources/src/constants.rs
@@ -1,71 +1,74 @@
-//! Every constant of this package, with unit and reason.
+//! Limits and intervals of counted resources.
 
-/// Most units of a count. Licences cover dozens, token pools some thousands; a larger
-/// number is a slip of the pen.
+/// Maximum units of one counted resource. Licences cover dozens and token pools thousands, so
+/// a larger number is a typing error.
 pub const MAX_UNITS: u32 = 1_000_000;
 
-/// Most counts of a site. Every scheduling pass sets each up once.
+/// Maximum counted resources of a site. Every scheduling pass builds a pool for each.
 pub const MAX_COUNTS: usize = 1_000;
 
-/// Most counts that one task may ask for. Each is looked up for every job in a pass.
+/// Maximum counted resources that one task may request. Each is looked up for every job in a
+/// pass.
 pub const MAX_DEMAND: usize = 16;
 
-/// Most different demands that are remembered, to share them: users choose them freely.
+/// Maximum distinct demands kept for sharing. Users choose demands freely, so their number is
+/// otherwise unbounded.
 pub const MAX_INTERNED_DEMANDS: usize = 1_000;
 
-/// Longest name of a count, in bytes: it stands in records and in metrics' labels.
+/// Maximum length of a counted resource's name, in bytes: names appear in records and metric
+/// labels.
 pub const MAX_NAME: usize = 64;
 
-/// Longest linger, in s. Licence servers give a dead client's seat back within two hours
-/// at most where nobody has set anything (keep-alive of the system).
+/// Maximum linger time, in s. By default a licence server frees a dead client's seat after at
+/// most two hours, the operating system's TCP keep-alive time.
 pub const MAX_LINGER_S: f64 = 7_200.0;
 
-/// How much longer than `linger_s` a unit is kept, in parts per million: two steady
-/// clocks may drift apart by 0.05 %, and both ends count.
+/// Extension of `linger_s`, in parts per million: two monotonic clocks may drift apart by
+/// 0.05 %, and both the start and the end are affected.
 pub const LINGER_DRIFT_PPM: u64 = 1_000;
 
-/// Lingering units of a count and team that end within this many ms of each other are
-/// one entry, so that a record stays small; the later end counts.
+/// Lingering units of the same counted resource and team whose expiry times differ by less
+/// than this many ms are merged into one entry with the later expiry, to keep records small.
 pub const LINGER_MERGE_MS: u64 = 1_000;
 
-/// Most entries of lingering units in one record (some 40 bytes each). Beyond, those of
-/// one count and team become one that lasts as long as the last of them.
+/// Maximum entries of lingering units in one record, at about 40 bytes each. Beyond this, all
+/// entries of one counted resource and team are merged into one with the latest expiry.
 pub const MAX_LINGERS_PER_RECORD: usize = 48;
 
-/// Age, in s, from which a request that finds too few units keeps what comes free: nobody
-/// after it in the order may take it. Sooner, and a gang would idle units that short
-/// tasks could have used; most requests start within seconds.
+/// Age, in s, from which units that become free are reserved for a request that finds too
+/// few, so that no later request takes them. Reserving earlier would leave units idle for a
+/// gang that short tasks could have used; most requests start within seconds.
 pub const RESERVE_AFTER_S: f64 = 30.0;
 
-/// For how long, in s, others may use what is kept for a request, if their own estimates
-/// say that they are through before the rest of it comes free. Estimates are often wrong
-/// by half, so this ends: from then on the wait is bounded by what holds the units
-/// already. Counted from when units are first kept for it, not from its submission: under
-/// overload every request is old by the time that it is first.
+/// How long, in s, other tasks may use units reserved for a request, provided their estimated
+/// run times end before the remaining units become free. Estimates are often wrong by half, so
+/// backfilling stops after this time; from then on the wait is bounded by the current holders.
+/// Measured from the start of the reservation, not from submission: under overload every
+/// request is old by the time it is first in the queue.
 pub const BACKFILL_S: f64 = 90.0;
 
-/// How much longer than estimated a task must be able to run, to go ahead of a request
-/// that units are kept for: half of the estimates are too low.
+/// Factor on a task's estimated run time when deciding whether it may backfill reserved units:
+/// half of the estimates are too low.
 pub const BACKFILL_SAFETY_FACTOR: f64 = 1.5;
 
-/// What a machine takes to come, in s, for a request that has its units and lacks only
-/// machines: nobody longer than this goes ahead on its units.
+/// Expected wait for a machine, in s, of a request that has its units and lacks only machines.
+/// Tasks that run longer may not backfill its units.
 pub const EXPECTED_MACHINE_WAIT_S: f64 = 60.0;
 
-/// Interval of questions to a licence server, in ms. A seat that somebody else takes in
-/// between is seen late by so much; a server bears this from one client.
+/// Interval between polls of a licence server, in ms. A seat checked out by another client is
+/// noticed this late at most; a server can bear this load from a single client.
 pub const SERVER_POLL_INTERVAL_MS: u64 = 5_000;
 
-/// For how long the last word of a silent server counts, in ms: long enough for a
-/// restart, short enough that others' seats have not all changed.
+/// How long the last usage reported by an unresponsive server remains valid, in ms: long
+/// enough for a restart, short enough that other clients' seats have not all changed.
 pub const SERVER_USAGE_VALID_MS: u64 = 60_000;
 
-/// Longest wait for a server's answer, in ms.
+/// Timeout of a call to a licence server, in ms.
 pub const SERVER_TIMEOUT_MS: u64 = 4_000;
 
-/// Most lines of a server's answer that are read: a line a seat, of 20,000 tasks on 4,000 machines and as
-/// many of others.
+/// Maximum lines of a licence server's answer: one line per seat, for 20,000 tasks on 4,000
+/// machines and as many seats of other clients.
 pub const MAX_SERVER_ANSWER_LINES: usize = 40_000;
 
-/// Largest answer of a server that is read, in bytes: some 100 a seat.
+/// Maximum size of a licence server's answer, in bytes: about 100 per seat.
 pub const MAX_SERVER_ANSWER_BYTES: usize = 4 * 1024 * 1024;
--- a/crates/counted_resources/src/definition.rs
+++ b/crates/counted_resources/src/definition.rs
@@ -1,4 +1,4 @@
-//! What operators say of a count.
+//! Definitions of counted resources in the operators' settings.
 
 use crate::Name;
 use crate::constants::{MAX_COUNTS, MAX_LINGER_S, MAX_NAME, MAX_UNITS};
@@ -7,26 +7,26 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// One `count "NAME" { … }` of the operators' settings.
+/// One `count "NAME" { … }` block of the operators' settings.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Definition {
-    /// How many units there are; 0 lets nothing start.
+    /// Number of units; with 0, no task that needs one starts.
     pub units: u32,
-    /// For how long a unit stays taken, in s, after the end of an attempt that did not
-    /// end by itself.
+    /// How long, in s, a unit stays in use after an attempt that did not exit on its own: the
+    /// licence server has not noticed yet that its client died.
     #[serde(default)]
     pub linger_s: f64,
-    /// Units that teams are guaranteed; what they do not use, others borrow.
+    /// Units guaranteed to each team; other teams may borrow those that are unused.
     #[serde(default)]
     pub shares: BTreeMap<String, u32>,
-    /// A licence server that others use too, asked for what they hold.
+    /// Licence server shared with other clients, polled for the units they hold.
     #[serde(default)]
     pub server: Option<SocketAddrV4>,
 }
 
 impl Definition {
-    /// A count of so many units and nothing else.
+    /// Creates a definition with this many units and no other settings.
     pub fn with_units(units: u32) -> Definition {
         Definition {
             units,
@@ -36,50 +36,51 @@
         }
     }
 
-    /// For how long a unit lingers, in ms, with room for clocks that drift apart.
+    /// How long a unit lingers, in ms, including a margin for clock drift.
     pub fn linger_ms(&self) -> u64 {
         let ms = (self.linger_s * 1_000.0).ceil() as u64;
         ms + (ms * crate::constants::LINGER_DRIFT_PPM).div_ceil(1_000_000)
     }
 }
 
-/// All counts of a site, by name.
+/// All counted resources of a site, by name.
 pub type Definitions = BTreeMap<Name, Definition>;
 
-/// A definition that cannot be used.
+/// An invalid definition.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{field}: {problem}")]
 pub struct DefinitionError {
-    /// Path to the field, such as `count.layout-optimiser.units`.
+    /// Path of the field, such as `count.layout-optimiser.units`.
     pub field: String,
+    /// Why its value is invalid.
     pub problem: String,
 }
 
-/// Checks all definitions; `is_team` says which teams there are.
+/// Validates all definitions; `is_team` tells whether a team exists.
 ///
 /// # Errors
-/// The first field that cannot be used, and why.
+/// Returns the first invalid field and the reason.
 pub fn check_definitions(
     definitions: &Definitions,
     is_team: impl Fn(&str) -> bool,
 ) -> Result<(), DefinitionError> {
-    let bad = |field: String, problem: String| Err(DefinitionError { field, problem });
+    let invalid = |field: String, problem: String| Err(DefinitionError { field, problem });
     if definitions.len() > MAX_COUNTS {
-        return bad("count".to_owned(), format!("more than {MAX_COUNTS} are defined"));
+        return invalid("count".to_owned(), format!("more than {MAX_COUNTS} are defined"));
     }
     for (name, definition) in definitions {
         let field = |part: &str| format!("count.{name}{part}");
         if !is_valid_name(name) {
-            return bad(
+            return invalid(
                 field(""),
                 format!("a name has 1 to {MAX_NAME} letters, digits, dots, dashes or underscores"),
             );
         }
         if definition.units > MAX_UNITS {
-            return bad(field(".units"), format!("must be at most {MAX_UNITS}"));
+            return invalid(field(".units"), format!("must be at most {MAX_UNITS}"));
         }
         if !definition.linger_s.is_finite() || !(0.0..=MAX_LINGER_S).contains(&definition.linger_s) {
-            return bad(
+            return invalid(
                 field(".linger_s"),
                 format!(
                     "must be between 0 and {MAX_LINGER_S} s, is {}",
@@ -88,17 +89,17 @@
             );
         }
         if let Some(team) = definition.shares.keys().find(|team| !is_team(team)) {
-            return bad(
+            return invalid(
                 field(&format!(".shares.{team}")),
                 "there is no such team".to_owned(),
             );
         }
-        let shared: u64 = definition.shares.values().map(|share| u64::from(*share)).sum();
-        if shared > u64::from(definition.units) {
-            return bad(
+        let guaranteed: u64 = definition.shares.values().map(|share| u64::from(*share)).sum();
+        if guaranteed > u64::from(definition.units) {
+            return invalid(
                 field(".shares"),
                 format!(
-                    "they add up to {shared}, more than its {} units",
+                    "they add up to {guaranteed}, more than its {} units",
                     definition.units
                 ),
             );
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-/// Whether a text may name a count.
+/// Whether a text is a valid name of a counted resource.
 pub fn is_valid_name(text: &str) -> bool {
     (1..=MAX_NAME).contains(&text.len())
         && text
--- a/crates/counted_resources/src/demand.rs
+++ b/crates/counted_resources/src/demand.rs
@@ -1,4 +1,4 @@
-//! What a task asks for.
+//! Units of counted resources that a task requests.
 
 use crate::constants::{MAX_DEMAND, MAX_INTERNED_DEMANDS, MAX_UNITS};
 use crate::definition::is_valid_name;
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Units of counts that one task takes, in the order of names. Cheap to clone: every
-/// attempt carries one.
+/// Units that one task takes of each counted resource, ordered by name. Cheap to clone, because
+/// every attempt holds one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Demand(Arc<[(Name, u32)]>);
 
-/// A demand that makes no sense, whatever is defined.
+/// A demand that is invalid regardless of the definitions.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DemandError {
     #[error("Counts names more than {MAX_DEMAND} counts")]
@@ -26,7 +26,7 @@
     UnitsOutOfRange(Name),
 }
 
-/// A demand that can never be met.
+/// A demand that can never be satisfied with the current definitions.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum UnsatisfiableDemand {
     #[error("there is no count {0:?}")]
@@ -36,16 +36,16 @@
 }
 
 impl Demand {
-    /// From a submission's names and units.
+    /// Creates a demand from the names and units of a submission.
     ///
     /// # Errors
-    /// Too many names, a name that no count can have, or units that are 0 or too many.
-    pub fn new(asked: &BTreeMap<String, u64>) -> Result<Demand, DemandError> {
-        if asked.len() > MAX_DEMAND {
+    /// Too many names, an invalid name, or units that are 0 or too many.
+    pub fn new(requested: &BTreeMap<String, u64>) -> Result<Demand, DemandError> {
+        if requested.len() > MAX_DEMAND {
             return Err(DemandError::TooManyCounts);
         }
-        let mut entries = Vec::with_capacity(asked.len());
-        for (name, units) in asked {
+        let mut entries = Vec::with_capacity(requested.len());
+        for (name, units) in requested {
             if !is_valid_name(name) {
                 return Err(DemandError::InvalidName);
             }
@@ -58,15 +58,17 @@
         Ok(Demand(Arc::from(entries)))
     }
 
+    /// Whether the task needs no counted resources.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// Names and units, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, u32)> {
         self.0.iter().map(|(name, units)| (name, *units))
     }
 
-    /// Units of a count that one task takes.
+    /// Units of one counted resource that a task takes.
     pub fn units(&self, count: &str) -> u32 {
         self.0
             .iter()
@@ -74,16 +76,16 @@
             .map_or(0, |(_, units)| *units)
     }
 
-    /// Whether so many tasks could ever hold their units at the same time.
+    /// Checks that this many tasks could hold their units at the same time.
     ///
     /// # Errors
-    /// The first count that is not defined, or has too few units.
-    pub fn check(&self, definitions: &Definitions, together: u64) -> Result<(), UnsatisfiableDemand> {
+    /// Returns the first counted resource that is undefined or has too few units.
+    pub fn check(&self, definitions: &Definitions, concurrent_tasks: u64) -> Result<(), UnsatisfiableDemand> {
         for (name, units) in self.iter() {
             let Some(definition) = definitions.get(name) else {
                 return Err(UnsatisfiableDemand::Unknown(name.clone()));
             };
-            let wanted = u64::from(units) * together;
+            let wanted = u64::from(units) * concurrent_tasks;
             if wanted > u64::from(definition.units) {
                 return Err(UnsatisfiableDemand::TooFewUnits {
                     count: name.clone(),
@@ -96,19 +98,19 @@
     }
 }
 
-/// Equal demands as one: a pass reads those of thousands of jobs, and finds the few
-/// different ones where it has just been.
+/// Interns equal demands. A scheduling pass reads the demands of thousands of jobs; sharing the
+/// few distinct ones keeps them in the processor's cache.
 #[derive(Debug, Clone, Default)]
 pub struct DemandInterner(FxHashSet<Demand>);
 
 impl DemandInterner {
-    /// The same demand, shared with its equals.
+    /// Returns a shared copy of an equal demand.
     pub fn intern(&mut self, demand: Demand) -> Demand {
         if let Some(known) = self.0.get(&demand) {
             return known.clone();
         }
         if self.0.len() >= MAX_INTERNED_DEMANDS {
-            // They live on with their jobs.
+            // Jobs keep references to the demands that are dropped here.
             self.0.clear();
         }
         self.0.insert(demand.clone());
--- a/crates/counted_resources/src/lib.rs
+++ b/crates/counted_resources/src/lib.rs
@@ -1,18 +1,20 @@
-//! Named counts, such as the seats of a licence, that a scheduler hands to tasks and
-//! never hands out twice. Without input or output: what is held comes from the
-//! scheduler's ledger, what others hold comes from a licence server's text.
+//! Counted resources: named pools of identical units, such as licence seats, that a scheduler
+//! allocates to tasks without ever allocating a unit twice.
+//!
+//! The crate does no I/O. Units held by tasks are passed in from the scheduler's records; units
+//! held by clients outside the cluster are parsed from the text of a licence server.
 //!
 //! ```
-//! use indigopath_counted_resources::{Asker, Book, Definitions, Demand};
+//! use indigopath_counted_resources::{Definitions, Demand, Requester, UnitLedger};
 //! use std::collections::BTreeMap;
 //!
 //! let definitions: Definitions = serde_json::from_str(r#"{ "optimiser": { "units": 2 } }"#)?;
 //! let seat = Demand::new(&BTreeMap::from([("optimiser".to_owned(), 1)]))?;
-//! let asker = Asker { age_s: 0.0, estimate_s: 30.0, kept_s: 0.0 };
+//! let requester = Requester { age_s: 0.0, estimate_s: 30.0, reserved_s: 0.0 };
 //!
-//! let mut book = Book::new(&definitions);
-//! book.hold("slotting", &seat, 12.0, false);
-//! assert_eq!(book.room(&seat, 5, &asker), 1);
+//! let mut unit_ledger = UnitLedger::new(&definitions);
+//! unit_ledger.hold("slotting", &seat, 12.0, false);
+//! assert_eq!(unit_ledger.startable_tasks(&seat, 5, &requester), 1);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -34,5 +36,6 @@
     TeamUsage, UnitLedger,
 };
 
-/// Name of a count or a team. Shared, as every attempt and record carries some.
+/// Name of a counted resource or a team. Reference-counted, because every attempt and record
+/// holds several.
 pub type Name = std::sync::Arc<str>;
