--- a/crates/counted_resources/src/licence.rs
+++ b/crates/counted_resources/src/licence.rs
@@ -1,7 +1,7 @@
-//! A licence server that others use too: what its `lmstat -a` says of one feature, and
-//! for how long that counts.
+//! Usage of a licence server that is shared with clients outside the cluster: parsing of its
+//! `lmstat -a` output, and how long a reported usage remains valid.
 //!
-//! The text has a line a feature, and below it one for each client:
+//! The output has one line per feature, followed by one line per client:
 //!
 //! ```text
 //! Users of layout-optimiser:  (Total of 4 licenses issued;  Total of 2 licenses in use)
@@ -19,18 +19,18 @@
 use std::sync::LazyLock;
 use thiserror::Error;
 
-/// What a server says of one feature.
+/// Usage of one feature as reported by a licence server.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Usage {
-    /// Seats that the licence covers.
+    /// Number of seats that the licence covers.
     pub total: u32,
-    /// Seats taken, by whomever.
+    /// Seats checked out by any client.
     pub in_use: u32,
-    /// Clients by host, with their seats.
+    /// Host and seats of each client; the host of a reservation is empty.
     pub seats: Vec<(String, u32)>,
 }
 
-/// Why an answer says nothing of a feature.
+/// Why an answer contains no usage of a feature.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum UsageParseError {
     #[error("it does not name the feature")]
@@ -50,11 +50,11 @@
 });
 static RESERVED: LazyLock<Option<Regex>> = LazyLock::new(|| Regex::new(r"^\s+(\d+) RESERVATIONs? for ").ok());
 
-/// Reads one feature out of an `lmstat -a` text.
+/// Parses the usage of one feature from the output of `lmstat -a`.
 ///
 /// # Errors
-/// The text does not name the feature, or gives no total for it (an uncounted licence, a
-/// vendor daemon that is down), or is too long.
+/// The text does not contain the feature, is too long, or has no total for the feature because
+/// the licence is uncounted or the vendor daemon is down.
 pub fn parse_usage(text: &str, feature: &str) -> Result<Usage, UsageParseError> {
     let (Some(is_feature), Some(is_total), Some(is_seat), Some(is_reserved)) =
         (&*FEATURE, &*TOTAL, &*SEAT, &*RESERVED)
@@ -93,7 +93,7 @@
                     .map_or(1, |units| units.as_str().parse().unwrap_or(u32::MAX));
                 usage.seats.push((seat[1].to_owned(), units));
             } else if let Some(reserved) = is_reserved.captures(line) {
-                // Nobody's host: kept for others.
+                // A reservation has no host; its seats are set aside for outside clients.
                 usage
                     .seats
                     .push((String::new(), reserved[1].parse().unwrap_or(u32::MAX)));
@@ -104,10 +104,10 @@
 }
 
 impl Usage {
-    /// Seats that others hold: whatever is not on a host of ours. Where the server names
-    /// fewer seats than it says are taken, the rest is others', less what we hold
-    /// (`ours`) and it may not name.
-    pub fn external_seats(&self, is_ours: impl Fn(&str) -> bool, ours: u32) -> u32 {
+    /// Seats held by clients outside the cluster: those on hosts that are not machines of the
+    /// cluster. If the server lists fewer seats than it reports in use, the unlisted seats count
+    /// as external, except as many as the cluster holds (`held`) and the server does not list.
+    pub fn external_seats(&self, is_ours: impl Fn(&str) -> bool, held: u32) -> u32 {
         let (mut named, mut on_ours) = (0u32, 0u32);
         for (host, units) in &self.seats {
             named = named.saturating_add(*units);
@@ -116,32 +116,33 @@
             }
         }
         let unnamed = self.in_use.saturating_sub(named);
-        (named - on_ours).saturating_add(unnamed.saturating_sub(ours.saturating_sub(on_ours)))
+        (named - on_ours).saturating_add(unnamed.saturating_sub(held.saturating_sub(on_ours)))
     }
 }
 
-/// What is known of a count's server.
+/// Polling state of the licence server of one counted resource, and the last usage it reported.
 #[derive(Debug, Clone, Default)]
 pub struct UsageFeed {
+    /// The last usage and the time of its poll, in ms.
     last_answer: Option<(Usage, u64)>,
-    /// When it was last asked, in ms.
+    /// Time of the last poll, in ms.
     polled_at: Option<u64>,
     poll_pending: bool,
-    /// What its last answer lacked.
+    /// Why the last answer contained no usage.
     pub problem: Option<String>,
 }
 
-/// What counts of a server's word now.
+/// Whether the last reported usage is still valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedState<'a> {
-    /// Heard lately enough.
+    /// Reported recently enough.
     Fresh(&'a Usage),
-    /// Silent for too long, or never heard: nothing new may start.
+    /// Reported too long ago, or never: no further units may be allocated.
     Silent,
 }
 
 impl UsageFeed {
-    /// Whether it is to be asked now; if so, an answer is awaited from here on.
+    /// Whether a poll is due; if so, marks it as sent.
     pub fn start_poll(&mut self, now: u64) -> bool {
         let due = !self.poll_pending
             && self
@@ -154,7 +155,7 @@
         due
     }
 
-    /// The server answered, or did not. Its word counts from when it was asked.
+    /// Records the answer to a poll, or its failure. The usage dates from when the poll was sent.
     pub fn record_answer(&mut self, answer: Result<Usage, String>) {
         self.poll_pending = false;
         match answer {
@@ -166,6 +167,7 @@
         }
     }
 
+    /// Whether the last reported usage is still valid.
     pub fn state(&self, now: u64) -> FeedState<'_> {
         match &self.last_answer {
             Some((usage, at)) if now < at + SERVER_USAGE_VALID_MS => FeedState::Fresh(usage),
@@ -173,7 +175,7 @@
         }
     }
 
-    /// The last word, however old, and its age in ms.
+    /// The last reported usage, however old, and its age in ms.
     pub fn last_usage(&self, now: u64) -> Option<(&Usage, u64)> {
         self.last_answer
             .as_ref()
--- a/crates/counted_resources/src/licence/tests.rs
+++ b/crates/counted_resources/src/licence/tests.rs
@@ -30,7 +30,7 @@
 ";
 
 #[test]
-fn one_feature_is_read() {
+fn parses_one_feature() {
     let usage = parse_usage(TEXT, "layout-optimiser").unwrap();
     assert_eq!((usage.total, usage.in_use), (6, 5));
     assert_eq!(
@@ -41,15 +41,15 @@
             (String::new(), 1)
         ]
     );
-    // desk-7, the reservation, and one that it does not name.
+    // The seat of desk-7, the reservation, and one seat that is not listed.
     assert_eq!(usage.external_seats(|host| host.starts_with("m-"), 2), 3);
-    // That one may be ours, checked out since the list was made.
+    // The unlisted seat may be the cluster's, checked out after the list was made.
     assert_eq!(usage.external_seats(|host| host.starts_with("m-"), 3), 2);
     assert_eq!(parse_usage(TEXT, "other-tool").unwrap().in_use, 1);
 }
 
 #[test]
-fn what_says_nothing_is_an_error() {
+fn text_without_usage_is_an_error() {
     assert_eq!(parse_usage(TEXT, "layout"), Err(UsageParseError::Absent));
     assert_eq!(parse_usage("", "layout"), Err(UsageParseError::Absent));
     assert!(matches!(
@@ -67,12 +67,12 @@
 }
 
 #[test]
-fn a_silent_servers_last_word_counts_for_a_while() {
+fn last_usage_of_a_silent_server_stays_valid_for_a_while() {
     let mut feed = UsageFeed::default();
-    assert_eq!(feed.state(0), FeedState::Silent, "never heard");
+    assert_eq!(feed.state(0), FeedState::Silent, "never polled");
     assert!(
         feed.start_poll(0) && !feed.start_poll(SERVER_POLL_INTERVAL_MS),
-        "one question at a time"
+        "one poll at a time"
     );
     feed.record_answer(Ok(Usage::default()));
     assert!(feed.start_poll(SERVER_POLL_INTERVAL_MS));
@@ -86,7 +86,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_usage_or_an_error(text in "(Users of a:|  .* licenses in use\\)|[ -~\n]){0,40}") {
+    fn parsing_never_panics(text in "(Users of a:|  .* licenses in use\\)|[ -~\n]){0,40}") {
         let _ = parse_usage(&text, "a");
     }
 }
--- a/crates/counted_resources/src/linger.rs
+++ b/crates/counted_resources/src/linger.rs
@@ -1,39 +1,44 @@
-//! Units that nobody holds any more, but that their licence server has not got back
-//! yet: its client died without a word.
+//! Lingering units: no attempt holds them any more, but the licence server still counts them as
+//! checked out, because their client died without returning them.
 
 use crate::Name;
 use crate::constants::{LINGER_MERGE_MS, MAX_LINGERS_PER_RECORD};
 use serde::{Deserialize, Serialize};
 
-/// Units of one count and team that come free at the same time.
+/// Units of one counted resource and team that become free at the same time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Linger {
+    /// The counted resource.
     pub count: Name,
+    /// The team that held the units.
     pub team: Name,
+    /// Number of units.
     pub units: u32,
-    /// Steady time, in ms, from which on they are free.
+    /// Monotonic time, in ms, at which they become free.
     pub until: u64,
 }
 
-/// The same in a record: count, team, units, and when they are free by the time of day,
-/// in ms since 1970 — steady times mean nothing to another process.
+/// Stored form of [`Linger`]: counted resource, team, units, and the time at which they become
+/// free, in ms since 1970, because monotonic times are meaningless to another process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LingerEntry(pub Name, pub Name, pub u32, pub u64);
 
-/// Lingering units, as one record holds them.
+/// The lingering units of one record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LingerSet(Vec<Linger>);
 
 impl LingerSet {
+    /// Whether no units linger.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// All entries, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Linger> {
         self.0.iter()
     }
 
-    /// Adds lingering units, to others that end about then if there are any.
+    /// Adds lingering units, merging them with an entry that expires at about the same time.
     pub fn add(&mut self, linger: Linger) {
         let near = self.0.iter_mut().find(|other| {
             other.count == linger.count
@@ -52,7 +57,7 @@
         }
     }
 
-    /// One entry a count and team, for as long as the last of them.
+    /// Merges all entries of each counted resource and team into one with the latest expiry.
     fn merge_by_team(&mut self) {
         let mut condensed: Vec<Linger> = Vec::new();
         for linger in self.0.drain(..) {
@@ -70,14 +75,14 @@
         self.0 = condensed;
     }
 
-    /// Drops what is free by now; whether there was any.
+    /// Removes expired entries. Returns whether there were any.
     pub fn prune(&mut self, now: u64) -> bool {
         let before = self.0.len();
         self.0.retain(|linger| now < linger.until);
         self.0.len() < before
     }
 
-    /// As a record holds them.
+    /// Converts the unexpired entries to their stored form.
     pub fn to_record(&self, now: u64, wall_ms: u64) -> Vec<LingerEntry> {
         self.0
             .iter()
@@ -93,20 +98,20 @@
             .collect()
     }
 
-    /// As read from a record. `off_ms` is how far any clock may be from the true time of
-    /// day: the writer's may have been early by it, and this one may be late. No unit
-    /// lingers longer than `most_ms` from now, whatever the clocks say.
+    /// Restores entries from their stored form. `clock_skew_ms` is the maximum deviation of any
+    /// clock from true time: the writer's clock may have been ahead by as much and this one may be
+    /// behind. No unit lingers longer than `max_ms` from now, whatever the clocks say.
     pub fn from_record(
         entries: impl IntoIterator<Item = LingerEntry>,
         now: u64,
         wall_ms: u64,
-        off_ms: u64,
-        most_ms: impl Fn(&str) -> u64,
+        clock_skew_ms: u64,
+        max_ms: impl Fn(&str) -> u64,
     ) -> LingerSet {
         let mut lingers = LingerSet::default();
         for LingerEntry(count, team, units, until_ms) in entries {
-            let left_ms = until_ms.saturating_add(2 * off_ms).saturating_sub(wall_ms);
-            let left_ms = left_ms.min(most_ms(&count));
+            let left_ms = until_ms.saturating_add(2 * clock_skew_ms).saturating_sub(wall_ms);
+            let left_ms = left_ms.min(max_ms(&count));
             if left_ms > 0 {
                 lingers.add(Linger {
                     count,
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -1,6 +1,6 @@
-//! One scheduling pass's view of all counts: who holds what, what is free, what is kept
-//! for whom. It is built anew from the ledger for every pass and keeps nothing itself,
-//! so there is no second truth that could differ from the ledger's.
+//! Units of all counted resources as seen by one scheduling pass: which are held, free or reserved.
+//! The ledger is rebuilt from the records of attempts for every pass and keeps no state of its own,
+//! so it cannot diverge from them.
 
 use crate::constants::{BACKFILL_S, BACKFILL_SAFETY_FACTOR, EXPECTED_MACHINE_WAIT_S, RESERVE_AFTER_S};
 use crate::licence::{FeedState, UsageFeed};
@@ -8,36 +8,36 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// ShortageReason nothing more of a count may start.
+/// Why no further units of a counted resource may be allocated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClosedReason {
-    /// Operators do not define it (any more).
+    /// The operators do not define it, or no longer do.
     Undefined,
-    /// Its licence server has been silent for too long, or was never heard.
+    /// Its licence server has been silent for too long, or has never answered.
     Silent,
 }
 
-/// ShortageReason a task cannot have its units now, for people.
+/// Why a task cannot get its units now, as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShortageReason {
-    /// All are held by tasks.
+    /// Tasks hold all units.
     Held,
-    /// Units would be free, but linger after an attempt that did not end by itself.
+    /// Units would be free, but linger after an attempt that did not exit on its own.
     Lingering,
-    /// Users outside hold them.
+    /// Clients outside the cluster hold them.
     External,
-    /// What is free is kept for an older, larger request.
+    /// The free units are reserved for an older, larger request.
     Reserved,
-    /// More is held than there is: the number was lowered, or others took too many.
+    /// More units are held than exist: the number was lowered, or outside clients took too many.
     Oversubscribed,
     /// Its licence server is silent.
     Silent,
-    /// Nobody defines it.
+    /// It is not defined.
     Undefined,
 }
 
 impl ShortageReason {
-    /// For a sentence such as "waits for units of seat: …".
+    /// Text for a sentence such as "waits for units of seat: …".
     pub fn text(self) -> &'static str {
         match self {
             ShortageReason::Held => "all are held",
@@ -51,15 +51,15 @@
     }
 }
 
-/// Holders of a count for which room is made at once.
+/// Initial capacity of the list of expected releases.
 const INITIAL_RELEASE_CAPACITY: u32 = 64;
 
-/// From when on what is free is kept for a request that finds too little.
+/// When free units are reserved for a request that finds too few.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReservationPolicy {
-    /// Age of the request in s; infinite: never.
+    /// Age of the request in s; infinite disables reservations.
     pub reserve_after_s: f64,
-    /// For how long others may use what is kept, if they are through in time, in s.
+    /// How long other tasks may use reserved units if they finish in time, in s.
     pub backfill_s: f64,
 }
 
@@ -72,35 +72,35 @@
     }
 }
 
-/// Who asks, as far as it matters for units that are kept for somebody else.
+/// The properties of a request that matter for units reserved for other requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Requester {
-    /// Since its submission, in s.
+    /// Time since submission, in s.
     pub age_s: f64,
-    /// Estimated run time of a task, in s; 0 for none.
+    /// Estimated run time of a task, in s; 0 if there is none.
     pub estimate_s: f64,
-    /// For how long units have been kept for it, in s.
+    /// How long units have been reserved for it, in s.
     pub reserved_s: f64,
 }
 
-/// Units kept for the first request in the order that is old enough.
+/// Units reserved for the first request in queue order that is old enough.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Reservation {
     units: u32,
-    /// Estimated time, in s, until all that it waits for is there; what ends sooner may
-    /// use the units meanwhile. Negative once nobody may.
+    /// Estimated time, in s, until the request can start; tasks that end sooner may use the units
+    /// meanwhile. Negative once none may.
     ready_s: f64,
 }
 
-/// What a team has of a count.
+/// A team's use of a counted resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TeamUsage<'a> {
     pub team: &'a str,
-    /// Units that it is guaranteed.
+    /// Guaranteed units.
     pub share: u32,
-    /// Held and lingering.
+    /// Held and lingering units.
     pub used: u32,
-    /// Of them, leaving or lingering.
+    /// The part of `used` that is being stopped or lingers.
     pub releasing: u32,
 }
 
@@ -115,33 +115,36 @@
     }
 }
 
-/// One count in a pass.
+/// The units of one counted resource in a pass.
 #[derive(Debug)]
 pub struct Pool<'a> {
     pub name: &'a str,
     pub definition: Option<&'a Definition>,
-    /// What may be held by us and others together.
+    /// Maximum units that the cluster and outside clients may hold together.
     pub units: u32,
+    /// Units in use by clients outside the cluster.
     pub external: u32,
-    /// Units of attempts that may be on a machine, and those started in this pass.
+    /// Units of attempts that may be on a machine, including those started in this pass.
     pub held: u32,
-    /// Of them, units of attempts that are being stopped.
+    /// The part of `held` whose attempts are being stopped.
     pub leaving: u32,
+    /// Units that linger after attempts that are gone.
     pub lingering: u32,
+    /// Why no further units may be allocated, if so.
     pub closed: Option<ClosedReason>,
-    /// Teams that have a share, or hold or let linger any.
+    /// Teams with a share, or with held or lingering units.
     teams: Vec<TeamUsage<'a>>,
-    /// When holders' units come free: seconds left, units.
+    /// When held and lingering units become free: seconds left, and units.
     expected_releases: Vec<(f64, u32)>,
-    /// Leaving or lingering units that nobody in this pass counts on yet.
+    /// Units being stopped or lingering that no request in this pass counts on yet.
     unclaimed_releases: u32,
-    /// Units that come free by themselves before a stopped one's would, and that nobody
-    /// counts on yet.
+    /// Units of tasks that will exit on their own sooner than the units of a stopped task would be
+    /// free, and that no request counts on yet.
     unclaimed_completions: u32,
     reservation: Option<Reservation>,
-    /// Units that requests have claimed for which others are being stopped.
+    /// Units claimed by requests for which other tasks are being stopped.
     claimed: u32,
-    /// Units for which this pass asks machines.
+    /// Units for which this pass requests machines.
     promised: u32,
 }
 
@@ -173,12 +176,12 @@
         }
     }
 
-    /// Units taken, in whatever way.
+    /// Units held, lingering, or in use by outside clients.
     pub fn taken(&self) -> u64 {
         u64::from(self.held) + u64::from(self.lingering) + u64::from(self.external)
     }
 
-    /// Units that may be taken now, whoever asks.
+    /// Unused units, including reserved ones.
     pub fn free(&self) -> u32 {
         if self.closed.is_some() {
             return 0;
@@ -186,7 +189,7 @@
         (u64::from(self.units).saturating_sub(self.taken())) as u32
     }
 
-    /// Held and lingering units beyond what there is.
+    /// Units in use beyond those that exist.
     pub fn excess(&self) -> u32 {
         self.taken()
             .saturating_sub(u64::from(self.units))
@@ -194,77 +197,82 @@
     }
 
     fn team(&self, team: &str) -> Option<&TeamUsage<'a>> {
-        self.teams.iter().find(|of| of.team == team)
+        self.teams.iter().find(|team_usage| team_usage.team == team)
     }
 
-    /// Units that the team may still take as its own, not borrowed.
+    /// Units of its share that the team may still take.
     pub fn unused_share(&self, team: &str) -> u32 {
-        self.team(team).map_or(0, |of| of.share.saturating_sub(of.used))
+        self.team(team)
+            .map_or(0, |team_usage| team_usage.share.saturating_sub(team_usage.used))
     }
 
-    /// Whether any team is guaranteed a part of it.
+    /// Whether any team has a guaranteed share.
     pub fn has_shares(&self) -> bool {
         self.definition
             .is_some_and(|definition| !definition.shares.is_empty())
     }
 
-    /// Units kept for requests that wait.
+    /// Units reserved for, or claimed by, waiting requests.
     pub fn reserved(&self) -> u32 {
         self.reservation
-            .map_or(0, |kept| kept.units)
+            .map_or(0, |reservation| reservation.units)
             .saturating_add(self.claimed)
     }
 
-    /// Teams that have a share, or hold or let linger any.
+    /// Teams with a share, or with held or lingering units.
     pub fn teams(&self) -> impl Iterator<Item = TeamUsage<'a>> + '_ {
         self.teams.iter().copied()
     }
 
-    /// Units that the team has beyond its share, without those that are going anyway.
-    /// None of them may be taken back while nobody is guaranteed any.
+    /// Units that the team holds beyond its share, without those already being released. Always 0
+    /// if no team has a share, because then no units may be taken back.
     pub fn borrowed(&self, team: &str) -> u32 {
         match self.team(team) {
-            Some(of) if self.has_shares() => (of.used - of.releasing).saturating_sub(of.share),
+            Some(team_usage) if self.has_shares() => {
+                (team_usage.used - team_usage.releasing).saturating_sub(team_usage.share)
+            }
             _ => 0,
         }
     }
 
-    /// Units that somebody may take: what is kept for another only if he is through in
-    /// time. Who asks matters, and is asked, only then.
-    fn available_to(&self, asker: impl FnOnce() -> Requester) -> u32 {
+    /// Units that a request may take: reserved units only if it finishes in time. `requester` is
+    /// called only if units are reserved.
+    fn available_to(&self, requester: impl FnOnce() -> Requester) -> u32 {
         let open = self.free().saturating_sub(self.claimed);
         match self.reservation {
-            Some(kept) if !asker().finishes_within(kept.ready_s) => open.saturating_sub(kept.units),
+            Some(reservation) if !requester().finishes_within(reservation.ready_s) => {
+                open.saturating_sub(reservation.units)
+            }
             _ => open,
         }
     }
 
-    /// Units for which machines may be asked: not promised yet.
+    /// Free units for which no machines have been requested yet.
     fn unpromised(&self) -> u32 {
         self.free().saturating_sub(self.promised)
     }
 
-    /// Units are held from now on, and come free in so many seconds.
-    fn hold(&mut self, team: &'a str, units: u32, left_s: f64, going: bool) {
+    /// Records held units that become free in `left_s` seconds.
+    fn hold(&mut self, team: &'a str, units: u32, left_s: f64, releasing: bool) {
         self.held = self.held.saturating_add(units);
-        self.add_usage(team, units, going);
+        self.add_usage(team, units, releasing);
         self.expected_releases.push((left_s, units));
     }
 
-    fn add_usage(&mut self, team: &'a str, units: u32, going: bool) {
-        let at = self.teams.iter().position(|of| of.team == team);
-        let at = at.unwrap_or_else(|| {
+    fn add_usage(&mut self, team: &'a str, units: u32, releasing: bool) {
+        let index = self.teams.iter().position(|team_usage| team_usage.team == team);
+        let index = index.unwrap_or_else(|| {
             self.teams.push(TeamUsage::unused(team));
             self.teams.len() - 1
         });
-        let of = &mut self.teams[at];
-        of.used = of.used.saturating_add(units);
-        if going {
-            of.releasing = of.releasing.saturating_add(units);
+        let team_usage = &mut self.teams[index];
+        team_usage.used = team_usage.used.saturating_add(units);
+        if releasing {
+            team_usage.releasing = team_usage.releasing.saturating_add(units);
         }
     }
 
-    /// Estimated time, in s, until so many units are free.
+    /// Estimated time, in s, until this many units are free.
     fn ready_s(&mut self, units: u32) -> f64 {
         self.expected_releases.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut free = u64::from(self.free());
@@ -307,30 +315,30 @@
     }
 }
 
-/// What a task lacks.
+/// A counted resource of which a task gets too few units, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shortage {
     pub count: Name,
     pub reason: ShortageReason,
 }
 
-/// The one count of a demand, as a book has it.
+/// A demand of one counted resource: the index of its pool, and the units per task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SingleCount {
-    at: u32,
+    index: u32,
     units: u32,
 }
 
-/// What a request lacks beyond what comes to it anyway.
+/// What a request lacks beyond the units that will become free for it anyway.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Deficit {
-    /// Units that something must be stopped for.
+    /// Units for which attempts must be stopped.
     pub units: Vec<(Name, u32)>,
-    /// It counts on tasks that are about to end by themselves.
+    /// Whether the request counts on tasks that are about to exit on their own.
     pub awaits_completions: bool,
 }
 
-/// All counts in one pass.
+/// The pools of all counted resources in one pass.
 #[derive(Debug, Default)]
 pub struct UnitLedger<'a> {
     pools: Vec<Pool<'a>>,
@@ -339,12 +347,12 @@
 }
 
 impl<'a> UnitLedger<'a> {
-    /// Nothing is held yet.
+    /// Creates a ledger in which no units are held.
     pub fn new(definitions: &'a Definitions) -> UnitLedger<'a> {
         UnitLedger::with_policy(definitions, ReservationPolicy::default())
     }
 
-    /// The same, with other bounds on waiting than the usual ones.
+    /// As [`UnitLedger::new`], with another reservation policy than the default.
     pub fn with_policy(definitions: &'a Definitions, policy: ReservationPolicy) -> UnitLedger<'a> {
         let mut book = UnitLedger {
             pools: Vec::with_capacity(definitions.len()),
@@ -357,8 +365,8 @@
         book
     }
 
-    /// Takes in what licence servers say, once all that is held is noted. `is_ours` says
-    /// whether a host is a machine of ours.
+    /// Applies the usage reported by licence servers. Called after all held units are recorded.
+    /// `is_ours` tells whether a host is a machine of the cluster.
     pub fn apply_server_usage(
         &mut self,
         feeds: &BTreeMap<Name, UsageFeed>,
@@ -384,36 +392,38 @@
     }
 
     fn pool(&mut self, name: &'a str, definition: Option<&'a Definition>) -> usize {
-        if let Some(at) = self.index.get(name) {
-            return *at;
+        if let Some(index) = self.index.get(name) {
+            return *index;
         }
+        /// The pools of all counted resources, whether defined or only held.
         self.pools.push(Pool::new(name, definition));
         self.index.insert(name, self.pools.len() - 1);
         self.pools.len() - 1
     }
+    /// The pool of one counted resource.
 
     pub fn pools(&self) -> impl Iterator<Item = &Pool<'a>> {
         self.pools.iter()
     }
 
     pub fn get(&self, count: &str) -> Option<&Pool<'a>> {
-        self.index.get(count).map(|at| &self.pools[*at])
+        self.index.get(count).map(|index| &self.pools[*index])
     }
 
-    /// An attempt that may be on a machine holds its units. `left_s` is how long it goes
-    /// on, by its owner's estimate; infinite if nobody knows.
+    /// Records the units of an attempt that may be on a machine. `left_s` is its remaining run time
+    /// by its owner's estimate; infinite if unknown.
     pub fn hold(&mut self, team: &'a str, demand: &'a Demand, left_s: f64, leaving: bool) {
         for (name, units) in demand.iter() {
-            let at = self.pool(name, None);
-            let pool = &mut self.pools[at];
+            let index = self.pool(name, None);
+            let pool = &mut self.pools[index];
             let linger_s = pool.definition.map_or(0.0, |definition| definition.linger_s);
             if leaving {
                 pool.leaving = pool.leaving.saturating_add(units);
                 pool.unclaimed_releases = pool.unclaimed_releases.saturating_add(units);
                 pool.hold(team, units, linger_s, true);
             } else {
-                // What ends by itself before a stopped one's unit would be free needs no
-                // stop.
+                // A task that exits on its own before a stopped task's units would be free need not
+                // be stopped.
                 if left_s <= linger_s {
                     pool.unclaimed_completions = pool.unclaimed_completions.saturating_add(units);
                 }
@@ -422,96 +432,101 @@
         }
     }
 
-    /// Units of an attempt that is gone, but did not end by itself.
+    /// Records lingering units of an attempt that is gone but did not exit on its own.
     pub fn linger(&mut self, team: &'a str, count: &'a str, units: u32, left_s: f64) {
-        let at = self.pool(count, None);
-        let pool = &mut self.pools[at];
+        let index = self.pool(count, None);
+        let pool = &mut self.pools[index];
         pool.lingering = pool.lingering.saturating_add(units);
         pool.unclaimed_releases = pool.unclaimed_releases.saturating_add(units);
         pool.add_usage(team, units, true);
         pool.expected_releases.push((left_s, units));
     }
 
-    /// Where the one count of a demand stands, and its units; `None` if it names several,
-    /// or one that nobody defines or holds. A pass asks after thousands of jobs, one after
-    /// the other: their demands lie all over memory, and are read once this way.
+    /// The pool and units of a demand for a single counted resource; `None` if it names several, or
+    /// one that is neither defined nor held. A pass checks thousands of jobs one after the other,
+    /// and their demands are scattered in memory; this way each is read only once.
     pub fn single_count(&self, demand: &Demand) -> Option<SingleCount> {
         let mut parts = demand.iter();
         let (name, units) = parts.next()?;
-        let at = u32::try_from(*self.index.get(&**name)?).ok()?;
-        parts.next().is_none().then_some(SingleCount { at, units })
+        let index = u32::try_from(*self.index.get(&**name)?).ok()?;
+        parts.next().is_none().then_some(SingleCount { index, units })
     }
 
-    /// The pool of such a demand.
-    fn single_count_pool(&self, only: SingleCount) -> &Pool<'a> {
-        &self.pools[only.at as usize]
+    /// The pool of a single-count demand.
+    fn single_count_pool(&self, single: SingleCount) -> &Pool<'a> {
+        &self.pools[single.index as usize]
     }
 
-    /// As `room`, for a demand of one count.
-    pub fn startable_tasks_of(&self, only: SingleCount, most: u32, asker: impl FnOnce() -> Requester) -> u32 {
-        most.min(self.single_count_pool(only).available_to(asker) / only.units.max(1))
+    /// As [`UnitLedger::startable_tasks`], for a demand of a single counted resource.
+    pub fn startable_tasks_of(
+        &self,
+        single: SingleCount,
+        max_tasks: u32,
+        requester: impl FnOnce() -> Requester,
+    ) -> u32 {
+        max_tasks.min(self.single_count_pool(single).available_to(requester) / single.units.max(1))
     }
 
-    /// Whether units may be kept for a request of this age, in s.
+    /// Whether units may be reserved for a request of this age, in s.
     pub fn may_reserve_at(&self, age_s: f64) -> bool {
         age_s >= self.policy.reserve_after_s
     }
 
-    /// As `owed`, for a demand of one count.
-    pub fn tasks_within_share_of(&self, only: SingleCount, team: &str, most: u32) -> Option<u32> {
-        let pool = self.single_count_pool(only);
+    /// As [`UnitLedger::tasks_within_share`], for a demand of a single counted resource.
+    pub fn tasks_within_share_of(&self, single: SingleCount, team: &str, max_tasks: u32) -> Option<u32> {
+        let pool = self.single_count_pool(single);
         pool.has_shares()
-            .then(|| most.min(pool.unused_share(team) / only.units.max(1)))
+            .then(|| max_tasks.min(pool.unused_share(team) / single.units.max(1)))
     }
 
-    /// As `promise`, for a demand of one count.
-    pub fn promise_of(&mut self, only: SingleCount, most: u32) -> u32 {
-        let pool = &mut self.pools[only.at as usize];
-        let count = most.min(pool.unpromised() / only.units.max(1));
-        pool.promised += only.units * count;
+    /// As [`UnitLedger::promise`], for a demand of a single counted resource.
+    pub fn promise_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
+        let pool = &mut self.pools[single.index as usize];
+        let count = max_tasks.min(pool.unpromised() / single.units.max(1));
+        pool.promised += single.units * count;
         count
     }
 
-    /// How many of `most` tasks may have their units now.
-    pub fn startable_tasks(&self, demand: &Demand, most: u32, asker: &Requester) -> u32 {
-        let mut room = most;
+    /// How many of at most `max_tasks` tasks can get their units now.
+    pub fn startable_tasks(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
+        let mut room = max_tasks;
         for (name, units) in demand.iter() {
-            let open = self.get(name).map_or(0, |pool| pool.available_to(|| *asker));
+            let open = self.get(name).map_or(0, |pool| pool.available_to(|| *requester));
             room = room.min(open / units.max(1));
         }
         room
     }
 
-    /// How many of `most` tasks, lacking machines, could use them once they come: units
-    /// promised to others before are not promised twice.
-    pub fn promise(&mut self, demand: &Demand, most: u32) -> u32 {
-        let mut count = most;
+    /// How many of at most `max_tasks` tasks that lack machines would have units once machines are
+    /// available. These units are not promised again in this pass.
+    pub fn promise(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
+        let mut count = max_tasks;
         for (name, units) in demand.iter() {
             let open = self.get(name).map_or(0, Pool::unpromised);
             count = count.min(open / units.max(1));
         }
         for (name, units) in demand.iter() {
-            if let Some(at) = self.index.get(&**name) {
-                self.pools[*at].promised += units * count;
+            if let Some(index) = self.index.get(&**name) {
+                self.pools[*index].promised += units * count;
             }
         }
         count
     }
 
-    /// One task starts in this pass.
+    /// Records the units of a task that starts in this pass.
     pub fn allocate(&mut self, team: &'a str, demand: &Demand, left_s: f64) {
         for (name, units) in demand.iter() {
-            let Some(at) = self.index.get(&**name) else {
+            let Some(index) = self.index.get(&**name) else {
                 continue;
             };
-            self.pools[*at].hold(team, units, left_s, false);
+            self.pools[*index].hold(team, units, left_s, false);
         }
     }
 
-    /// How many of `most` tasks the team may still run with units of its own. `None`
-    /// where no team is guaranteed any of these counts.
-    pub fn tasks_within_share(&self, team: &str, demand: &Demand, most: u32) -> Option<u32> {
-        let mut owed = most;
+    /// How many of at most `max_tasks` tasks the team may still run within its shares. `None` if no
+    /// team has a share of any of these counted resources.
+    pub fn tasks_within_share(&self, team: &str, demand: &Demand, max_tasks: u32) -> Option<u32> {
+        let mut owed = max_tasks;
         let mut shared = false;
         for (name, units) in demand.iter() {
             let Some(pool) = self.get(name).filter(|pool| pool.has_shares()) else {
@@ -523,132 +538,133 @@
         shared.then_some(owed)
     }
 
-    /// So many tasks of a job, which start at once or not at all, find too few units. Keeps
-    /// what is free if the job is old enough, and says what it lacks first, and whether
-    /// anything is kept for it.
+    /// Handles a request for `concurrent_tasks` tasks, which start together or not at all, that
+    /// finds too few units. Reserves the free units if the request is old enough. Returns the first
+    /// shortage, and whether any units are reserved for the request.
     pub fn handle_shortage(
         &mut self,
         demand: &Demand,
-        together: u32,
-        asker: &Requester,
+        concurrent_tasks: u32,
+        requester: &Requester,
     ) -> (Option<Shortage>, bool) {
-        let mut lack = None;
+        let mut shortage = None;
         for (name, units) in demand.iter() {
-            let Some(at) = self.index.get(&**name) else {
-                lack = Some(Shortage {
+            let Some(index) = self.index.get(&**name) else {
+                shortage = Some(Shortage {
                     count: name.clone(),
                     reason: ShortageReason::Undefined,
                 });
                 continue;
             };
-            let pool = &self.pools[*at];
-            let needed = units.saturating_mul(together);
-            if lack.is_none() && pool.available_to(|| *asker) < needed {
-                lack = Some(Shortage {
+            let pool = &self.pools[*index];
+            let needed = units.saturating_mul(concurrent_tasks);
+            if shortage.is_none() && pool.available_to(|| *requester) < needed {
+                shortage = Some(Shortage {
                     count: name.clone(),
                     reason: pool.shortage_reason(needed),
                 });
             }
         }
-        let kept = self.reserve(demand, together, asker, None);
-        (lack, kept)
+        let reserved = self.reserve(demand, concurrent_tasks, requester, None);
+        (shortage, reserved)
     }
 
-    /// Keeps what is free for a request: nobody after it in the order takes it. SingleCount the
-    /// first request that is old enough has any of a count kept. All requests before it
-    /// in the order may still take everything, so what is kept is held by nobody, and the
-    /// first in the order gets all that it asks for in the end.
-    fn reserve(&mut self, demand: &Demand, tasks: u32, asker: &Requester, ready_s: Option<f64>) -> bool {
-        if !self.may_reserve_at(asker.age_s) {
+    /// Reserves free units for a request, so that no later request in queue order takes them. Of
+    /// each counted resource, units are reserved only for the first request that is old enough.
+    /// Earlier requests may still take all units, so a reservation blocks none of them, and the
+    /// first request eventually gets all it needs. Returns whether any units were reserved.
+    fn reserve(&mut self, demand: &Demand, tasks: u32, requester: &Requester, ready_s: Option<f64>) -> bool {
+        if !self.may_reserve_at(requester.age_s) {
             return false;
         }
-        let mut latest: f64 = 0.0;
+        let mut latest_ready_s: f64 = 0.0;
         for (name, units) in demand.iter() {
-            if let Some(at) = self.index.get(&**name) {
-                latest = latest.max(self.pools[*at].ready_s(units.saturating_mul(tasks)));
+            if let Some(index) = self.index.get(&**name) {
+                latest_ready_s = latest_ready_s.max(self.pools[*index].ready_s(units.saturating_mul(tasks)));
             }
         }
-        let ready_s = if asker.reserved_s < self.policy.backfill_s {
-            ready_s.unwrap_or(latest)
+        let ready_s = if requester.reserved_s < self.policy.backfill_s {
+            ready_s.unwrap_or(latest_ready_s)
         } else {
             -1.0
         };
-        let mut first = false;
+        let mut reserved_any = false;
         for (name, units) in demand.iter() {
-            if let Some(at) = self.index.get(&**name)
-                && self.pools[*at].reservation.is_none()
+            if let Some(index) = self.index.get(&**name)
+                && self.pools[*index].reservation.is_none()
             {
-                first = true;
-                self.pools[*at].reservation = Some(Reservation {
+                reserved_any = true;
+                self.pools[*index].reservation = Some(Reservation {
                     units: units.saturating_mul(tasks),
                     ready_s,
                 });
             }
         }
-        first
+        reserved_any
     }
 
-    /// `tasks` of a job have their units and lack machines only. Whether any are kept.
-    pub fn reserve_for_machines(&mut self, demand: &Demand, tasks: u32, asker: &Requester) -> bool {
-        self.reserve(demand, tasks, asker, Some(EXPECTED_MACHINE_WAIT_S))
+    /// Reserves the units of `tasks` tasks that lack only machines. Returns whether any were
+    /// reserved.
+    pub fn reserve_for_machines(&mut self, demand: &Demand, tasks: u32, requester: &Requester) -> bool {
+        self.reserve(demand, tasks, requester, Some(EXPECTED_MACHINE_WAIT_S))
     }
 
-    /// What such a request still lacks when all that is leaving, lingering or about to end,
-    /// and counted on by nobody before, has come to it. Counts on that. `None` where more
-    /// is held than there is, or nothing may start: then no stop would help.
+    /// What the request still lacks after all units that are being stopped, linger or are about to
+    /// become free, and that no earlier request counts on, are assigned to it. Assigns them. `None`
+    /// if units are oversubscribed or closed, in which case stopping attempts would not help.
     pub fn deficit(&mut self, demand: &Demand, tasks: u32) -> Option<Deficit> {
-        let mut missing = Deficit::default();
+        let mut deficit = Deficit::default();
         for (name, units) in demand.iter() {
             let pool = &mut self.pools[*self.index.get(&**name)?];
             if pool.closed.is_some() || pool.excess() > 0 {
                 return None;
             }
             let needed = units.saturating_mul(tasks);
-            let short = needed.saturating_sub(pool.free().saturating_sub(pool.claimed));
-            let coming = short.min(pool.unclaimed_releases);
-            pool.unclaimed_releases -= coming;
-            let ending = (short - coming).min(pool.unclaimed_completions);
-            pool.unclaimed_completions -= ending;
-            missing.awaits_completions |= ending > 0;
-            let left = short - coming - ending;
-            if left > 0 {
-                missing.units.push((name.clone(), left));
+            let shortfall = needed.saturating_sub(pool.free().saturating_sub(pool.claimed));
+            let from_releases = shortfall.min(pool.unclaimed_releases);
+            pool.unclaimed_releases -= from_releases;
+            let from_completions = (shortfall - from_releases).min(pool.unclaimed_completions);
+            pool.unclaimed_completions -= from_completions;
+            deficit.awaits_completions |= from_completions > 0;
+            let uncovered = shortfall - from_releases - from_completions;
+            if uncovered > 0 {
+                deficit.units.push((name.clone(), uncovered));
             }
         }
-        Some(missing)
+        Some(deficit)
     }
 
-    /// What such a request needs is all free, or coming to it: until it has come, nobody
-    /// after it in the order takes any. Without that, a task of two counts stopped others
-    /// for the one, lost it again while it waited for the other, and so on for ever.
+    /// Withholds the units of a request from later requests until all of them have become free.
+    /// Otherwise a task that needs two counted resources would have attempts stopped for one, lose
+    /// it again while waiting for the other, and repeat this forever.
     pub fn claim(&mut self, demand: &Demand, tasks: u32) {
         for (name, units) in demand.iter() {
-            if let Some(at) = self.index.get(&**name) {
-                let pool = &mut self.pools[*at];
+            if let Some(index) = self.index.get(&**name) {
+                let pool = &mut self.pools[*index];
                 pool.claimed = pool.claimed.saturating_add(units.saturating_mul(tasks));
             }
         }
     }
 
-    /// Attempts of a team are to be stopped in this pass for a request that lacks so much
-    /// (`missing`). What of them it does not need, others may count on.
+    /// Records that attempts of a team are stopped in this pass for a request that lacks `missing`.
+    /// Units of theirs that it does not need are available to other requests.
     pub fn record_stops(&mut self, team: &str, demand: &Demand, missing: &mut [(Name, u32)]) {
         for (name, units) in demand.iter() {
-            let Some(at) = self.index.get(&**name) else {
+            let Some(index) = self.index.get(&**name) else {
                 continue;
             };
-            let pool = &mut self.pools[*at];
+            let pool = &mut self.pools[*index];
             pool.leaving = pool.leaving.saturating_add(units);
-            if let Some(of) = pool.teams.iter_mut().find(|of| of.team == team) {
-                of.releasing = of.releasing.saturating_add(units).min(of.used);
+            if let Some(team_usage) = pool.teams.iter_mut().find(|team_usage| team_usage.team == team) {
+                team_usage.releasing = team_usage.releasing.saturating_add(units).min(team_usage.used);
             }
-            let mut rest = units;
-            if let Some((_, lacked)) = missing.iter_mut().find(|(count, _)| count == name) {
-                let used = units.min(*lacked);
-                *lacked -= used;
-                rest -= used;
+            let mut unneeded = units;
+            if let Some((_, deficit)) = missing.iter_mut().find(|(count, _)| count == name) {
+                let used = units.min(*deficit);
+                *deficit -= used;
+                unneeded -= used;
             }
-            pool.unclaimed_releases = pool.unclaimed_releases.saturating_add(rest);
+            pool.unclaimed_releases = pool.unclaimed_releases.saturating_add(unneeded);
         }
     }
 }
