--- a/crates/controller/src/autoscaling/scale_out_request.rs
+++ b/crates/controller/src/autoscaling/scale_out_request.rs
@@ -9,18 +9,18 @@
     /// What the cloud is asked for.
     pub request: RentalRequest,
     /// Its record is persisted: only then it may be sent.
-    pub recorded: bool,
+    pub persisted: bool,
     /// It may have been sent, by this leader or a former one.
     pub sent: bool,
     /// A call of it waits for its answer.
     pub in_flight: bool,
     /// A call of it went unanswered: it may be carried out at any time, minutes later.
-    pub doubtful: bool,
+    pub outcome_unknown: bool,
     /// Not sent again before this time.
     pub retry_at: Timestamp,
     /// When the cloud named its machines. Its record stays until the list must show
     /// them: only it leads a new leader to machines that boot.
-    pub answered: Option<Timestamp>,
+    pub answered_at: Option<Timestamp>,
 }
 
 impl ScaleOutRequest {
@@ -28,17 +28,17 @@
     pub fn new(request: RentalRequest) -> ScaleOutRequest {
         ScaleOutRequest {
             request,
-            recorded: false,
+            persisted: false,
             sent: false,
             in_flight: false,
-            doubtful: false,
+            outcome_unknown: false,
             retry_at: 0,
-            answered: None,
+            answered_at: None,
         }
     }
 
     /// Whether its machines are not known yet.
     pub fn is_open(&self) -> bool {
-        self.answered.is_none()
+        self.answered_at.is_none()
     }
 }
--- a/crates/controller/src/autoscaling/target_size.rs
+++ b/crates/controller/src/autoscaling/target_size.rs
@@ -12,9 +12,9 @@
     /// Sum of the waiting tasks' run-time estimates, in s.
     pub walltime_s: f64,
     /// Machines that the waiting tasks fill, judged by the resources that they request.
-    pub fill: f64,
+    pub machines_filled: f64,
     /// Machines that the largest waiting gang needs at once.
-    pub gang: u32,
+    pub largest_gang: u32,
 }
 
 /// Waiting tasks of one job.
@@ -27,7 +27,7 @@
     /// How many of them one machine takes.
     pub per_machine: f64,
     /// Whether they start together.
-    pub gang: bool,
+    pub is_gang: bool,
 }
 
 impl QueuedDemand {
@@ -45,22 +45,22 @@
             fill = fill.max(f64::MIN_POSITIVE);
         }
         self.walltime_s += f64::from(waiting.tasks) * estimate_s;
-        self.fill += fill;
-        if waiting.gang {
-            self.gang = self.gang.max(fill.ceil() as u32);
+        self.machines_filled += fill;
+        if waiting.is_gang {
+            self.largest_gang = self.largest_gang.max(fill.ceil() as u32);
         }
     }
 }
 
 /// How many machines should be idle or booting for this demand.
-pub fn target(demand: &QueuedDemand, waste_s: f64) -> u32 {
-    if demand.fill <= 0.0 {
+pub fn target_machines(demand: &QueuedDemand, waste_s: f64) -> u32 {
+    if demand.machines_filled <= 0.0 {
         return 0;
     }
     // Integer division as in the paper; one machine if that gives none.
     let balanced = (demand.walltime_s / (WASTE_FACTOR * waste_s)).floor().max(1.0);
-    let filled = demand.fill.ceil();
-    (balanced.min(filled) as u32).max(demand.gang)
+    let filled = demand.machines_filled.ceil();
+    (balanced.min(filled) as u32).max(demand.largest_gang)
 }
 
 /// A machine that is idle or will be up soon.
--- a/crates/controller/src/autoscaling/target_size/tests.rs
+++ b/crates/controller/src/autoscaling/target_size/tests.rs
@@ -5,7 +5,7 @@
         tasks,
         estimate_s,
         per_machine,
-        gang: false,
+        is_gang: false,
     }
 }
 
@@ -18,44 +18,44 @@
 #[test]
 fn queued_walltime_over_twice_the_waste() {
     // 40 one-minute tasks, one a machine: 2400 s / (2 x 50 s) = 24.
-    assert_eq!(target(&queue(waiting(40, 60.0, 1.0)), 50.0), 24);
+    assert_eq!(target_machines(&queue(waiting(40, 60.0, 1.0)), 50.0), 24);
 }
 
 #[test]
 fn at_least_one_while_work_waits_and_none_otherwise() {
-    assert_eq!(target(&queue(waiting(1, 10.0, 8.0)), 50.0), 1);
-    assert_eq!(target(&QueuedDemand::default(), 50.0), 0);
+    assert_eq!(target_machines(&queue(waiting(1, 10.0, 8.0)), 50.0), 1);
+    assert_eq!(target_machines(&QueuedDemand::default(), 50.0), 0);
 }
 
 #[test]
 fn tasks_that_take_nothing_need_a_machine_all_the_same() {
     let gang = WaitingTasks {
-        gang: true,
+        is_gang: true,
         ..waiting(40, 5.0, f64::INFINITY)
     };
     for tasks in [waiting(40, 5.0, f64::INFINITY), gang] {
-        assert_eq!(target(&queue(tasks), 50.0), 1);
+        assert_eq!(target_machines(&queue(tasks), 50.0), 1);
     }
-    assert_eq!(target(&queue(waiting(0, 5.0, f64::INFINITY)), 50.0), 0);
+    assert_eq!(target_machines(&queue(waiting(0, 5.0, f64::INFINITY)), 50.0), 0);
 }
 
 #[test]
 fn no_more_than_the_tasks_fill() {
-    assert_eq!(target(&queue(waiting(16, 1000.0, 8.0)), 50.0), 2);
+    assert_eq!(target_machines(&queue(waiting(16, 1000.0, 8.0)), 50.0), 2);
 }
 
 #[test]
 fn covers_the_largest_gang() {
     let short = queue(WaitingTasks {
-        gang: true,
+        is_gang: true,
         ..waiting(16, 5.0, 4.0)
     });
-    assert_eq!(target(&short, 50.0), 4);
+    assert_eq!(target_machines(&short, 50.0), 4);
 }
 
 #[test]
 fn tasks_without_an_estimate_count_twice_the_waste() {
-    assert_eq!(target(&queue(waiting(3, 0.0, 1.0)), 50.0), 3);
+    assert_eq!(target_machines(&queue(waiting(3, 0.0, 1.0)), 50.0), 3);
 }
 
 fn job(change: impl FnOnce(&mut JobSpec)) -> JobSpec {
--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -125,7 +125,7 @@
             .autoscaler
             .requests
             .iter()
-            .filter(|(_, request)| request.answered.is_some_and(|at| now >= at + listed_ms))
+            .filter(|(_, request)| request.answered_at.is_some_and(|at| now >= at + listed_ms))
             .map(|(key, _)| key.clone())
             .collect();
         for key in listed {
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -67,9 +67,9 @@
     /// Takes over a former leader's request: it may have been sent.
     pub(super) fn adopt_request(&mut self, request: RentalRequest) {
         let adopted = ScaleOutRequest {
-            recorded: true,
+            persisted: true,
             sent: true,
-            doubtful: true,
+            outcome_unknown: true,
             ..ScaleOutRequest::new(request)
         };
         self.requests.insert(adopted.request.request.clone(), adopted);
@@ -78,7 +78,7 @@
     /// A request is on record, and may be sent.
     pub(super) fn request_recorded(&mut self, key: &str) {
         if let Some(request) = self.requests.get_mut(key) {
-            request.recorded = true;
+            request.persisted = true;
         }
     }
 
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -11,7 +11,7 @@
 use crate::leader::{LeaderTerm, PeerView};
 use crate::model::{MachineId, MachineKind, Timestamp};
 use crate::protocol::{MachineNames, paths};
-use crate::scheduling::placement::{MachineTypes, faulty};
+use crate::scheduling::placement::{MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::{GuardedOperation, Permit};
 use std::collections::{HashMap, HashSet};
@@ -135,8 +135,9 @@
                 && !idle.with_weights.contains(&machine.id)
                 && !self.shifts.kept.contains_key(&machine.id)
                 && idle.takes(machine);
-            let useless =
-                machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
+            let useless = machine.is_up()
+                && machine.is_empty()
+                && (is_faulty(machine) || machine.notice_until.is_some());
             let why = if machine.returning {
                 continue;
             } else if never_up {
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -10,7 +10,7 @@
 use crate::leader::calls::TermCall;
 use crate::model::{Job, JobSpec, MachineId, MachineKind};
 use crate::protocol::{MachineNames, MachineType, RentalRequest, Shape, paths};
-use crate::scheduling::placement::{self, MachineTypes, faulty};
+use crate::scheduling::placement::{self, MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::GuardedOperation;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -83,7 +83,7 @@
                 tasks,
                 estimate_s: job.spec.estimate_s,
                 per_machine,
-                gang: job.spec.shape == Shape::Gang,
+                is_gang: job.spec.shape == Shape::Gang,
             };
             queues
                 .entry((machine_type.name.clone(), spot, zones))
@@ -100,7 +100,7 @@
             .fleet_max
             .saturating_sub(self.machines.len() as u32 + pending);
         for ((name, spot, zones), queue) in queues {
-            let target = target_size::target(&queue, self.autoscaler.waste_s(types, &name));
+            let target = target_size::target_machines(&queue, self.autoscaler.waste_s(types, &name));
             let count = target.min(room);
             if count > 0 {
                 room -= count;
@@ -150,7 +150,7 @@
     fn coming(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
         let machines = self.machines.values().filter(|machine| {
             let coming = !machine.is_up() && machine.attempts.is_empty() || machine.idle_since.is_some();
-            let takes = machine.notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
+            let takes = machine.notice_until.is_none() && !machine.one_way_partition && !is_faulty(machine);
             coming && !machine.returning && takes
         });
         let machines = machines.map(|machine| {
@@ -289,7 +289,7 @@
     pub(in crate::leader) fn send_rentals(&mut self, io: &mut Io) {
         let now = io.now;
         let due = |rental: &ScaleOutRequest| {
-            rental.recorded && rental.is_open() && !rental.in_flight && now >= rental.retry_at
+            rental.persisted && rental.is_open() && !rental.in_flight && now >= rental.retry_at
         };
         if !self.autoscaler.requests.values().any(due) {
             return;
@@ -326,7 +326,7 @@
         let request = rental.request.clone();
         let own = request.request.starts_with(&request_prefix(self.first_token));
         if let Some(names) = outcome.read::<MachineNames>(&[200]) {
-            rental.answered = Some(io.now);
+            rental.answered_at = Some(io.now);
             for name in &names.machines {
                 let id = MachineId(Arc::from(name.as_str()));
                 if !self.machines.is_gone(&id) {
@@ -366,7 +366,7 @@
             match self.autoscaler.requests.get_mut(key) {
                 // An earlier call of it may still be carried out: its record stays, or nobody
                 // would know of the machines, and as many would be rented again.
-                Some(rental) if rental.doubtful && !problem.contains("capacity") => {
+                Some(rental) if rental.outcome_unknown && !problem.contains("capacity") => {
                     rental.retry_at = io.now + CLOUD_RETRY_MS;
                 }
                 // Nothing was rented, and the need may have changed: decide afresh.
@@ -377,7 +377,7 @@
             self.end_request(key);
         } else {
             // Perhaps rented: the request is idempotent, so repeating it shows, and rents nothing twice.
-            rental.doubtful |= !outcome.refused();
+            rental.outcome_unknown |= !outcome.refused();
             rental.retry_at = io.now + CLOUD_RETRY_MS;
         }
     }
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -10,7 +10,7 @@
 use crate::io::{Effect, FencedDestination, Io, Method, Outcome};
 use crate::model::{Job, JobId, MachineId, Timestamp};
 use crate::protocol::paths;
-use crate::scheduling::placement::{self, Units, UnsatisfiedDemand};
+use crate::scheduling::placement::{self, CountedUnits, UnsatisfiedDemand};
 use crate::storage::records::ReleasedMachine;
 use indigopath_counted_resources::constants::{SERVER_BYTES, SERVER_TIMEOUT_MS, SERVER_TRUST_MS};
 use indigopath_counted_resources::{
@@ -81,14 +81,14 @@
 
 impl LeaderTerm {
     /// What a pass needs to know of counted resources.
-    pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> Units<'a> {
-        Units {
+    pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> CountedUnits<'a> {
+        CountedUnits {
             definitions,
             policy: Policy::default(),
             reserved_since: &self.counted.keepers,
             feeds: &self.counted.feeds,
             lingers: &self.counted.lingers,
-            gone: self.machines.gone(),
+            recently_released: self.machines.gone(),
         }
     }
 
@@ -252,7 +252,7 @@
         self.counted.looked_at = io.now;
         self.settle_lingers(io.now);
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, io.now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, io.now);
         let mut found: Vec<(Name, Trouble, String)> = Vec::new();
         let mut over = BTreeSet::new();
         for pool in book.pools() {
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -18,7 +18,7 @@
     /// Every count at a glance.
     pub fn count_status(&self, definitions: &Definitions, now: Timestamp) -> Vec<CountStatus> {
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         book.pools().map(|pool| self.status_of(pool, now)).collect()
     }
 
@@ -141,7 +141,7 @@
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
             .counted
             .short
--- a/crates/controller/src/leader/demand_forecast.rs
+++ b/crates/controller/src/leader/demand_forecast.rs
@@ -31,8 +31,8 @@
 
     /// A job has finished.
     pub(super) fn finished(&mut self, job: &Job, now: Timestamp) {
-        self.objectives.finished(job, now);
-        self.satisfaction.finished(&job.spec, now);
+        self.objectives.record_finished(job, now);
+        self.satisfaction.record_finished(&job.spec, now);
     }
 }
 
@@ -57,7 +57,7 @@
             boot_s: self.autoscaler.boot_s(),
         };
         self.forecast.objectives.update(&input, io);
-        self.forecast.objectives.update_large(
+        self.forecast.objectives.update_large_jobs(
             self.jobs.as_map(),
             self.machines.task_locations(),
             &self.counted.short,
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -55,7 +55,7 @@
         rate * faded(at, self.now)
     }
 
-    fn loss(&self, spot: bool) -> f64 {
+    fn loss_rate(&self, spot: bool) -> f64 {
         let own = (f64::from(self.lost) + MACHINE_LOSS_PRIOR * MACHINE_LOSS_PRIOR_S)
             / (self.machine_s + MACHINE_LOSS_PRIOR_S);
         if spot { own.max(self.spot_loss) } else { own }
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -212,7 +212,7 @@
                 ));
             }
         }
-        let machines = self.shifts.protection.machines(self.jobs.as_map(), types);
+        let machines = self.shifts.protection.machine_demand(self.jobs.as_map(), types);
         let fleet_max = settings.operator.fleet_max;
         if machines > f64::from(fleet_max) / 2.0 && !std::mem::replace(&mut self.shifts.told_large, true) {
             warning = Some(format!(
@@ -263,7 +263,7 @@
         let tasks = (wanted.ceil() as u32).min(left);
         left -= tasks;
         rooms.push(SpareCapacity {
-            like: job.spec.id.clone(),
+            template: job.spec.id.clone(),
             tasks,
         });
     }
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::io::{Io, RequestId};
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::protocol::{Cause, Heartbeat, HeartbeatResponse, Shape};
-use crate::scheduling::placement::{self, faulty};
+use crate::scheduling::placement::{self, is_faulty};
 use indigopath_accounting::LossCause;
 use std::sync::Arc;
 
@@ -214,7 +214,7 @@
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
-            gang.lost();
+            gang.record_lost_task();
         }
         self.requeue(task, now);
     }
@@ -288,7 +288,7 @@
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number) {
-                gang.ended(why, fetching);
+                gang.record_ended_task(why, fetching);
             }
             match why {
                 Cause::Error | Cause::Unknown | Cause::Other => {
@@ -313,7 +313,7 @@
                         && let Some(machine) = self.machines.get_mut(id)
                     {
                         machine.errors.insert(task.job.clone());
-                        if faulty(machine) {
+                        if is_faulty(machine) {
                             log::info!("machine cordoned machine={id}: tasks of different jobs failed there");
                         }
                     }
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -97,7 +97,7 @@
             jobs: self.jobs.as_map(),
             machines: self.machines.as_map(),
             task_locations: self.machines.task_locations(),
-            spot_loss: self.autoscaler.spot_losses().rate(),
+            spot_loss_rate: self.autoscaler.spot_losses().rate(),
             units: self.units(&settings.operator.counts),
             starved: &self.forecast.satisfaction().starved,
             aging_credit: self.scheduler.aging_credit,
@@ -122,7 +122,7 @@
                     if let Some(job) = self.jobs.get(&task.job) {
                         self.scheduler
                             .aging_credit
-                            .placed(job, &settings.deployment, io.now);
+                            .record_placement(job, &settings.deployment, io.now);
                     }
                     self.start(task, &machine, types, io.now);
                 }
@@ -157,7 +157,10 @@
             log::info!("first task placed after_s={took_s:.2}");
         }
         job.waiting.remove(&task.index);
-        self.forecast.satisfaction_mut().starved.placed(&job.spec);
+        self.forecast
+            .satisfaction_mut()
+            .starved
+            .record_placement(&job.spec);
         let counts = job.spec.counts.clone();
         let age_ms = job.age_ms(now);
         let cached = machine.has_image(&job.spec.image);
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -12,7 +12,7 @@
 //!
 //! Operators are warned before a class or a team falls under [`SERVED_MIN_SHARE`], once, until it
 //! has recovered. What stays under [`SERVED_STARVED`] is *starved*, and placement gives
-//! it turns before others: see [`Starved`].
+//! it turns before others: see [`StarvedOwners`].
 
 use crate::constants::{
     SECOND_MS, SERVED_AFTER_MS, SERVED_FOR_MS, SERVED_MIN_SHARE, SERVED_RECOVERED_MS, SERVED_RECOVERED_SHARE,
@@ -81,14 +81,14 @@
 /// Priority alone would leave a class with nothing for as long as more important work
 /// fills every machine, a whole day if need be.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Starved {
+pub struct StarvedOwners {
     /// With each, whether it has less than the least share now.
     classes: BTreeMap<String, bool>,
     teams: BTreeMap<String, bool>,
     turns: f64,
 }
 
-impl Starved {
+impl StarvedOwners {
     /// Whether the job is of a class or team that has not recovered yet: its work does not
     /// give way.
     pub fn is(&self, spec: &JobSpec) -> bool {
@@ -114,7 +114,7 @@
 
     /// Notes that a task of the job was placed: what is placed for others earns turns, what is
     /// placed for starved work uses them up.
-    pub fn placed(&mut self, spec: &JobSpec) {
+    pub fn record_placement(&mut self, spec: &JobSpec) {
         let change = if self.is(spec) { -1.0 } else { STARVED_TURN };
         self.turns = (self.turns + change).clamp(-STARVED_OWED, STARVED_TURNS);
     }
@@ -187,7 +187,7 @@
     low: BTreeMap<ShareOwner, LowShare>,
     shares: BTreeMap<ShareOwner, Share>,
     /// What placement needs to know.
-    pub starved: Starved,
+    pub starved: StarvedOwners,
 }
 
 impl DemandSatisfaction {
@@ -197,7 +197,7 @@
     }
 
     /// Notes that a job was done.
-    pub fn finished(&mut self, spec: &JobSpec, now: Timestamp) {
+    pub fn record_finished(&mut self, spec: &JobSpec, now: Timestamp) {
         for owner in owners_of(spec) {
             let done = self.done.entry(owner).or_default();
             match done.back_mut().filter(|last| now < last.at + SECOND_MS) {
@@ -281,7 +281,7 @@
     owner: &ShareOwner,
     share: Share,
     old: Share,
-    starved: &mut Starved,
+    starved: &mut StarvedOwners,
     io: &mut Io,
 ) -> bool {
     let (part, now) = (share.part(), io.now);
--- a/crates/controller/src/scheduling/fair_share/tests.rs
+++ b/crates/controller/src/scheduling/fair_share/tests.rs
@@ -79,7 +79,7 @@
 fn a_low_share_is_told_once_until_it_has_recovered() {
     let mut io = Io::new(&settings(), 1, 0, 0);
     let mut low = LowShare::default();
-    let mut starved = Starved::default();
+    let mut starved = StarvedOwners::default();
     let spec = job("wk-1", "sweep", 4, 90, "blue").spec;
     let (mut warned, mut over_at) = (0, None);
     for second in 0..400 {
@@ -111,18 +111,18 @@
 
 #[test]
 fn others_starts_earn_turns_and_its_own_use_them() {
-    let mut starved = Starved::default();
+    let mut starved = StarvedOwners::default();
     let own = job("wk-1", "sweep", 4, 90, "blue").spec;
     let other = job("wk-2", "gang", 4, 90, "blue").spec;
     starved.mark(&class("sweep"), Some(true));
     for _ in 0..9 {
-        starved.placed(&other);
+        starved.record_placement(&other);
     }
     assert_eq!(starved.turns(), 2);
-    starved.placed(&own);
+    starved.record_placement(&own);
     assert_eq!(starved.turns(), 1);
     for _ in 0..3 {
-        starved.placed(&own);
+        starved.record_placement(&own);
     }
     assert_eq!(starved.turns(), 0, "a gang took more than there were");
     starved.mark(&class("sweep"), None);
--- a/crates/controller/src/scheduling/gangs.rs
+++ b/crates/controller/src/scheduling/gangs.rs
@@ -26,17 +26,17 @@
     }
 
     /// Notes that a task of this attempt is gone without an exit.
-    pub fn lost(&mut self) {
+    pub fn record_lost_task(&mut self) {
         // Before the start the others wait, and a replacement completes the gang.
         self.broken |= self.started;
     }
 
     /// Notes that a task of this attempt has ended otherwise than done; others of it may still be `fetching`
     /// their image.
-    pub fn ended(&mut self, why: Cause, fetching: bool) {
+    pub fn record_ended_task(&mut self, why: Cause, fetching: bool) {
         match why {
             // The worker refused it: another machine may take it.
-            Cause::NoRoom | Cause::Busy => self.lost(),
+            Cause::NoRoom | Cause::Busy => self.record_lost_task(),
             // Its image was there long before the others': it joins them again. A new
             // attempt would give their fetches up, and where an image takes longer
             // than a task waits for its gang, no attempt would ever start.
@@ -46,7 +46,7 @@
     }
 
     /// Whether missing tasks may join it.
-    pub fn open(&self) -> bool {
+    pub fn accepts_tasks(&self) -> bool {
         !self.started && !self.broken
     }
 }
--- a/crates/controller/src/scheduling/image_statistics.rs
+++ b/crates/controller/src/scheduling/image_statistics.rs
@@ -14,5 +14,5 @@
     fn starts_per_s(&self, image: &str) -> f64;
 
     /// Losses of a machine, spot or on-demand, per s.
-    fn loss(&self, spot: bool) -> f64;
+    fn loss_rate(&self, spot: bool) -> f64;
 }
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -241,7 +241,7 @@
 
 impl Forecast {
     /// Notes that a job was done.
-    pub fn finished(&mut self, job: &Job, now: Timestamp) {
+    pub fn record_finished(&mut self, job: &Job, now: Timestamp) {
         let finished = self.finished.entry(job.spec.class.clone()).or_default();
         finished.push_back(FinishedJob {
             at: now,
@@ -267,7 +267,7 @@
     }
 
     /// Warns, by class, of larger jobs that are about to begin later than their users expect.
-    pub fn update_large(
+    pub fn update_large_jobs(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
         task_locations: &TaskLocations,
--- a/crates/controller/src/scheduling/placement/aging.rs
+++ b/crates/controller/src/scheduling/placement/aging.rs
@@ -22,7 +22,7 @@
 
 impl AgingCredit {
     /// Notes that a task of the job was placed: other work earns turns, overdue work uses them up.
-    pub fn placed(&mut self, job: &Job, deployment: &Deployment, now: Timestamp) {
+    pub fn record_placement(&mut self, job: &Job, deployment: &Deployment, now: Timestamp) {
         let change = if is_overdue(job, deployment, now) {
             -1.0
         } else {
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -11,7 +11,7 @@
 
 /// What is known of counted resources apart from what runs.
 #[derive(Clone, Copy)]
-pub struct Units<'a> {
+pub struct CountedUnits<'a> {
     /// Counted resources as the operators define them.
     pub definitions: &'a Definitions,
     /// How free units are shared among requests.
@@ -23,7 +23,7 @@
     /// Units of attempts that are gone, which no licence server has back yet.
     pub lingers: &'a [Linger],
     /// Machines that went lately: a licence server may still name them.
-    pub gone: &'a HashMap<MachineId, Timestamp>,
+    pub recently_released: &'a HashMap<MachineId, Timestamp>,
 }
 
 /// Tasks that wait for units only, or before anything else.
@@ -37,7 +37,7 @@
     pub lack: Lack,
 }
 
-impl<'a> Units<'a> {
+impl<'a> CountedUnits<'a> {
     /// Completes a book in which all attempts stand.
     pub(super) fn settle(
         &self,
@@ -51,13 +51,17 @@
         }
         // A server that nobody has asked yet closes its count as well.
         book.hear(self.feeds, now, |host| {
-            machines.contains_key(host) || self.gone.contains_key(host)
+            machines.contains_key(host) || self.recently_released.contains_key(host)
         });
     }
 }
 
 /// Who holds what now, for those who ask between passes.
-pub fn book<'a>(machines: &'a BTreeMap<MachineId, Machine>, units: &Units<'a>, now: Timestamp) -> Book<'a> {
+pub fn unit_ledger<'a>(
+    machines: &'a BTreeMap<MachineId, Machine>,
+    units: &CountedUnits<'a>,
+    now: Timestamp,
+) -> Book<'a> {
     let mut book = Book::with_policy(units.definitions, units.policy);
     for attempt in machines.values().flat_map(|machine| &machine.attempts) {
         record_units(&mut book, attempt, now);
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -75,7 +75,7 @@
             avoids_spot: avoids_spot(
                 job,
                 self.cluster.deployment,
-                self.cluster.spot_loss,
+                self.cluster.spot_loss_rate,
                 self.cluster.now,
             ),
             on_demand_only,
--- a/crates/controller/src/scheduling/placement/gang_placement.rs
+++ b/crates/controller/src/scheduling/placement/gang_placement.rs
@@ -66,9 +66,11 @@
     fn gang_turn(&self, job: &Job, tasks_by_zone: &TasksByZone) -> GangTurn {
         match &job.gang {
             // Whoever waited in vain goes back to its image, in a moment.
-            Some(attempt) if attempt.open() && self.waited_in_vain(job, attempt.number) => GangTurn::NotNow,
+            Some(attempt) if attempt.accepts_tasks() && self.waited_in_vain(job, attempt.number) => {
+                GangTurn::NotNow
+            }
             // A replacement joins an attempt that has not started.
-            Some(attempt) if attempt.open() => GangTurn::Join(attempt.number),
+            Some(attempt) if attempt.accepts_tasks() => GangTurn::Join(attempt.number),
             Some(_) => GangTurn::NotNow,
             // Nothing of an old attempt may be left anywhere.
             None if tasks_by_zone.iter().any(|count| *count > 0) => GangTurn::NotNow,
--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -14,7 +14,7 @@
 /// stopped counts as well.
 fn has_not_begun(job: &Job, task_locations: &TaskLocations) -> bool {
     match job.spec.shape {
-        Shape::Gang => !job.began && job.gang.is_none_or(|gang| gang.open()),
+        Shape::Gang => !job.began && job.gang.is_none_or(|gang| gang.accepts_tasks()),
         Shape::Array | Shape::Service => {
             job.done.is_empty()
                 && task_locations
--- a/crates/controller/src/scheduling/placement/mod.rs
+++ b/crates/controller/src/scheduling/placement/mod.rs
@@ -35,7 +35,7 @@
 use crate::allocations::Machine;
 use crate::constants::FAULTY_AFTER;
 use crate::model::{Job, JobId, MachineId, Resources, TaskId, TaskLocations, Timestamp};
-use crate::scheduling::fair_share::Starved;
+use crate::scheduling::fair_share::StarvedOwners;
 use crate::scheduling::image_statistics::ImageStatistics;
 use crate::settings::Deployment;
 use indigopath_counted_resources::Name;
@@ -46,7 +46,7 @@
 
 pub use crate::model::MachineTypes;
 pub use aging::AgingCredit;
-pub use counted_units::{Units, UnsatisfiedDemand, book};
+pub use counted_units::{CountedUnits, UnsatisfiedDemand, unit_ledger};
 pub use filtering::{avoids_spot, tasks_by_zone};
 pub use large_jobs::large_not_begun;
 pub use preemption::grace_s;
@@ -66,11 +66,11 @@
     /// Machines on which a job's tasks may be: an index, so that no search visits every machine.
     pub task_locations: &'a TaskLocations,
     /// Rate at which spot machines are lost, per second and machine.
-    pub spot_loss: f64,
+    pub spot_loss_rate: f64,
     /// Counted resources: their definitions and who holds units.
-    pub units: Units<'a>,
+    pub units: CountedUnits<'a>,
     /// Classes and teams that have had less than their least share for long.
-    pub starved: &'a Starved,
+    pub starved: &'a StarvedOwners,
     /// How much overdue work may go first.
     pub aging_credit: AgingCredit,
     /// Measured fetch rates, and starts by image.
@@ -165,7 +165,7 @@
 }
 
 /// Whether so many different jobs have failed on the machine that it is taken to be at fault.
-pub fn faulty(machine: &Machine) -> bool {
+pub fn is_faulty(machine: &Machine) -> bool {
     machine.errors.len() >= FAULTY_AFTER
 }
 
@@ -177,5 +177,5 @@
         && !machine.one_way_partition
         && machine.notice_until.is_none()
         && machine.full_until <= now
-        && !faulty(machine)
+        && !is_faulty(machine)
 }
--- a/crates/controller/src/scheduling/placement/placement_cost.rs
+++ b/crates/controller/src/scheduling/placement/placement_cost.rs
@@ -112,7 +112,7 @@
             let copies = requirements
                 .image
                 .map_or(0, |image| self.images.get(image).copies);
-            choice.machine_loss = self.cluster.image_statistics.loss(capacity.machine.spot);
+            choice.machine_loss = self.cluster.image_statistics.loss_rate(capacity.machine.spot);
             choice.beside = there
                 .filter(|running| running.attempt.task.job == requirements.job.spec.id)
                 .count() as u32;
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -1,7 +1,7 @@
 //! The preempt phase: which running work gives way, and where least is lost by it.
 
 use super::pass::{OpenZones, Pass, PreemptionClass, TaskRequirements};
-use super::{Decision, faulty};
+use super::{Decision, is_faulty};
 use crate::allocations::Attempt;
 use crate::constants::{FETCH_WEIGHT, ROOM_SEARCHES_PER_PASS, STOP_GRACE_EXTRA_S};
 use crate::model::{Job, JobSpec, MachineId, Resources};
@@ -273,7 +273,7 @@
     pub(super) fn drain_noticed(&mut self) {
         let mut stops = Vec::new();
         for capacity in &self.capacities {
-            if capacity.machine.notice_until.is_none() && !faulty(capacity.machine) {
+            if capacity.machine.notice_until.is_none() && !is_faulty(capacity.machine) {
                 continue;
             }
             for running in capacity
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -6,7 +6,7 @@
 use crate::constants::{PROTECTED_LOSS_S, SERVICE_LOSS_S};
 use crate::model::{Job, JobId, JobSpec, Resources};
 use crate::protocol::{MachineType, Shape};
-use crate::scheduling::fair_share::Starved;
+use crate::scheduling::fair_share::StarvedOwners;
 use indigopath_protection_windows::Standing;
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpareCapacity {
     /// It is for replicas of this job, or of one with the same requirements.
-    pub like: JobId,
+    pub template: JobId,
     /// For how many replicas.
     pub tasks: u32,
 }
@@ -47,13 +47,13 @@
 
     /// Whether a job stays off spot machines: it is protected, and neither starved, as the least share
     /// stands above protection, nor bound to them.
-    pub fn avoids_spot(&self, spec: &JobSpec, starved: &Starved) -> bool {
+    pub fn avoids_spot(&self, spec: &JobSpec, starved: &StarvedOwners) -> bool {
         spec.spot && self.standing(&spec.id).is_some() && !starved.is(spec)
     }
 
     /// How many machines the protected jobs and their spare capacity fill, judged by the largest type that
     /// takes them.
-    pub fn machines(&self, jobs: &BTreeMap<JobId, Job>, types: &MachineTypes) -> f64 {
+    pub fn machine_demand(&self, jobs: &BTreeMap<JobId, Job>, types: &MachineTypes) -> f64 {
         let fills = |id: &JobId, tasks: u32| {
             let Some(job) = jobs.get(id) else { return 0.0 };
             let per = |known: &MachineType| job.spec.needs.count_in(&known.resources());
@@ -67,7 +67,7 @@
             let tasks = jobs.get(id).map_or(0, |job| job.spec.tasks);
             fills(id, tasks)
         });
-        let spare = self.spare.iter().map(|spare| fills(&spare.like, spare.tasks));
+        let spare = self.spare.iter().map(|spare| fills(&spare.template, spare.tasks));
         protected.sum::<f64>() + spare.sum::<f64>()
     }
 }
@@ -134,7 +134,7 @@
     pub(super) fn reserve_spare_capacity(&mut self) {
         let cluster = self.cluster;
         for spare in &cluster.protection.spare {
-            let Some(job) = cluster.jobs.get(&spare.like) else {
+            let Some(job) = cluster.jobs.get(&spare.template) else {
                 continue;
             };
             let requirements = self.requirements(job);
@@ -161,7 +161,7 @@
             }
             let zones = self.zone_names(&zones);
             self.plan.unplaced_spare.push(Unplaced {
-                job: spare.like.clone(),
+                job: spare.template.clone(),
                 tasks: left,
                 zones,
             });
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -5,7 +5,7 @@
 use crate::constants::{RUN_AT_LEAST, RUNS_TO_WAIT, SECOND_MS, UNSTATED_START_S};
 use crate::model::{Job, JobId, Resources, Timestamp};
 use crate::protocol::Shape;
-use crate::scheduling::fair_share::Starved;
+use crate::scheduling::fair_share::StarvedOwners;
 use crate::settings::Deployment;
 use indigopath_counted_resources::Only;
 use std::cmp::Reverse;
@@ -193,7 +193,7 @@
 /// turn only, as half of it is no use; what it takes beyond that is owed.
 pub(super) fn starved_work_first<'a>(
     mut order: Vec<QueueEntry<'a>>,
-    starved: &Starved,
+    starved: &StarvedOwners,
 ) -> Vec<QueueEntry<'a>> {
     let mut turns = starved.turns();
     if turns == 0 {
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -75,7 +75,7 @@
         let tasks_by_zone = self.zones_of(&job.spec.id);
         let is_fresh = job.gang.is_none() && tasks_by_zone.iter().all(|count| *count == 0);
         let with_units = self.tasks_with_units(entry, entry.tasks);
-        if !is_fresh && !job.gang.is_some_and(|gang| gang.open()) || (with_units as usize) < tasks {
+        if !is_fresh && !job.gang.is_some_and(|gang| gang.accepts_tasks()) || (with_units as usize) < tasks {
             return;
         }
         let Some(in_s) = self.reserve_quota(job, tasks) else {
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -6,7 +6,7 @@
 use indigopath_controller::allocations::{Attempt, Change, Machine};
 use indigopath_controller::model::{JobId, MachineId, Resources, TaskId};
 use indigopath_controller::protocol::{DirectCommands, Heartbeat, HeartbeatResponse};
-use indigopath_controller::scheduling::placement::{self, Units};
+use indigopath_controller::scheduling::placement::{self, CountedUnits};
 use indigopath_controller::storage::records::{MachineRecord, Record, ShardRecord};
 use indigopath_counted_resources::{Asker, Definition, Definitions, Demand, Linger, Lingers, Policy};
 use indigopath_simulator::licence_server::{Fate, Feature, LicenceServer};
@@ -156,15 +156,15 @@
     fn seats(&self, asked: impl Fn(&indigopath_counted_resources::Book<'_>) -> u32) -> u32 {
         let lingers: Vec<Linger> = self.lingers.iter().cloned().collect();
         let (feeds, gone, keepers) = (BTreeMap::new(), HashMap::new(), BTreeMap::new());
-        let units = Units {
+        let units = CountedUnits {
             definitions: &self.definitions,
             policy: Policy::default(),
             reserved_since: &keepers,
             feeds: &feeds,
             lingers: &lingers,
-            gone: &gone,
+            recently_released: &gone,
         };
-        asked(&placement::book(&self.machines, &units, self.now))
+        asked(&placement::unit_ledger(&self.machines, &units, self.now))
     }
 
     fn changed(&mut self, changes: Vec<Change>) {
--- a/crates/counted_resources/benches/pass.rs
+++ b/crates/counted_resources/benches/pass.rs
@@ -8,7 +8,7 @@
 use indigopath_controller::allocations::{Attempt, Machine};
 use indigopath_controller::model::{Job, JobId, JobSpec, MachineId, TaskId, TaskLocations};
 use indigopath_controller::protocol::{Flavors, TaskState};
-use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, MachineTypes, Units};
+use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, CountedUnits, MachineTypes};
 use indigopath_controller::settings::Deployment;
 use indigopath_counted_resources::{Asker, Book, Definition, Definitions, Demand, Demands, Policy};
 use serde_json::json;
@@ -134,7 +134,7 @@
             BTreeMap::new(),
             TaskLocations::new(),
         );
-        let starved = indigopath_controller::scheduling::fair_share::Starved::default();
+        let starved = indigopath_controller::scheduling::fair_share::StarvedOwners::default();
         let weights = indigopath_controller::leader::Weights::default();
         let site = ClusterSnapshot {
             deployment: &self.deployment,
@@ -142,18 +142,18 @@
             jobs: &self.jobs,
             machines: &self.machines,
             task_locations: &task_locations,
-            spot_loss: 0.0,
+            spot_loss_rate: 0.0,
             starved: &starved,
             aging_credit: placement::AgingCredit::default(),
             image_statistics: &weights,
             protection: &placement::Protection::default(),
-            units: Units {
+            units: CountedUnits {
                 definitions: &self.definitions,
                 policy: Policy::default(),
                 reserved_since: &keepers,
                 feeds: &feeds,
                 lingers: &[],
-                gone: &gone,
+                recently_released: &gone,
             },
             now: 20_000,
         };
--- a/crates/experiments/src/play.rs
+++ b/crates/experiments/src/play.rs
@@ -6,7 +6,9 @@
 use indigopath_controller::model::{Job, JobId, JobSpec, MachineId, TaskId, TaskLocations};
 use indigopath_controller::protocol::{Flavors, Shape, TaskState};
 use indigopath_controller::scheduling::gangs::GangAttempt;
-use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, Decision, MachineTypes, Units};
+use indigopath_controller::scheduling::placement::{
+    self, ClusterSnapshot, CountedUnits, Decision, MachineTypes,
+};
 use indigopath_controller::settings::Deployment;
 use indigopath_counted_resources::{Definition, Definitions, Demand, Linger, Lingers, Name, Policy};
 use rand::rngs::SmallRng;
@@ -391,7 +393,7 @@
             },
             _ => Policy::default(),
         };
-        let starved = indigopath_controller::scheduling::fair_share::Starved::default();
+        let starved = indigopath_controller::scheduling::fair_share::StarvedOwners::default();
         let weights = indigopath_controller::leader::Weights::default();
         let site = ClusterSnapshot {
             deployment: &self.deployment,
@@ -399,18 +401,18 @@
             jobs: &self.jobs,
             machines: &self.machines,
             task_locations: &self.task_locations,
-            spot_loss: 0.0,
+            spot_loss_rate: 0.0,
             starved: &starved,
             aging_credit: placement::AgingCredit::default(),
             image_statistics: &weights,
             protection: &placement::Protection::default(),
-            units: Units {
+            units: CountedUnits {
                 definitions: &self.plan.definitions,
                 policy,
                 reserved_since: &self.keepers,
                 feeds: &feeds,
                 lingers: &lingers,
-                gone: &gone,
+                recently_released: &gone,
             },
             now: self.now,
         };
