--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -91,14 +91,14 @@
 impl StarvedOwners {
     /// Whether the job is of a class or team that has not recovered yet: its work does not
     /// give way.
-    pub fn is(&self, spec: &JobSpec) -> bool {
+    pub fn is_starved(&self, spec: &JobSpec) -> bool {
         // Nearly always there is none.
         !self.classes.is_empty() && self.classes.contains_key(&spec.class)
             || !self.teams.is_empty() && self.teams.contains_key(&spec.team)
     }
 
     /// Whether the job's turn may come before all others': its class or team has less than the least share.
-    pub fn first(&self, spec: &JobSpec) -> bool {
+    pub fn goes_first(&self, spec: &JobSpec) -> bool {
         self.classes.get(&spec.class) == Some(&true) || self.teams.get(&spec.team) == Some(&true)
     }
 
@@ -115,7 +115,7 @@
     /// Notes that a task of the job was placed: what is placed for others earns turns, what is
     /// placed for starved work uses them up.
     pub fn record_placement(&mut self, spec: &JobSpec) {
-        let change = if self.is(spec) { -1.0 } else { STARVED_TURN };
+        let change = if self.is_starved(spec) { -1.0 } else { STARVED_TURN };
         self.turns = (self.turns + change).clamp(-STARVED_OWED, STARVED_TURNS);
     }
 
--- a/crates/controller/src/scheduling/fair_share/tests.rs
+++ b/crates/controller/src/scheduling/fair_share/tests.rs
@@ -101,12 +101,12 @@
             over_at = Some(second);
             break;
         }
-        assert!(starved.is(&spec));
-        assert_eq!(starved.first(&spec), served == 40, "at {second} s");
+        assert!(starved.is_starved(&spec));
+        assert_eq!(starved.goes_first(&spec), served == 40, "at {second} s");
     }
     assert_eq!(warned, 1);
     assert_eq!(over_at, Some(200 + SERVED_RECOVERED_MS / SECOND_MS));
-    assert!(!starved.is(&spec));
+    assert!(!starved.is_starved(&spec));
 }
 
 #[test]
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -275,7 +275,7 @@
         io: &mut Io,
     ) {
         let mut late: BTreeMap<&str, (&Job, u32)> = BTreeMap::new();
-        for job in placement::large_not_begun(jobs, task_locations, LARGE_WARN_MS, io.now) {
+        for job in placement::large_unstarted_jobs(jobs, task_locations, LARGE_WARN_MS, io.now) {
             late.entry(&job.spec.class).or_insert((job, 0)).1 += 1;
         }
         self.not_begun
--- a/crates/controller/src/scheduling/placement/aging.rs
+++ b/crates/controller/src/scheduling/placement/aging.rs
@@ -81,15 +81,15 @@
         overdue.sort_by_cached_key(|entry| {
             let age_ms = entry.job.age_ms(cluster.now);
             (
-                entry.standing(cluster),
+                entry.precedence(cluster),
                 Reverse(age_ms),
                 entry.job.spec.id.clone(),
             )
         });
         let mut first = HashMap::new();
-        for peers in overdue.chunk_by(|entry, next| entry.is_peer_of(next, cluster)) {
+        for group in overdue.chunk_by(|entry, next| entry.has_same_precedence(next, cluster)) {
             let mut left = turns;
-            for entry in peers {
+            for entry in group {
                 if left == 0 {
                     break;
                 }
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -1,11 +1,11 @@
 //! The bind phase for arrays and services: tasks fill the best candidates one by one.
 
 use super::counted_units::units_held_s;
-use super::image_catalog::note_image;
+use super::image_catalog::add_image;
 use super::pass::{EquivalenceClass, ImageFetch, OpenZones, Pass, TaskRequirements, TasksByZone};
 use super::placement_cost::record_fetch;
 use super::queue_order::{QueueEntry, WaitingTasks};
-use super::scoring::{Candidate, occupies_s};
+use super::scoring::{Candidate, occupancy_s};
 use super::{Decision, Unplaced};
 use crate::constants::STARTS_PER_PASS;
 use crate::model::{Job, JobSpec, TaskId};
@@ -26,8 +26,8 @@
 /// after all peers.
 struct Deferred<'a> {
     entry: QueueEntry<'a>,
-    /// `Pass::on_demand_short` as it was at the entry's own place in the order.
-    on_demand_short: bool,
+    /// `Pass::on_demand_shortage` as it was at the entry's own place in the order.
+    on_demand_shortage: bool,
 }
 
 /// A turn of a job while its tasks are placed.
@@ -67,13 +67,13 @@
     pub(super) fn bind(&mut self, requirements: &mut TaskRequirements<'a>, index: u32, at: usize) {
         let job = requirements.job;
         let spec = &job.spec;
-        requirements.image = Some(self.await_image(spec, at));
+        requirements.image = Some(self.record_image_use(spec, at));
         let capacity = &mut self.capacities[at];
         capacity.free -= spec.needs;
-        capacity.held_s = capacity.held_s.max(occupies_s(spec));
+        capacity.occupied_s = capacity.occupied_s.max(occupancy_s(spec));
         let machine = capacity.machine.id.clone();
         if spec.spread || spec.one_zone {
-            self.note_placed_zone(job, at);
+            self.record_placed_zone(job, at);
         }
         self.usage.add(&spec.team, spec.needs);
         if !spec.counts.is_empty() {
@@ -88,10 +88,10 @@
     }
 
     /// Notes that a task of the job needs its image on a machine; returns the image's number.
-    fn await_image(&mut self, spec: &'a JobSpec, at: usize) -> u32 {
+    fn record_image_use(&mut self, spec: &'a JobSpec, at: usize) -> u32 {
         let capacity = &mut self.capacities[at];
         let image = self.images.intern(&spec.image, spec.image_gb);
-        if note_image(&mut capacity.images, image) {
+        if add_image(&mut capacity.images, image) {
             if let Some(known) = self.images.get_mut(image) {
                 known.copies += 1;
             }
@@ -111,9 +111,9 @@
         image
     }
 
-    fn note_placed_zone(&mut self, job: &'a Job, at: usize) {
+    fn record_placed_zone(&mut self, job: &'a Job, at: usize) {
         let zones = self.cluster.deployment.zones.len();
-        let zone = self.capacities[at].place.map_or(zones, |(_, zone)| zone);
+        let zone = self.capacities[at].type_and_zone.map_or(zones, |(_, zone)| zone);
         let placed = self
             .placed_zones
             .entry(&job.spec.id)
@@ -125,15 +125,15 @@
     /// images, in their order, and then what is left: otherwise, where more waits than there is
     /// capacity, whatever comes free goes to the job whose turn it is, and half of the tasks fetch
     /// images that lie beside a place which another took.
-    pub(super) fn place_peers(&mut self, peers: &[QueueEntry<'a>]) {
-        let Some(mut deferred) = self.place_near_images(peers) else {
+    pub(super) fn place_group(&mut self, group: &[QueueEntry<'a>]) {
+        let Some(mut deferred) = self.place_near_images(group) else {
             return;
         };
-        let short = self.on_demand_short;
+        let short = self.on_demand_shortage;
         if self.place_first_replicas(&mut deferred).is_none() || self.place_deferred(deferred).is_none() {
             return;
         }
-        self.on_demand_short = short;
+        self.on_demand_shortage = short;
     }
 
     /// Whether this pass may start no more tasks.
@@ -143,9 +143,9 @@
 
     /// Gives each entry its turn, and returns what is left of those that were placed only beside their
     /// images. `None` once the pass is exhausted.
-    fn place_near_images(&mut self, peers: &[QueueEntry<'a>]) -> Option<Vec<Deferred<'a>>> {
+    fn place_near_images(&mut self, group: &[QueueEntry<'a>]) -> Option<Vec<Deferred<'a>>> {
         let mut deferred = Vec::new();
-        for entry in peers {
+        for entry in group {
             if self.is_exhausted() {
                 return None;
             }
@@ -165,7 +165,7 @@
             };
             deferred.extend(entry.remainder_after(placed).map(|entry| Deferred {
                 entry,
-                on_demand_short: self.on_demand_short,
+                on_demand_shortage: self.on_demand_shortage,
             }));
         }
         Some(deferred)
@@ -176,14 +176,14 @@
     fn place_first_replicas(&mut self, deferred: &mut [Deferred<'a>]) -> Option<()> {
         for Deferred {
             entry,
-            on_demand_short,
+            on_demand_shortage,
         } in deferred
         {
             if self.is_exhausted() {
                 return None;
             }
             if entry.job.spec.shape == Shape::Service && entry.tasks > 1 && self.is_down(entry.job) {
-                self.on_demand_short = *on_demand_short;
+                self.on_demand_shortage = *on_demand_shortage;
                 let one = QueueEntry { tasks: 1, ..*entry };
                 self.place_tasks(&one);
                 entry.skip += 1;
@@ -197,14 +197,14 @@
     fn place_deferred(&mut self, deferred: Vec<Deferred<'a>>) -> Option<()> {
         for Deferred {
             entry,
-            on_demand_short,
+            on_demand_shortage,
         } in deferred
         {
             if self.is_exhausted() {
                 return None;
             }
             // A gang that comes later in the order keeps it off nothing.
-            self.on_demand_short = on_demand_short;
+            self.on_demand_shortage = on_demand_shortage;
             self.place_tasks(&entry);
         }
         Some(())
@@ -212,7 +212,9 @@
 
     /// Whether no task of the job is, or may be, on any machine.
     fn is_down(&self, job: &Job) -> bool {
-        self.zones_of(&job.spec.id).iter().all(|count| *count == 0)
+        self.job_tasks_by_zone(&job.spec.id)
+            .iter()
+            .all(|count| *count == 0)
     }
 
     /// Places an array's tasks on machines that have their image; returns how many.
@@ -227,7 +229,7 @@
         {
             return 0;
         }
-        let tasks_by_zone = self.zones_of(&job.spec.id);
+        let tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
         let zones = self.open_zones(&job.spec, &tasks_by_zone);
         let mut candidates = self.candidates(&requirements, &zones, None);
         candidates.retain(|candidate| {
@@ -285,7 +287,7 @@
         if self.bind_turn(&mut turn).is_none() {
             return;
         }
-        let mut unplaced = self.tasks_promised_units(entry, turn.remaining);
+        let mut unplaced = self.tasks_with_expected_units(entry, turn.remaining);
         while unplaced > 0 && self.preempt_for(&turn.requirements, &turn.open_zones, None) {
             unplaced -= 1;
         }
@@ -295,7 +297,7 @@
     fn task_turn(&self, entry: &QueueEntry<'a>, allowed: u32, locality: Locality) -> TaskTurn<'a> {
         let spec = &entry.job.spec;
         let requirements = self.requirements(entry.job);
-        let tasks_by_zone = self.zones_of(&spec.id);
+        let tasks_by_zone = self.job_tasks_by_zone(&spec.id);
         TaskTurn {
             class: self.equivalence_class(&requirements),
             open_zones: self.open_zones(spec, &tasks_by_zone),
@@ -381,7 +383,7 @@
 
     /// Counts a start on a machine against its zone.
     fn count_zone(&self, turn: &mut TaskTurn<'a>, at: usize) {
-        if let Some((_, zone)) = self.capacities[at].place {
+        if let Some((_, zone)) = self.capacities[at].type_and_zone {
             turn.tasks_by_zone[zone] += 1;
         }
         turn.open_zones = self.open_zones(&turn.requirements.job.spec, &turn.tasks_by_zone);
--- a/crates/controller/src/scheduling/placement/consolidation.rs
+++ b/crates/controller/src/scheduling/placement/consolidation.rs
@@ -124,7 +124,7 @@
         (0..self.capacities.len()).find(|to| {
             *to != from
                 && job.spec.needs.fits_in(&free[*to])
-                && self.allowed(&requirements, *to, &zones)
+                && self.is_allowed(&requirements, *to, &zones)
                 && self.has_image(&requirements, *to)
                 && self.capacities[*to].free.gpus.max(0.0) <= source.free.gpus
                 && self.capacities[*to].free.cpus <= source.free.cpus
@@ -133,7 +133,7 @@
 
     /// Zones to which a replica may move.
     fn move_zones(&self, job: &Job, source: &MachineCapacity<'_>) -> OpenZones {
-        match (job.spec.spread && job.spec.tasks > 1, source.place) {
+        match (job.spec.spread && job.spec.tasks > 1, source.type_and_zone) {
             // Where one zone holds too many already, the spread decides, not this.
             (true, Some((_, own))) => (0..self.cluster.deployment.zones.len())
                 .map(|zone| zone == own)
@@ -141,9 +141,9 @@
             // What moves leaves its own zone, and makes place there: counted still, it
             // closed the zone to itself, and where there is no other zone nothing
             // ever moved.
-            (_, place) => {
-                let mut tasks_by_zone = self.zones_of(&job.spec.id);
-                if let Some((_, own)) = place {
+            (_, type_and_zone) => {
+                let mut tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
+                if let Some((_, own)) = type_and_zone {
                     tasks_by_zone[own] = tasks_by_zone[own].saturating_sub(1);
                 }
                 self.open_zones(&job.spec, &tasks_by_zone)
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -39,7 +39,7 @@
 
 impl<'a> CountedUnits<'a> {
     /// Completes a book in which all attempts stand.
-    pub(super) fn settle(
+    pub(super) fn add_external_usage(
         &self,
         book: &mut Book<'a>,
         machines: &BTreeMap<MachineId, Machine>,
@@ -66,7 +66,7 @@
     for attempt in machines.values().flat_map(|machine| &machine.attempts) {
         record_units(&mut book, attempt, now);
     }
-    units.settle(&mut book, machines, now);
+    units.add_external_usage(&mut book, machines, now);
     book
 }
 
@@ -131,7 +131,7 @@
 
     /// How many of `tasks` that lack machines would have units once these came. For the
     /// others nothing is rented.
-    pub(super) fn tasks_promised_units(&mut self, entry: &QueueEntry<'a>, tasks: u32) -> u32 {
+    pub(super) fn tasks_with_expected_units(&mut self, entry: &QueueEntry<'a>, tasks: u32) -> u32 {
         if !entry.needs_units || tasks == 0 {
             return tasks;
         }
@@ -192,7 +192,7 @@
             if !lower && !entry.units_guaranteed {
                 return;
             }
-            if !missing.units.is_empty() && !self.free_units(entry, missing.units) {
+            if !missing.units.is_empty() && !self.preempt_for_units(entry, missing.units) {
                 return;
             }
             // Until the rest of what is being freed for it has come, what it has stays its
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -45,7 +45,7 @@
 
 impl<'a> Pass<'a> {
     /// Position of a type, zone and kind (on-demand or spot) in [`TaskRequirements::eligible`].
-    pub(super) fn slot(&self, (kind, zone): (usize, usize), spot: bool) -> usize {
+    pub(super) fn kind_index(&self, (kind, zone): (usize, usize), spot: bool) -> usize {
         (kind * self.cluster.deployment.zones.len() + zone) * 2 + usize::from(spot)
     }
 
@@ -102,7 +102,7 @@
         self.each_kind(|machine_type, zone, spot| spec.eligible(machine_type, zone, spot))
     }
 
-    /// A value for each type, zone and kind: see [`Self::slot`].
+    /// A value for each type, zone and kind: see [`Self::kind_index`].
     fn each_kind<T>(&self, mut value: impl FnMut(&MachineType, &str, bool) -> T) -> Vec<T> {
         let zones = &self.cluster.deployment.zones;
         let mut values = Vec::with_capacity(self.types.len() * zones.len() * 2);
@@ -146,7 +146,7 @@
     }
 
     /// Where tasks of the job are or may be.
-    pub(super) fn zones_of(&self, job: &JobId) -> TasksByZone {
+    pub(super) fn job_tasks_by_zone(&self, job: &JobId) -> TasksByZone {
         let zones = &self.cluster.deployment.zones;
         let mut taken = tasks_by_zone(job, self.cluster.task_locations, self.cluster.machines, zones);
         for (taken, placed) in taken
@@ -181,19 +181,26 @@
     }
 
     /// Whether the machine may take a task of the job, apart from what is free there.
-    pub(super) fn allowed(&self, requirements: &TaskRequirements<'_>, at: usize, zones: &OpenZones) -> bool {
+    pub(super) fn is_allowed(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        at: usize,
+        zones: &OpenZones,
+    ) -> bool {
         let capacity = &self.capacities[at];
-        let Some(place) = capacity.place else { return false };
+        let Some(type_and_zone) = capacity.type_and_zone else {
+            return false;
+        };
         capacity.usable
             && capacity
                 .reservation
                 .is_none_or(|reservation| reservation.admits(&requirements.job.spec))
-            && zones[place.1]
-            && requirements.eligible[self.slot(place, capacity.machine.spot)]
+            && zones[type_and_zone.1]
+            && requirements.eligible[self.kind_index(type_and_zone, capacity.machine.spot)]
             && !(requirements.avoids_failed_machines
                 && requirements.job.failed_on.contains(&capacity.machine.id))
             && (capacity.machine.spot
-                || !self.on_demand_short
+                || !self.on_demand_shortage
                 || !requirements.job.spec.spot
                 || requirements.is_deadline_critical
                 || requirements.on_demand_only)
--- a/crates/controller/src/scheduling/placement/gang_placement.rs
+++ b/crates/controller/src/scheduling/placement/gang_placement.rs
@@ -1,16 +1,16 @@
 //! The bind phase for gangs: all missing tasks at once, or none.
 
+use super::is_usable;
 use super::pass::{OpenZones, Pass, TaskRequirements, TasksByZone};
 use super::queue_order::QueueEntry;
 use super::scoring::Candidate;
-use super::usable;
 use crate::model::{Job, JobSpec};
 
 /// Which attempt of a gang the missing tasks belong to.
 #[derive(Debug, Clone, Copy)]
-enum GangTurn {
+enum GangAdmission {
     /// They may not start now.
-    NotNow,
+    Wait,
     /// They join an attempt that has not started.
     Join(u64),
     /// They begin a new attempt.
@@ -29,11 +29,11 @@
     /// Starts all missing tasks of the gang at once, or none.
     pub(super) fn place_gang(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
-        let tasks_by_zone = self.zones_of(&job.spec.id);
-        let attempt = match self.gang_turn(job, &tasks_by_zone) {
-            GangTurn::NotNow => return,
-            GangTurn::Join(number) => Some(number),
-            GangTurn::New => None,
+        let tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
+        let attempt = match self.gang_admission(job, &tasks_by_zone) {
+            GangAdmission::Wait => return,
+            GangAdmission::Join(number) => Some(number),
+            GangAdmission::New => None,
         };
         let tasks = job.waiting.len() as u32;
         if self.quota_left(&job.spec, tasks) < tasks {
@@ -59,22 +59,22 @@
                     self.release_reservations(job);
                 }
             }
-            None => self.gang_finds_no_fit(entry, tasks, &requirements, &zones),
+            None => self.handle_gang_without_fit(entry, tasks, &requirements, &zones),
         }
     }
 
-    fn gang_turn(&self, job: &Job, tasks_by_zone: &TasksByZone) -> GangTurn {
+    fn gang_admission(&self, job: &Job, tasks_by_zone: &TasksByZone) -> GangAdmission {
         match &job.gang {
             // Whoever waited in vain goes back to its image, in a moment.
-            Some(attempt) if attempt.accepts_tasks() && self.waited_in_vain(job, attempt.number) => {
-                GangTurn::NotNow
+            Some(attempt) if attempt.accepts_tasks() && self.gang_wait_timed_out(job, attempt.number) => {
+                GangAdmission::Wait
             }
             // A replacement joins an attempt that has not started.
-            Some(attempt) if attempt.accepts_tasks() => GangTurn::Join(attempt.number),
-            Some(_) => GangTurn::NotNow,
+            Some(attempt) if attempt.accepts_tasks() => GangAdmission::Join(attempt.number),
+            Some(_) => GangAdmission::Wait,
             // Nothing of an old attempt may be left anywhere.
-            None if tasks_by_zone.iter().any(|count| *count > 0) => GangTurn::NotNow,
-            None => GangTurn::New,
+            None if tasks_by_zone.iter().any(|count| *count > 0) => GangAdmission::Wait,
+            None => GangAdmission::New,
         }
     }
 
@@ -107,7 +107,7 @@
         best
     }
 
-    fn gang_finds_no_fit(
+    fn handle_gang_without_fit(
         &mut self,
         entry: &QueueEntry<'a>,
         tasks: u32,
@@ -115,7 +115,7 @@
         zones: &OpenZones,
     ) {
         // Its units are spoken for by the time its machines are there.
-        if self.tasks_promised_units(entry, tasks) < tasks {
+        if self.tasks_with_expected_units(entry, tasks) < tasks {
             return;
         }
         // Capacity for a larger gang is made by renting: stopping others for a part of it would waste
@@ -123,18 +123,18 @@
         if tasks == 1 && self.preempt_for(requirements, zones, None) {
             return;
         }
-        self.on_demand_short |= !entry.job.spec.spot;
+        self.on_demand_shortage |= !entry.job.spec.spot;
         self.record_unplaced(entry, tasks, zones);
     }
 
     /// Whether a task of this attempt has given up waiting for the others, and its worker still lists it.
-    fn waited_in_vain(&self, job: &Job, number: u64) -> bool {
+    fn gang_wait_timed_out(&self, job: &Job, number: u64) -> bool {
         let locations = self.cluster.task_locations.get(&job.spec.id);
         locations
             .into_iter()
             .flatten()
             .filter_map(|id| self.cluster.machines.get(id))
-            .filter(|machine| usable(machine, self.cluster.now))
+            .filter(|machine| is_usable(machine, self.cluster.now))
             .flat_map(|machine| &machine.attempts)
             .any(|attempt| {
                 attempt.number == number && attempt.task.job == job.spec.id && attempt.waited_in_vain()
@@ -168,7 +168,7 @@
         };
         let mut tasks_by_zone = tasks_by_zone.clone();
         for Candidate { cost, at } in self.candidates(requirements, zones, attempt) {
-            let Some((_, zone)) = self.capacities[at].place else {
+            let Some((_, zone)) = self.capacities[at].type_and_zone else {
                 continue;
             };
             let mut free = self.free_for(requirements, at);
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GangSlot {
     /// In how many s the machine has it, by estimate.
-    pub(super) in_s: f64,
+    pub(super) available_in_s: f64,
     has_image: bool,
     /// Position of the machine in the pass.
     pub(super) at: usize,
@@ -19,7 +19,7 @@
 
 /// When a running task frees its resources.
 struct Release<'r, 'a> {
-    in_s: f64,
+    available_in_s: f64,
     running: &'r RunningTask<'a>,
 }
 
@@ -40,12 +40,12 @@
 
 /// In how many s the last task of a gang finds capacity.
 pub(super) fn last_slot_s(slots: &[GangSlot]) -> f64 {
-    slots.last().map_or(f64::INFINITY, |slot| slot.in_s)
+    slots.last().map_or(f64::INFINITY, |slot| slot.available_in_s)
 }
 
 impl<'a> Pass<'a> {
     /// Slots for all tasks of a gang that are soonest free, in one of these choices of zones.
-    pub(super) fn soonest_slots(
+    pub(super) fn earliest_slots(
         &self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
@@ -74,7 +74,7 @@
         tasks_by_zone: &TasksByZone,
     ) -> Option<Vec<GangSlot>> {
         // A spread gang's zones would have to be counted while its capacity is made.
-        if !self.may_displace(requirements.job)
+        if !self.may_preempt(requirements.job)
             || requirements.job.spec.spread
             || self.preemption_searches >= ROOM_SEARCHES_PER_PASS
         {
@@ -108,7 +108,7 @@
     ) -> Option<PreemptionPlan> {
         let taken: HashSet<usize> = slots.iter().map(|slot| slot.at).collect();
         let mut stops: Vec<MachineVictims> = (0..self.capacities.len())
-            .filter(|at| !taken.contains(at) && self.allowed(requirements, *at, zones))
+            .filter(|at| !taken.contains(at) && self.is_allowed(requirements, *at, zones))
             .filter_map(|at| {
                 let victims = self.victims(requirements, at)?;
                 Some(MachineVictims { at, victims })
@@ -124,11 +124,11 @@
         }
         stops.truncate(missing);
         slots.extend(stops.iter().map(|stop| GangSlot {
-            in_s: STOP_GRACE_EXTRA_S,
+            available_in_s: STOP_GRACE_EXTRA_S,
             has_image: self.has_image(requirements, stop.at),
             at: stop.at,
         }));
-        slots.sort_by(|left, right| left.in_s.total_cmp(&right.in_s));
+        slots.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         Some(PreemptionPlan {
             lost_s: stops.iter().map(|stop| stop.victims.cost).sum(),
             slots,
@@ -146,18 +146,18 @@
         tasks_by_zone: &TasksByZone,
     ) -> Vec<GangSlot> {
         let mut slots: Vec<GangSlot> = Vec::new();
-        for at in (0..self.capacities.len()).filter(|at| self.allowed(requirements, *at, zones)) {
+        for at in (0..self.capacities.len()).filter(|at| self.is_allowed(requirements, *at, zones)) {
             self.add_slots_of(requirements, tasks, at, &mut slots);
         }
         slots.sort_by(|left, right| {
-            (left.in_s.total_cmp(&right.in_s))
+            (left.available_in_s.total_cmp(&right.available_in_s))
                 .then(right.has_image.cmp(&left.has_image))
                 .then(left.at.cmp(&right.at))
         });
         let cap = requirements.job.spec.zone_cap();
         let mut tasks_by_zone = tasks_by_zone.clone();
         slots.retain(|slot| {
-            let Some((_, zone)) = self.capacities[slot.at].place else {
+            let Some((_, zone)) = self.capacities[slot.at].type_and_zone else {
                 return false;
             };
             let fits = tasks_by_zone[zone] < cap;
@@ -181,18 +181,22 @@
         let capacity = &self.capacities[at];
         let mut releases = self.releases(&capacity.running).into_iter();
         let mut free = capacity.free;
-        let mut in_s = 0.0;
+        let mut available_in_s = 0.0;
         let mut found = 0;
         loop {
             while found < tasks && needs.fits_in(&free) {
                 free -= needs;
                 found += 1;
-                slots.push(GangSlot { in_s, has_image, at });
+                slots.push(GangSlot {
+                    available_in_s,
+                    has_image,
+                    at,
+                });
             }
             let Some(release) = releases.next() else {
                 break;
             };
-            in_s = release.in_s;
+            available_in_s = release.available_in_s;
             free += release.running.attempt.needs;
         }
     }
@@ -202,12 +206,12 @@
         let mut releases: Vec<Release<'r, 'a>> = running
             .iter()
             .map(|running| Release {
-                in_s: self.ends_in_s(running),
+                available_in_s: self.ends_in_s(running),
                 running,
             })
-            .filter(|release| release.in_s <= RESERVE_AHEAD_S)
+            .filter(|release| release.available_in_s <= RESERVE_AHEAD_S)
             .collect();
-        releases.sort_by(|left, right| left.in_s.total_cmp(&right.in_s));
+        releases.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         releases
     }
 
--- a/crates/controller/src/scheduling/placement/image_catalog.rs
+++ b/crates/controller/src/scheduling/placement/image_catalog.rs
@@ -58,7 +58,7 @@
 }
 
 /// Notes that a machine has, or will have, an image. Returns whether that is new.
-pub(super) fn note_image(images: &mut Vec<u32>, number: u32) -> bool {
+pub(super) fn add_image(images: &mut Vec<u32>, number: u32) -> bool {
     let is_new = !images.contains(&number);
     if is_new {
         images.push(number);
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -1,11 +1,11 @@
 //! The start of a pass: an inventory of machines, images, usage by team and units of counts.
 
 use super::counted_units::record_units;
-use super::image_catalog::{ImageCatalog, note_image};
+use super::image_catalog::{ImageCatalog, add_image};
 use super::pass::{ImageFetch, MachineCapacity, Pass, RunningTask, UsageByTeam};
 use super::placement_cost::{fetch_weight, record_fetch};
 use super::queue_order::within_guarantee;
-use super::{ClusterSnapshot, Plan, usable};
+use super::{ClusterSnapshot, Plan, is_usable};
 use crate::allocations::{Attempt, Machine};
 use crate::constants::{HELD_LASTING_S, HELD_LEAST_S};
 use crate::model::{Resources, Timestamp};
@@ -21,7 +21,7 @@
     images: ImageCatalog<'a>,
     usage: UsageByTeam<'a>,
     book: Book<'a>,
-    any_leaving: bool,
+    any_releasing: bool,
 }
 
 impl<'a> Inventory<'a> {
@@ -32,7 +32,7 @@
             images: ImageCatalog::default(),
             usage: UsageByTeam::default(),
             book: Book::with_policy(cluster.units.definitions, cluster.units.policy),
-            any_leaving: false,
+            any_releasing: false,
         }
     }
 
@@ -52,15 +52,15 @@
         let mut capacity = MachineCapacity {
             machine,
             machine_type,
-            place: type_position.zip(zone_position),
+            type_and_zone: type_position.zip(zone_position),
             free: machine_type.map(MachineType::resources).unwrap_or_default(),
             spare: Resources::default(),
-            leaving: Resources::default(),
+            releasing: Resources::default(),
             running: Vec::with_capacity(machine.attempts.len()),
-            usable: usable(machine, self.cluster.now),
+            usable: is_usable(machine, self.cluster.now),
             images: self.cached_images(machine),
             fetching: Vec::new(),
-            held_s: 0.0,
+            occupied_s: 0.0,
             reservation: None,
         };
         let mut used = Resources::default();
@@ -82,7 +82,7 @@
             if let Some(known) = self.images.get_mut(number) {
                 known.size_gb = image.gb;
             }
-            note_image(&mut cached, number);
+            add_image(&mut cached, number);
         }
         cached
     }
@@ -92,11 +92,11 @@
         record_units(&mut self.book, attempt, self.cluster.now);
         let stopping = attempt.stop.is_some();
         if stopping {
-            capacity.leaving += attempt.needs;
-            self.any_leaving = true;
+            capacity.releasing += attempt.needs;
+            self.any_releasing = true;
         }
         self.add_fetch(attempt, capacity);
-        capacity.held_s = capacity.held_s.max(remaining_s(attempt, self.cluster.now));
+        capacity.occupied_s = capacity.occupied_s.max(remaining_s(attempt, self.cluster.now));
         capacity.running.push(RunningTask {
             attempt,
             job: None,
@@ -111,7 +111,7 @@
             return;
         }
         let number = self.images.intern(image, attempt.image_gb);
-        note_image(&mut capacity.images, number);
+        add_image(&mut capacity.images, number);
         record_fetch(
             &mut capacity.fetching,
             ImageFetch {
@@ -134,7 +134,7 @@
             .collect();
         cluster
             .units
-            .settle(&mut inventory.book, cluster.machines, cluster.now);
+            .add_external_usage(&mut inventory.book, cluster.machines, cluster.now);
         let mut pass = Pass {
             cluster,
             capacities,
@@ -148,14 +148,14 @@
             reserved_slots: 0,
             reserved_quotas: Vec::new(),
             reservations: Vec::new(),
-            on_demand_short: false,
+            on_demand_shortage: false,
             lowest_priority: lowest_placed_priority(cluster),
-            any_leaving: inventory.any_leaving,
+            any_releasing: inventory.any_releasing,
             placed_zones: HashMap::new(),
             running_jobs_resolved: false,
             preemption_searches: 0,
             book: inventory.book,
-            unit_stops: 0,
+            unit_preemptions: 0,
             lowest_unit_priority: None,
             plan: Plan::default(),
             starts: 0,
--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -12,7 +12,7 @@
 
 /// Whether the job has not begun, as far as this leader knows. A gang that a former leader saw running and
 /// stopped counts as well.
-fn has_not_begun(job: &Job, task_locations: &TaskLocations) -> bool {
+fn has_not_started(job: &Job, task_locations: &TaskLocations) -> bool {
     match job.spec.shape {
         Shape::Gang => !job.began && job.gang.is_none_or(|gang| gang.accepts_tasks()),
         Shape::Array | Shape::Service => {
@@ -25,7 +25,7 @@
 }
 
 /// The number of tasks from which on a job is one of the larger of its class: the [`LARGE_SHARE`] of its live jobs.
-fn large_from(mut sizes: Vec<u32>) -> u32 {
+fn large_job_threshold(mut sizes: Vec<u32>) -> u32 {
     let at = (sizes.len() as f64 * (1.0 - LARGE_SHARE)) as usize;
     if at >= sizes.len() {
         return u32::MAX;
@@ -34,7 +34,7 @@
 }
 
 /// The larger jobs of each class that are at least this old, in ms, and have not begun; the oldest first.
-pub fn large_not_begun<'a>(
+pub fn large_unstarted_jobs<'a>(
     jobs: &'a BTreeMap<JobId, Job>,
     task_locations: &TaskLocations,
     least_age_ms: Timestamp,
@@ -45,7 +45,7 @@
             && !job.parked
             && !job.to_blame()
             && job.age_ms(now) >= least_age_ms
-            && has_not_begun(job, task_locations)
+            && has_not_started(job, task_locations)
     };
     let mut late: Vec<&Job> = jobs.values().filter(waits).collect();
     if late.is_empty() {
@@ -62,7 +62,7 @@
     }
     let least: HashMap<&str, u32> = sizes
         .into_iter()
-        .map(|(class, sizes)| (class, large_from(sizes)))
+        .map(|(class, sizes)| (class, large_job_threshold(sizes)))
         .collect();
     late.retain(|job| {
         least
@@ -80,7 +80,7 @@
 /// large gang needs at once what small ones take one by one: it came last for ever.
 pub(super) fn overdue_large_jobs<'a>(cluster: &ClusterSnapshot<'a>) -> HashSet<&'a JobId> {
     let mut by_class: HashMap<&str, usize> = HashMap::new();
-    let late = large_not_begun(cluster.jobs, cluster.task_locations, LARGE_WAITS_MS, cluster.now);
+    let late = large_unstarted_jobs(cluster.jobs, cluster.task_locations, LARGE_WAITS_MS, cluster.now);
     let first = late.into_iter().filter(|job| {
         let before = by_class.entry(&job.spec.class).or_default();
         *before += 1;
--- a/crates/controller/src/scheduling/placement/mod.rs
+++ b/crates/controller/src/scheduling/placement/mod.rs
@@ -48,10 +48,10 @@
 pub use aging::AgingCredit;
 pub use counted_units::{CountedUnits, UnsatisfiedDemand, unit_ledger};
 pub use filtering::{avoids_spot, tasks_by_zone};
-pub use large_jobs::large_not_begun;
+pub use large_jobs::large_unstarted_jobs;
 pub use preemption::grace_s;
 pub use protection::{Protection, SpareCapacity};
-pub use queue_order::{may_wait_ms, within_guarantee};
+pub use queue_order::{start_slack_ms, within_guarantee};
 
 /// The state of the cluster that one pass works on.
 pub struct ClusterSnapshot<'a> {
@@ -141,10 +141,10 @@
         pass.reserve_capacity(entry);
     }
     let order = starved_work_first(order, cluster.starved);
-    for peers in order.chunk_by(|entry, next| entry.is_peer_of(next, cluster)) {
-        pass.place_peers(peers);
+    for group in order.chunk_by(|entry, next| entry.has_same_precedence(next, cluster)) {
+        pass.place_group(group);
     }
-    pass.drain_noticed();
+    pass.drain_machines();
     pass.consolidate_replicas();
     pass.plan.reserved_units = pass.reserved_units();
     pass.plan
@@ -170,7 +170,7 @@
 }
 
 /// Whether new tasks may be placed on the machine.
-fn usable(machine: &Machine, now: Timestamp) -> bool {
+fn is_usable(machine: &Machine, now: Timestamp) -> bool {
     machine.synced
         && !machine.returning
         && !machine.inspect_failed
--- a/crates/controller/src/scheduling/placement/pass.rs
+++ b/crates/controller/src/scheduling/placement/pass.rs
@@ -25,12 +25,12 @@
     pub(super) machine: &'a Machine,
     pub(super) machine_type: Option<&'a MachineType>,
     /// Positions of its type and zone, if both are known.
-    pub(super) place: Option<(usize, usize)>,
+    pub(super) type_and_zone: Option<(usize, usize)>,
     pub(super) free: Resources,
     /// Part of `free` that is reserved for protected services: batch does not start there.
     pub(super) spare: Resources,
     /// Resources of tasks that are being stopped, for the tasks for which they make room.
-    pub(super) leaving: Resources,
+    pub(super) releasing: Resources,
     pub(super) running: Vec<RunningTask<'a>>,
     pub(super) usable: bool,
     /// Images that it has or fetches, by their number in the catalog, the latest used last.
@@ -38,7 +38,7 @@
     /// Of these, images that it is still fetching.
     pub(super) fetching: Vec<ImageFetch>,
     /// For how long, in s, what is on it will occupy it, by its owners' estimates.
-    pub(super) held_s: f64,
+    pub(super) occupied_s: f64,
     /// The large gang for which it is reserved.
     pub(super) reservation: Option<Reservation<'a>>,
 }
@@ -59,7 +59,7 @@
 pub(super) type OpenZones = Vec<bool>;
 
 /// How many steps each kind of machine ranks below the one that a job prefers, by type, zone and kind:
-/// see `Pass::slot`. `None` for kinds that may not be used.
+/// see `Pass::kind_index`. `None` for kinds that may not be used.
 #[derive(Clone)]
 pub(super) struct RankSteps(pub(super) Rc<Vec<Option<u16>>>);
 
@@ -73,7 +73,7 @@
 /// What a job requires of a machine, computed once for each turn of the job.
 pub(super) struct TaskRequirements<'a> {
     pub(super) job: &'a Job,
-    /// By type, zone and kind: see `Pass::slot`.
+    /// By type, zone and kind: see `Pass::kind_index`.
     pub(super) eligible: Vec<bool>,
     /// Set where an expression of the job prefers some kinds to others.
     pub(super) steps: Option<RankSteps>,
@@ -182,10 +182,10 @@
     pub(super) reservations: Vec<Reservation<'a>>,
     /// Work that may not use spot machines found no capacity: jobs that may use spot machines leave the
     /// on-demand ones to it.
-    pub(super) on_demand_short: bool,
+    pub(super) on_demand_shortage: bool,
     /// The lowest priority of any job with tasks on machines.
     pub(super) lowest_priority: Option<Priority>,
-    pub(super) any_leaving: bool,
+    pub(super) any_releasing: bool,
     /// Zones of what this pass has placed of jobs that are bound to zones: a job may have two queue
     /// entries, and the second must see the tasks of the first.
     pub(super) placed_zones: HashMap<&'a JobId, TasksByZone>,
@@ -193,7 +193,7 @@
     pub(super) preemption_searches: usize,
     /// Who holds which units of counts.
     pub(super) book: Book<'a>,
-    pub(super) unit_stops: usize,
+    pub(super) unit_preemptions: usize,
     /// The lowest priority of any job that holds units, once a pass needs it.
     pub(super) lowest_unit_priority: Option<Option<Priority>>,
     pub(super) plan: Plan,
--- a/crates/controller/src/scheduling/placement/placement_cost.rs
+++ b/crates/controller/src/scheduling/placement/placement_cost.rs
@@ -43,7 +43,7 @@
     }
 
     /// What a fetch alone takes there, in s.
-    fn alone_s(&self, capacity: &MachineCapacity<'_>, gb: f64) -> f64 {
+    fn uncontended_fetch_s(&self, capacity: &MachineCapacity<'_>, gb: f64) -> f64 {
         capacity.machine_type.map_or(gb, |known| {
             self.cluster
                 .image_statistics
@@ -56,7 +56,7 @@
     fn fetch_remaining_s(&self, capacity: &MachineCapacity<'_>, fetch: &ImageFetch) -> f64 {
         let gb = self.images.get(fetch.image).size_gb;
         let waited_s = self.cluster.now.saturating_sub(fetch.since) as f64 / SECOND_MS as f64;
-        (self.alone_s(capacity, gb) - waited_s).max(FETCH_LEAST_S)
+        (self.uncontended_fetch_s(capacity, gb) - waited_s).max(FETCH_LEAST_S)
     }
 
     /// The other fetches under way there, for a task of the job.
@@ -96,7 +96,7 @@
             } else {
                 CacheState::Absent
             },
-            alone_s: self.alone_s(capacity, gb),
+            alone_s: self.uncontended_fetch_s(capacity, gb),
             under_way_s: own.map(|fetch| self.fetch_remaining_s(capacity, fetch)),
             others,
             sharing: self.cluster.image_statistics.rates().sharing(kind),
@@ -156,7 +156,8 @@
         requirements
             .image
             .is_some_and(|image| capacity.images.contains(&image))
-            && self.fetch_s(requirements, at) <= self.alone_s(capacity, requirements.job.spec.image_gb)
+            && self.fetch_s(requirements, at)
+                <= self.uncontended_fetch_s(capacity, requirements.job.spec.image_gb)
     }
 
     /// Work, in s of a task, that may be lost to start a task beside its image rather than there.
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -26,7 +26,7 @@
 
 impl<'a> Pass<'a> {
     /// Whether anything runs that could ever give way to the job.
-    pub(super) fn may_displace(&self, job: &Job) -> bool {
+    pub(super) fn may_preempt(&self, job: &Job) -> bool {
         let lower = self
             .lowest_priority
             .is_some_and(|lowest| lowest > job.spec.priority);
@@ -42,17 +42,17 @@
     }
 
     /// Finds capacity for one task among what is leaving, or makes some by stopping work that may be
-    /// stopped for it, and claims it for the rest of the pass. With `most_lost_s`, only on machines that
+    /// stopped for it, and claims it for the rest of the pass. With `max_cost_s`, only on machines that
     /// have the job's image, and at no higher cost.
     pub(super) fn preempt_for(
         &mut self,
         requirements: &TaskRequirements<'_>,
         zones: &OpenZones,
-        most_lost_s: Option<f64>,
+        max_cost_s: Option<f64>,
     ) -> bool {
         let job = requirements.job;
-        let displaces = self.may_displace(job);
-        if !displaces && !self.any_leaving {
+        let displaces = self.may_preempt(job);
+        if !displaces && !self.any_releasing {
             return false;
         }
         let class = PreemptionClass {
@@ -67,38 +67,38 @@
         self.preemption_searches += 1;
         let needs = job.spec.needs;
         let candidates: Vec<usize> = (0..self.capacities.len())
-            .filter(|at| self.allowed(requirements, *at, zones))
-            .filter(|at| most_lost_s.is_none() || self.has_image(requirements, *at))
+            .filter(|at| self.is_allowed(requirements, *at, zones))
+            .filter(|at| max_cost_s.is_none() || self.has_image(requirements, *at))
             .collect();
-        if let Some(at) = self.find_leaving(requirements, &candidates) {
-            self.claim(at, needs);
+        if let Some(at) = self.find_releasing(requirements, &candidates) {
+            self.claim_releasing(at, needs);
             return true;
         }
         let cheapest = if displaces {
-            self.cheapest_victims(requirements, &candidates, most_lost_s)
+            self.cheapest_victims(requirements, &candidates, max_cost_s)
         } else {
             None
         };
         let Some((at, victims)) = cheapest else {
             let is_general = !requirements.avoids_failed_machines && zones.iter().all(|open| *open);
-            if most_lost_s.is_none() && is_general {
+            if max_cost_s.is_none() && is_general {
                 self.unpreemptable.insert(class);
             }
             return false;
         };
         self.stop_victims(at, victims);
-        self.claim(at, needs);
+        self.claim_releasing(at, needs);
         true
     }
 
     /// The first of these machines where a task fits once the work that is being stopped has left.
-    fn find_leaving(&self, requirements: &TaskRequirements<'_>, candidates: &[usize]) -> Option<usize> {
+    fn find_releasing(&self, requirements: &TaskRequirements<'_>, candidates: &[usize]) -> Option<usize> {
         let needs = requirements.job.spec.needs;
         candidates.iter().copied().find(|at| {
-            let leaving = self.capacities[*at].leaving;
+            let releasing = self.capacities[*at].releasing;
             let mut soon = self.free_for(requirements, *at);
-            soon += leaving;
-            leaving != Resources::default() && needs.fits_in(&soon)
+            soon += releasing;
+            releasing != Resources::default() && needs.fits_in(&soon)
         })
     }
 
@@ -107,13 +107,13 @@
         &mut self,
         requirements: &TaskRequirements<'_>,
         candidates: &[usize],
-        most_lost_s: Option<f64>,
+        max_cost_s: Option<f64>,
     ) -> Option<(usize, Victims)> {
         self.resolve_running_jobs();
         let mut best: Option<(usize, Victims)> = None;
         for at in candidates.iter().copied() {
             if let Some(victims) = self.victims(requirements, at)
-                && most_lost_s.is_none_or(|most| victims.cost <= most)
+                && max_cost_s.is_none_or(|most| victims.cost <= most)
                 && best.as_ref().is_none_or(|(_, best)| victims.cost < best.cost)
             {
                 best = Some((at, victims));
@@ -132,8 +132,8 @@
             }
             let attempt = running.attempt;
             let machine = self.capacities[at].machine.id.clone();
-            self.capacities[at].leaving += attempt.needs;
-            self.any_leaving = true;
+            self.capacities[at].releasing += attempt.needs;
+            self.any_releasing = true;
             self.stop(attempt, machine);
         }
     }
@@ -153,18 +153,18 @@
     }
 
     /// Takes resources out of what is leaving a machine.
-    fn claim(&mut self, at: usize, needs: Resources) {
+    fn claim_releasing(&mut self, at: usize, needs: Resources) {
         let capacity = &mut self.capacities[at];
-        capacity.leaving -= needs;
-        // What `leaving` lacked was free: it is claimed too.
-        for (leaving, free) in [
-            (&mut capacity.leaving.cpus, &mut capacity.free.cpus),
-            (&mut capacity.leaving.gpus, &mut capacity.free.gpus),
-            (&mut capacity.leaving.memory_gb, &mut capacity.free.memory_gb),
+        capacity.releasing -= needs;
+        // What `releasing` lacked was free: it is claimed too.
+        for (releasing, free) in [
+            (&mut capacity.releasing.cpus, &mut capacity.free.cpus),
+            (&mut capacity.releasing.gpus, &mut capacity.free.gpus),
+            (&mut capacity.releasing.memory_gb, &mut capacity.free.memory_gb),
         ] {
-            if *leaving < 0.0 {
-                *free += *leaving;
-                *leaving = 0.0;
+            if *releasing < 0.0 {
+                *free += *releasing;
+                *releasing = 0.0;
             }
         }
     }
@@ -212,7 +212,7 @@
             let Some(victim) = running.job else {
                 continue;
             };
-            if self.gives_way(victim, job) {
+            if self.is_preemptible_for(victim, job) {
                 let lost = self.lost_work_s(running.attempt, victim);
                 options.push((lost + self.protection_cost_s(requirements, victim), index));
             }
@@ -237,11 +237,11 @@
 
     /// Whether the victim's tasks may be stopped for the job: as its priority is lower, or as its team
     /// borrows what the job's team is guaranteed.
-    fn gives_way(&self, victim: &Job, job: &Job) -> bool {
+    fn is_preemptible_for(&self, victim: &Job, job: &Job) -> bool {
         // What starved work holds is its least share, whatever its priority.
         let is_lower = victim.spec.priority > job.spec.priority
-            && !self.cluster.starved.is(&victim.spec)
-            && !self.is_shielded_from(job, victim);
+            && !self.cluster.starved.is_starved(&victim.spec)
+            && !self.is_protected_from(job, victim);
         let is_borrowed = self.within_guarantee.contains(&job.spec.id)
             && victim.spec.priority >= job.spec.priority
             && victim.spec.team != job.spec.team
@@ -270,7 +270,7 @@
     /// Moves what can be moved off machines that the cloud is about to take, or
     /// that fail: replicas to be started elsewhere, and whatever can save. Other
     /// work may still finish in time.
-    pub(super) fn drain_noticed(&mut self) {
+    pub(super) fn drain_machines(&mut self) {
         let mut stops = Vec::new();
         for capacity in &self.capacities {
             if capacity.machine.notice_until.is_none() && !is_faulty(capacity.machine) {
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -40,7 +40,7 @@
 
     /// A job's turn among work of its priority and standing to its team's guarantee: what is
     /// protected first, by rank, and in the order that is on record.
-    pub fn turn(&self, job: &JobId) -> (bool, Option<Standing>) {
+    pub fn protection_order(&self, job: &JobId) -> (bool, Option<Standing>) {
         let standing = self.standing(job);
         (standing.is_none(), standing)
     }
@@ -48,7 +48,7 @@
     /// Whether a job stays off spot machines: it is protected, and neither starved, as the least share
     /// stands above protection, nor bound to them.
     pub fn avoids_spot(&self, spec: &JobSpec, starved: &StarvedOwners) -> bool {
-        spec.spot && self.standing(&spec.id).is_some() && !starved.is(spec)
+        spec.spot && self.standing(&spec.id).is_some() && !starved.is_starved(spec)
     }
 
     /// How many machines the protected jobs and their spare capacity fill, judged by the largest type that
@@ -79,7 +79,7 @@
             .cluster
             .protection
             .avoids_spot(&job.spec, self.cluster.starved);
-        // Ordinary and spot take turns: see `Pass::slot`.
+        // Ordinary and spot take turns: see `Pass::kind_index`.
         if !avoids || !eligible.iter().step_by(2).any(|does| *does) {
             return false;
         }
@@ -94,7 +94,7 @@
     pub(super) fn is_batch(&self, spec: &JobSpec) -> bool {
         !self.cluster.protection.spare.is_empty()
             && spec.shape != Shape::Service
-            && !self.cluster.starved.is(spec)
+            && !self.cluster.starved.is_starved(spec)
     }
 
     /// What is free on a machine for the job.
@@ -109,7 +109,7 @@
 
     /// Batch stops no protected replica for its priority: it would take by force what it may not
     /// start in while that is free. For its team's guarantee it may.
-    pub(super) fn is_shielded_from(&self, job: &Job, victim: &Job) -> bool {
+    pub(super) fn is_protected_from(&self, job: &Job, victim: &Job) -> bool {
         job.spec.shape != Shape::Service && self.cluster.protection.standing(&victim.spec.id).is_some()
     }
 
@@ -181,7 +181,7 @@
             })
         };
         let mut emptiest: Vec<(f64, usize)> = (0..self.capacities.len())
-            .filter(|at| !self.capacities[*at].machine.spot && self.allowed(requirements, *at, &zones))
+            .filter(|at| !self.capacities[*at].machine.spot && self.is_allowed(requirements, *at, &zones))
             .filter(|at| batch_runs(&self.capacities[*at]))
             .filter_map(|at| {
                 let capacity = &self.capacities[at];
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -59,7 +59,7 @@
     /// What comes before age: priority, whether it goes first or is protected by a shift, rank, and the
     /// shift's rank. The guarantee goes before protection: what is protected and borrows would take
     /// back, in the next pass, the capacity that it gave up for a guarantee.
-    pub(super) fn standing(&self, cluster: &ClusterSnapshot<'_>) -> impl Ord + use<> {
+    pub(super) fn precedence(&self, cluster: &ClusterSnapshot<'_>) -> impl Ord + use<> {
         let shift = cluster.protection.standing(&self.job.spec.id).map(|it| it.rank);
         let before = self.large_first || shift.is_some();
         (self.job.spec.priority, !before, self.rank, shift.is_none(), shift)
@@ -82,9 +82,9 @@
         })
     }
 
-    /// Whether both are placed together: see `Pass::place_peers`.
-    pub(super) fn is_peer_of(&self, other: &QueueEntry<'_>, cluster: &ClusterSnapshot<'_>) -> bool {
-        self.standing(cluster) == other.standing(cluster)
+    /// Whether both are placed together: see `Pass::place_group`.
+    pub(super) fn has_same_precedence(&self, other: &QueueEntry<'_>, cluster: &ClusterSnapshot<'_>) -> bool {
+        self.precedence(cluster) == other.precedence(cluster)
     }
 }
 
@@ -102,7 +102,7 @@
 ///
 /// In the order of age, where there is more work than capacity, everybody comes as late as
 /// everybody else, and hardly a job is in time; in this order most are.
-pub fn may_wait_ms(job: &Job, deployment: &Deployment, now: Timestamp) -> Timestamp {
+pub fn start_slack_ms(job: &Job, deployment: &Deployment, now: Timestamp) -> Timestamp {
     let age_s = job.age_ms(now) as f64 / SECOND_MS as f64;
     let targets = start_targets(job, deployment, now);
     let left_s = match (targets.latest_s, targets.next_s) {
@@ -179,10 +179,10 @@
 pub(super) fn order_key(entry: &QueueEntry<'_>, cluster: &ClusterSnapshot<'_>) -> impl Ord + use<> {
     let job = entry.job;
     (
-        entry.standing(cluster),
-        cluster.protection.turn(&job.spec.id),
+        entry.precedence(cluster),
+        cluster.protection.protection_order(&job.spec.id),
         !entry.overdue,
-        may_wait_ms(job, cluster.deployment, cluster.now),
+        start_slack_ms(job, cluster.deployment, cluster.now),
         Reverse(job.age_ms(cluster.now)),
         job.spec.id.clone(),
         entry.skip,
@@ -201,7 +201,7 @@
     }
     let mut first = Vec::new();
     for entry in &mut order {
-        if turns == 0 || !starved.first(&entry.job.spec) {
+        if turns == 0 || !starved.goes_first(&entry.job.spec) {
             continue;
         }
         let tasks = entry.tasks_of(turns);
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -20,22 +20,22 @@
     job: &'a JobId,
     priority: Priority,
     /// In how many s the gang can use it, by estimate.
-    in_s: f64,
+    available_in_s: f64,
 }
 
 impl<'a> Reservation<'a> {
-    fn new(job: &'a Job, in_s: f64) -> Reservation<'a> {
+    fn new(job: &'a Job, available_in_s: f64) -> Reservation<'a> {
         Reservation {
             job: &job.spec.id,
             priority: job.spec.priority,
-            in_s,
+            available_in_s,
         }
     }
 
     /// Whether the job may use the capacity nevertheless. More urgent work always may, and work
     /// that ends before the gang could begin backfills.
     pub(super) fn admits(&self, spec: &JobSpec) -> bool {
-        let ends_before = spec.estimate_s > 0.0 && spec.estimate_s * RUNS_TO_WAIT <= self.in_s;
+        let ends_before = spec.estimate_s > 0.0 && spec.estimate_s * RUNS_TO_WAIT <= self.available_in_s;
         *self.job == spec.id || spec.priority < self.priority || ends_before
     }
 
@@ -58,7 +58,7 @@
 
 /// When a running task frees its resources.
 struct Release {
-    in_s: f64,
+    available_in_s: f64,
     needs: Resources,
 }
 
@@ -72,20 +72,20 @@
         if !self.may_reserve(entry, tasks) {
             return;
         }
-        let tasks_by_zone = self.zones_of(&job.spec.id);
+        let tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
         let is_fresh = job.gang.is_none() && tasks_by_zone.iter().all(|count| *count == 0);
         let with_units = self.tasks_with_units(entry, entry.tasks);
         if !is_fresh && !job.gang.is_some_and(|gang| gang.accepts_tasks()) || (with_units as usize) < tasks {
             return;
         }
-        let Some(in_s) = self.reserve_quota(job, tasks) else {
+        let Some(available_in_s) = self.reserve_quota(job, tasks) else {
             return;
         };
-        let Some(slots) = self.slots_to_reserve(job, tasks, in_s, &tasks_by_zone) else {
+        let Some(slots) = self.slots_to_reserve(job, tasks, available_in_s, &tasks_by_zone) else {
             return;
         };
         self.reserved_slots += tasks;
-        let reservation = Reservation::new(job, last_slot_s(&slots).max(in_s));
+        let reservation = Reservation::new(job, last_slot_s(&slots).max(available_in_s));
         self.reservations.push(reservation);
         for slot in &slots {
             self.capacities[slot.at].reservation = Some(reservation);
@@ -106,16 +106,16 @@
         &mut self,
         job: &'a Job,
         tasks: usize,
-        quota_in_s: f64,
+        quota_available_in_s: f64,
         tasks_by_zone: &TasksByZone,
     ) -> Option<Vec<GangSlot>> {
         let requirements = self.requirements(job);
         let open = self.open_zones(&job.spec, tasks_by_zone);
         let choices = self.zone_choices(&job.spec, &open);
         self.resolve_running_jobs();
-        let soonest = self.soonest_slots(&requirements, tasks, &choices, tasks_by_zone);
+        let soonest = self.earliest_slots(&requirements, tasks, &choices, tasks_by_zone);
         // What would be preempted for a gang that waits for its team's limit would be lost in vain.
-        if soonest.is_some() || quota_in_s > 0.0 {
+        if soonest.is_some() || quota_available_in_s > 0.0 {
             return soonest;
         }
         self.preempt_for_gang(&requirements, tasks, &choices, tasks_by_zone)
@@ -135,34 +135,34 @@
         if turn_ms >= LIMIT_KEPT_MS || self.reserved_quotas.iter().any(|quota| quota.team == name) {
             return team.allows(&used).then_some(0.0);
         }
-        let in_s = if team.allows(&used) {
+        let available_in_s = if team.allows(&used) {
             0.0
         } else {
-            self.quota_in_s(team, used)?
+            self.quota_available_in_s(team, used)?
         };
         self.reserved_quotas.push(ReservedQuota {
             team: name,
-            reservation: Reservation::new(job, in_s),
+            reservation: Reservation::new(job, available_in_s),
             needs,
         });
-        Some(in_s)
+        Some(available_in_s)
     }
 
     /// In how many s so much of the team's running work will have ended that its limit allows this usage.
-    fn quota_in_s(&self, team: &Team, mut used: Resources) -> Option<f64> {
+    fn quota_available_in_s(&self, team: &Team, mut used: Resources) -> Option<f64> {
         let running = self.capacities.iter().flat_map(|capacity| &capacity.running);
         let mut releases: Vec<Release> = running
             .filter(|running| *running.attempt.team == *team.name)
             .map(|running| Release {
-                in_s: self.ends_in_s(running),
+                available_in_s: self.ends_in_s(running),
                 needs: running.attempt.needs,
             })
-            .filter(|release| release.in_s <= RESERVE_AHEAD_S)
+            .filter(|release| release.available_in_s <= RESERVE_AHEAD_S)
             .collect();
-        releases.sort_by(|left, right| left.in_s.total_cmp(&right.in_s));
+        releases.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         releases.into_iter().find_map(|release| {
             used -= release.needs;
-            team.allows(&used).then_some(release.in_s)
+            team.allows(&used).then_some(release.available_in_s)
         })
     }
 
--- a/crates/controller/src/scheduling/placement/scoring.rs
+++ b/crates/controller/src/scheduling/placement/scoring.rs
@@ -10,7 +10,7 @@
 /// A machine that can take a task now.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
-    /// Lower is better: see `Pass::cost`.
+    /// Lower is better: see `Pass::placement_cost`.
     pub(super) cost: f64,
     /// Position of the machine in the pass.
     pub(super) at: usize,
@@ -27,7 +27,7 @@
 
     /// Lower is better: what the place costs by the measure, then a spot machine for those who
     /// may use one, then the fullest, so that others fall idle.
-    pub(super) fn cost(&self, requirements: &TaskRequirements<'_>, at: usize) -> f64 {
+    pub(super) fn placement_cost(&self, requirements: &TaskRequirements<'_>, at: usize) -> f64 {
         let capacity = &self.capacities[at];
         let downtime = self.downtime(requirements, at);
         let mut cost = if self.cluster.image_statistics.is_enabled() {
@@ -36,8 +36,8 @@
             downtime.fetch_s
         };
         // What a user prefers comes before what we would.
-        if let (Some(steps), Some(place)) = (&requirements.steps, capacity.place) {
-            let step = steps.0[self.slot(place, capacity.machine.spot)].unwrap_or(0);
+        if let (Some(steps), Some(type_and_zone)) = (&requirements.steps, capacity.type_and_zone) {
+            let step = steps.0[self.kind_index(type_and_zone, capacity.machine.spot)].unwrap_or(0);
             cost += RANK_STEP_COST_S * f64::from(step);
         }
         if requirements.avoids_spot {
@@ -48,8 +48,8 @@
             cost += SPOT_COST_S;
         }
         // What holds the machine longer than it is held anyway costs its time.
-        let needs_s = occupies_s(&requirements.job.spec);
-        cost += OUTLAST_COST_S * (1.0 - capacity.held_s / needs_s).max(0.0);
+        let needs_s = occupancy_s(&requirements.job.spec);
+        cost += OUTLAST_COST_S * (1.0 - capacity.occupied_s / needs_s).max(0.0);
         if capacity
             .reservation
             .is_some_and(|reservation| !reservation.is_for(requirements.job))
@@ -81,13 +81,13 @@
                     .spec
                     .needs
                     .fits_in(&self.free_for(requirements, *at))
-                    && self.allowed(requirements, *at, zones)
+                    && self.is_allowed(requirements, *at, zones)
             })
             // A worker that still lists an exited task under the same attempt
             // ignores another start of it.
             .filter(|at| attempt.is_none_or(|number| !self.lists_exited(requirements, *at, number)))
             .map(|at| Candidate {
-                cost: self.cost(requirements, at),
+                cost: self.placement_cost(requirements, at),
                 at,
             })
             .collect();
@@ -105,7 +105,7 @@
 }
 
 /// For how long a task holds its machine, in s, as far as its owner says.
-pub(super) fn occupies_s(spec: &JobSpec) -> f64 {
+pub(super) fn occupancy_s(spec: &JobSpec) -> f64 {
     if spec.estimate_s > 0.0 {
         spec.estimate_s
     } else {
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -12,8 +12,12 @@
 impl<'a> Pass<'a> {
     /// Stops what holds these units, if enough of it may be stopped for the job: work of
     /// lower priority, or of a team that borrows, for one that its team is guaranteed.
-    pub(super) fn free_units(&mut self, entry: &QueueEntry<'a>, mut missing: Vec<(Name, u32)>) -> bool {
-        if self.unit_stops >= UNIT_STOPS_PER_PASS {
+    pub(super) fn preempt_for_units(
+        &mut self,
+        entry: &QueueEntry<'a>,
+        mut missing: Vec<(Name, u32)>,
+    ) -> bool {
+        if self.unit_preemptions >= UNIT_STOPS_PER_PASS {
             return false;
         }
         self.resolve_running_jobs();
@@ -39,41 +43,41 @@
     ) -> Option<Vec<UnitVictim<'a>>> {
         let mut victims = self.unit_victims(entry, missing);
         victims.sort_by(|left, right| left.lost_s.total_cmp(&right.lost_s));
-        let mut lacking = missing.to_vec();
+        let mut still_missing = missing.to_vec();
         let mut borrowed: HashMap<(&str, &str), u32> = HashMap::new();
         let mut chosen: Vec<UnitVictim<'a>> = Vec::new();
         for victim in victims {
-            if lacking.iter().all(|(_, units)| *units == 0) {
+            if still_missing.iter().all(|(_, units)| *units == 0) {
                 break;
             }
-            let helps = lacking
+            let helps = still_missing
                 .iter()
                 .any(|(count, units)| *units > 0 && victim.units(count) > 0);
-            if !helps || !self.may_take_back(&victim, &mut borrowed) {
+            if !helps || !self.claim_borrowed_units(&victim, &mut borrowed) {
                 continue;
             }
-            for (count, units) in &mut lacking {
+            for (count, units) in &mut still_missing {
                 *units = units.saturating_sub(victim.units(count));
             }
             chosen.push(victim);
         }
-        if lacking.iter().any(|(_, units)| *units > 0) {
+        if still_missing.iter().any(|(_, units)| *units > 0) {
             return None;
         }
-        drop_needless(&mut chosen, missing);
+        drop_redundant(&mut chosen, missing);
         Some(chosen)
     }
 
     fn stop_unit_victim(&mut self, victim: &UnitVictim<'a>, missing: &mut [(Name, u32)]) {
-        self.unit_stops += 1;
+        self.unit_preemptions += 1;
         for _ in 0..victim.tasks {
             self.book.stops(victim.team, victim.counts, missing);
         }
         let capacity = &mut self.capacities[victim.at];
         let machine = capacity.machine.id.clone();
-        capacity.leaving += victim.attempt.needs;
+        capacity.releasing += victim.attempt.needs;
         capacity.running[victim.index].stopping = true;
-        self.any_leaving = true;
+        self.any_releasing = true;
         self.stop(victim.attempt, machine);
     }
 
@@ -119,7 +123,11 @@
 
     /// Whether all that a victim holds of shared counts is borrowed, beside what others
     /// chosen before it give back. One of lower priority gives way in any case.
-    fn may_take_back(&self, victim: &UnitVictim<'a>, taken: &mut HashMap<(&'a str, &'a str), u32>) -> bool {
+    fn claim_borrowed_units(
+        &self,
+        victim: &UnitVictim<'a>,
+        taken: &mut HashMap<(&'a str, &'a str), u32>,
+    ) -> bool {
         if victim.has_lower_priority {
             return true;
         }
@@ -154,22 +162,22 @@
 
 /// Drops victims whose units are not needed: the cheapest were chosen first, and a dearer one may have made
 /// some of them needless.
-fn drop_needless(chosen: &mut Vec<UnitVictim<'_>>, missing: &[(Name, u32)]) {
+fn drop_redundant(chosen: &mut Vec<UnitVictim<'_>>, missing: &[(Name, u32)]) {
     let mut surplus: HashMap<Name, u32> = HashMap::new();
     for (count, units) in missing {
         let freed: u32 = chosen.iter().map(|victim| victim.units(count)).sum();
         surplus.insert(count.clone(), freed.saturating_sub(*units));
     }
     chosen.retain(|victim| {
-        let is_needless = missing
+        let is_redundant = missing
             .iter()
             .all(|(count, _)| victim.units(count) <= surplus.get(count).copied().unwrap_or(0));
-        if is_needless {
+        if is_redundant {
             for (count, left) in &mut surplus {
                 *left -= victim.units(count).min(*left);
             }
         }
-        !is_needless
+        !is_redundant
     });
 }
 
