--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -85,7 +85,7 @@
     /// With each, whether it has less than the least share now.
     classes: BTreeMap<String, bool>,
     teams: BTreeMap<String, bool>,
-    turns: f64,
+    credits: f64,
 }
 
 impl StarvedOwners {
@@ -103,12 +103,12 @@
     }
 
     /// Tasks of starved work that come first in the next pass.
-    pub fn turns(&self) -> u32 {
+    pub fn credits(&self) -> u32 {
         if self.classes.is_empty() && self.teams.is_empty() {
             0
         } else {
             // Saturates: while more was placed than there were turns, there is none.
-            self.turns as u32
+            self.credits as u32
         }
     }
 
@@ -116,7 +116,7 @@
     /// placed for starved work uses them up.
     pub fn record_placement(&mut self, spec: &JobSpec) {
         let change = if self.is_starved(spec) { -1.0 } else { STARVED_TURN };
-        self.turns = (self.turns + change).clamp(-STARVED_OWED, STARVED_TURNS);
+        self.credits = (self.credits + change).clamp(-STARVED_OWED, STARVED_TURNS);
     }
 
     /// Marks an owner as starved. `less`: whether it has less than the least share now; `None` once it has
--- a/crates/controller/src/scheduling/fair_share/tests.rs
+++ b/crates/controller/src/scheduling/fair_share/tests.rs
@@ -118,13 +118,13 @@
     for _ in 0..9 {
         starved.record_placement(&other);
     }
-    assert_eq!(starved.turns(), 2);
+    assert_eq!(starved.credits(), 2);
     starved.record_placement(&own);
-    assert_eq!(starved.turns(), 1);
+    assert_eq!(starved.credits(), 1);
     for _ in 0..3 {
         starved.record_placement(&own);
     }
-    assert_eq!(starved.turns(), 0, "a gang took more than there were");
+    assert_eq!(starved.credits(), 0, "a gang took more than there were");
     starved.mark(&class("sweep"), None);
-    assert_eq!(starved.turns(), 0);
+    assert_eq!(starved.credits(), 0);
 }
--- a/crates/controller/src/scheduling/placement/aging.rs
+++ b/crates/controller/src/scheduling/placement/aging.rs
@@ -32,7 +32,7 @@
     }
 
     /// Tasks that may go first now.
-    fn turns(self) -> u32 {
+    fn credits(self) -> u32 {
         // Saturates: while more was placed than there were turns, there is none.
         self.0 as u32
     }
@@ -49,11 +49,11 @@
     /// Splits off the entries of the oldest overdue jobs of each standing as many tasks as there are turns.
     /// A gang needs one turn only, as half of it is no use; what it takes beyond that is owed.
     pub(super) fn aged_work_first(&self, order: Vec<QueueEntry<'a>>) -> Vec<QueueEntry<'a>> {
-        let turns = self.cluster.aging_credit.turns();
-        if turns == 0 {
+        let credits = self.cluster.aging_credit.credits();
+        if credits == 0 {
             return order;
         }
-        let first = self.overdue_tasks(&order, turns);
+        let first = self.overdue_tasks(&order, credits);
         let mut split = Vec::with_capacity(order.len() + first.len());
         for entry in order {
             let Some(tasks) = first.get(&(&entry.job.spec.id, entry.skip)).copied() else {
@@ -71,7 +71,7 @@
     }
 
     /// How many tasks of which entries, by job and first task, go first.
-    fn overdue_tasks(&self, order: &[QueueEntry<'a>], turns: u32) -> HashMap<(&'a JobId, u32), u32> {
+    fn overdue_tasks(&self, order: &[QueueEntry<'a>], credits: u32) -> HashMap<(&'a JobId, u32), u32> {
         let cluster: &ClusterSnapshot<'_> = self.cluster;
         let mut overdue: Vec<QueueEntry<'a>> = order
             .iter()
@@ -88,13 +88,13 @@
         });
         let mut first = HashMap::new();
         for group in overdue.chunk_by(|entry, next| entry.has_same_precedence(next, cluster)) {
-            let mut left = turns;
+            let mut remaining = credits;
             for entry in group {
-                if left == 0 {
+                if remaining == 0 {
                     break;
                 }
-                let tasks = entry.tasks_of(left);
-                left -= match entry.job.spec.shape {
+                let tasks = entry.first_tasks(remaining);
+                remaining -= match entry.job.spec.shape {
                     Shape::Gang => 1,
                     Shape::Array | Shape::Service => tasks,
                 };
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -46,38 +46,39 @@
 
 impl<'a> Pass<'a> {
     /// How many more tasks of the job its team's limit allows.
-    pub(super) fn quota_left(&self, spec: &JobSpec, most: u32) -> u32 {
+    pub(super) fn quota_left(&self, spec: &JobSpec, max_tasks: u32) -> u32 {
         let Some(team) = self.team(&spec.team) else {
             return 0;
         };
         let mut used = self.usage.of(&spec.team);
         used += self.quota_reserved_from(spec);
-        let mut left = 0;
-        while left < most {
+        let mut allowed_tasks = 0;
+        while allowed_tasks < max_tasks {
             used += spec.needs;
             if !team.allows(&used) {
                 break;
             }
-            left += 1;
+            allowed_tasks += 1;
         }
-        left
+        allowed_tasks
     }
 
     /// Binds a task of the job to a machine.
-    pub(super) fn bind(&mut self, requirements: &mut TaskRequirements<'a>, index: u32, at: usize) {
+    pub(super) fn bind(&mut self, requirements: &mut TaskRequirements<'a>, index: u32, machine_index: usize) {
         let job = requirements.job;
         let spec = &job.spec;
-        requirements.image = Some(self.record_image_use(spec, at));
-        let capacity = &mut self.capacities[at];
+        requirements.image = Some(self.record_image_use(spec, machine_index));
+        let capacity = &mut self.capacities[machine_index];
         capacity.free -= spec.needs;
         capacity.occupied_s = capacity.occupied_s.max(occupancy_s(spec));
         let machine = capacity.machine.id.clone();
         if spec.spread || spec.one_zone {
-            self.record_placed_zone(job, at);
+            self.record_placed_zone(job, machine_index);
         }
         self.usage.add(&spec.team, spec.needs);
         if !spec.counts.is_empty() {
-            self.book.take(&spec.team, &spec.counts, units_held_s(spec));
+            self.unit_ledger
+                .take(&spec.team, &spec.counts, units_held_s(spec));
         }
         self.starts += 1;
         let task = TaskId {
@@ -88,8 +89,8 @@
     }
 
     /// Notes that a task of the job needs its image on a machine; returns the image's number.
-    fn record_image_use(&mut self, spec: &'a JobSpec, at: usize) -> u32 {
-        let capacity = &mut self.capacities[at];
+    fn record_image_use(&mut self, spec: &'a JobSpec, machine_index: usize) -> u32 {
+        let capacity = &mut self.capacities[machine_index];
         let image = self.images.intern(&spec.image, spec.image_gb);
         if add_image(&mut capacity.images, image) {
             if let Some(known) = self.images.get_mut(image) {
@@ -111,9 +112,11 @@
         image
     }
 
-    fn record_placed_zone(&mut self, job: &'a Job, at: usize) {
+    fn record_placed_zone(&mut self, job: &'a Job, machine_index: usize) {
         let zones = self.cluster.deployment.zones.len();
-        let zone = self.capacities[at].type_and_zone.map_or(zones, |(_, zone)| zone);
+        let zone = self.capacities[machine_index]
+            .type_and_zone
+            .map_or(zones, |(_, zone)| zone);
         let placed = self
             .placed_zones
             .entry(&job.spec.id)
@@ -233,8 +236,8 @@
         let zones = self.open_zones(&job.spec, &tasks_by_zone);
         let mut candidates = self.candidates(&requirements, &zones, None);
         candidates.retain(|candidate| {
-            self.has_image(&requirements, candidate.at)
-                && self.capacities[candidate.at].machine.errors.is_empty()
+            self.has_image(&requirements, candidate.machine_index)
+                && self.capacities[candidate.machine_index].machine.errors.is_empty()
         });
         if candidates.is_empty() {
             return 0;
@@ -242,12 +245,17 @@
         let allowed = self.quota_left(&job.spec, entry.tasks);
         let mut waiting = entry.waiting_tasks(allowed);
         let mut placed = 0;
-        for Candidate { at, .. } in candidates {
-            while job.spec.needs.fits_in(&self.free_for(&requirements, at)) && !self.is_exhausted() {
+        for Candidate { machine_index, .. } in candidates {
+            while job
+                .spec
+                .needs
+                .fits_in(&self.free_for(&requirements, machine_index))
+                && !self.is_exhausted()
+            {
                 let Some(index) = waiting.next() else {
                     return placed;
                 };
-                self.bind(&mut requirements, index, at);
+                self.bind(&mut requirements, index, machine_index);
                 placed += 1;
             }
         }
@@ -331,7 +339,8 @@
     fn turn_candidates(&self, turn: &TaskTurn<'a>) -> Vec<Candidate> {
         let mut candidates = self.candidates(&turn.requirements, &turn.open_zones, None);
         if turn.locality == Locality::NearImage {
-            candidates.retain(|candidate| self.image_arrives_soonest(&turn.requirements, candidate.at));
+            candidates
+                .retain(|candidate| self.image_arrives_soonest(&turn.requirements, candidate.machine_index));
         }
         if turn.zone_bound {
             // Each start may close a zone to the next: one at a time.
@@ -344,8 +353,8 @@
     /// `None` once the pass is exhausted.
     fn fill(&mut self, turn: &mut TaskTurn<'a>, candidates: Vec<Candidate>) -> Option<()> {
         let needs = turn.requirements.job.spec.needs;
-        for Candidate { at, .. } in candidates {
-            while needs.fits_in(&self.free_for(&turn.requirements, at)) {
+        for Candidate { machine_index, .. } in candidates {
+            while needs.fits_in(&self.free_for(&turn.requirements, machine_index)) {
                 if self.is_exhausted() {
                     return None;
                 }
@@ -353,17 +362,17 @@
                     return Some(());
                 };
                 turn.remaining -= 1;
-                if self.preempts_beside_image(turn, at) {
+                if self.preempts_beside_image(turn, machine_index) {
                     continue;
                 }
-                if self.should_defer_start(&turn.requirements, at) {
+                if self.should_defer_start(&turn.requirements, machine_index) {
                     // The capacity stays unused until the others have their images.
-                    self.capacities[at].free -= needs;
+                    self.capacities[machine_index].free -= needs;
                     continue;
                 }
-                self.bind(&mut turn.requirements, index, at);
+                self.bind(&mut turn.requirements, index, machine_index);
                 if turn.zone_bound {
-                    self.count_zone(turn, at);
+                    self.count_zone(turn, machine_index);
                     return Some(());
                 }
             }
@@ -373,17 +382,17 @@
 
     /// Whether, as a fetch on this machine would make the start late, work is stopped on one that has the
     /// image: that is worth the little work that is lost.
-    fn preempts_beside_image(&mut self, turn: &TaskTurn<'a>, at: usize) -> bool {
+    fn preempts_beside_image(&mut self, turn: &TaskTurn<'a>, machine_index: usize) -> bool {
         let requirements = &turn.requirements;
-        self.fetch_s(requirements, at) > requirements.start_within_s && {
-            let budget_s = self.preemption_budget_s(requirements, at);
+        self.fetch_s(requirements, machine_index) > requirements.start_within_s && {
+            let budget_s = self.preemption_budget_s(requirements, machine_index);
             self.preempt_for(requirements, &turn.open_zones, Some(budget_s))
         }
     }
 
     /// Counts a start on a machine against its zone.
-    fn count_zone(&self, turn: &mut TaskTurn<'a>, at: usize) {
-        if let Some((_, zone)) = self.capacities[at].type_and_zone {
+    fn count_zone(&self, turn: &mut TaskTurn<'a>, machine_index: usize) {
+        if let Some((_, zone)) = self.capacities[machine_index].type_and_zone {
             turn.tasks_by_zone[zone] += 1;
         }
         turn.open_zones = self.open_zones(&turn.requirements.job.spec, &turn.tasks_by_zone);
--- a/crates/controller/src/scheduling/placement/consolidation.rs
+++ b/crates/controller/src/scheduling/placement/consolidation.rs
@@ -28,21 +28,23 @@
         if !CONSOLIDATE_REPLICAS || busy {
             return;
         }
-        let most = MOVES_PER_PASS.max((MOVES_SHARE * self.capacities.len() as f64) as usize);
+        let max_moves = MOVES_PER_PASS.max((MOVES_SHARE * self.capacities.len() as f64) as usize);
         let used_share = |capacity: &MachineCapacity<'_>| match capacity.machine_type {
             Some(machine_type) => 1.0 - capacity.free.share_free(&machine_type.resources()),
             None => 1.0,
         };
         let mut emptiest: Vec<(f64, usize)> = (0..self.capacities.len())
-            .filter(|at| self.capacities[*at].usable && !self.capacities[*at].running.is_empty())
-            .map(|at| (used_share(&self.capacities[at]), at))
+            .filter(|machine_index| {
+                self.capacities[*machine_index].usable && !self.capacities[*machine_index].running.is_empty()
+            })
+            .map(|machine_index| (used_share(&self.capacities[machine_index]), machine_index))
             .collect();
         emptiest.sort_by(|(left, _), (right, _)| left.total_cmp(right));
         let mut free: Vec<Resources> = self.capacities.iter().map(|capacity| capacity.free).collect();
         let mut targets = HashSet::new();
-        let mut left = most;
-        for (share, from) in emptiest.into_iter().take(CONSOLIDATION_TRIES * most) {
-            if share > CONSOLIDATE_BELOW || left == 0 {
+        let mut remaining = max_moves;
+        for (share, from) in emptiest.into_iter().take(CONSOLIDATION_TRIES * max_moves) {
+            if share > CONSOLIDATE_BELOW || remaining == 0 {
                 return;
             }
             // What others are moving to stays.
@@ -55,9 +57,9 @@
             let machine = self.capacities[from].machine.id.clone();
             // It takes nothing itself any more.
             free[from] = Resources::default();
-            for replica in moves.into_iter().take(left) {
+            for replica in moves.into_iter().take(remaining) {
                 targets.insert(replica.to);
-                left -= 1;
+                remaining -= 1;
                 self.stop(replica.attempt, machine.clone());
             }
         }
@@ -135,16 +137,16 @@
     fn move_zones(&self, job: &Job, source: &MachineCapacity<'_>) -> OpenZones {
         match (job.spec.spread && job.spec.tasks > 1, source.type_and_zone) {
             // Where one zone holds too many already, the spread decides, not this.
-            (true, Some((_, own))) => (0..self.cluster.deployment.zones.len())
-                .map(|zone| zone == own)
+            (true, Some((_, own_zone))) => (0..self.cluster.deployment.zones.len())
+                .map(|zone| zone == own_zone)
                 .collect(),
             // What moves leaves its own zone, and makes place there: counted still, it
             // closed the zone to itself, and where there is no other zone nothing
             // ever moved.
             (_, type_and_zone) => {
                 let mut tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
-                if let Some((_, own)) = type_and_zone {
-                    tasks_by_zone[own] = tasks_by_zone[own].saturating_sub(1);
+                if let Some((_, own_zone)) = type_and_zone {
+                    tasks_by_zone[own_zone] = tasks_by_zone[own_zone].saturating_sub(1);
                 }
                 self.open_zones(&job.spec, &tasks_by_zone)
             }
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -41,16 +41,16 @@
     /// Completes a book in which all attempts stand.
     pub(super) fn add_external_usage(
         &self,
-        book: &mut Book<'a>,
+        ledger: &mut Book<'a>,
         machines: &BTreeMap<MachineId, Machine>,
         now: Timestamp,
     ) {
         for linger in self.lingers.iter().filter(|linger| now < linger.until) {
             let left_s = (linger.until - now) as f64 / SECOND_MS as f64;
-            book.linger(&linger.team, &linger.count, linger.units, left_s);
+            ledger.linger(&linger.team, &linger.count, linger.units, left_s);
         }
         // A server that nobody has asked yet closes its count as well.
-        book.hear(self.feeds, now, |host| {
+        ledger.hear(self.feeds, now, |host| {
             machines.contains_key(host) || self.recently_released.contains_key(host)
         });
     }
@@ -62,16 +62,16 @@
     units: &CountedUnits<'a>,
     now: Timestamp,
 ) -> Book<'a> {
-    let mut book = Book::with_policy(units.definitions, units.policy);
+    let mut ledger = Book::with_policy(units.definitions, units.policy);
     for attempt in machines.values().flat_map(|machine| &machine.attempts) {
-        record_units(&mut book, attempt, now);
+        record_units(&mut ledger, attempt, now);
     }
-    units.add_external_usage(&mut book, machines, now);
-    book
+    units.add_external_usage(&mut ledger, machines, now);
+    ledger
 }
 
 /// Notes the units, if any, that an attempt holds.
-pub(super) fn record_units<'a>(book: &mut Book<'a>, attempt: &'a Attempt, now: Timestamp) {
+pub(super) fn record_units<'a>(ledger: &mut Book<'a>, attempt: &'a Attempt, now: Timestamp) {
     if !attempt.holds_units() {
         return;
     }
@@ -85,7 +85,7 @@
         // for ever.
         over_s.max(HELD_LEAST_S)
     };
-    book.hold(&attempt.team, &attempt.counts, left_s, attempt.stop.is_some());
+    ledger.hold(&attempt.team, &attempt.counts, left_s, attempt.stop.is_some());
 }
 
 /// For how long a task of this job holds its units, in s, as far as its owner says.
@@ -115,16 +115,18 @@
         }
     }
 
-    /// How many of `most` tasks of the job may have their units now.
-    pub(super) fn tasks_with_units(&self, entry: &QueueEntry<'a>, most: u32) -> u32 {
+    /// How many of `max_tasks` tasks of the job may have their units now.
+    pub(super) fn tasks_with_units(&self, entry: &QueueEntry<'a>, max_tasks: u32) -> u32 {
         if !entry.needs_units {
-            return most;
+            return max_tasks;
         }
         match entry.single_count {
-            Some(only) => self.book.room_of(only, most, || self.asker(entry.job)),
+            Some(only) => self
+                .unit_ledger
+                .room_of(only, max_tasks, || self.asker(entry.job)),
             None => {
                 let asker = self.asker(entry.job);
-                self.book.room(&entry.job.spec.counts, most, &asker)
+                self.unit_ledger.room(&entry.job.spec.counts, max_tasks, &asker)
             }
         }
     }
@@ -136,8 +138,8 @@
             return tasks;
         }
         match entry.single_count {
-            Some(only) => self.book.promise_of(only, tasks),
-            None => self.book.promise(&entry.job.spec.counts, tasks),
+            Some(only) => self.unit_ledger.promise_of(only, tasks),
+            None => self.unit_ledger.promise(&entry.job.spec.counts, tasks),
         }
     }
 
@@ -146,10 +148,10 @@
     pub(super) fn reserve_units(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let age_s = job.age_ms(self.cluster.now) as f64 / SECOND_MS as f64;
-        if entry.needs_units && self.book.keeps_at(age_s) {
+        if entry.needs_units && self.unit_ledger.keeps_at(age_s) {
             let asker = self.asker(job);
             if self
-                .book
+                .unit_ledger
                 .awaits_machines(&job.spec.counts, job.together(), &asker)
             {
                 self.plan.units_reserved_for.insert(job.spec.id.clone());
@@ -159,7 +161,7 @@
 
     /// Free units that are reserved, by count.
     pub(super) fn reserved_units(&self) -> BTreeMap<Name, u32> {
-        let reserved = self.book.pools().filter(|pool| pool.kept() > 0);
+        let reserved = self.unit_ledger.pools().filter(|pool| pool.kept() > 0);
         reserved
             .map(|pool| (Name::from(pool.name), pool.kept().min(pool.free())))
             .collect()
@@ -170,7 +172,7 @@
     pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, together: u32, tasks: u32) {
         let job = entry.job;
         let asker = self.asker(job);
-        let (lack, reservation) = self.book.short(&job.spec.counts, together, &asker);
+        let (lack, reservation) = self.unit_ledger.short(&job.spec.counts, together, &asker);
         if reservation {
             self.plan.units_reserved_for.insert(job.spec.id.clone());
         }
@@ -186,7 +188,7 @@
         for _ in 0..rounds {
             // What is leaving goes to those who wait, in their order, whether or not
             // they may stop anything.
-            let Some(missing) = self.book.missing(&job.spec.counts, together) else {
+            let Some(missing) = self.unit_ledger.missing(&job.spec.counts, together) else {
                 return;
             };
             if !lower && !entry.units_guaranteed {
@@ -199,7 +201,7 @@
             // own. What only ends by itself is nothing to idle units for: an old request
             // has them reserved in any case.
             if !missing.awaits_ends {
-                self.book.claim(&job.spec.counts, together);
+                self.unit_ledger.claim(&job.spec.counts, together);
             }
         }
     }
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -19,21 +19,21 @@
     machines: &BTreeMap<MachineId, Machine>,
     zones: &[String],
 ) -> Vec<u32> {
-    let mut taken = vec![0; zones.len() + 1];
+    let mut counts = vec![0; zones.len() + 1];
     for machine in task_locations
         .get(job)
         .into_iter()
         .flatten()
         .filter_map(|id| machines.get(id))
     {
-        let there = machine
+        let attempts = machine
             .attempts
             .iter()
             .filter(|attempt| attempt.task.job == *job && attempt.may_be_there());
-        let at = zones.iter().position(|zone| *zone == machine.zone);
-        taken[at.unwrap_or(zones.len())] += there.count() as u32;
+        let zone_index = zones.iter().position(|zone| *zone == machine.zone);
+        counts[zone_index.unwrap_or(zones.len())] += attempts.count() as u32;
     }
-    taken
+    counts
 }
 
 /// Whether the job had better stay off spot machines, which are lost at this rate.
@@ -60,7 +60,7 @@
         TaskRequirements {
             job,
             eligible,
-            steps: steps.filter(RankSteps::has_preference),
+            rank_steps: steps.filter(RankSteps::has_preference),
             image: self.images.number(&job.spec.image),
             start_within_s: self.cluster.deployment.tightest_s("wait", &job.spec.class),
             avoids_failed_machines: !job.avoids(self.cluster.now).is_empty(),
@@ -90,9 +90,9 @@
         for machine_type in &self.types {
             // The set says all but whether a task fits.
             let fits = spec.needs.fits_in(&machine_type.resources());
-            let from = eligible.len();
-            let own = &steps.0[from..from + kinds_per_type];
-            eligible.extend(own.iter().map(|step| fits && step.is_some()));
+            let offset = eligible.len();
+            let steps_of_type = &steps.0[offset..offset + kinds_per_type];
+            eligible.extend(steps_of_type.iter().map(|step| fits && step.is_some()));
         }
         eligible
     }
@@ -148,25 +148,25 @@
     /// Where tasks of the job are or may be.
     pub(super) fn job_tasks_by_zone(&self, job: &JobId) -> TasksByZone {
         let zones = &self.cluster.deployment.zones;
-        let mut taken = tasks_by_zone(job, self.cluster.task_locations, self.cluster.machines, zones);
-        for (taken, placed) in taken
+        let mut counts = tasks_by_zone(job, self.cluster.task_locations, self.cluster.machines, zones);
+        for (count, placed) in counts
             .iter_mut()
             .zip(self.placed_zones.get(job).into_iter().flatten())
         {
-            *taken += placed;
+            *count += placed;
         }
-        taken
+        counts
     }
 
     /// Zones into which one more task of the job may go.
-    pub(super) fn open_zones(&self, spec: &JobSpec, taken: &TasksByZone) -> OpenZones {
+    pub(super) fn open_zones(&self, spec: &JobSpec, tasks_by_zone: &TasksByZone) -> OpenZones {
         (0..self.cluster.deployment.zones.len())
             .map(|zone| {
-                let alone = taken
+                let no_other_zone_used = tasks_by_zone
                     .iter()
                     .enumerate()
                     .all(|(other, count)| *count == 0 || other == zone);
-                (!spec.one_zone || alone) && taken[zone] < spec.zone_cap()
+                (!spec.one_zone || no_other_zone_used) && tasks_by_zone[zone] < spec.zone_cap()
             })
             .collect()
     }
@@ -184,10 +184,10 @@
     pub(super) fn is_allowed(
         &self,
         requirements: &TaskRequirements<'_>,
-        at: usize,
+        machine_index: usize,
         zones: &OpenZones,
     ) -> bool {
-        let capacity = &self.capacities[at];
+        let capacity = &self.capacities[machine_index];
         let Some(type_and_zone) = capacity.type_and_zone else {
             return false;
         };
@@ -207,8 +207,8 @@
     }
 
     /// Whether the machine has the job's image already.
-    pub(super) fn has_image(&self, requirements: &TaskRequirements<'_>, at: usize) -> bool {
-        let capacity = &self.capacities[at];
+    pub(super) fn has_image(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> bool {
+        let capacity = &self.capacities[machine_index];
         requirements.image.is_some_and(|image| {
             capacity.images.contains(&image) && capacity.fetching.iter().all(|fetch| fetch.image != image)
         })
--- a/crates/controller/src/scheduling/placement/gang_placement.rs
+++ b/crates/controller/src/scheduling/placement/gang_placement.rs
@@ -52,8 +52,8 @@
         let zones = self.open_zones(&job.spec, &tasks_by_zone);
         match self.find_gang_fit(&requirements, &zones, &tasks_by_zone, attempt) {
             Some(fit) => {
-                for (index, at) in job.waiting.iter().copied().zip(fit.machines) {
-                    self.bind(&mut requirements, index, at);
+                for (index, machine_index) in job.waiting.iter().copied().zip(fit.machines) {
+                    self.bind(&mut requirements, index, machine_index);
                 }
                 if entry.large_first || entry.overdue {
                     self.release_reservations(job);
@@ -167,11 +167,11 @@
             machines: Vec::with_capacity(tasks),
         };
         let mut tasks_by_zone = tasks_by_zone.clone();
-        for Candidate { cost, at } in self.candidates(requirements, zones, attempt) {
-            let Some((_, zone)) = self.capacities[at].type_and_zone else {
+        for Candidate { cost, machine_index } in self.candidates(requirements, zones, attempt) {
+            let Some((_, zone)) = self.capacities[machine_index].type_and_zone else {
                 continue;
             };
-            let mut free = self.free_for(requirements, at);
+            let mut free = self.free_for(requirements, machine_index);
             while fit.machines.len() < tasks
                 && tasks_by_zone[zone] < spec.zone_cap()
                 && spec.needs.fits_in(&free)
@@ -179,7 +179,7 @@
                 free -= spec.needs;
                 tasks_by_zone[zone] += 1;
                 fit.cost = fit.cost.max(cost);
-                fit.machines.push(at);
+                fit.machines.push(machine_index);
             }
             if fit.machines.len() == tasks {
                 return Some(fit);
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -14,7 +14,7 @@
     pub(super) available_in_s: f64,
     has_image: bool,
     /// Position of the machine in the pass.
-    pub(super) at: usize,
+    pub(super) machine_index: usize,
 }
 
 /// When a running task frees its resources.
@@ -34,7 +34,7 @@
 /// What would be stopped on one machine.
 struct MachineVictims {
     /// Position of the machine in the pass.
-    at: usize,
+    machine_index: usize,
     victims: Victims,
 }
 
@@ -93,7 +93,7 @@
         }
         let best = best?;
         for stop in best.stops {
-            self.stop_victims(stop.at, stop.victims);
+            self.stop_victims(stop.machine_index, stop.victims);
         }
         Some(best.slots)
     }
@@ -106,17 +106,22 @@
         zones: &OpenZones,
         mut slots: Vec<GangSlot>,
     ) -> Option<PreemptionPlan> {
-        let taken: HashSet<usize> = slots.iter().map(|slot| slot.at).collect();
+        let used_machines: HashSet<usize> = slots.iter().map(|slot| slot.machine_index).collect();
         let mut stops: Vec<MachineVictims> = (0..self.capacities.len())
-            .filter(|at| !taken.contains(at) && self.is_allowed(requirements, *at, zones))
-            .filter_map(|at| {
-                let victims = self.victims(requirements, at)?;
-                Some(MachineVictims { at, victims })
+            .filter(|machine_index| {
+                !used_machines.contains(machine_index) && self.is_allowed(requirements, *machine_index, zones)
+            })
+            .filter_map(|machine_index| {
+                let victims = self.victims(requirements, machine_index)?;
+                Some(MachineVictims {
+                    machine_index,
+                    victims,
+                })
             })
             .collect();
         stops.sort_by(|left, right| {
             let by_cost = left.victims.cost.total_cmp(&right.victims.cost);
-            by_cost.then(left.at.cmp(&right.at))
+            by_cost.then(left.machine_index.cmp(&right.machine_index))
         });
         let missing = tasks - slots.len();
         if stops.len() < missing {
@@ -125,8 +130,8 @@
         stops.truncate(missing);
         slots.extend(stops.iter().map(|stop| GangSlot {
             available_in_s: STOP_GRACE_EXTRA_S,
-            has_image: self.has_image(requirements, stop.at),
-            at: stop.at,
+            has_image: self.has_image(requirements, stop.machine_index),
+            machine_index: stop.machine_index,
         }));
         slots.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         Some(PreemptionPlan {
@@ -146,18 +151,20 @@
         tasks_by_zone: &TasksByZone,
     ) -> Vec<GangSlot> {
         let mut slots: Vec<GangSlot> = Vec::new();
-        for at in (0..self.capacities.len()).filter(|at| self.is_allowed(requirements, *at, zones)) {
-            self.add_slots_of(requirements, tasks, at, &mut slots);
+        for machine_index in (0..self.capacities.len())
+            .filter(|machine_index| self.is_allowed(requirements, *machine_index, zones))
+        {
+            self.add_slots_of(requirements, tasks, machine_index, &mut slots);
         }
         slots.sort_by(|left, right| {
             (left.available_in_s.total_cmp(&right.available_in_s))
                 .then(right.has_image.cmp(&left.has_image))
-                .then(left.at.cmp(&right.at))
+                .then(left.machine_index.cmp(&right.machine_index))
         });
         let cap = requirements.job.spec.zone_cap();
         let mut tasks_by_zone = tasks_by_zone.clone();
         slots.retain(|slot| {
-            let Some((_, zone)) = self.capacities[slot.at].type_and_zone else {
+            let Some((_, zone)) = self.capacities[slot.machine_index].type_and_zone else {
                 return false;
             };
             let fits = tasks_by_zone[zone] < cap;
@@ -173,12 +180,12 @@
         &self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
-        at: usize,
+        machine_index: usize,
         slots: &mut Vec<GangSlot>,
     ) {
         let needs = requirements.job.spec.needs;
-        let has_image = self.has_image(requirements, at);
-        let capacity = &self.capacities[at];
+        let has_image = self.has_image(requirements, machine_index);
+        let capacity = &self.capacities[machine_index];
         let mut releases = self.releases(&capacity.running).into_iter();
         let mut free = capacity.free;
         let mut available_in_s = 0.0;
@@ -190,7 +197,7 @@
                 slots.push(GangSlot {
                     available_in_s,
                     has_image,
-                    at,
+                    machine_index,
                 });
             }
             let Some(release) = releases.next() else {
--- a/crates/controller/src/scheduling/placement/image_catalog.rs
+++ b/crates/controller/src/scheduling/placement/image_catalog.rs
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(super) struct ImageCatalog<'a> {
     numbers: HashMap<&'a str, u32>,
-    known: Vec<KnownImage>,
+    images: Vec<KnownImage>,
 }
 
 impl<'a> ImageCatalog<'a> {
@@ -27,10 +27,10 @@
 
     /// The image's number; an image that is new gets one, and this size.
     pub(super) fn intern(&mut self, name: &'a str, size_gb: f64) -> u32 {
-        let next = self.known.len() as u32;
+        let next = self.images.len() as u32;
         let number = *self.numbers.entry(name).or_insert(next);
         if number == next {
-            self.known.push(KnownImage {
+            self.images.push(KnownImage {
                 size_gb,
                 ..KnownImage::default()
             });
@@ -40,18 +40,18 @@
 
     /// What is known of the image; the default for a number that is not in the catalog.
     pub(super) fn get(&self, number: u32) -> KnownImage {
-        self.known.get(number as usize).copied().unwrap_or_default()
+        self.images.get(number as usize).copied().unwrap_or_default()
     }
 
     pub(super) fn get_mut(&mut self, number: u32) -> Option<&mut KnownImage> {
-        self.known.get_mut(number as usize)
+        self.images.get_mut(number as usize)
     }
 
     /// All images, with their names.
     pub(super) fn update_all(&mut self, mut update: impl FnMut(&str, &mut KnownImage)) {
         for (name, number) in &self.numbers {
-            if let Some(known) = self.known.get_mut(*number as usize) {
-                update(name, known);
+            if let Some(images) = self.images.get_mut(*number as usize) {
+                update(name, images);
             }
         }
     }
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -20,7 +20,7 @@
     types: Vec<&'a MachineType>,
     images: ImageCatalog<'a>,
     usage: UsageByTeam<'a>,
-    book: Book<'a>,
+    unit_ledger: Book<'a>,
     any_releasing: bool,
 }
 
@@ -31,7 +31,7 @@
             types: cluster.types.values().collect(),
             images: ImageCatalog::default(),
             usage: UsageByTeam::default(),
-            book: Book::with_policy(cluster.units.definitions, cluster.units.policy),
+            unit_ledger: Book::with_policy(cluster.units.definitions, cluster.units.policy),
             any_releasing: false,
         }
     }
@@ -89,7 +89,7 @@
 
     fn add_attempt(&mut self, attempt: &'a Attempt, capacity: &mut MachineCapacity<'a>) {
         self.usage.add(&attempt.team, attempt.needs);
-        record_units(&mut self.book, attempt, self.cluster.now);
+        record_units(&mut self.unit_ledger, attempt, self.cluster.now);
         let stopping = attempt.stop.is_some();
         if stopping {
             capacity.releasing += attempt.needs;
@@ -134,7 +134,7 @@
             .collect();
         cluster
             .units
-            .add_external_usage(&mut inventory.book, cluster.machines, cluster.now);
+            .add_external_usage(&mut inventory.unit_ledger, cluster.machines, cluster.now);
         let mut pass = Pass {
             cluster,
             capacities,
@@ -154,7 +154,7 @@
             placed_zones: HashMap::new(),
             running_jobs_resolved: false,
             preemption_searches: 0,
-            book: inventory.book,
+            unit_ledger: inventory.unit_ledger,
             unit_preemptions: 0,
             lowest_unit_priority: None,
             plan: Plan::default(),
--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -26,11 +26,11 @@
 
 /// The number of tasks from which on a job is one of the larger of its class: the [`LARGE_SHARE`] of its live jobs.
 fn large_job_threshold(mut sizes: Vec<u32>) -> u32 {
-    let at = (sizes.len() as f64 * (1.0 - LARGE_SHARE)) as usize;
-    if at >= sizes.len() {
+    let threshold_index = (sizes.len() as f64 * (1.0 - LARGE_SHARE)) as usize;
+    if threshold_index >= sizes.len() {
         return u32::MAX;
     }
-    *sizes.select_nth_unstable(at).1
+    *sizes.select_nth_unstable(threshold_index).1
 }
 
 /// The larger jobs of each class that are at least this old, in ms, and have not begun; the oldest first.
@@ -105,7 +105,7 @@
             split.push(entry);
             continue;
         }
-        let tasks = entry.tasks_of(LARGE_TURN);
+        let tasks = entry.first_tasks(LARGE_TURN);
         split.push(QueueEntry {
             large_first: true,
             tasks,
--- a/crates/controller/src/scheduling/placement/pass.rs
+++ b/crates/controller/src/scheduling/placement/pass.rs
@@ -76,7 +76,7 @@
     /// By type, zone and kind: see `Pass::kind_index`.
     pub(super) eligible: Vec<bool>,
     /// Set where an expression of the job prefers some kinds to others.
-    pub(super) steps: Option<RankSteps>,
+    pub(super) rank_steps: Option<RankSteps>,
     pub(super) image: Option<u32>,
     /// How long the job's class may wait to start, if its users say so.
     pub(super) start_within_s: f64,
@@ -150,8 +150,8 @@
 
     /// Adds to what the team uses.
     pub(super) fn add(&mut self, team: &'a str, needs: Resources) {
-        let known = self.0.iter_mut().find(|(name, _)| *name == team);
-        match known {
+        let entry = self.0.iter_mut().find(|(name, _)| *name == team);
+        match entry {
             Some((_, used)) => *used += needs,
             None => self.0.push((team, needs)),
         }
@@ -192,7 +192,7 @@
     pub(super) running_jobs_resolved: bool,
     pub(super) preemption_searches: usize,
     /// Who holds which units of counts.
-    pub(super) book: Book<'a>,
+    pub(super) unit_ledger: Book<'a>,
     pub(super) unit_preemptions: usize,
     /// The lowest priority of any job that holds units, once a pass needs it.
     pub(super) lowest_unit_priority: Option<Option<Priority>>,
--- a/crates/controller/src/scheduling/placement/placement_cost.rs
+++ b/crates/controller/src/scheduling/placement/placement_cost.rs
@@ -44,11 +44,11 @@
 
     /// What a fetch alone takes there, in s.
     fn uncontended_fetch_s(&self, capacity: &MachineCapacity<'_>, gb: f64) -> f64 {
-        capacity.machine_type.map_or(gb, |known| {
+        capacity.machine_type.map_or(gb, |machine_type| {
             self.cluster
                 .image_statistics
                 .rates()
-                .alone_s(&known.name, known.fetch_s(gb))
+                .alone_s(&machine_type.name, machine_type.fetch_s(gb))
         })
     }
 
@@ -77,10 +77,10 @@
     fn choice<'o>(
         &self,
         requirements: &TaskRequirements<'_>,
-        at: usize,
+        machine_index: usize,
         others: &'o [Fetching],
     ) -> Choice<'o> {
-        let capacity = &self.capacities[at];
+        let capacity = &self.capacities[machine_index];
         let gb = requirements.job.spec.image_gb;
         let held = requirements
             .image
@@ -123,13 +123,13 @@
 
     /// What the place costs a task of the job, in s in which a replica is not up; for other tasks,
     /// in s of their own.
-    pub(super) fn downtime(&self, requirements: &TaskRequirements<'_>, at: usize) -> Cost {
-        let others = self.others(requirements, &self.capacities[at]);
-        let mut found = cost(&self.choice(requirements, at, &others));
-        let weight = own_weight(requirements);
-        found.delay_s *= weight;
-        found.evict_s *= weight;
-        found
+    pub(super) fn downtime(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> Cost {
+        let others = self.others(requirements, &self.capacities[machine_index]);
+        let mut downtime = cost(&self.choice(requirements, machine_index, &others));
+        let weight = downtime_weight(requirements);
+        downtime.delay_s *= weight;
+        downtime.evict_s *= weight;
+        downtime
     }
 
     /// What a fetch of so many GB evicts, in s in which replicas are not up.
@@ -151,36 +151,51 @@
     }
 
     /// Whether its image lies there, or will as soon as it could anywhere.
-    pub(super) fn image_arrives_soonest(&self, requirements: &TaskRequirements<'_>, at: usize) -> bool {
-        let capacity = &self.capacities[at];
+    pub(super) fn image_arrives_soonest(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        machine_index: usize,
+    ) -> bool {
+        let capacity = &self.capacities[machine_index];
         requirements
             .image
             .is_some_and(|image| capacity.images.contains(&image))
-            && self.fetch_s(requirements, at)
+            && self.fetch_s(requirements, machine_index)
                 <= self.uncontended_fetch_s(capacity, requirements.job.spec.image_gb)
     }
 
     /// Work, in s of a task, that may be lost to start a task beside its image rather than there.
-    pub(super) fn preemption_budget_s(&self, requirements: &TaskRequirements<'_>, at: usize) -> f64 {
+    pub(super) fn preemption_budget_s(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        machine_index: usize,
+    ) -> f64 {
         if !self.cluster.image_statistics.is_enabled() || requirements.job.spec.shape != Shape::Service {
             return PREEMPT_FOR_IMAGE_S;
         }
-        (self.downtime(requirements, at).total_s() * BATCH_SECONDS)
+        (self.downtime(requirements, machine_index).total_s() * BATCH_SECONDS)
             .clamp(PREEMPT_FOR_IMAGE_S, PREEMPT_FOR_IMAGE_MOST_S)
     }
 
     /// Whether a task had better wait than start there: its fetch would hold others up.
-    pub(super) fn should_defer_start(&self, requirements: &TaskRequirements<'_>, at: usize) -> bool {
-        if !self.cluster.image_statistics.is_enabled() || self.capacities[at].fetching.is_empty() {
+    pub(super) fn should_defer_start(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        machine_index: usize,
+    ) -> bool {
+        if !self.cluster.image_statistics.is_enabled() || self.capacities[machine_index].fetching.is_empty() {
             return false;
         }
-        let others = self.others(requirements, &self.capacities[at]);
-        waits_for_others(&self.choice(requirements, at, &others), own_weight(requirements))
+        let others = self.others(requirements, &self.capacities[machine_index]);
+        waits_for_others(
+            &self.choice(requirements, machine_index, &others),
+            downtime_weight(requirements),
+        )
     }
 }
 
 /// What a second in which a replica is not up counts against one of the job's tasks.
-fn own_weight(requirements: &TaskRequirements<'_>) -> f64 {
+fn downtime_weight(requirements: &TaskRequirements<'_>) -> f64 {
     match requirements.job.spec.shape {
         Shape::Service => 1.0,
         Shape::Array | Shape::Gang => BATCH_SECONDS,
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -67,11 +67,11 @@
         self.preemption_searches += 1;
         let needs = job.spec.needs;
         let candidates: Vec<usize> = (0..self.capacities.len())
-            .filter(|at| self.is_allowed(requirements, *at, zones))
-            .filter(|at| max_cost_s.is_none() || self.has_image(requirements, *at))
+            .filter(|machine_index| self.is_allowed(requirements, *machine_index, zones))
+            .filter(|machine_index| max_cost_s.is_none() || self.has_image(requirements, *machine_index))
             .collect();
-        if let Some(at) = self.find_releasing(requirements, &candidates) {
-            self.claim_releasing(at, needs);
+        if let Some(machine_index) = self.find_releasing(requirements, &candidates) {
+            self.claim_releasing(machine_index, needs);
             return true;
         }
         let cheapest = if displaces {
@@ -79,24 +79,24 @@
         } else {
             None
         };
-        let Some((at, victims)) = cheapest else {
+        let Some((machine_index, victims)) = cheapest else {
             let is_general = !requirements.avoids_failed_machines && zones.iter().all(|open| *open);
             if max_cost_s.is_none() && is_general {
                 self.unpreemptable.insert(class);
             }
             return false;
         };
-        self.stop_victims(at, victims);
-        self.claim_releasing(at, needs);
+        self.stop_victims(machine_index, victims);
+        self.claim_releasing(machine_index, needs);
         true
     }
 
     /// The first of these machines where a task fits once the work that is being stopped has left.
     fn find_releasing(&self, requirements: &TaskRequirements<'_>, candidates: &[usize]) -> Option<usize> {
         let needs = requirements.job.spec.needs;
-        candidates.iter().copied().find(|at| {
-            let releasing = self.capacities[*at].releasing;
-            let mut soon = self.free_for(requirements, *at);
+        candidates.iter().copied().find(|machine_index| {
+            let releasing = self.capacities[*machine_index].releasing;
+            let mut soon = self.free_for(requirements, *machine_index);
             soon += releasing;
             releasing != Resources::default() && needs.fits_in(&soon)
         })
@@ -111,28 +111,28 @@
     ) -> Option<(usize, Victims)> {
         self.resolve_running_jobs();
         let mut best: Option<(usize, Victims)> = None;
-        for at in candidates.iter().copied() {
-            if let Some(victims) = self.victims(requirements, at)
+        for machine_index in candidates.iter().copied() {
+            if let Some(victims) = self.victims(requirements, machine_index)
                 && max_cost_s.is_none_or(|most| victims.cost <= most)
                 && best.as_ref().is_none_or(|(_, best)| victims.cost < best.cost)
             {
-                best = Some((at, victims));
+                best = Some((machine_index, victims));
             }
         }
         best
     }
 
     /// Stops these tasks of a machine: their resources are leaving.
-    pub(super) fn stop_victims(&mut self, at: usize, victims: Victims) {
+    pub(super) fn stop_victims(&mut self, machine_index: usize, victims: Victims) {
         for victim in victims.running {
-            let running = &mut self.capacities[at].running[victim];
+            let running = &mut self.capacities[machine_index].running[victim];
             // A gang is stopped whole, perhaps for another machine's sake.
             if std::mem::replace(&mut running.stopping, true) {
                 continue;
             }
             let attempt = running.attempt;
-            let machine = self.capacities[at].machine.id.clone();
-            self.capacities[at].releasing += attempt.needs;
+            let machine = self.capacities[machine_index].machine.id.clone();
+            self.capacities[machine_index].releasing += attempt.needs;
             self.any_releasing = true;
             self.stop(attempt, machine);
         }
@@ -153,8 +153,8 @@
     }
 
     /// Takes resources out of what is leaving a machine.
-    fn claim_releasing(&mut self, at: usize, needs: Resources) {
-        let capacity = &mut self.capacities[at];
+    fn claim_releasing(&mut self, machine_index: usize, needs: Resources) {
+        let capacity = &mut self.capacities[machine_index];
         capacity.releasing -= needs;
         // What `releasing` lacked was free: it is claimed too.
         for (releasing, free) in [
@@ -201,9 +201,13 @@
     }
 
     /// The cheapest tasks on a machine whose stop makes capacity for a task of the job.
-    pub(super) fn victims(&self, requirements: &TaskRequirements<'_>, at: usize) -> Option<Victims> {
+    pub(super) fn victims(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        machine_index: usize,
+    ) -> Option<Victims> {
         let job = requirements.job;
-        let capacity = &self.capacities[at];
+        let capacity = &self.capacities[machine_index];
         let mut options: Vec<(f64, usize)> = Vec::new();
         for (index, running) in capacity.running.iter().enumerate() {
             if running.stopping || running.attempt.exited() {
@@ -218,7 +222,7 @@
             }
         }
         options.sort_by(|(left, _), (right, _)| left.total_cmp(right));
-        let mut free = self.free_for(requirements, at);
+        let mut free = self.free_for(requirements, machine_index);
         let mut cost = 0.0;
         let mut running = Vec::new();
         for (lost, index) in options {
@@ -230,7 +234,7 @@
             running.push(index);
         }
         (job.spec.needs.fits_in(&free) && !running.is_empty()).then(|| Victims {
-            cost: cost + self.fetch_s(requirements, at) * FETCH_WEIGHT,
+            cost: cost + self.fetch_s(requirements, machine_index) * FETCH_WEIGHT,
             running,
         })
     }
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -54,20 +54,23 @@
     /// How many machines the protected jobs and their spare capacity fill, judged by the largest type that
     /// takes them.
     pub fn machine_demand(&self, jobs: &BTreeMap<JobId, Job>, types: &MachineTypes) -> f64 {
-        let fills = |id: &JobId, tasks: u32| {
+        let machines_filled = |id: &JobId, tasks: u32| {
             let Some(job) = jobs.get(id) else { return 0.0 };
-            let per = |known: &MachineType| job.spec.needs.count_in(&known.resources());
-            let allowed = types.values().filter(|known| {
-                let own = job.spec.types.as_ref();
-                own.is_none_or(|own| own.contains(&known.name))
+            let per_machine = |machine_type: &MachineType| job.spec.needs.count_in(&machine_type.resources());
+            let allowed = types.values().filter(|machine_type| {
+                let allowed_types = job.spec.types.as_ref();
+                allowed_types.is_none_or(|allowed_types| allowed_types.contains(&machine_type.name))
             });
-            f64::from(tasks) / allowed.map(per).fold(1.0, f64::max)
+            f64::from(tasks) / allowed.map(per_machine).fold(1.0, f64::max)
         };
         let protected = self.standings.keys().map(|id| {
             let tasks = jobs.get(id).map_or(0, |job| job.spec.tasks);
-            fills(id, tasks)
+            machines_filled(id, tasks)
         });
-        let spare = self.spare.iter().map(|spare| fills(&spare.template, spare.tasks));
+        let spare = self
+            .spare
+            .iter()
+            .map(|spare| machines_filled(&spare.template, spare.tasks));
         protected.sum::<f64>() + spare.sum::<f64>()
     }
 }
@@ -80,7 +83,7 @@
             .protection
             .avoids_spot(&job.spec, self.cluster.starved);
         // Ordinary and spot take turns: see `Pass::kind_index`.
-        if !avoids || !eligible.iter().step_by(2).any(|does| *does) {
+        if !avoids || !eligible.iter().step_by(2).any(|allowed| *allowed) {
             return false;
         }
         for spot in eligible.iter_mut().skip(1).step_by(2) {
@@ -98,8 +101,8 @@
     }
 
     /// What is free on a machine for the job.
-    pub(super) fn free_for(&self, requirements: &TaskRequirements<'_>, at: usize) -> Resources {
-        let capacity = &self.capacities[at];
+    pub(super) fn free_for(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> Resources {
+        let capacity = &self.capacities[machine_index];
         let mut free = capacity.free;
         if requirements.is_batch {
             free -= capacity.spare;
@@ -140,15 +143,15 @@
             let requirements = self.requirements(job);
             let needs = job.spec.needs;
             let zones: OpenZones = vec![true; cluster.deployment.zones.len()];
-            let mut left = spare.tasks;
-            for Candidate { at, .. } in self.candidates(&requirements, &zones, None) {
-                let capacity = &mut self.capacities[at];
+            let mut remaining = spare.tasks;
+            for Candidate { machine_index, .. } in self.candidates(&requirements, &zones, None) {
+                let capacity = &mut self.capacities[machine_index];
                 if capacity.machine.spot {
                     continue;
                 }
-                while left > 0 && needs.fits_in(&unreserved(capacity)) {
+                while remaining > 0 && needs.fits_in(&unreserved(capacity)) {
                     capacity.spare += needs;
-                    left -= 1;
+                    remaining -= 1;
                 }
                 if capacity.spare != Resources::default() {
                     self.plan
@@ -156,21 +159,21 @@
                         .insert(capacity.machine.id.clone(), capacity.spare);
                 }
             }
-            if left == 0 {
+            if remaining == 0 {
                 continue;
             }
             let zones = self.zone_names(&zones);
             self.plan.unplaced_spare.push(Unplaced {
                 job: spare.template.clone(),
-                tasks: left,
+                tasks: remaining,
                 zones,
             });
-            self.drain_for_spare(&requirements, left);
+            self.drain_for_spare(&requirements, remaining);
         }
     }
 
     /// Of machines on which batch runs, the emptiest are left to run dry.
-    fn drain_for_spare(&mut self, requirements: &TaskRequirements<'_>, mut left: u32) {
+    fn drain_for_spare(&mut self, requirements: &TaskRequirements<'_>, mut remaining: u32) {
         let needs = requirements.job.spec.needs;
         let zones: OpenZones = vec![true; self.cluster.deployment.zones.len()];
         let batch_runs = |capacity: &MachineCapacity<'_>| {
@@ -181,23 +184,26 @@
             })
         };
         let mut emptiest: Vec<(f64, usize)> = (0..self.capacities.len())
-            .filter(|at| !self.capacities[*at].machine.spot && self.is_allowed(requirements, *at, &zones))
-            .filter(|at| batch_runs(&self.capacities[*at]))
-            .filter_map(|at| {
-                let capacity = &self.capacities[at];
+            .filter(|machine_index| {
+                !self.capacities[*machine_index].machine.spot
+                    && self.is_allowed(requirements, *machine_index, &zones)
+            })
+            .filter(|machine_index| batch_runs(&self.capacities[*machine_index]))
+            .filter_map(|machine_index| {
+                let capacity = &self.capacities[machine_index];
                 Some((
                     unreserved(capacity).share_free(&capacity.machine_type?.resources()),
-                    at,
+                    machine_index,
                 ))
             })
             .collect();
         emptiest.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
-        for (_, at) in emptiest {
-            if left == 0 {
+        for (_, machine_index) in emptiest {
+            if remaining == 0 {
                 return;
             }
-            self.capacities[at].spare += needs;
-            left -= 1;
+            self.capacities[machine_index].spare += needs;
+            remaining -= 1;
         }
     }
 }
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -37,7 +37,7 @@
     /// It goes before others of its standing: it is overdue, see [`super::aging`].
     pub(super) overdue: bool,
     /// Among jobs of the same priority.
-    pub(super) rank: GuaranteeRank,
+    pub(super) guarantee_rank: GuaranteeRank,
     /// Its team is guaranteed the units that it asks for here.
     pub(super) units_guaranteed: bool,
     /// It asks for units of counts.
@@ -51,9 +51,9 @@
 
 impl<'a> QueueEntry<'a> {
     /// The first of the entry's waiting tasks, this many at most.
-    pub(super) fn waiting_tasks(&self, most: u32) -> WaitingTasks<'a> {
+    pub(super) fn waiting_tasks(&self, max_tasks: u32) -> WaitingTasks<'a> {
         let waiting = self.job.waiting.iter().copied();
-        waiting.skip(self.skip as usize).take(most as usize)
+        waiting.skip(self.skip as usize).take(max_tasks as usize)
     }
 
     /// What comes before age: priority, whether it goes first or is protected by a shift, rank, and the
@@ -62,14 +62,20 @@
     pub(super) fn precedence(&self, cluster: &ClusterSnapshot<'_>) -> impl Ord + use<> {
         let shift = cluster.protection.standing(&self.job.spec.id).map(|it| it.rank);
         let before = self.large_first || shift.is_some();
-        (self.job.spec.priority, !before, self.rank, shift.is_none(), shift)
+        (
+            self.job.spec.priority,
+            !before,
+            self.guarantee_rank,
+            shift.is_none(),
+            shift,
+        )
     }
 
     /// How many of its tasks go first where so many may: a gang goes whole, as half of it is no use.
-    pub(super) fn tasks_of(&self, most: u32) -> u32 {
+    pub(super) fn first_tasks(&self, max_tasks: u32) -> u32 {
         match self.job.spec.shape {
             Shape::Gang => self.tasks,
-            Shape::Array | Shape::Service => self.tasks.min(most),
+            Shape::Array | Shape::Service => self.tasks.min(max_tasks),
         }
     }
 
@@ -195,20 +201,20 @@
     mut order: Vec<QueueEntry<'a>>,
     starved: &StarvedOwners,
 ) -> Vec<QueueEntry<'a>> {
-    let mut turns = starved.turns();
-    if turns == 0 {
+    let mut credits = starved.credits();
+    if credits == 0 {
         return order;
     }
     let mut first = Vec::new();
     for entry in &mut order {
-        if turns == 0 || !starved.goes_first(&entry.job.spec) {
+        if credits == 0 || !starved.goes_first(&entry.job.spec) {
             continue;
         }
-        let tasks = entry.tasks_of(turns);
+        let tasks = entry.first_tasks(credits);
         first.push(QueueEntry { tasks, ..*entry });
         entry.skip += tasks;
         entry.tasks -= tasks;
-        turns = turns.saturating_sub(tasks);
+        credits = credits.saturating_sub(tasks);
     }
     first.extend(order.into_iter().filter(|entry| entry.tasks > 0));
     first
@@ -232,7 +238,7 @@
         }
         let borrowing = whole.remainder_after(guaranteed);
         order.extend(borrowing.map(|entry| QueueEntry {
-            rank: GuaranteeRank::BeyondUnits,
+            guarantee_rank: GuaranteeRank::BeyondUnits,
             ..entry
         }));
     }
@@ -247,14 +253,18 @@
             tasks: job.waiting.len() as u32,
             large_first: false,
             overdue: false,
-            rank: if self.within_guarantee.contains(&job.spec.id) {
+            guarantee_rank: if self.within_guarantee.contains(&job.spec.id) {
                 GuaranteeRank::Within
             } else {
                 GuaranteeRank::BeyondMachines
             },
             units_guaranteed: false,
             needs_units,
-            single_count: if needs_units { self.book.only(counts) } else { None },
+            single_count: if needs_units {
+                self.unit_ledger.only(counts)
+            } else {
+                None
+            },
         }
     }
 
@@ -266,8 +276,8 @@
         }
         let spec = &entry.job.spec;
         let guaranteed = match entry.single_count {
-            Some(only) => self.book.owed_of(only, &spec.team, entry.tasks),
-            None => self.book.owed(&spec.team, &spec.counts, entry.tasks),
+            Some(only) => self.unit_ledger.owed_of(only, &spec.team, entry.tasks),
+            None => self.unit_ledger.owed(&spec.team, &spec.counts, entry.tasks),
         }?;
         match spec.shape {
             // A gang that is guaranteed units for a part only borrows as a whole.
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -88,16 +88,16 @@
         let reservation = Reservation::new(job, last_slot_s(&slots).max(available_in_s));
         self.reservations.push(reservation);
         for slot in &slots {
-            self.capacities[slot.at].reservation = Some(reservation);
+            self.capacities[slot.machine_index].reservation = Some(reservation);
         }
     }
 
     /// Whether the entry is of a gang for which capacity may be reserved in this pass.
     fn may_reserve(&self, entry: &QueueEntry<'_>, tasks: usize) -> bool {
         let goes_first = entry.large_first || entry.overdue;
-        let most = (RESERVED_SHARE * self.capacities.len() as f64) as usize;
+        let max_slots = (RESERVED_SHARE * self.capacities.len() as f64) as usize;
         // The oldest is never refused, however small the fleet.
-        let is_allowed = self.reserved_slots == 0 || self.reserved_slots + tasks <= most;
+        let is_allowed = self.reserved_slots == 0 || self.reserved_slots + tasks <= max_slots;
         goes_first && entry.job.spec.shape == Shape::Gang && is_allowed
     }
 
--- a/crates/controller/src/scheduling/placement/scoring.rs
+++ b/crates/controller/src/scheduling/placement/scoring.rs
@@ -13,7 +13,7 @@
     /// Lower is better: see `Pass::placement_cost`.
     pub(super) cost: f64,
     /// Position of the machine in the pass.
-    pub(super) at: usize,
+    pub(super) machine_index: usize,
 }
 
 impl Pass<'_> {
@@ -21,22 +21,22 @@
     /// time may share its rate; one that is on its way is not there yet. Without
     /// that, replicas of a dozen images went to the few machines that had just come
     /// up, as if each were the only one, and waited there for half a minute.
-    pub(super) fn fetch_s(&self, requirements: &TaskRequirements<'_>, at: usize) -> f64 {
-        self.downtime(requirements, at).fetch_s
+    pub(super) fn fetch_s(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> f64 {
+        self.downtime(requirements, machine_index).fetch_s
     }
 
     /// Lower is better: what the place costs by the measure, then a spot machine for those who
     /// may use one, then the fullest, so that others fall idle.
-    pub(super) fn placement_cost(&self, requirements: &TaskRequirements<'_>, at: usize) -> f64 {
-        let capacity = &self.capacities[at];
-        let downtime = self.downtime(requirements, at);
+    pub(super) fn placement_cost(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> f64 {
+        let capacity = &self.capacities[machine_index];
+        let downtime = self.downtime(requirements, machine_index);
         let mut cost = if self.cluster.image_statistics.is_enabled() {
             downtime.total_s()
         } else {
             downtime.fetch_s
         };
         // What a user prefers comes before what we would.
-        if let (Some(steps), Some(type_and_zone)) = (&requirements.steps, capacity.type_and_zone) {
+        if let (Some(steps), Some(type_and_zone)) = (&requirements.rank_steps, capacity.type_and_zone) {
             let step = steps.0[self.kind_index(type_and_zone, capacity.machine.spot)].unwrap_or(0);
             cost += RANK_STEP_COST_S * f64::from(step);
         }
@@ -74,30 +74,36 @@
         zones: &OpenZones,
         attempt: Option<u64>,
     ) -> Vec<Candidate> {
-        let mut found: Vec<Candidate> = (0..self.capacities.len())
-            .filter(|at| {
+        let mut candidates: Vec<Candidate> = (0..self.capacities.len())
+            .filter(|machine_index| {
                 requirements
                     .job
                     .spec
                     .needs
-                    .fits_in(&self.free_for(requirements, *at))
-                    && self.is_allowed(requirements, *at, zones)
+                    .fits_in(&self.free_for(requirements, *machine_index))
+                    && self.is_allowed(requirements, *machine_index, zones)
             })
             // A worker that still lists an exited task under the same attempt
             // ignores another start of it.
-            .filter(|at| attempt.is_none_or(|number| !self.lists_exited(requirements, *at, number)))
-            .map(|at| Candidate {
-                cost: self.placement_cost(requirements, at),
-                at,
+            .filter(|machine_index| {
+                attempt.is_none_or(|number| !self.lists_exited(requirements, *machine_index, number))
+            })
+            .map(|machine_index| Candidate {
+                cost: self.placement_cost(requirements, machine_index),
+                machine_index,
             })
             .collect();
-        found.sort_by(|left, right| left.cost.total_cmp(&right.cost).then(left.at.cmp(&right.at)));
-        found
+        candidates.sort_by(|left, right| {
+            left.cost
+                .total_cmp(&right.cost)
+                .then(left.machine_index.cmp(&right.machine_index))
+        });
+        candidates
     }
 
     /// Whether the machine still lists an exited task of this attempt of the job.
-    fn lists_exited(&self, requirements: &TaskRequirements<'_>, at: usize, number: u64) -> bool {
-        let attempts = &self.capacities[at].machine.attempts;
+    fn lists_exited(&self, requirements: &TaskRequirements<'_>, machine_index: usize, number: u64) -> bool {
+        let attempts = &self.capacities[machine_index].machine.attempts;
         attempts.iter().any(|attempt| {
             attempt.number == number && attempt.exited() && attempt.task.job == requirements.job.spec.id
         })
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -71,12 +71,12 @@
     fn stop_unit_victim(&mut self, victim: &UnitVictim<'a>, missing: &mut [(Name, u32)]) {
         self.unit_preemptions += 1;
         for _ in 0..victim.tasks {
-            self.book.stops(victim.team, victim.counts, missing);
+            self.unit_ledger.stops(victim.team, victim.counts, missing);
         }
-        let capacity = &mut self.capacities[victim.at];
+        let capacity = &mut self.capacities[victim.machine_index];
         let machine = capacity.machine.id.clone();
         capacity.releasing += victim.attempt.needs;
-        capacity.running[victim.index].stopping = true;
+        capacity.running[victim.running_index].stopping = true;
         self.any_releasing = true;
         self.stop(victim.attempt, machine);
     }
@@ -87,8 +87,8 @@
         let job = entry.job;
         let mut victims: Vec<UnitVictim<'a>> = Vec::new();
         let mut gangs: HashMap<&JobId, usize> = HashMap::new();
-        for (at, capacity) in self.capacities.iter().enumerate() {
-            for (index, running) in capacity.running.iter().enumerate() {
+        for (machine_index, capacity) in self.capacities.iter().enumerate() {
+            for (running_index, running) in capacity.running.iter().enumerate() {
                 let attempt = running.attempt;
                 let holds = missing.iter().any(|(count, _)| attempt.counts.units(count) > 0);
                 if !holds || running.stopping || attempt.exited() {
@@ -108,8 +108,8 @@
                 }
                 victims.push(UnitVictim {
                     attempt,
-                    at,
-                    index,
+                    machine_index,
+                    running_index,
                     team: &attempt.team,
                     counts: &attempt.counts,
                     tasks: 1,
@@ -126,7 +126,7 @@
     fn claim_borrowed_units(
         &self,
         victim: &UnitVictim<'a>,
-        taken: &mut HashMap<(&'a str, &'a str), u32>,
+        reclaimed: &mut HashMap<(&'a str, &'a str), u32>,
     ) -> bool {
         if victim.has_lower_priority {
             return true;
@@ -135,18 +135,21 @@
             .counts
             .iter()
             .map(|(count, _)| &**count)
-            .filter(|count| self.book.get(count).is_some_and(|pool| pool.is_shared()))
+            .filter(|count| self.unit_ledger.get(count).is_some_and(|pool| pool.is_shared()))
             .map(|count| (count, victim.units(count)))
             .collect();
         let enough = !held.is_empty()
             && held.iter().all(|(count, units)| {
-                let borrowed = self.book.get(count).map_or(0, |pool| pool.borrowed(victim.team));
-                let before = taken.get(&(victim.team, *count)).copied().unwrap_or(0);
+                let borrowed = self
+                    .unit_ledger
+                    .get(count)
+                    .map_or(0, |pool| pool.borrowed(victim.team));
+                let before = reclaimed.get(&(victim.team, *count)).copied().unwrap_or(0);
                 before + units <= borrowed
             });
         if enough {
             for (count, units) in held {
-                *taken.entry((victim.team, count)).or_default() += units;
+                *reclaimed.entry((victim.team, count)).or_default() += units;
             }
         }
         enough
@@ -185,9 +188,9 @@
 struct UnitVictim<'a> {
     attempt: &'a Attempt,
     /// Position of its machine in the pass.
-    at: usize,
+    machine_index: usize,
     /// Its position among the machine's running tasks.
-    index: usize,
+    running_index: usize,
     team: &'a str,
     counts: &'a Demand,
     /// Tasks that end with it.
