--- a/crates/controller/src/scheduling/placement/aging.rs
+++ b/crates/controller/src/scheduling/placement/aging.rs
@@ -1,10 +1,10 @@
-//! Aging: protection of overdue work from starvation.
+//! Aging: protects overdue work from starvation.
 //!
-//! Overdue work can meet no objective of its class any more, and so comes after all work that still can.
-//! Where more work arrives than there is capacity, that was for ever. One start in five goes to overdue
-//! work first, before others of its priority and standing, and machines are reserved for a gang among it.
+//! Overdue work can meet no objective of its class any more, so it is ordered after all work that still can.
+//! Under overload it would never start. One start in five therefore goes to overdue work, ahead of other work
+//! of the same precedence, and machines are reserved for overdue gangs.
 //!
-//! The share is limited: were overdue work first without a limit, all work would be overdue soon.
+//! The share is limited: if overdue work always went first, all work would soon be overdue.
 
 use super::ClusterSnapshot;
 use super::pass::Pass;
@@ -16,24 +16,24 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// How many tasks of overdue work may go first.
+/// The number of overdue tasks that may go first. Negative values are debt.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct AgingCredit(f64);
 
 impl AgingCredit {
-    /// Notes that a task of the job was placed: other work earns turns, overdue work uses them up.
+    /// Records the placement of a task of the job: other work earns credit, overdue work uses it up.
     pub fn record_placement(&mut self, job: &Job, deployment: &Deployment, now: Timestamp) {
-        let change = if is_overdue(job, deployment, now) {
+        let credit_change = if is_overdue(job, deployment, now) {
             -1.0
         } else {
             LATE_TURN
         };
-        self.0 = (self.0 + change).clamp(-LATE_OWED, LATE_TURNS);
+        self.0 = (self.0 + credit_change).clamp(-LATE_OWED, LATE_TURNS);
     }
 
-    /// Tasks that may go first now.
+    /// Returns the number of tasks that may go first now.
     fn credits(self) -> u32 {
-        // Saturates: while more was placed than there were turns, there is none.
+        // The cast saturates: debt yields no credits.
         self.0 as u32
     }
 }
@@ -46,31 +46,31 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Splits off the entries of the oldest overdue jobs of each standing as many tasks as there are turns.
-    /// A gang needs one turn only, as half of it is no use; what it takes beyond that is owed.
+    /// Splits as many tasks as there are credits off the entries of the oldest overdue jobs of each
+    /// precedence. A gang needs only one credit, since a part of it cannot run; its other tasks become debt.
     pub(super) fn aged_work_first(&self, order: Vec<QueueEntry<'a>>) -> Vec<QueueEntry<'a>> {
         let credits = self.cluster.aging_credit.credits();
         if credits == 0 {
             return order;
         }
-        let first = self.overdue_tasks(&order, credits);
-        let mut split = Vec::with_capacity(order.len() + first.len());
+        let tasks_by_entry = self.overdue_tasks(&order, credits);
+        let mut split_order = Vec::with_capacity(order.len() + tasks_by_entry.len());
         for entry in order {
-            let Some(tasks) = first.get(&(&entry.job.spec.id, entry.skip)).copied() else {
-                split.push(entry);
+            let Some(tasks) = tasks_by_entry.get(&(&entry.job.spec.id, entry.skip)).copied() else {
+                split_order.push(entry);
                 continue;
             };
-            split.push(QueueEntry {
+            split_order.push(QueueEntry {
                 overdue: true,
                 tasks,
                 ..entry
             });
-            split.extend(entry.remainder_after(tasks));
+            split_order.extend(entry.remainder_after(tasks));
         }
-        split
+        split_order
     }
 
-    /// How many tasks of which entries, by job and first task, go first.
+    /// Returns how many tasks of each entry, by job and first task, go first.
     fn overdue_tasks(&self, order: &[QueueEntry<'a>], credits: u32) -> HashMap<(&'a JobId, u32), u32> {
         let cluster: &ClusterSnapshot<'_> = self.cluster;
         let mut overdue: Vec<QueueEntry<'a>> = order
@@ -86,7 +86,7 @@
                 entry.job.spec.id.clone(),
             )
         });
-        let mut first = HashMap::new();
+        let mut tasks_by_entry = HashMap::new();
         for group in overdue.chunk_by(|entry, next| entry.has_same_precedence(next, cluster)) {
             let mut remaining = credits;
             for entry in group {
@@ -98,13 +98,13 @@
                     Shape::Gang => 1,
                     Shape::Array | Shape::Service => tasks,
                 };
-                first.insert((&entry.job.spec.id, entry.skip), tasks);
+                tasks_by_entry.insert((&entry.job.spec.id, entry.skip), tasks);
             }
         }
-        first
+        tasks_by_entry
     }
 
-    /// Whether its team's limit lets the job start: else it would hold the turns of others.
+    /// Whether the team's limit allows the job to start. Otherwise it would block the credits of others.
     fn may_start(&self, entry: &QueueEntry<'_>) -> bool {
         let together = entry.job.together();
         self.quota_left(&entry.job.spec, together) >= together
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -13,39 +13,39 @@
 use indigopath_image_locality::constants::BATCH_SECONDS;
 use std::iter::Peekable;
 
-/// Which machines the tasks of a turn may use.
+/// Which machines the tasks of a queue entry may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Locality {
-    /// Any that qualifies.
+    /// Any machine that qualifies.
     Any,
-    /// Only machines that have the image, or will have it as soon as any could.
+    /// Only machines that have the image, or will have it as soon as any machine could.
     NearImage,
 }
 
-/// What remains of a turn for which no machine was found beside the images. It is taken up again
-/// after all peers.
+/// The rest of a queue entry for which no machine with the image was found. It is placed after all entries of
+/// the same precedence.
 struct Deferred<'a> {
     entry: QueueEntry<'a>,
-    /// `Pass::on_demand_shortage` as it was at the entry's own place in the order.
+    /// The value of `Pass::on_demand_shortage` at the entry's own place in the order.
     on_demand_shortage: bool,
 }
 
-/// A turn of a job while its tasks are placed.
-struct TaskTurn<'a> {
+/// The state of a queue entry while its tasks are placed.
+struct EntryPlacement<'a> {
     requirements: TaskRequirements<'a>,
     class: EquivalenceClass,
     locality: Locality,
     tasks_by_zone: TasksByZone,
     open_zones: OpenZones,
-    /// Each start may close a zone to the next task.
+    /// Whether each start may close a zone to the next task.
     zone_bound: bool,
     waiting: Peekable<WaitingTasks<'a>>,
-    /// Tasks of the turn that were not dealt with yet.
+    /// Tasks of the entry that have not been handled yet.
     remaining: u32,
 }
 
 impl<'a> Pass<'a> {
-    /// How many more tasks of the job its team's limit allows.
+    /// Returns how many more tasks of the job its team's limit allows, at most `max_tasks`.
     pub(super) fn quota_left(&self, spec: &JobSpec, max_tasks: u32) -> u32 {
         let Some(team) = self.team(&spec.team) else {
             return 0;
@@ -88,7 +88,7 @@
         self.plan.decisions.push(Decision::Start { task, machine });
     }
 
-    /// Notes that a task of the job needs its image on a machine; returns the image's number.
+    /// Records that a task of the job needs its image on a machine, and returns the image's number.
     fn record_image_use(&mut self, spec: &'a JobSpec, machine_index: usize) -> u32 {
         let capacity = &mut self.capacities[machine_index];
         let image = self.images.intern(&spec.image, spec.image_gb);
@@ -124,28 +124,28 @@
         placed[zone] += 1;
     }
 
-    /// Places work of one priority and rank. Tasks of arrays first use the machines that have their
-    /// images, in their order, and then what is left: otherwise, where more waits than there is
-    /// capacity, whatever comes free goes to the job whose turn it is, and half of the tasks fetch
-    /// images that lie beside a place which another took.
+    /// Places a group of entries of the same precedence. Tasks first use the machines that already have
+    /// their images, entry by entry, and then the remaining capacity. Otherwise, under overload, freed
+    /// capacity would go to the next job in order regardless of its image, and half of the tasks would
+    /// fetch images that are present on machines given to other jobs.
     pub(super) fn place_group(&mut self, group: &[QueueEntry<'a>]) {
         let Some(mut deferred) = self.place_near_images(group) else {
             return;
         };
-        let short = self.on_demand_shortage;
+        let on_demand_shortage = self.on_demand_shortage;
         if self.place_first_replicas(&mut deferred).is_none() || self.place_deferred(deferred).is_none() {
             return;
         }
-        self.on_demand_shortage = short;
+        self.on_demand_shortage = on_demand_shortage;
     }
 
-    /// Whether this pass may start no more tasks.
+    /// Whether this pass has reached its limit of task starts.
     fn is_exhausted(&self) -> bool {
         self.starts >= STARTS_PER_PASS
     }
 
-    /// Gives each entry its turn, and returns what is left of those that were placed only beside their
-    /// images. `None` once the pass is exhausted.
+    /// Places each entry in order, and returns the rest of those entries that were placed only on machines
+    /// with their images. `None` once the pass is exhausted.
     fn place_near_images(&mut self, group: &[QueueEntry<'a>]) -> Option<Vec<Deferred<'a>>> {
         let mut deferred = Vec::new();
         for entry in group {
@@ -174,8 +174,8 @@
         Some(deferred)
     }
 
-    /// In a crowd, each service first gets one replica, as something is better than nothing. `None` once
-    /// the pass is exhausted.
+    /// Places one replica of each service that has none before any service gets more. `None` once the pass
+    /// is exhausted.
     fn place_first_replicas(&mut self, deferred: &mut [Deferred<'a>]) -> Option<()> {
         for Deferred {
             entry,
@@ -196,7 +196,7 @@
         Some(())
     }
 
-    /// Places what was deferred, anywhere. `None` once the pass is exhausted.
+    /// Places the deferred entries on any machines. `None` once the pass is exhausted.
     fn place_deferred(&mut self, deferred: Vec<Deferred<'a>>) -> Option<()> {
         for Deferred {
             entry,
@@ -206,7 +206,7 @@
             if self.is_exhausted() {
                 return None;
             }
-            // A gang that comes later in the order keeps it off nothing.
+            // A shortage caused by a gang later in the order does not restrict this entry.
             self.on_demand_shortage = on_demand_shortage;
             self.place_tasks(&entry);
         }
@@ -220,7 +220,7 @@
             .all(|count| *count == 0)
     }
 
-    /// Places an array's tasks on machines that have their image; returns how many.
+    /// Places an array's tasks on machines that have their image, and returns how many were placed.
     fn place_array_near_images(&mut self, entry: &QueueEntry<'a>) -> u32 {
         let job = entry.job;
         let mut requirements = self.requirements(job);
@@ -242,8 +242,8 @@
         if candidates.is_empty() {
             return 0;
         }
-        let allowed = self.quota_left(&job.spec, entry.tasks);
-        let mut waiting = entry.waiting_tasks(allowed);
+        let allowed_tasks = self.quota_left(&job.spec, entry.tasks);
+        let mut waiting = entry.waiting_tasks(allowed_tasks);
         let mut placed = 0;
         for Candidate { machine_index, .. } in candidates {
             while job
@@ -262,117 +262,123 @@
         placed
     }
 
-    /// Places replicas where their image lies, or will as soon as anywhere; returns how many it dealt
-    /// with.
+    /// Places replicas on machines that have their image, or will have it as soon as any machine could, and
+    /// returns how many were handled.
     ///
-    /// All do that before any of them begins a fetch: else each machine that comes up got one
-    /// replica of each model that waits, and fetched six at a time.
+    /// All services do this before any of them starts a fetch. Otherwise each newly booted machine received
+    /// one replica of every waiting service and fetched six images at a time.
     fn place_service_near_images(&mut self, entry: &QueueEntry<'a>) -> u32 {
-        let allowed = self.quota_left(&entry.job.spec, entry.tasks);
-        let mut turn = self.task_turn(entry, allowed, Locality::NearImage);
-        self.bind_turn(&mut turn);
-        allowed - turn.remaining
+        let allowed_tasks = self.quota_left(&entry.job.spec, entry.tasks);
+        let mut placement = self.entry_placement(entry, allowed_tasks, Locality::NearImage);
+        self.bind_tasks(&mut placement);
+        allowed_tasks - placement.remaining
     }
 
-    /// Places as many of the entry's tasks as its team's limit and the units of counts allow.
+    /// Places as many of the entry's tasks as its team's limit and the units of counted resources allow.
     fn place_tasks(&mut self, entry: &QueueEntry<'a>) {
-        let allowed = self.quota_left(&entry.job.spec, entry.tasks);
-        if allowed == 0 {
+        let allowed_tasks = self.quota_left(&entry.job.spec, entry.tasks);
+        if allowed_tasks == 0 {
             return;
         }
-        let with_units = self.tasks_with_units(entry, allowed);
+        let with_units = self.tasks_with_units(entry, allowed_tasks);
         if with_units > 0 {
-            self.place_allowed(entry, with_units);
+            self.place_allowed_tasks(entry, with_units);
         }
-        if with_units < allowed {
-            self.wait_for_units(entry, 1, allowed - with_units);
+        if with_units < allowed_tasks {
+            self.wait_for_units(entry, 1, allowed_tasks - with_units);
         }
     }
 
-    /// Places so many of a job's tasks, and preempts others for those that find no capacity.
-    fn place_allowed(&mut self, entry: &QueueEntry<'a>, allowed: u32) {
-        let mut turn = self.task_turn(entry, allowed, Locality::Any);
-        if self.bind_turn(&mut turn).is_none() {
+    /// Places this many of the entry's tasks, and preempts other work for those that find no capacity.
+    fn place_allowed_tasks(&mut self, entry: &QueueEntry<'a>, allowed_tasks: u32) {
+        let mut placement = self.entry_placement(entry, allowed_tasks, Locality::Any);
+        if self.bind_tasks(&mut placement).is_none() {
             return;
         }
-        let mut unplaced = self.tasks_with_expected_units(entry, turn.remaining);
-        while unplaced > 0 && self.preempt_for(&turn.requirements, &turn.open_zones, None) {
+        let mut unplaced = self.tasks_with_expected_units(entry, placement.remaining);
+        while unplaced > 0 && self.preempt_for(&placement.requirements, &placement.open_zones, None) {
             unplaced -= 1;
         }
-        self.record_unplaced(entry, unplaced, &turn.open_zones);
+        self.record_unplaced(entry, unplaced, &placement.open_zones);
     }
 
-    fn task_turn(&self, entry: &QueueEntry<'a>, allowed: u32, locality: Locality) -> TaskTurn<'a> {
+    fn entry_placement(
+        &self,
+        entry: &QueueEntry<'a>,
+        allowed_tasks: u32,
+        locality: Locality,
+    ) -> EntryPlacement<'a> {
         let spec = &entry.job.spec;
         let requirements = self.requirements(entry.job);
         let tasks_by_zone = self.job_tasks_by_zone(&spec.id);
-        TaskTurn {
+        EntryPlacement {
             class: self.equivalence_class(&requirements),
             open_zones: self.open_zones(spec, &tasks_by_zone),
             requirements,
             locality,
             tasks_by_zone,
             zone_bound: spec.spread || spec.one_zone,
-            waiting: entry.waiting_tasks(allowed).peekable(),
-            remaining: allowed,
+            waiting: entry.waiting_tasks(allowed_tasks).peekable(),
+            remaining: allowed_tasks,
         }
     }
 
-    /// Binds tasks of the turn while candidates are found. `None` once the pass is exhausted.
-    fn bind_turn(&mut self, turn: &mut TaskTurn<'a>) -> Option<()> {
-        let unschedulable = self.is_unschedulable(&turn.class, 1);
-        while turn.waiting.peek().is_some() && !unschedulable {
-            let candidates = self.turn_candidates(turn);
+    /// Binds tasks of the entry while candidates are found. `None` once the pass is exhausted.
+    fn bind_tasks(&mut self, placement: &mut EntryPlacement<'a>) -> Option<()> {
+        let unschedulable = self.is_unschedulable(&placement.class, 1);
+        while placement.waiting.peek().is_some() && !unschedulable {
+            let candidates = self.entry_candidates(placement);
             if candidates.is_empty() {
-                let is_general =
-                    !turn.requirements.avoids_failed_machines && turn.open_zones.iter().all(|open| *open);
-                if turn.locality == Locality::Any && is_general {
-                    self.unschedulable.insert(turn.class.clone(), 1);
+                let is_general = !placement.requirements.avoids_failed_machines
+                    && placement.open_zones.iter().all(|open| *open);
+                if placement.locality == Locality::Any && is_general {
+                    self.unschedulable.insert(placement.class.clone(), 1);
                 }
                 break;
             }
-            self.fill(turn, candidates)?;
+            self.fill(placement, candidates)?;
         }
         Some(())
     }
 
-    fn turn_candidates(&self, turn: &TaskTurn<'a>) -> Vec<Candidate> {
-        let mut candidates = self.candidates(&turn.requirements, &turn.open_zones, None);
-        if turn.locality == Locality::NearImage {
-            candidates
-                .retain(|candidate| self.image_arrives_soonest(&turn.requirements, candidate.machine_index));
+    fn entry_candidates(&self, placement: &EntryPlacement<'a>) -> Vec<Candidate> {
+        let mut candidates = self.candidates(&placement.requirements, &placement.open_zones, None);
+        if placement.locality == Locality::NearImage {
+            candidates.retain(|candidate| {
+                self.image_arrives_soonest(&placement.requirements, candidate.machine_index)
+            });
         }
-        if turn.zone_bound {
-            // Each start may close a zone to the next: one at a time.
+        if placement.zone_bound {
+            // Each start may close a zone to the next task, so they are placed one at a time.
             candidates.truncate(1);
         }
         candidates
     }
 
-    /// Fills the candidates in their order; of a turn that is bound to zones, starts one task at most.
-    /// `None` once the pass is exhausted.
-    fn fill(&mut self, turn: &mut TaskTurn<'a>, candidates: Vec<Candidate>) -> Option<()> {
-        let needs = turn.requirements.job.spec.needs;
+    /// Fills the candidates in order; starts at most one task of an entry with zone constraints. `None` once
+    /// the pass is exhausted.
+    fn fill(&mut self, placement: &mut EntryPlacement<'a>, candidates: Vec<Candidate>) -> Option<()> {
+        let needs = placement.requirements.job.spec.needs;
         for Candidate { machine_index, .. } in candidates {
-            while needs.fits_in(&self.free_for(&turn.requirements, machine_index)) {
+            while needs.fits_in(&self.free_for(&placement.requirements, machine_index)) {
                 if self.is_exhausted() {
                     return None;
                 }
-                let Some(index) = turn.waiting.next() else {
+                let Some(index) = placement.waiting.next() else {
                     return Some(());
                 };
-                turn.remaining -= 1;
-                if self.preempts_beside_image(turn, machine_index) {
+                placement.remaining -= 1;
+                if self.preempt_near_image(placement, machine_index) {
                     continue;
                 }
-                if self.should_defer_start(&turn.requirements, machine_index) {
-                    // The capacity stays unused until the others have their images.
+                if self.should_defer_start(&placement.requirements, machine_index) {
+                    // The capacity stays unused until the other tasks have their images.
                     self.capacities[machine_index].free -= needs;
                     continue;
                 }
-                self.bind(&mut turn.requirements, index, machine_index);
-                if turn.zone_bound {
-                    self.count_zone(turn, machine_index);
+                self.bind(&mut placement.requirements, index, machine_index);
+                if placement.zone_bound {
+                    self.count_zone(placement, machine_index);
                     return Some(());
                 }
             }
@@ -380,30 +386,30 @@
         Some(())
     }
 
-    /// Whether, as a fetch on this machine would make the start late, work is stopped on one that has the
-    /// image: that is worth the little work that is lost.
-    fn preempts_beside_image(&mut self, turn: &TaskTurn<'a>, machine_index: usize) -> bool {
-        let requirements = &turn.requirements;
+    /// If a fetch on this machine would make the start late, tries to preempt cheap work on a machine that
+    /// has the image instead, and returns whether that succeeded.
+    fn preempt_near_image(&mut self, placement: &EntryPlacement<'a>, machine_index: usize) -> bool {
+        let requirements = &placement.requirements;
         self.fetch_s(requirements, machine_index) > requirements.start_within_s && {
             let budget_s = self.preemption_budget_s(requirements, machine_index);
-            self.preempt_for(requirements, &turn.open_zones, Some(budget_s))
+            self.preempt_for(requirements, &placement.open_zones, Some(budget_s))
         }
     }
 
-    /// Counts a start on a machine against its zone.
-    fn count_zone(&self, turn: &mut TaskTurn<'a>, machine_index: usize) {
+    /// Counts a start on a machine against its zone, and updates the open zones.
+    fn count_zone(&self, placement: &mut EntryPlacement<'a>, machine_index: usize) {
         if let Some((_, zone)) = self.capacities[machine_index].type_and_zone {
-            turn.tasks_by_zone[zone] += 1;
+            placement.tasks_by_zone[zone] += 1;
         }
-        turn.open_zones = self.open_zones(&turn.requirements.job.spec, &turn.tasks_by_zone);
+        placement.open_zones = self.open_zones(&placement.requirements.job.spec, &placement.tasks_by_zone);
     }
 
-    /// Whether jobs of the class with so many tasks to start at once have found no capacity.
+    /// Whether a job of the class with at most this many tasks to start at once has found no capacity.
     pub(super) fn is_unschedulable(&self, class: &EquivalenceClass, tasks: u32) -> bool {
         self.unschedulable.get(class).is_some_and(|least| *least <= tasks)
     }
 
-    /// Records tasks for which no machine has room, unless no zone may take them.
+    /// Records tasks for which no machine has capacity, unless no zone may take them.
     pub(super) fn record_unplaced(&mut self, entry: &QueueEntry<'a>, tasks: u32, open: &OpenZones) {
         if tasks > 0 && open.iter().any(|open| *open) {
             self.reserve_units(entry);
@@ -416,7 +422,7 @@
     }
 }
 
-/// Whether machines differ for the job's tasks by nothing but the image.
+/// Whether, apart from the image, all eligible machines are equivalent for the job's tasks.
 fn is_interchangeable(entry: &QueueEntry<'_>) -> bool {
     let spec = &entry.job.spec;
     !spec.spread && !spec.one_zone && !entry.needs_units
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -1,4 +1,4 @@
-//! The filter phase: what a job requires of a machine, and which machines qualify.
+//! The filter phase: a job's requirements on machines, and the machines that satisfy them.
 
 use super::pass::{EquivalenceClass, OpenZones, Pass, RankSteps, TaskRequirements, TasksByZone};
 use super::queue_order::is_short_of_time;
@@ -12,7 +12,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How many tasks of the job are, or may be, in each of these zones, and after them in others.
+/// Counts the job's tasks that are, or may be, in each of these zones. The last element counts those in all
+/// other zones.
 pub fn tasks_by_zone(
     job: &JobId,
     task_locations: &TaskLocations,
@@ -36,20 +37,20 @@
     counts
 }
 
-/// Whether the job had better stay off spot machines, which are lost at this rate.
-pub fn avoids_spot(job: &Job, deployment: &Deployment, spot_loss: f64, now: Timestamp) -> bool {
+/// Whether the job should avoid spot machines, given the rate at which they are lost.
+pub fn avoids_spot(job: &Job, deployment: &Deployment, spot_loss_rate: f64, now: Timestamp) -> bool {
     !job.spec.saves()
-        && job.spec.estimate_s * spot_loss > SPOT_RISK
+        && job.spec.estimate_s * spot_loss_rate > SPOT_RISK
         && is_short_of_time(job, RUNS_TO_SPARE, deployment, now)
 }
 
 impl<'a> Pass<'a> {
-    /// Position of a type, zone and kind (on-demand or spot) in [`TaskRequirements::eligible`].
-    pub(super) fn kind_index(&self, (kind, zone): (usize, usize), spot: bool) -> usize {
-        (kind * self.cluster.deployment.zones.len() + zone) * 2 + usize::from(spot)
+    /// Index of a machine type, zone and market (on-demand or spot) in [`TaskRequirements::eligible`].
+    pub(super) fn kind_index(&self, (machine_type, zone): (usize, usize), spot: bool) -> usize {
+        (machine_type * self.cluster.deployment.zones.len() + zone) * 2 + usize::from(spot)
     }
 
-    /// What the job requires of a machine.
+    /// Computes the job's requirements on machines.
     pub(super) fn requirements(&self, job: &'a Job) -> TaskRequirements<'a> {
         let steps = job.spec.kinds.as_ref().map(|kinds| self.rank_steps(kinds));
         let mut eligible = match &steps {
@@ -64,8 +65,8 @@
             image: self.images.number(&job.spec.image),
             start_within_s: self.cluster.deployment.tightest_s("wait", &job.spec.class),
             avoids_failed_machines: !job.avoids(self.cluster.now).is_empty(),
-            // Without the bound, work of a class without an objective on its end left idle machines to a
-            // gang for which there never were enough.
+            // Without the age limit, jobs whose class has no finishing objective left idle machines to a gang
+            // that never found enough of them.
             is_deadline_critical: is_short_of_time(
                 job,
                 RUNS_TO_WAIT,
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Kinds that the job's set of kinds allows and in which a task fits.
+    /// Returns which kinds are allowed by the job's set of kinds and large enough for a task.
     fn eligible_by_steps(&self, spec: &JobSpec, steps: &RankSteps) -> Vec<bool> {
         let kinds_per_type = self.cluster.deployment.zones.len() * 2;
         let mut eligible = Vec::with_capacity(steps.0.len());
         for machine_type in &self.types {
-            // The set says all but whether a task fits.
+            // The set covers every condition except whether a task fits.
             let fits = spec.needs.fits_in(&machine_type.resources());
             let offset = eligible.len();
             let steps_of_type = &steps.0[offset..offset + kinds_per_type];
@@ -97,12 +98,12 @@
         eligible
     }
 
-    /// Kinds that the job's own types, zone and spot setting allow.
+    /// Returns which kinds are allowed by the job's own types, zone and spot setting.
     fn eligible_by_spec(&self, spec: &JobSpec) -> Vec<bool> {
         self.each_kind(|machine_type, zone, spot| spec.eligible(machine_type, zone, spot))
     }
 
-    /// A value for each type, zone and kind: see [`Self::kind_index`].
+    /// Computes a value for each kind of machine, in the order of [`Self::kind_index`].
     fn each_kind<T>(&self, mut value: impl FnMut(&MachineType, &str, bool) -> T) -> Vec<T> {
         let zones = &self.cluster.deployment.zones;
         let mut values = Vec::with_capacity(self.types.len() * zones.len() * 2);
@@ -116,7 +117,7 @@
         values
     }
 
-    /// Rank steps of a set of kinds, evaluated once a pass.
+    /// Returns the rank steps of a set of kinds, evaluated once per pass.
     fn rank_steps(&self, kinds: &'a Arc<KindSet>) -> RankSteps {
         let address = Arc::as_ptr(kinds).addr();
         if let Some(known) = self.kind_sets.borrow().get(&address) {
@@ -128,7 +129,7 @@
         steps
     }
 
-    /// The class of jobs with the same requirements.
+    /// Returns the class of jobs with the same requirements.
     pub(super) fn equivalence_class(&self, requirements: &TaskRequirements<'_>) -> EquivalenceClass {
         EquivalenceClass {
             needs: requirements.job.spec.needs.into(),
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Where tasks of the job are or may be.
+    /// Counts the job's tasks by zone, including those placed in this pass.
     pub(super) fn job_tasks_by_zone(&self, job: &JobId) -> TasksByZone {
         let zones = &self.cluster.deployment.zones;
         let mut counts = tasks_by_zone(job, self.cluster.task_locations, self.cluster.machines, zones);
@@ -158,7 +159,7 @@
         counts
     }
 
-    /// Zones into which one more task of the job may go.
+    /// Returns which zones may take one more task of the job.
     pub(super) fn open_zones(&self, spec: &JobSpec, tasks_by_zone: &TasksByZone) -> OpenZones {
         (0..self.cluster.deployment.zones.len())
             .map(|zone| {
@@ -171,7 +172,7 @@
             .collect()
     }
 
-    /// Names of the open zones.
+    /// Returns the names of the open zones.
     pub(super) fn zone_names(&self, open: &OpenZones) -> Vec<String> {
         let zones = self.cluster.deployment.zones.iter().zip(open);
         zones
@@ -180,7 +181,7 @@
             .collect()
     }
 
-    /// Whether the machine may take a task of the job, apart from what is free there.
+    /// Whether the machine may run a task of the job, regardless of its free resources.
     pub(super) fn is_allowed(
         &self,
         requirements: &TaskRequirements<'_>,
@@ -206,7 +207,7 @@
                 || requirements.on_demand_only)
     }
 
-    /// Whether the machine has the job's image already.
+    /// Whether the machine already has the job's image.
     pub(super) fn has_image(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> bool {
         let capacity = &self.capacities[machine_index];
         requirements.image.is_some_and(|image| {
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -28,7 +28,7 @@
     /// Seconds of work lost.
     lost_s: f64,
     slots: Vec<GangSlot>,
-    stops: Vec<MachineVictims>,
+    machine_victims: Vec<MachineVictims>,
 }
 
 /// What would be stopped on one machine.
@@ -92,8 +92,8 @@
             }
         }
         let best = best?;
-        for stop in best.stops {
-            self.stop_victims(stop.machine_index, stop.victims);
+        for victims_of_machine in best.machine_victims {
+            self.stop_victims(victims_of_machine.machine_index, victims_of_machine.victims);
         }
         Some(best.slots)
     }
@@ -107,7 +107,7 @@
         mut slots: Vec<GangSlot>,
     ) -> Option<PreemptionPlan> {
         let used_machines: HashSet<usize> = slots.iter().map(|slot| slot.machine_index).collect();
-        let mut stops: Vec<MachineVictims> = (0..self.capacities.len())
+        let mut machine_victims: Vec<MachineVictims> = (0..self.capacities.len())
             .filter(|machine_index| {
                 !used_machines.contains(machine_index) && self.is_allowed(requirements, *machine_index, zones)
             })
@@ -119,25 +119,25 @@
                 })
             })
             .collect();
-        stops.sort_by(|left, right| {
-            let by_cost = left.victims.cost.total_cmp(&right.victims.cost);
+        machine_victims.sort_by(|left, right| {
+            let by_cost = left.victims.total_cost_s.total_cmp(&right.victims.total_cost_s);
             by_cost.then(left.machine_index.cmp(&right.machine_index))
         });
         let missing = tasks - slots.len();
-        if stops.len() < missing {
+        if machine_victims.len() < missing {
             return None;
         }
-        stops.truncate(missing);
-        slots.extend(stops.iter().map(|stop| GangSlot {
+        machine_victims.truncate(missing);
+        slots.extend(machine_victims.iter().map(|stop| GangSlot {
             available_in_s: STOP_GRACE_EXTRA_S,
             has_image: self.has_image(requirements, stop.machine_index),
             machine_index: stop.machine_index,
         }));
         slots.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         Some(PreemptionPlan {
-            lost_s: stops.iter().map(|stop| stop.victims.cost).sum(),
+            lost_s: machine_victims.iter().map(|stop| stop.victims.total_cost_s).sum(),
             slots,
-            stops,
+            machine_victims,
         })
     }
 
--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -1,6 +1,6 @@
-//! Large jobs that have waited for long without having begun: they have their turn before their peers.
+//! Large jobs that have waited a long time without starting: they go before other jobs of their priority.
 //!
-//! Nothing of this is persisted: a new leader derives the same from the jobs' sizes and ages.
+//! None of this is persisted: a new leader derives it from the jobs' sizes and ages.
 
 use super::ClusterSnapshot;
 use super::queue_order::QueueEntry;
@@ -10,8 +10,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Whether the job has not begun, as far as this leader knows. A gang that a former leader saw running and
-/// stopped counts as well.
+/// Whether the job has not started, as far as this leader knows. This includes a gang that only a former
+/// leader saw running and that was stopped since.
 fn has_not_started(job: &Job, task_locations: &TaskLocations) -> bool {
     match job.spec.shape {
         Shape::Gang => !job.began && job.gang.is_none_or(|gang| gang.accepts_tasks()),
@@ -19,12 +19,13 @@
             job.done.is_empty()
                 && task_locations
                     .get(&job.spec.id)
-                    .is_none_or(|task_locations| task_locations.is_empty())
+                    .is_none_or(|locations| locations.is_empty())
         }
     }
 }
 
-/// The number of tasks from which on a job is one of the larger of its class: the [`LARGE_SHARE`] of its live jobs.
+/// Returns the number of tasks from which on a job is one of the largest of its class, which are
+/// [`LARGE_SHARE`] of the live jobs, given the sizes of all of them.
 fn large_job_threshold(mut sizes: Vec<u32>) -> u32 {
     let threshold_index = (sizes.len() as f64 * (1.0 - LARGE_SHARE)) as usize;
     if threshold_index >= sizes.len() {
@@ -33,26 +34,27 @@
     *sizes.select_nth_unstable(threshold_index).1
 }
 
-/// The larger jobs of each class that are at least this old, in ms, and have not begun; the oldest first.
+/// Returns the large jobs of each class that are at least this old, in ms, and have not started, the oldest
+/// first.
 pub fn large_unstarted_jobs<'a>(
     jobs: &'a BTreeMap<JobId, Job>,
     task_locations: &TaskLocations,
-    least_age_ms: Timestamp,
+    min_age_ms: Timestamp,
     now: Timestamp,
 ) -> Vec<&'a Job> {
-    let waits = |job: &&Job| {
+    let is_waiting = |job: &&Job| {
         !job.waiting.is_empty()
             && !job.parked
             && !job.to_blame()
-            && job.age_ms(now) >= least_age_ms
+            && job.age_ms(now) >= min_age_ms
             && has_not_started(job, task_locations)
     };
-    let mut late: Vec<&Job> = jobs.values().filter(waits).collect();
-    if late.is_empty() {
-        return late;
+    let mut unstarted: Vec<&Job> = jobs.values().filter(is_waiting).collect();
+    if unstarted.is_empty() {
+        return unstarted;
     }
     let mut sizes: HashMap<&str, Vec<u32>> = HashMap::new();
-    for job in &late {
+    for job in &unstarted {
         sizes.entry(&job.spec.class).or_default();
     }
     for job in jobs.values() {
@@ -60,60 +62,60 @@
             sizes.push(job.spec.tasks);
         }
     }
-    let least: HashMap<&str, u32> = sizes
+    let min_size_by_class: HashMap<&str, u32> = sizes
         .into_iter()
         .map(|(class, sizes)| (class, large_job_threshold(sizes)))
         .collect();
-    late.retain(|job| {
-        least
+    unstarted.retain(|job| {
+        min_size_by_class
             .get(job.spec.class.as_str())
-            .is_some_and(|least| job.spec.tasks >= *least)
+            .is_some_and(|min_size| job.spec.tasks >= *min_size)
     });
-    late.sort_by_key(|job| (Reverse(job.age_ms(now)), &job.spec.id));
-    late
+    unstarted.sort_by_key(|job| (Reverse(job.age_ms(now)), &job.spec.id));
+    unstarted
 }
 
-/// Large jobs that go before their peers: those that have waited for [`LARGE_WAITS_MS`] and have
-/// not begun, the oldest of each class.
+/// Returns the large jobs that go before others of their priority: the oldest of each class that have waited
+/// for [`LARGE_WAITS_MS`] without starting.
 ///
-/// What can meet no objective any more otherwise waits like the most patient of its class, and a
-/// large gang needs at once what small ones take one by one: it came last for ever.
-pub(super) fn overdue_large_jobs<'a>(cluster: &ClusterSnapshot<'a>) -> HashSet<&'a JobId> {
-    let mut by_class: HashMap<&str, usize> = HashMap::new();
-    let late = large_unstarted_jobs(cluster.jobs, cluster.task_locations, LARGE_WAITS_MS, cluster.now);
-    let first = late.into_iter().filter(|job| {
-        let before = by_class.entry(&job.spec.class).or_default();
-        *before += 1;
-        *before <= LARGE_FIRST_PER_CLASS
+/// Without this, a job that can meet no objective any more is ordered like the most patient of its class, and
+/// a large gang needs at once the capacity that small jobs take one by one, so it never started.
+pub(super) fn prioritized_large_jobs<'a>(cluster: &ClusterSnapshot<'a>) -> HashSet<&'a JobId> {
+    let mut count_by_class: HashMap<&str, usize> = HashMap::new();
+    let unstarted = large_unstarted_jobs(cluster.jobs, cluster.task_locations, LARGE_WAITS_MS, cluster.now);
+    let oldest = unstarted.into_iter().filter(|job| {
+        let count = count_by_class.entry(&job.spec.class).or_default();
+        *count += 1;
+        *count <= LARGE_FIRST_PER_CLASS
     });
-    // Classes are named by users: there may be any number.
-    first.take(LARGE_FIRST).map(|job| &job.spec.id).collect()
+    // Users name the classes, so their number is unbounded.
+    oldest.take(LARGE_FIRST).map(|job| &job.spec.id).collect()
 }
 
-/// Splits off the entries of these jobs what goes first: all of a gang, and of others as much as lets them
-/// begin. Small jobs end sooner, and leave the rest of the capacity to all.
-pub(super) fn overdue_large_first<'a>(
+/// Splits the tasks that go first off the entries of these jobs: all tasks of a gang, and of other jobs just
+/// enough to let them start. Small jobs end sooner, so the rest of the capacity stays open to all.
+pub(super) fn large_jobs_first<'a>(
     order: Vec<QueueEntry<'a>>,
-    first: &HashSet<&JobId>,
+    large_jobs: &HashSet<&JobId>,
 ) -> Vec<QueueEntry<'a>> {
-    if first.is_empty() {
+    if large_jobs.is_empty() {
         return order;
     }
-    let mut split = Vec::with_capacity(order.len() + first.len());
+    let mut split_order = Vec::with_capacity(order.len() + large_jobs.len());
     for entry in order {
-        if !first.contains(&entry.job.spec.id) {
-            split.push(entry);
+        if !large_jobs.contains(&entry.job.spec.id) {
+            split_order.push(entry);
             continue;
         }
         let tasks = entry.first_tasks(LARGE_TURN);
-        split.push(QueueEntry {
+        split_order.push(QueueEntry {
             large_first: true,
             tasks,
             ..entry
         });
-        split.extend(entry.remainder_after(tasks));
+        split_order.extend(entry.remainder_after(tasks));
     }
-    split
+    split_order
 }
 
 #[cfg(test)]
--- a/crates/controller/src/scheduling/placement/large_jobs/tests.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs/tests.rs
@@ -1,12 +1,12 @@
-//! Which jobs count as large.
+//! Tests of the size from which a job counts as large.
 
 use super::*;
 
 #[test]
-fn the_larger_of_a_class_are_a_fifth_and_their_equals() {
+fn large_jobs_are_the_largest_fifth_and_ties() {
     assert_eq!(large_job_threshold(Vec::new()), u32::MAX);
     assert_eq!(large_job_threshold(vec![7]), 7);
     assert_eq!(large_job_threshold(vec![1, 1, 1, 8, 1, 2, 2, 4, 1, 8]), 8);
-    // All are as large as the largest.
+    // All jobs have the same size, so all count as large.
     assert_eq!(large_job_threshold(vec![4; 20]), 4);
 }
--- a/crates/controller/src/scheduling/placement/mod.rs
+++ b/crates/controller/src/scheduling/placement/mod.rs
@@ -1,17 +1,19 @@
-//! Task placement: which waiting task starts on which machine, and which running task is
-//! stopped to make room.
+//! Task placement: decides which waiting tasks start on which machines, and which running tasks are
+//! preempted.
 //!
-//! Placement is pure. [`plan`] reads a [`ClusterSnapshot`] and returns a [`Plan`]; the leader carries it
-//! out. One call is one scheduling cycle (a *pass*), with these phases:
+//! Placement is a pure function: [`plan`] reads a [`ClusterSnapshot`] and returns a [`Plan`], which the
+//! leader carries out. One call is one scheduling cycle (a *pass*) with these phases:
 //!
-//! 1. **Snapshot** (`inventory`): free resources by machine, images, usage by team, units of counts.
+//! 1. **Snapshot** (`inventory`): free resources and images by machine, usage by team, and units of counted
+//!    resources in use.
 //! 2. **Queue sort** (`queue_order`, with `aging` and fair share): the order of the waiting jobs.
 //! 3. **Reserve** (`reservation`, `protection`): capacity for large gangs and for protected services.
-//! 4. **Filter and score** (`filtering`, `scoring`, `placement_cost`): machines that can take a task, and
-//!    what each costs.
-//! 5. **Bind** (`bin_packing`): starts of tasks, all tasks of a gang at once.
-//! 6. **Preempt** (`preemption`, `counted_units`): stops of other work where nothing was free.
-//! 7. **Drain and consolidate** (`preemption`, `consolidation`).
+//! 4. **Filter and score** (`filtering`, `scoring`, `placement_cost`): the machines that can run a task and
+//!    the cost of each.
+//! 5. **Bind** (`bin_packing`, `gang_placement`): assigns tasks to machines, all tasks of a gang at once.
+//! 6. **Preempt** (`preemption`, `unit_preemption`): stops other work where no capacity or units were free.
+//! 7. **Drain and consolidate** (`preemption`, `consolidation`): moves work off failing and nearly empty
+//!    machines.
 
 mod aging;
 mod bin_packing;
@@ -39,7 +41,7 @@
 use crate::scheduling::image_statistics::ImageStatistics;
 use crate::settings::Deployment;
 use indigopath_counted_resources::Name;
-use large_jobs::{overdue_large_first, overdue_large_jobs};
+use large_jobs::{large_jobs_first, prioritized_large_jobs};
 use pass::Pass;
 use queue_order::{QueueEntry, order_key, starved_work_first};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -59,23 +61,24 @@
     pub deployment: &'a Deployment,
     /// Machine types that the cloud offers, by name.
     pub types: &'a MachineTypes,
-    /// Jobs that are not over.
+    /// Live jobs.
     pub jobs: &'a BTreeMap<JobId, Job>,
     /// Machines of the cluster, with what runs on them.
     pub machines: &'a BTreeMap<MachineId, Machine>,
-    /// Machines on which a job's tasks may be: an index, so that no search visits every machine.
+    /// Index from each job to the machines that may run its tasks, so that a lookup does not scan every
+    /// machine.
     pub task_locations: &'a TaskLocations,
-    /// Rate at which spot machines are lost, per second and machine.
+    /// Rate at which spot machines are lost, in losses per machine and second.
     pub spot_loss_rate: f64,
     /// Counted resources: their definitions and who holds units.
     pub units: CountedUnits<'a>,
-    /// Classes and teams that have had less than their least share for long.
+    /// Classes and teams whose old work has been served too little.
     pub starved: &'a StarvedOwners,
-    /// How much overdue work may go first.
+    /// How many overdue tasks may go first.
     pub aging_credit: AgingCredit,
-    /// Measured fetch rates, and starts by image.
+    /// Measured fetch rates, machine losses, and start rates by image.
     pub image_statistics: &'a dyn ImageStatistics,
-    /// Jobs that protection windows cover now.
+    /// Jobs covered by open protection windows.
     pub protection: &'a Protection,
     /// Time of the pass.
     pub now: Timestamp,
@@ -88,45 +91,45 @@
     Start {
         /// The task.
         task: TaskId,
-        /// Where it starts.
+        /// The machine on which it starts.
         machine: MachineId,
     },
     /// Stop a running task.
     Stop {
         /// The task.
         task: TaskId,
-        /// Where it runs.
+        /// The machine on which it runs.
         machine: MachineId,
-        /// Time that it has to save its state, in s.
+        /// Time allowed for saving its state, in s.
         grace_s: f64,
     },
 }
 
-/// What a pass decided, and what it could not place.
+/// The decisions of a pass, and the work that it could not place.
 #[derive(Debug, Default)]
 pub struct Plan {
     /// Starts and stops, in the order in which they are carried out.
     pub decisions: Vec<Decision>,
-    /// Tasks for which no machine has room, in the order of the queue: machines are rented for them.
+    /// Tasks for which no machine has capacity, in queue order; the autoscaler adds machines for them.
     pub unplaced: Vec<Unplaced>,
-    /// Tasks that wait for units of counts, in the order in which they are served.
+    /// Tasks that wait for units of counted resources, in the order in which they are served.
     pub unsatisfied: Vec<UnsatisfiedDemand>,
-    /// Free units that are reserved for requests that have waited for long, by count.
+    /// Free units reserved for requests that have waited a long time, by counted resource.
     pub reserved_units: BTreeMap<Name, u32>,
     /// Jobs for which units are reserved.
     pub units_reserved_for: BTreeSet<JobId>,
-    /// Spare capacity that is reserved for protected services, by machine.
+    /// Spare capacity reserved for protected services, by machine.
     pub spare_capacity: HashMap<MachineId, Resources>,
-    /// Spare capacity for which no machine has room: machines are rented for it.
+    /// Spare capacity that fits on no machine; the autoscaler adds machines for it.
     pub unplaced_spare: Vec<Unplaced>,
 }
 
-/// Tasks of a job for which no machine has room.
+/// Tasks of a job for which no machine has capacity.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Unplaced {
     /// The job.
     pub job: JobId,
-    /// How many of its tasks.
+    /// Number of its tasks.
     pub tasks: u32,
     /// Zones in which they may start.
     pub zones: Vec<String>,
@@ -150,7 +153,7 @@
     pass.plan
 }
 
-/// The queue entries of all jobs that may start tasks now, in scheduling order.
+/// Returns the queue entries of all jobs that may start tasks now, in scheduling order.
 fn queue_sort<'a>(pass: &Pass<'a>) -> Vec<QueueEntry<'a>> {
     let cluster = pass.cluster;
     let schedulable = |job: &&Job| !job.waiting.is_empty() && !job.parked && job.held_until <= cluster.now;
@@ -158,13 +161,13 @@
     for job in cluster.jobs.values().filter(schedulable) {
         pass.queue_entries(job, &mut order);
     }
-    let order = overdue_large_first(order, &overdue_large_jobs(cluster));
+    let order = large_jobs_first(order, &prioritized_large_jobs(cluster));
     let mut order = pass.aged_work_first(order);
     order.sort_by_cached_key(|entry| order_key(entry, cluster));
     order
 }
 
-/// Whether so many different jobs have failed on the machine that it is taken to be at fault.
+/// Whether enough different jobs have failed on the machine for it to be considered faulty.
 pub fn is_faulty(machine: &Machine) -> bool {
     machine.errors.len() >= FAULTY_AFTER
 }
--- a/crates/controller/src/scheduling/placement/pass.rs
+++ b/crates/controller/src/scheduling/placement/pass.rs
@@ -1,4 +1,4 @@
-//! The state of one pass: capacities, reservations and what is known to be in vain.
+//! The state of one scheduling pass: capacities, reservations, and searches already known to fail.
 
 use super::image_catalog::ImageCatalog;
 use super::reservation::{Reservation, ReservedQuota};
@@ -12,34 +12,34 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-/// A task on a machine, as a possible victim of preemption.
+/// A task on a machine, which preemption may choose as a victim.
 pub(super) struct RunningTask<'a> {
     pub(super) attempt: &'a Attempt,
-    /// Its job, if that is live. Resolved only once a pass needs victims.
+    /// Its job, if that is live. Looked up only once a pass needs victims.
     pub(super) job: Option<&'a Job>,
     pub(super) stopping: bool,
 }
 
-/// A machine with the capacity that is left in this pass.
+/// A machine with its remaining capacity in this pass.
 pub(super) struct MachineCapacity<'a> {
     pub(super) machine: &'a Machine,
     pub(super) machine_type: Option<&'a MachineType>,
-    /// Positions of its type and zone, if both are known.
+    /// Indexes of its type and zone, if both are known.
     pub(super) type_and_zone: Option<(usize, usize)>,
     pub(super) free: Resources,
-    /// Part of `free` that is reserved for protected services: batch does not start there.
+    /// Part of `free` that is reserved for protected services. Batch tasks may not use it.
     pub(super) spare: Resources,
-    /// Resources of tasks that are being stopped, for the tasks for which they make room.
+    /// Resources of tasks that are being stopped, not yet claimed by the tasks that will replace them.
     pub(super) releasing: Resources,
     pub(super) running: Vec<RunningTask<'a>>,
     pub(super) usable: bool,
-    /// Images that it has or fetches, by their number in the catalog, the latest used last.
+    /// Images that it has or is fetching, by their number in the catalog, the most recently used last.
     pub(super) images: Vec<u32>,
-    /// Of these, images that it is still fetching.
+    /// Those of `images` that it is still fetching.
     pub(super) fetching: Vec<ImageFetch>,
-    /// For how long, in s, what is on it will occupy it, by its owners' estimates.
+    /// Estimated time, in s, for which its current tasks will occupy it.
     pub(super) occupied_s: f64,
-    /// The large gang for which it is reserved.
+    /// Its reservation for a large gang, if any.
     pub(super) reservation: Option<Reservation<'a>>,
 }
 
@@ -47,53 +47,53 @@
 pub(super) struct ImageFetch {
     pub(super) image: u32,
     pub(super) since: Timestamp,
-    /// Replicas that wait for it; other tasks count for less.
+    /// Number of replicas waiting for it; other tasks count as a fraction of a replica.
     pub(super) waiting: f64,
 }
 
-/// How many tasks of a job are in each zone, by position of the zone; the last element stands for
-/// zones that the settings do not name.
+/// Number of a job's tasks in each zone, by zone index. The last element counts tasks in zones that are
+/// not in the settings.
 pub(super) type TasksByZone = Vec<u32>;
 
-/// Which zones may take a task, by position of the zone.
+/// Whether each zone may take a task, by zone index.
 pub(super) type OpenZones = Vec<bool>;
 
-/// How many steps each kind of machine ranks below the one that a job prefers, by type, zone and kind:
-/// see `Pass::kind_index`. `None` for kinds that may not be used.
+/// How many preference steps each kind of machine ranks below the job's most preferred one, indexed by
+/// `Pass::kind_index`. `None` for kinds that the job may not use.
 #[derive(Clone)]
 pub(super) struct RankSteps(pub(super) Rc<Vec<Option<u16>>>);
 
 impl RankSteps {
-    /// Whether some kinds are preferred to others.
+    /// Whether any kind is preferred to another.
     pub(super) fn has_preference(&self) -> bool {
         self.0.iter().flatten().any(|step| *step > 0)
     }
 }
 
-/// What a job requires of a machine, computed once for each turn of the job.
+/// The requirements of a job on a machine, computed once for each queue entry.
 pub(super) struct TaskRequirements<'a> {
     pub(super) job: &'a Job,
-    /// By type, zone and kind: see `Pass::kind_index`.
+    /// Whether the job may use each kind of machine, indexed by `Pass::kind_index`.
     pub(super) eligible: Vec<bool>,
-    /// Set where an expression of the job prefers some kinds to others.
+    /// Set if the job's rank expression prefers some kinds to others.
     pub(super) rank_steps: Option<RankSteps>,
     pub(super) image: Option<u32>,
-    /// How long the job's class may wait to start, if its users say so.
+    /// The tightest objective of the job's class on the time to start; infinite if there is none.
     pub(super) start_within_s: f64,
-    /// Machines on which its tasks failed are avoided.
+    /// Whether to avoid machines on which its tasks failed.
     pub(super) avoids_failed_machines: bool,
-    /// It would be late, or wait for too long, if it waited for another machine.
+    /// Whether waiting for another machine would make it late, or it has waited too long already.
     pub(super) is_deadline_critical: bool,
-    /// A task lost with a spot machine could not be run again in time, and a loss is likely enough to
-    /// matter.
+    /// Whether it should avoid spot machines: a lost task could not be rerun in time, and a loss is likely
+    /// enough to matter.
     pub(super) avoids_spot: bool,
-    /// It is protected, and stays on on-demand machines.
+    /// Whether it is protected and therefore restricted to on-demand machines.
     pub(super) on_demand_only: bool,
-    /// It may not use spare capacity that is reserved for protected services.
+    /// Whether it may not use spare capacity reserved for protected services.
     pub(super) is_batch: bool,
 }
 
-/// The exact value of [`Resources`], so that equal ones can be a key.
+/// The bit patterns of [`Resources`], usable as a hash key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ResourceBits {
     cpus: u64,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Jobs of one class have the same requirements: they find capacity, or none, on the same machines.
+/// A set of jobs with the same requirements, which therefore fit on the same machines.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub(super) struct EquivalenceClass {
     pub(super) needs: ResourceBits,
@@ -120,12 +120,12 @@
     pub(super) is_deadline_critical: bool,
     pub(super) on_demand_only: bool,
     pub(super) is_batch: bool,
-    /// Which of the reservations admit it. Without this, short work found no capacity on reserved
-    /// machines once long work of the same size had not been admitted there.
+    /// Whether each reservation admits it. Without this, short jobs were treated as unschedulable on
+    /// reserved machines once a long job of the same size had not been admitted there.
     pub(super) admitted_by: Vec<bool>,
 }
 
-/// Jobs for which the same running tasks may be preempted.
+/// A set of jobs for which the same running tasks may be preempted.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub(super) struct PreemptionClass {
     pub(super) class: EquivalenceClass,
@@ -134,12 +134,12 @@
     pub(super) within_guarantee: bool,
 }
 
-/// Resources in use by each team. There are so few teams that a list is quickest.
+/// Resources in use by each team. There are so few teams that a list is fastest.
 #[derive(Default)]
 pub(super) struct UsageByTeam<'a>(Vec<(&'a str, Resources)>);
 
 impl<'a> UsageByTeam<'a> {
-    /// Resources that the team uses.
+    /// Returns the resources that the team uses.
     pub(super) fn of(&self, team: &str) -> Resources {
         self.0
             .iter()
@@ -148,7 +148,7 @@
             .unwrap_or_default()
     }
 
-    /// Adds to what the team uses.
+    /// Adds to the resources that the team uses.
     pub(super) fn add(&mut self, team: &'a str, needs: Resources) {
         let entry = self.0.iter_mut().find(|(name, _)| *name == team);
         match entry {
@@ -163,38 +163,38 @@
     pub(super) cluster: &'a ClusterSnapshot<'a>,
     pub(super) capacities: Vec<MachineCapacity<'a>>,
     pub(super) types: Vec<&'a MachineType>,
-    /// Rank steps of the sets of kinds met so far, by address of the set: thousands of jobs share a few
-    /// sets, and each is evaluated once a pass.
+    /// Cache of rank steps by the address of the set of kinds: thousands of jobs share a few sets, and
+    /// each set is evaluated once per pass.
     pub(super) kind_sets: RefCell<HashMap<usize, RankSteps>>,
     pub(super) images: ImageCatalog<'a>,
     pub(super) usage: UsageByTeam<'a>,
     /// Jobs within their team's guarantee.
     pub(super) within_guarantee: BTreeSet<JobId>,
-    /// Classes that found no capacity, with the fewest tasks that found none.
+    /// Classes that found no capacity, with the smallest number of tasks that found none.
     pub(super) unschedulable: HashMap<EquivalenceClass, u32>,
-    /// Classes for which preemption makes no capacity either.
+    /// Classes for which preemption cannot make capacity either.
     pub(super) unpreemptable: HashSet<PreemptionClass>,
-    /// Tasks of large gangs for which capacity is reserved in this pass.
+    /// Number of gang tasks for which capacity is reserved in this pass.
     pub(super) reserved_slots: usize,
-    /// What is reserved of teams' limits for large gangs in this pass.
+    /// Parts of teams' limits reserved for large gangs in this pass.
     pub(super) reserved_quotas: Vec<ReservedQuota<'a>>,
     /// Reservations of machines in this pass.
     pub(super) reservations: Vec<Reservation<'a>>,
-    /// Work that may not use spot machines found no capacity: jobs that may use spot machines leave the
-    /// on-demand ones to it.
+    /// Set once work that may not use spot machines has found no capacity. Jobs that may use spot machines
+    /// then leave the on-demand ones free.
     pub(super) on_demand_shortage: bool,
-    /// The lowest priority of any job with tasks on machines.
+    /// The lowest priority of any job with tasks on machines; larger values are lower priorities.
     pub(super) lowest_priority: Option<Priority>,
     pub(super) any_releasing: bool,
-    /// Zones of what this pass has placed of jobs that are bound to zones: a job may have two queue
+    /// Zones of the tasks placed in this pass, for jobs with zone constraints. A job may have two queue
     /// entries, and the second must see the tasks of the first.
     pub(super) placed_zones: HashMap<&'a JobId, TasksByZone>,
     pub(super) running_jobs_resolved: bool,
     pub(super) preemption_searches: usize,
-    /// Who holds which units of counts.
+    /// Units of counted resources in use, by holder.
     pub(super) unit_ledger: Book<'a>,
     pub(super) unit_preemptions: usize,
-    /// The lowest priority of any job that holds units, once a pass needs it.
+    /// The lowest priority of any job that holds units. Computed on first use.
     pub(super) lowest_unit_priority: Option<Option<Priority>>,
     pub(super) plan: Plan,
     pub(super) starts: usize,
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! The preempt phase: which running work gives way, and where least is lost by it.
+//! The preempt phase: chooses the running tasks whose stop loses the least work.
 
 use super::pass::{OpenZones, Pass, PreemptionClass, TaskRequirements};
 use super::{Decision, is_faulty};
@@ -7,7 +7,7 @@
 use crate::model::{Job, JobSpec, MachineId, Resources};
 use crate::protocol::Shape;
 
-/// Grace that lets a task save.
+/// Returns the grace period, in s, that lets a task of the job save its state.
 pub fn grace_s(spec: &JobSpec) -> f64 {
     if spec.saves() {
         spec.save_s + STOP_GRACE_EXTRA_S
@@ -16,23 +16,23 @@
     }
 }
 
-/// Tasks of one machine that are to be stopped.
+/// Tasks of one machine that are to be preempted.
 pub(super) struct Victims {
-    /// Seconds of work lost, and of the fetch that follows.
-    pub(super) cost: f64,
-    /// Their positions among the machine's running tasks.
+    /// Cost in s: the work that is lost, and the weighted fetch that follows.
+    pub(super) total_cost_s: f64,
+    /// Indexes of the victims among the machine's running tasks.
     running: Vec<usize>,
 }
 
 impl<'a> Pass<'a> {
-    /// Whether anything runs that could ever give way to the job.
+    /// Whether any running work could be preempted for the job.
     pub(super) fn may_preempt(&self, job: &Job) -> bool {
-        let lower = self
+        let has_lower_priority = self
             .lowest_priority
             .is_some_and(|lowest| lowest > job.spec.priority);
-        let guaranteed = self.within_guarantee.contains(&job.spec.id);
-        lower
-            || guaranteed
+        let is_guaranteed = self.within_guarantee.contains(&job.spec.id);
+        has_lower_priority
+            || is_guaranteed
                 && self
                     .cluster
                     .deployment
@@ -41,9 +41,9 @@
                     .any(|team| team.name != job.spec.team && self.exceeds_guarantee(&team.name))
     }
 
-    /// Finds capacity for one task among what is leaving, or makes some by stopping work that may be
-    /// stopped for it, and claims it for the rest of the pass. With `max_cost_s`, only on machines that
-    /// have the job's image, and at no higher cost.
+    /// Finds capacity for one task among resources being released, or preempts work for it, and claims that
+    /// capacity for the rest of the pass. With `max_cost_s`, considers only machines that have the job's
+    /// image, and preempts at no higher cost.
     pub(super) fn preempt_for(
         &mut self,
         requirements: &TaskRequirements<'_>,
@@ -51,8 +51,8 @@
         max_cost_s: Option<f64>,
     ) -> bool {
         let job = requirements.job;
-        let displaces = self.may_preempt(job);
-        if !displaces && !self.any_releasing {
+        let may_preempt = self.may_preempt(job);
+        if !may_preempt && !self.any_releasing {
             return false;
         }
         let class = PreemptionClass {
@@ -74,7 +74,7 @@
             self.claim_releasing(machine_index, needs);
             return true;
         }
-        let cheapest = if displaces {
+        let cheapest = if may_preempt {
             self.cheapest_victims(requirements, &candidates, max_cost_s)
         } else {
             None
@@ -91,18 +91,18 @@
         true
     }
 
-    /// The first of these machines where a task fits once the work that is being stopped has left.
+    /// Returns the first of these machines on which a task fits once the tasks being stopped have ended.
     fn find_releasing(&self, requirements: &TaskRequirements<'_>, candidates: &[usize]) -> Option<usize> {
         let needs = requirements.job.spec.needs;
         candidates.iter().copied().find(|machine_index| {
             let releasing = self.capacities[*machine_index].releasing;
-            let mut soon = self.free_for(requirements, *machine_index);
-            soon += releasing;
-            releasing != Resources::default() && needs.fits_in(&soon)
+            let mut free_soon = self.free_for(requirements, *machine_index);
+            free_soon += releasing;
+            releasing != Resources::default() && needs.fits_in(&free_soon)
         })
     }
 
-    /// The machine of these where least is lost by stopping work for a task, and what is stopped there.
+    /// Returns the machine among these where preemption for a task is cheapest, with its victims.
     fn cheapest_victims(
         &mut self,
         requirements: &TaskRequirements<'_>,
@@ -113,8 +113,10 @@
         let mut best: Option<(usize, Victims)> = None;
         for machine_index in candidates.iter().copied() {
             if let Some(victims) = self.victims(requirements, machine_index)
-                && max_cost_s.is_none_or(|most| victims.cost <= most)
-                && best.as_ref().is_none_or(|(_, best)| victims.cost < best.cost)
+                && max_cost_s.is_none_or(|max_s| victims.total_cost_s <= max_s)
+                && best
+                    .as_ref()
+                    .is_none_or(|(_, best)| victims.total_cost_s < best.total_cost_s)
             {
                 best = Some((machine_index, victims));
             }
@@ -122,11 +124,11 @@
         best
     }
 
-    /// Stops these tasks of a machine: their resources are leaving.
+    /// Stops these tasks of a machine and counts their resources as being released.
     pub(super) fn stop_victims(&mut self, machine_index: usize, victims: Victims) {
         for victim in victims.running {
             let running = &mut self.capacities[machine_index].running[victim];
-            // A gang is stopped whole, perhaps for another machine's sake.
+            // Already stopping, because another task of its gang was preempted.
             if std::mem::replace(&mut running.stopping, true) {
                 continue;
             }
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Looks up the job of everything that runs, the first time that it matters.
+    /// Looks up the job of each running task, on the first call only.
     pub(super) fn resolve_running_jobs(&mut self) {
         if std::mem::replace(&mut self.running_jobs_resolved, true) {
             return;
@@ -152,11 +154,11 @@
         }
     }
 
-    /// Takes resources out of what is leaving a machine.
+    /// Claims resources that are being released on a machine.
     fn claim_releasing(&mut self, machine_index: usize, needs: Resources) {
         let capacity = &mut self.capacities[machine_index];
         capacity.releasing -= needs;
-        // What `releasing` lacked was free: it is claimed too.
+        // Any shortfall in `releasing` is taken from `free`.
         for (releasing, free) in [
             (&mut capacity.releasing.cpus, &mut capacity.free.cpus),
             (&mut capacity.releasing.gpus, &mut capacity.free.gpus),
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Decides the stop of a running task; of a gang, of all its tasks.
+    /// Adds the stop of a running task to the plan; for a gang, the stops of all its tasks.
     pub(super) fn stop(&mut self, attempt: &Attempt, machine: MachineId) {
         let Some(job) = self.cluster.jobs.get(&attempt.task.job) else {
             return;
@@ -183,7 +185,7 @@
             });
             return;
         }
-        // A gang is stopped whole and in order, or its progress is lost.
+        // A gang must be stopped as a whole and gracefully, or its progress is lost.
         for capacity in &mut self.capacities {
             for running in capacity
                 .running
@@ -200,7 +202,7 @@
         }
     }
 
-    /// The cheapest tasks on a machine whose stop makes capacity for a task of the job.
+    /// Returns the cheapest tasks on a machine whose stop makes capacity for a task of the job.
     pub(super) fn victims(
         &self,
         requirements: &TaskRequirements<'_>,
@@ -217,52 +219,52 @@
                 continue;
             };
             if self.is_preemptible_for(victim, job) {
-                let lost = self.lost_work_s(running.attempt, victim);
-                options.push((lost + self.protection_cost_s(requirements, victim), index));
+                let lost_s = self.lost_work_s(running.attempt, victim);
+                options.push((lost_s + self.protection_cost_s(requirements, victim), index));
             }
         }
         options.sort_by(|(left, _), (right, _)| left.total_cmp(right));
         let mut free = self.free_for(requirements, machine_index);
-        let mut cost = 0.0;
+        let mut total_cost_s = 0.0;
         let mut running = Vec::new();
-        for (lost, index) in options {
+        for (cost_s, index) in options {
             if job.spec.needs.fits_in(&free) {
                 break;
             }
             free += capacity.running[index].attempt.needs;
-            cost += lost;
+            total_cost_s += cost_s;
             running.push(index);
         }
         (job.spec.needs.fits_in(&free) && !running.is_empty()).then(|| Victims {
-            cost: cost + self.fetch_s(requirements, machine_index) * FETCH_WEIGHT,
+            total_cost_s: total_cost_s + self.fetch_s(requirements, machine_index) * FETCH_WEIGHT,
             running,
         })
     }
 
-    /// Whether the victim's tasks may be stopped for the job: as its priority is lower, or as its team
-    /// borrows what the job's team is guaranteed.
+    /// Whether the victim's tasks may be preempted for the job: its priority is lower, or its team borrows
+    /// resources guaranteed to the job's team.
     fn is_preemptible_for(&self, victim: &Job, job: &Job) -> bool {
-        // What starved work holds is its least share, whatever its priority.
+        // Starved work keeps what it has, whatever its priority: that is its minimum share.
         let is_lower = victim.spec.priority > job.spec.priority
             && !self.cluster.starved.is_starved(&victim.spec)
             && !self.is_protected_from(job, victim);
         let is_borrowed = self.within_guarantee.contains(&job.spec.id)
             && victim.spec.priority >= job.spec.priority
             && victim.spec.team != job.spec.team
-            // Else two teams beyond their guarantees would stop each other's
-            // guaranteed work, back and forth.
+            // Otherwise two teams beyond their guarantees would repeatedly preempt each other's guaranteed
+            // work.
             && !self.within_guarantee.contains(&victim.spec.id)
             && self.exceeds_guarantee(&victim.spec.team);
         is_lower || is_borrowed
     }
 
-    /// Whether the team uses more than is guaranteed to it.
+    /// Whether the team uses more than its guarantee.
     pub(super) fn exceeds_guarantee(&self, team: &str) -> bool {
         let used = self.usage.of(team);
         self.team(team).is_some_and(|team| !team.guarantees(&used))
     }
 
-    /// Seconds of work that a stop throws away.
+    /// Returns the seconds of work lost by a stop.
     pub(super) fn lost_work_s(&self, attempt: &Attempt, job: &Job) -> f64 {
         if job.spec.saves() {
             job.spec.save_s + 1.0
@@ -271,9 +273,9 @@
         }
     }
 
-    /// Moves what can be moved off machines that the cloud is about to take, or
-    /// that fail: replicas to be started elsewhere, and whatever can save. Other
-    /// work may still finish in time.
+    /// Drains machines that the cloud is about to reclaim, and faulty ones: stops replicas, tasks that can
+    /// save their state, and tasks that are not running yet, so that they start elsewhere. Other tasks may
+    /// still finish in time.
     pub(super) fn drain_machines(&mut self) {
         let mut stops = Vec::new();
         for capacity in &self.capacities {
@@ -288,10 +290,10 @@
                 let Some(job) = self.cluster.jobs.get(&running.attempt.task.job) else {
                     continue;
                 };
-                let moves = job.spec.shape == Shape::Service
+                let is_movable = job.spec.shape == Shape::Service
                     || job.spec.saves()
                     || running.attempt.running_since.is_none();
-                if moves {
+                if is_movable {
                     stops.push((running.attempt, capacity.machine.id.clone()));
                 }
             }
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -1,4 +1,4 @@
-//! The queue sort phase: the jobs' turns in a pass, in order.
+//! The queue sort phase: the order in which jobs are considered in a pass.
 
 use super::ClusterSnapshot;
 use super::pass::Pass;
@@ -12,66 +12,71 @@
 use std::collections::{BTreeMap, BTreeSet, btree_set};
 use std::iter::{Copied, Skip, Take};
 
-/// How a job stands to its team's guarantees. Jobs that borrow units come last: else an older job took
-/// the units back from the one for which they had just been given up, and so on.
+/// Whether a job is within its team's guarantees. Jobs that borrow units come last: otherwise an older
+/// borrower would take the units back from the job for which they were just preempted, repeatedly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum GuaranteeRank {
     /// Within its team's guarantees.
     Within,
     /// Beyond the guaranteed resources of machines.
     BeyondMachines,
-    /// Beyond the guaranteed units of counts.
+    /// Beyond the guaranteed units of counted resources.
     BeyondUnits,
 }
 
-/// A job's turn in a pass, for some of its waiting tasks.
+/// An entry of the scheduling queue: some of a job's waiting tasks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueueEntry<'a> {
     pub(super) job: &'a Job,
-    /// Waiting tasks of the job, in their order, that other entries of the job cover.
+    /// Number of the job's first waiting tasks that earlier entries of the job cover.
     pub(super) skip: u32,
-    /// Waiting tasks after those that this entry covers.
+    /// Number of waiting tasks after those that this entry covers.
     pub(super) tasks: u32,
-    /// It goes before its peers: a large job that has waited for long.
+    /// Whether it goes before others of its priority, as a large job that has waited a long time.
     pub(super) large_first: bool,
-    /// It goes before others of its standing: it is overdue, see [`super::aging`].
+    /// Whether it goes before others of the same precedence because it is overdue; see [`super::aging`].
     pub(super) overdue: bool,
-    /// Among jobs of the same priority.
+    /// Its rank among jobs of the same priority.
     pub(super) guarantee_rank: GuaranteeRank,
-    /// Its team is guaranteed the units that it asks for here.
+    /// Whether its team is guaranteed the units that these tasks request.
     pub(super) units_guaranteed: bool,
-    /// It asks for units of counts.
+    /// Whether it requests units of counted resources.
     pub(super) needs_units: bool,
-    /// Set where it asks for units of one count only, as most do.
+    /// Set if it requests units of a single counted resource, as most jobs do.
     pub(super) single_count: Option<Only>,
 }
 
-/// Indices of waiting tasks, in their order.
+/// Indexes of waiting tasks, in order.
 pub(super) type WaitingTasks<'a> = Take<Skip<Copied<btree_set::Iter<'a, u32>>>>;
 
 impl<'a> QueueEntry<'a> {
-    /// The first of the entry's waiting tasks, this many at most.
+    /// Returns the first waiting tasks of the entry, at most `max_tasks`.
     pub(super) fn waiting_tasks(&self, max_tasks: u32) -> WaitingTasks<'a> {
         let waiting = self.job.waiting.iter().copied();
         waiting.skip(self.skip as usize).take(max_tasks as usize)
     }
 
-    /// What comes before age: priority, whether it goes first or is protected by a shift, rank, and the
-    /// shift's rank. The guarantee goes before protection: what is protected and borrows would take
-    /// back, in the next pass, the capacity that it gave up for a guarantee.
+    /// Returns the sort key that takes precedence over age: priority, whether the entry goes first or is
+    /// protected, guarantee rank, and protection rank. The guarantee is compared before the protection
+    /// rank: otherwise a protected job that borrows would take back, in the next pass, the capacity that
+    /// it gave up for a guarantee.
     pub(super) fn precedence(&self, cluster: &ClusterSnapshot<'_>) -> impl Ord + use<> {
-        let shift = cluster.protection.standing(&self.job.spec.id).map(|it| it.rank);
-        let before = self.large_first || shift.is_some();
+        let protection_rank = cluster
+            .protection
+            .standing(&self.job.spec.id)
+            .map(|standing| standing.rank);
+        let goes_before = self.large_first || protection_rank.is_some();
         (
             self.job.spec.priority,
-            !before,
+            !goes_before,
             self.guarantee_rank,
-            shift.is_none(),
-            shift,
+            protection_rank.is_none(),
+            protection_rank,
         )
     }
 
-    /// How many of its tasks go first where so many may: a gang goes whole, as half of it is no use.
+    /// Returns how many of its tasks go first if at most `max_tasks` may. A gang always goes whole, since a
+    /// part of it cannot run.
     pub(super) fn first_tasks(&self, max_tasks: u32) -> u32 {
         match self.job.spec.shape {
             Shape::Gang => self.tasks,
@@ -79,7 +84,7 @@
         }
     }
 
-    /// What is left of the turn once so many of its tasks are dealt with.
+    /// Returns the entry without its first `tasks` tasks, or `None` if nothing is left.
     pub(super) fn remainder_after(self, tasks: u32) -> Option<Self> {
         (tasks < self.tasks).then(|| QueueEntry {
             skip: self.skip + tasks,
@@ -88,62 +93,62 @@
         })
     }
 
-    /// Whether both are placed together: see `Pass::place_group`.
+    /// Whether both entries have the same precedence and are placed together by `Pass::place_group`.
     pub(super) fn has_same_precedence(&self, other: &QueueEntry<'_>, cluster: &ClusterSnapshot<'_>) -> bool {
         self.precedence(cluster) == other.precedence(cluster)
     }
 }
 
-/// Whether this many runs, by the owner's estimate, no longer fit into the time in which
-/// the job's class expects to be done.
+/// Whether this many runs of the estimated duration no longer fit before the tightest finishing objective
+/// of the job's class.
 pub(super) fn is_short_of_time(job: &Job, runs: f64, deployment: &Deployment, now: Timestamp) -> bool {
     let age_s = job.age_ms(now) as f64 / SECOND_MS as f64;
     age_s + runs * job.spec.estimate_s > deployment.tightest_s("finished", &job.spec.class)
 }
 
-/// For how long, in ms, the job may still wait for a start without missing what its class's
-/// users expect: the next of its objectives, on starting or on finishing, that it can
-/// still meet. What can meet none any more waits like the most patient job of its class;
-/// what has none, like one that is to start within [`UNSTATED_START_S`].
+/// Returns the job's slack: for how long, in ms, it may still wait for a start and meet the next objective of
+/// its class, on starting or finishing, that is still achievable. A job that can meet no objective any more
+/// is treated like the most patient job of its class; a job without objectives, like one that should start
+/// within [`UNSTATED_START_S`].
 ///
-/// In the order of age, where there is more work than capacity, everybody comes as late as
-/// everybody else, and hardly a job is in time; in this order most are.
+/// Ordering by age instead would, under overload, delay all jobs equally so that hardly any meets its
+/// objective; ordering by slack lets most of them meet it.
 pub fn start_slack_ms(job: &Job, deployment: &Deployment, now: Timestamp) -> Timestamp {
     let age_s = job.age_ms(now) as f64 / SECOND_MS as f64;
     let targets = start_targets(job, deployment, now);
-    let left_s = match (targets.latest_s, targets.next_s) {
-        // A replica that is late is missed every second.
+    let slack_s = match (targets.latest_s, targets.next_s) {
+        // A late replica is missing capacity of its service all the time.
         (_, None) if job.spec.shape == Shape::Service => 0.0,
         (None, _) => (UNSTATED_START_S - age_s).max(0.0),
         (Some(_), Some(next)) => (next - age_s).max(0.0),
         (Some(latest), None) => latest,
     };
-    (left_s * SECOND_MS as f64) as Timestamp
+    (slack_s * SECOND_MS as f64) as Timestamp
 }
 
-/// When a job should start.
+/// The ages at which a job should start.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StartTargets {
-    /// Age, in s, at which it should start for the most patient objective of its class.
+    /// Age, in s, at which it should start to meet the most patient objective of its class.
     pub(super) latest_s: Option<f64>,
-    /// The same for the next objective that it can still meet.
+    /// Age, in s, at which it should start to meet the next objective that is still achievable.
     pub(super) next_s: Option<f64>,
 }
 
-/// The ages at which the job should start for the objectives of its class.
+/// Computes the ages at which the job should start to meet the objectives of its class.
 pub(super) fn start_targets(job: &Job, deployment: &Deployment, now: Timestamp) -> StartTargets {
     let spec = &job.spec;
     let age_s = job.age_ms(now) as f64 / SECOND_MS as f64;
-    // With each objective, by when a task should start for it, and must.
-    let starts = deployment
+    // For each objective, the ages at which a task should start and at which it must.
+    let start_limits = deployment
         .within_s("wait", &spec.class)
         .map(|within_s| (within_s, within_s));
-    let ends = deployment.within_s("finished", &spec.class).map(|within_s| {
+    let end_limits = deployment.within_s("finished", &spec.class).map(|within_s| {
         let should_s = within_s - RUNS_TO_WAIT * spec.estimate_s;
         (should_s, within_s - RUN_AT_LEAST * spec.estimate_s)
     });
     let mut targets = StartTargets::default();
-    for (should_s, must_s) in starts.chain(ends).filter(|(_, must_s)| *must_s > 0.0) {
+    for (should_s, must_s) in start_limits.chain(end_limits).filter(|(_, must_s)| *must_s > 0.0) {
         let should_s = should_s.max(0.0);
         targets.latest_s = Some(targets.latest_s.map_or(should_s, |other| other.max(should_s)));
         if must_s >= age_s {
@@ -153,7 +158,7 @@
     targets
 }
 
-/// Jobs that fit into their team's guarantee together with its earlier ones.
+/// Returns the jobs that fit into their team's guarantee together with the team's older jobs.
 pub fn within_guarantee(
     deployment: &Deployment,
     jobs: &BTreeMap<JobId, Job>,
@@ -165,12 +170,12 @@
     }
     let mut within = BTreeSet::new();
     for team in &deployment.teams {
-        let Some(jobs) = by_team.get_mut(team.name.as_str()) else {
+        let Some(team_jobs) = by_team.get_mut(team.name.as_str()) else {
             continue;
         };
-        jobs.sort_by_key(|job| (Reverse(job.age_ms(now)), &job.spec.id));
+        team_jobs.sort_by_key(|job| (Reverse(job.age_ms(now)), &job.spec.id));
         let mut total = Resources::default();
-        for job in jobs {
+        for job in team_jobs {
             total += job.spec.needs.times(f64::from(job.spec.tasks));
             if team.guarantees(&total) {
                 within.insert(job.spec.id.clone());
@@ -180,8 +185,8 @@
     within
 }
 
-/// The key by which queue entries are ordered: by standing, the order on record among what a shift
-/// protects, whether it is overdue, how long the job may still wait, and age.
+/// Returns the sort key of a queue entry: precedence, the persisted order among protected jobs, whether it is
+/// overdue, its slack, and its age.
 pub(super) fn order_key(entry: &QueueEntry<'_>, cluster: &ClusterSnapshot<'_>) -> impl Ord + use<> {
     let job = entry.job;
     (
@@ -195,8 +200,8 @@
     )
 }
 
-/// Moves as many tasks of starved work before all others as have turns. A gang needs one
-/// turn only, as half of it is no use; what it takes beyond that is owed.
+/// Moves as many tasks of starved work to the front as there are credits. A gang needs only one credit to go first,
+/// since a part of it cannot run; its other tasks become debt.
 pub(super) fn starved_work_first<'a>(
     mut order: Vec<QueueEntry<'a>>,
     starved: &StarvedOwners,
@@ -221,8 +226,8 @@
 }
 
 impl<'a> Pass<'a> {
-    /// The turns of a job: one, or, where its team is guaranteed some of the units that its tasks ask for,
-    /// one for those and one, among those that borrow, for the rest.
+    /// Adds the queue entries of a job: one, or, if its team is guaranteed only some of the units that its
+    /// tasks request, one for the guaranteed tasks and one for the tasks that borrow.
     pub(super) fn queue_entries(&self, job: &'a Job, order: &mut Vec<QueueEntry<'a>>) {
         let whole = self.whole_entry(job);
         let Some(guaranteed) = self.tasks_with_guaranteed_units(&whole) else {
@@ -243,7 +248,7 @@
         }));
     }
 
-    /// One turn for all waiting tasks of the job.
+    /// Returns one entry for all waiting tasks of the job.
     fn whole_entry(&self, job: &'a Job) -> QueueEntry<'a> {
         let counts = &job.spec.counts;
         let needs_units = !counts.is_empty();
@@ -268,19 +273,19 @@
         }
     }
 
-    /// For how many of the entry's tasks its team is guaranteed the units; `None` where nobody is guaranteed
-    /// any of the counts.
+    /// Returns for how many of the entry's tasks its team is guaranteed the units; `None` if no team is
+    /// guaranteed any of the requested counted resources.
     fn tasks_with_guaranteed_units(&self, entry: &QueueEntry<'_>) -> Option<u32> {
         if !entry.needs_units {
             return None;
         }
         let spec = &entry.job.spec;
         let guaranteed = match entry.single_count {
-            Some(only) => self.unit_ledger.owed_of(only, &spec.team, entry.tasks),
+            Some(count) => self.unit_ledger.owed_of(count, &spec.team, entry.tasks),
             None => self.unit_ledger.owed(&spec.team, &spec.counts, entry.tasks),
         }?;
         match spec.shape {
-            // A gang that is guaranteed units for a part only borrows as a whole.
+            // A gang with guaranteed units for only some of its tasks borrows for all of them.
             Shape::Gang if guaranteed < entry.tasks => Some(0),
             Shape::Gang | Shape::Array | Shape::Service => Some(guaranteed),
         }
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -1,8 +1,8 @@
-//! The reserve phase for large and overdue gangs: machines, and a part of the team's limit, are reserved
-//! for a gang until it can begin, and other work backfills as far as it ends before.
+//! The reserve phase for large and overdue gangs: reserves machines and a part of the team's limit for a gang
+//! until it can start. Other work backfills if it ends before that.
 //!
-//! Nothing of this is persisted: a new leader derives the same from the jobs' sizes and ages, and machines
-//! are chosen afresh in every pass, those first that are soonest free.
+//! Reservations are not persisted: a new leader derives them from the jobs' sizes and ages, and each pass
+//! chooses the machines again, preferring those that are free earliest.
 
 use super::gang_slots::{GangSlot, last_slot_s};
 use super::pass::{Pass, TasksByZone};
@@ -14,12 +14,12 @@
 use crate::protocol::{Priority, Shape};
 use crate::settings::Team;
 
-/// For which gang capacity is reserved, and until when.
+/// A reservation of capacity for a gang.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Reservation<'a> {
     job: &'a JobId,
     priority: Priority,
-    /// In how many s the gang can use it, by estimate.
+    /// Estimated time until the gang can use the capacity, in s.
     available_in_s: f64,
 }
 
@@ -32,23 +32,23 @@
         }
     }
 
-    /// Whether the job may use the capacity nevertheless. More urgent work always may, and work
-    /// that ends before the gang could begin backfills.
+    /// Whether the job may use the reserved capacity: as its own, because its priority is higher, or as
+    /// backfill that ends before the gang could start.
     pub(super) fn admits(&self, spec: &JobSpec) -> bool {
         let ends_before = spec.estimate_s > 0.0 && spec.estimate_s * RUNS_TO_WAIT <= self.available_in_s;
         *self.job == spec.id || spec.priority < self.priority || ends_before
     }
 
-    /// Whether it is the job's own.
+    /// Whether the reservation is for this job.
     pub(super) fn is_for(&self, job: &Job) -> bool {
         *self.job == job.spec.id
     }
 }
 
-/// What is reserved of a team's limit for a large gang.
+/// The part of a team's limit that is reserved for a large gang.
 ///
-/// Without it, a gang at its team's limit never began: what came free of the limit went to
-/// small jobs of the team one by one, as places on machines did.
+/// Without it, a gang of a team at its limit never started: freed parts of the limit went to the team's small
+/// jobs one by one.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReservedQuota<'a> {
     team: &'a str,
@@ -56,16 +56,16 @@
     needs: Resources,
 }
 
-/// When a running task frees its resources.
+/// The release of a running task's resources.
 struct Release {
     available_in_s: f64,
     needs: Resources,
 }
 
 impl<'a> Pass<'a> {
-    /// Reserves machines of one zone, or of all that it may use, for a large or overdue gang whose turn
-    /// comes before its peers': those that are soonest free by their tasks' estimates, if that is within
-    /// [`RESERVE_AHEAD_S`]; or else those where work may be preempted for it, and least is lost.
+    /// Reserves machines for a large or overdue gang that goes first, in one zone if it needs that, else in
+    /// all zones that it may use. Chooses the machines that are estimated to be free earliest, if that is
+    /// within [`RESERVE_AHEAD_S`]; otherwise those on which preemption for the gang loses the least work.
     pub(super) fn reserve_capacity(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let tasks = job.waiting.len();
@@ -73,9 +73,11 @@
             return;
         }
         let tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
-        let is_fresh = job.gang.is_none() && tasks_by_zone.iter().all(|count| *count == 0);
+        let is_unstarted = job.gang.is_none() && tasks_by_zone.iter().all(|count| *count == 0);
         let with_units = self.tasks_with_units(entry, entry.tasks);
-        if !is_fresh && !job.gang.is_some_and(|gang| gang.accepts_tasks()) || (with_units as usize) < tasks {
+        if !is_unstarted && !job.gang.is_some_and(|gang| gang.accepts_tasks())
+            || (with_units as usize) < tasks
+        {
             return;
         }
         let Some(available_in_s) = self.reserve_quota(job, tasks) else {
@@ -92,16 +94,16 @@
         }
     }
 
-    /// Whether the entry is of a gang for which capacity may be reserved in this pass.
+    /// Whether the entry is a gang for which capacity may be reserved in this pass.
     fn may_reserve(&self, entry: &QueueEntry<'_>, tasks: usize) -> bool {
         let goes_first = entry.large_first || entry.overdue;
         let max_slots = (RESERVED_SHARE * self.capacities.len() as f64) as usize;
-        // The oldest is never refused, however small the fleet.
+        // The first gang in the order always gets its reservation, however small the fleet.
         let is_allowed = self.reserved_slots == 0 || self.reserved_slots + tasks <= max_slots;
         goes_first && entry.job.spec.shape == Shape::Gang && is_allowed
     }
 
-    /// Slots for all tasks of the gang, whose team's limit has room for it in this many s.
+    /// Returns slots for all tasks of the gang, given the time in s until its team's limit allows it.
     fn slots_to_reserve(
         &mut self,
         job: &'a Job,
@@ -110,20 +112,20 @@
         tasks_by_zone: &TasksByZone,
     ) -> Option<Vec<GangSlot>> {
         let requirements = self.requirements(job);
-        let open = self.open_zones(&job.spec, tasks_by_zone);
-        let choices = self.zone_choices(&job.spec, &open);
+        let open_zones = self.open_zones(&job.spec, tasks_by_zone);
+        let choices = self.zone_choices(&job.spec, &open_zones);
         self.resolve_running_jobs();
-        let soonest = self.earliest_slots(&requirements, tasks, &choices, tasks_by_zone);
-        // What would be preempted for a gang that waits for its team's limit would be lost in vain.
-        if soonest.is_some() || quota_available_in_s > 0.0 {
-            return soonest;
+        let earliest = self.earliest_slots(&requirements, tasks, &choices, tasks_by_zone);
+        // Preempting work for a gang that still waits for its team's limit would waste that work.
+        if earliest.is_some() || quota_available_in_s > 0.0 {
+            return earliest;
         }
         self.preempt_for_gang(&requirements, tasks, &choices, tasks_by_zone)
     }
 
-    /// In how many s its team's limit has room for the gang, by estimate: none, if not within
-    /// [`RESERVE_AHEAD_S`]. That much of the limit is reserved for it, for one gang of a team at a time, and
-    /// for a part of the time only: where no machines can be had, the team's other work goes on.
+    /// Returns the estimated time, in s, until the team's limit allows the gang; `None` if that is not within
+    /// [`RESERVE_AHEAD_S`]. Reserves the gang's resources of that limit, for one gang of a team at a time and
+    /// only for a part of each period, so that the team's other work continues if no machines are available.
     fn reserve_quota(&mut self, job: &'a Job, tasks: usize) -> Option<f64> {
         let name = job.spec.team.as_str();
         let team = self.team(name)?;
@@ -131,8 +133,11 @@
         let mut used = self.usage.of(name);
         used += self.quota_reserved_from(&job.spec);
         used += needs;
-        let turn_ms = job.age_ms(self.cluster.now).saturating_sub(LARGE_WAITS_MS) % LIMIT_TURN_MS;
-        if turn_ms >= LIMIT_KEPT_MS || self.reserved_quotas.iter().any(|quota| quota.team == name) {
+        let elapsed_in_period_ms =
+            job.age_ms(self.cluster.now).saturating_sub(LARGE_WAITS_MS) % LIMIT_TURN_MS;
+        if elapsed_in_period_ms >= LIMIT_KEPT_MS
+            || self.reserved_quotas.iter().any(|quota| quota.team == name)
+        {
             return team.allows(&used).then_some(0.0);
         }
         let available_in_s = if team.allows(&used) {
@@ -148,7 +153,8 @@
         Some(available_in_s)
     }
 
-    /// In how many s so much of the team's running work will have ended that its limit allows this usage.
+    /// Returns the estimated time, in s, until enough of the team's running work has ended for its limit to
+    /// allow this usage.
     fn quota_available_in_s(&self, team: &Team, mut used: Resources) -> Option<f64> {
         let running = self.capacities.iter().flat_map(|capacity| &capacity.running);
         let mut releases: Vec<Release> = running
@@ -166,14 +172,14 @@
         })
     }
 
-    /// Whether a part of its team's limit is reserved for the job.
+    /// Whether a part of the team's limit is reserved for the job.
     pub(super) fn has_reserved_quota(&self, job: &Job) -> bool {
         self.reserved_quotas
             .iter()
             .any(|quota| quota.reservation.is_for(job))
     }
 
-    /// What is reserved of the team's limit for others than this job.
+    /// Returns the resources of the team's limit that are reserved for other jobs.
     pub(super) fn quota_reserved_from(&self, spec: &JobSpec) -> Resources {
         let mut reserved = Resources::default();
         for quota in &self.reserved_quotas {
@@ -184,7 +190,7 @@
         reserved
     }
 
-    /// Releases what was reserved for the job: it has started.
+    /// Releases the reservations of a job that has started.
     pub(super) fn release_reservations(&mut self, job: &Job) {
         for capacity in &mut self.capacities {
             capacity.reservation = capacity
--- a/crates/controller/src/scheduling/placement/scoring.rs
+++ b/crates/controller/src/scheduling/placement/scoring.rs
@@ -1,4 +1,4 @@
-//! The score phase: what each place costs a task, and the candidates in that order.
+//! The score phase: the cost of running a task on each machine, and the candidates in order of cost.
 
 use super::pass::{OpenZones, Pass, TaskRequirements};
 use crate::constants::{
@@ -7,26 +7,27 @@
 };
 use crate::model::JobSpec;
 
-/// A machine that can take a task now.
+/// A machine that can run a task now.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
-    /// Lower is better: see `Pass::placement_cost`.
+    /// Lower is better; see `Pass::placement_cost`.
     pub(super) cost: f64,
-    /// Position of the machine in the pass.
+    /// Index of the machine in the pass.
     pub(super) machine_index: usize,
 }
 
 impl Pass<'_> {
-    /// Time until the machine has the job's image, in s. Images fetched at the same
-    /// time may share its rate; one that is on its way is not there yet. Without
-    /// that, replicas of a dozen images went to the few machines that had just come
-    /// up, as if each were the only one, and waited there for half a minute.
+    /// Returns the time until the machine has the job's image, in s. Concurrent fetches may share the machine's
+    /// bandwidth, and an image still being fetched does not count as present. Without this, replicas of a
+    /// dozen images were all placed on the few machines that had just booted and waited half a minute for
+    /// their fetches.
     pub(super) fn fetch_s(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> f64 {
         self.downtime(requirements, machine_index).fetch_s
     }
 
-    /// Lower is better: what the place costs by the measure, then a spot machine for those who
-    /// may use one, then the fullest, so that others fall idle.
+    /// Returns the cost of placing a task on the machine; lower is better. It is the expected downtime
+    /// plus smaller terms that prefer spot machines for jobs that may use them, and the fullest machines, so
+    /// that others become idle.
     pub(super) fn placement_cost(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> f64 {
         let capacity = &self.capacities[machine_index];
         let downtime = self.downtime(requirements, machine_index);
@@ -35,7 +36,7 @@
         } else {
             downtime.fetch_s
         };
-        // What a user prefers comes before what we would.
+        // The user's preferences outweigh the scheduler's.
         if let (Some(steps), Some(type_and_zone)) = (&requirements.rank_steps, capacity.type_and_zone) {
             let step = steps.0[self.kind_index(type_and_zone, capacity.machine.spot)].unwrap_or(0);
             cost += RANK_STEP_COST_S * f64::from(step);
@@ -47,9 +48,9 @@
         } else if requirements.job.spec.spot && !capacity.machine.spot {
             cost += SPOT_COST_S;
         }
-        // What holds the machine longer than it is held anyway costs its time.
-        let needs_s = occupancy_s(&requirements.job.spec);
-        cost += OUTLAST_COST_S * (1.0 - capacity.occupied_s / needs_s).max(0.0);
+        // Occupying the machine for longer than its current tasks do keeps it from becoming idle.
+        let job_occupancy_s = occupancy_s(&requirements.job.spec);
+        cost += OUTLAST_COST_S * (1.0 - capacity.occupied_s / job_occupancy_s).max(0.0);
         if capacity
             .reservation
             .is_some_and(|reservation| !reservation.is_for(requirements.job))
@@ -65,9 +66,9 @@
         cost
     }
 
-    /// Machines that can take a task now, the best first. Whichever takes one only
-    /// becomes better by it: its image is there, and it is fuller. So tasks without
-    /// further conditions fill them in this order.
+    /// Returns the machines that can run a task now, the cheapest first. Placing a task makes a machine only
+    /// cheaper for the next one, since it then has the image and is fuller, so tasks without further
+    /// constraints fill the machines in this order.
     pub(super) fn candidates(
         &self,
         requirements: &TaskRequirements<'_>,
@@ -83,8 +84,7 @@
                     .fits_in(&self.free_for(requirements, *machine_index))
                     && self.is_allowed(requirements, *machine_index, zones)
             })
-            // A worker that still lists an exited task under the same attempt
-            // ignores another start of it.
+            // A worker that still lists an exited task of the same attempt ignores a new start of it.
             .filter(|machine_index| {
                 attempt.is_none_or(|number| !self.lists_exited(requirements, *machine_index, number))
             })
@@ -110,7 +110,7 @@
     }
 }
 
-/// For how long a task holds its machine, in s, as far as its owner says.
+/// Returns the estimated time for which a task of the job occupies its machine, in s.
 pub(super) fn occupancy_s(spec: &JobSpec) -> f64 {
     if spec.estimate_s > 0.0 {
         spec.estimate_s
