--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -4,7 +4,10 @@
 
 use super::ClusterSnapshot;
 use super::queue_order::QueueEntry;
-use crate::constants::{LARGE_FIRST, LARGE_FIRST_PER_CLASS, LARGE_SHARE, LARGE_TURN, LARGE_WAITS_MS};
+use crate::constants::{
+    LARGE_JOB_PRIORITY_AFTER_MS, LARGE_JOB_SHARE, PRIORITIZED_LARGE_JOB_TASKS, PRIORITIZED_LARGE_JOBS,
+    PRIORITIZED_LARGE_JOBS_PER_CLASS,
+};
 use crate::model::{Job, JobId, TaskLocations, Timestamp};
 use crate::protocol::Shape;
 use std::cmp::Reverse;
@@ -25,9 +28,9 @@
 }
 
 /// Returns the number of tasks from which on a job is one of the largest of its class, which are
-/// [`LARGE_SHARE`] of the live jobs, given the sizes of all of them.
+/// [`LARGE_JOB_SHARE`] of the live jobs, given the sizes of all of them.
 fn large_job_threshold(mut sizes: Vec<u32>) -> u32 {
-    let threshold_index = (sizes.len() as f64 * (1.0 - LARGE_SHARE)) as usize;
+    let threshold_index = (sizes.len() as f64 * (1.0 - LARGE_JOB_SHARE)) as usize;
     if threshold_index >= sizes.len() {
         return u32::MAX;
     }
@@ -76,20 +79,28 @@
 }
 
 /// Returns the large jobs that go before others of their priority: the oldest of each class that have waited
-/// for [`LARGE_WAITS_MS`] without starting.
+/// for [`LARGE_JOB_PRIORITY_AFTER_MS`] without starting.
 ///
 /// Without this, a job that can meet no objective any more is ordered like the most patient of its class, and
 /// a large gang needs at once the capacity that small jobs take one by one, so it never started.
 pub(super) fn prioritized_large_jobs<'a>(cluster: &ClusterSnapshot<'a>) -> HashSet<&'a JobId> {
     let mut count_by_class: HashMap<&str, usize> = HashMap::new();
-    let unstarted = large_unstarted_jobs(cluster.jobs, cluster.task_locations, LARGE_WAITS_MS, cluster.now);
+    let unstarted = large_unstarted_jobs(
+        cluster.jobs,
+        cluster.task_locations,
+        LARGE_JOB_PRIORITY_AFTER_MS,
+        cluster.now,
+    );
     let oldest = unstarted.into_iter().filter(|job| {
         let count = count_by_class.entry(&job.spec.class).or_default();
         *count += 1;
-        *count <= LARGE_FIRST_PER_CLASS
+        *count <= PRIORITIZED_LARGE_JOBS_PER_CLASS
     });
     // Users name the classes, so their number is unbounded.
-    oldest.take(LARGE_FIRST).map(|job| &job.spec.id).collect()
+    oldest
+        .take(PRIORITIZED_LARGE_JOBS)
+        .map(|job| &job.spec.id)
+        .collect()
 }
 
 /// Splits the tasks that go first off the entries of these jobs: all tasks of a gang, and of other jobs just
@@ -107,7 +118,7 @@
             split_order.push(entry);
             continue;
         }
-        let tasks = entry.first_tasks(LARGE_TURN);
+        let tasks = entry.first_tasks(PRIORITIZED_LARGE_JOB_TASKS);
         split_order.push(QueueEntry {
             large_first: true,
             tasks,
--- a/crates/controller/src/scheduling/placement/mod.rs
+++ b/crates/controller/src/scheduling/placement/mod.rs
@@ -35,7 +35,7 @@
 mod unit_preemption;
 
 use crate::allocations::Machine;
-use crate::constants::FAULTY_AFTER;
+use crate::constants::FAULTY_MACHINE_FAILURES;
 use crate::model::{Job, JobId, MachineId, Resources, TaskId, TaskLocations, Timestamp};
 use crate::scheduling::fair_share::StarvedOwners;
 use crate::scheduling::image_statistics::ImageStatistics;
@@ -169,7 +169,7 @@
 
 /// Whether enough different jobs have failed on the machine for it to be considered faulty.
 pub fn is_faulty(machine: &Machine) -> bool {
-    machine.errors.len() >= FAULTY_AFTER
+    machine.errors.len() >= FAULTY_MACHINE_FAILURES
 }
 
 /// Whether new tasks may be placed on the machine.
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -3,7 +3,7 @@
 use super::pass::{OpenZones, Pass, PreemptionClass, TaskRequirements};
 use super::{Decision, is_faulty};
 use crate::allocations::Attempt;
-use crate::constants::{FETCH_WEIGHT, ROOM_SEARCHES_PER_PASS, STOP_GRACE_EXTRA_S};
+use crate::constants::{FETCH_COST_WEIGHT, PREEMPTION_SEARCHES_PER_PASS, STOP_GRACE_EXTRA_S};
 use crate::model::{Job, JobSpec, MachineId, Resources};
 use crate::protocol::Shape;
 
@@ -61,7 +61,7 @@
             team: job.spec.team.clone(),
             within_guarantee: self.within_guarantee.contains(&job.spec.id),
         };
-        if self.unpreemptable.contains(&class) || self.preemption_searches >= ROOM_SEARCHES_PER_PASS {
+        if self.unpreemptable.contains(&class) || self.preemption_searches >= PREEMPTION_SEARCHES_PER_PASS {
             return false;
         }
         self.preemption_searches += 1;
@@ -236,7 +236,7 @@
             running.push(index);
         }
         (job.spec.needs.fits_in(&free) && !running.is_empty()).then(|| Victims {
-            total_cost_s: total_cost_s + self.fetch_s(requirements, machine_index) * FETCH_WEIGHT,
+            total_cost_s: total_cost_s + self.fetch_s(requirements, machine_index) * FETCH_COST_WEIGHT,
             running,
         })
     }
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -2,12 +2,12 @@
 
 use super::ClusterSnapshot;
 use super::pass::Pass;
-use crate::constants::{RUN_AT_LEAST, RUNS_TO_WAIT, SECOND_MS, UNSTATED_START_S};
+use crate::constants::{DEFAULT_START_OBJECTIVE_S, MIN_RUN_ESTIMATE_SHARE, RUN_MARGIN_FACTOR, SECOND_MS};
 use crate::model::{Job, JobId, Resources, Timestamp};
 use crate::protocol::Shape;
 use crate::scheduling::fair_share::StarvedOwners;
 use crate::settings::Deployment;
-use indigopath_counted_resources::Only;
+use indigopath_counted_resources::SingleCount;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, btree_set};
 use std::iter::{Copied, Skip, Take};
@@ -43,7 +43,7 @@
     /// Whether it requests units of counted resources.
     pub(super) needs_units: bool,
     /// Set if it requests units of a single counted resource, as most jobs do.
-    pub(super) single_count: Option<Only>,
+    pub(super) single_count: Option<SingleCount>,
 }
 
 /// Indexes of waiting tasks, in order.
@@ -109,7 +109,7 @@
 /// Returns the job's slack: for how long, in ms, it may still wait for a start and meet the next objective of
 /// its class, on starting or finishing, that is still achievable. A job that can meet no objective any more
 /// is treated like the most patient job of its class; a job without objectives, like one that should start
-/// within [`UNSTATED_START_S`].
+/// within [`DEFAULT_START_OBJECTIVE_S`].
 ///
 /// Ordering by age instead would, under overload, delay all jobs equally so that hardly any meets its
 /// objective; ordering by slack lets most of them meet it.
@@ -119,7 +119,7 @@
     let slack_s = match (targets.latest_s, targets.next_s) {
         // A late replica is missing capacity of its service all the time.
         (_, None) if job.spec.shape == Shape::Service => 0.0,
-        (None, _) => (UNSTATED_START_S - age_s).max(0.0),
+        (None, _) => (DEFAULT_START_OBJECTIVE_S - age_s).max(0.0),
         (Some(_), Some(next)) => (next - age_s).max(0.0),
         (Some(latest), None) => latest,
     };
@@ -144,8 +144,8 @@
         .within_s("wait", &spec.class)
         .map(|within_s| (within_s, within_s));
     let end_limits = deployment.within_s("finished", &spec.class).map(|within_s| {
-        let should_s = within_s - RUNS_TO_WAIT * spec.estimate_s;
-        (should_s, within_s - RUN_AT_LEAST * spec.estimate_s)
+        let should_s = within_s - RUN_MARGIN_FACTOR * spec.estimate_s;
+        (should_s, within_s - MIN_RUN_ESTIMATE_SHARE * spec.estimate_s)
     });
     let mut targets = StartTargets::default();
     for (should_s, must_s) in start_limits.chain(end_limits).filter(|(_, must_s)| *must_s > 0.0) {
@@ -266,7 +266,7 @@
             units_guaranteed: false,
             needs_units,
             single_count: if needs_units {
-                self.unit_ledger.only(counts)
+                self.unit_ledger.single_count(counts)
             } else {
                 None
             },
@@ -281,8 +281,12 @@
         }
         let spec = &entry.job.spec;
         let guaranteed = match entry.single_count {
-            Some(count) => self.unit_ledger.owed_of(count, &spec.team, entry.tasks),
-            None => self.unit_ledger.owed(&spec.team, &spec.counts, entry.tasks),
+            Some(count) => self
+                .unit_ledger
+                .tasks_within_share_of(count, &spec.team, entry.tasks),
+            None => self
+                .unit_ledger
+                .tasks_within_share(&spec.team, &spec.counts, entry.tasks),
         }?;
         match spec.shape {
             // A gang with guaranteed units for only some of its tasks borrows for all of them.
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -8,7 +8,8 @@
 use super::pass::{Pass, TasksByZone};
 use super::queue_order::QueueEntry;
 use crate::constants::{
-    LARGE_WAITS_MS, LIMIT_KEPT_MS, LIMIT_TURN_MS, RESERVE_AHEAD_S, RESERVED_SHARE, RUNS_TO_WAIT,
+    LARGE_JOB_PRIORITY_AFTER_MS, MAX_RESERVED_SHARE, QUOTA_RESERVATION_MS, QUOTA_RESERVATION_PERIOD_MS,
+    RESERVATION_HORIZON_S, RUN_MARGIN_FACTOR,
 };
 use crate::model::{Job, JobId, JobSpec, Resources};
 use crate::protocol::{Priority, Shape};
@@ -35,7 +36,7 @@
     /// Whether the job may use the reserved capacity: as its own, because its priority is higher, or as
     /// backfill that ends before the gang could start.
     pub(super) fn admits(&self, spec: &JobSpec) -> bool {
-        let ends_before = spec.estimate_s > 0.0 && spec.estimate_s * RUNS_TO_WAIT <= self.available_in_s;
+        let ends_before = spec.estimate_s > 0.0 && spec.estimate_s * RUN_MARGIN_FACTOR <= self.available_in_s;
         *self.job == spec.id || spec.priority < self.priority || ends_before
     }
 
@@ -65,7 +66,7 @@
 impl<'a> Pass<'a> {
     /// Reserves machines for a large or overdue gang that goes first, in one zone if it needs that, else in
     /// all zones that it may use. Chooses the machines that are estimated to be free earliest, if that is
-    /// within [`RESERVE_AHEAD_S`]; otherwise those on which preemption for the gang loses the least work.
+    /// within [`RESERVATION_HORIZON_S`]; otherwise those on which preemption for the gang loses the least work.
     pub(super) fn reserve_capacity(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let tasks = job.waiting.len();
@@ -97,7 +98,7 @@
     /// Whether the entry is a gang for which capacity may be reserved in this pass.
     fn may_reserve(&self, entry: &QueueEntry<'_>, tasks: usize) -> bool {
         let goes_first = entry.large_first || entry.overdue;
-        let max_slots = (RESERVED_SHARE * self.capacities.len() as f64) as usize;
+        let max_slots = (MAX_RESERVED_SHARE * self.capacities.len() as f64) as usize;
         // The first gang in the order always gets its reservation, however small the fleet.
         let is_allowed = self.reserved_slots == 0 || self.reserved_slots + tasks <= max_slots;
         goes_first && entry.job.spec.shape == Shape::Gang && is_allowed
@@ -124,7 +125,7 @@
     }
 
     /// Returns the estimated time, in s, until the team's limit allows the gang; `None` if that is not within
-    /// [`RESERVE_AHEAD_S`]. Reserves the gang's resources of that limit, for one gang of a team at a time and
+    /// [`RESERVATION_HORIZON_S`]. Reserves the gang's resources of that limit, for one gang of a team at a time and
     /// only for a part of each period, so that the team's other work continues if no machines are available.
     fn reserve_quota(&mut self, job: &'a Job, tasks: usize) -> Option<f64> {
         let name = job.spec.team.as_str();
@@ -133,9 +134,11 @@
         let mut used = self.usage.of(name);
         used += self.quota_reserved_from(&job.spec);
         used += needs;
-        let elapsed_in_period_ms =
-            job.age_ms(self.cluster.now).saturating_sub(LARGE_WAITS_MS) % LIMIT_TURN_MS;
-        if elapsed_in_period_ms >= LIMIT_KEPT_MS
+        let elapsed_in_period_ms = job
+            .age_ms(self.cluster.now)
+            .saturating_sub(LARGE_JOB_PRIORITY_AFTER_MS)
+            % QUOTA_RESERVATION_PERIOD_MS;
+        if elapsed_in_period_ms >= QUOTA_RESERVATION_MS
             || self.reserved_quotas.iter().any(|quota| quota.team == name)
         {
             return team.allows(&used).then_some(0.0);
@@ -163,7 +166,7 @@
                 available_in_s: self.ends_in_s(running),
                 needs: running.attempt.needs,
             })
-            .filter(|release| release.available_in_s <= RESERVE_AHEAD_S)
+            .filter(|release| release.available_in_s <= RESERVATION_HORIZON_S)
             .collect();
         releases.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         releases.into_iter().find_map(|release| {
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -3,7 +3,7 @@
 use super::pass::Pass;
 use super::queue_order::QueueEntry;
 use crate::allocations::Attempt;
-use crate::constants::UNIT_STOPS_PER_PASS;
+use crate::constants::UNIT_PREEMPTIONS_PER_PASS;
 use crate::model::{Job, JobId};
 use crate::protocol::Shape;
 use indigopath_counted_resources::{Demand, Name};
@@ -17,7 +17,7 @@
         entry: &QueueEntry<'a>,
         mut missing: Vec<(Name, u32)>,
     ) -> bool {
-        if self.unit_preemptions >= UNIT_STOPS_PER_PASS {
+        if self.unit_preemptions >= UNIT_PREEMPTIONS_PER_PASS {
             return false;
         }
         self.resolve_running_jobs();
@@ -71,7 +71,7 @@
     fn stop_unit_victim(&mut self, victim: &UnitVictim<'a>, missing: &mut [(Name, u32)]) {
         self.unit_preemptions += 1;
         for _ in 0..victim.tasks {
-            self.unit_ledger.stops(victim.team, victim.counts, missing);
+            self.unit_ledger.record_stops(victim.team, victim.counts, missing);
         }
         let capacity = &mut self.capacities[victim.machine_index];
         let machine = capacity.machine.id.clone();
@@ -135,7 +135,7 @@
             .counts
             .iter()
             .map(|(count, _)| &**count)
-            .filter(|count| self.unit_ledger.get(count).is_some_and(|pool| pool.is_shared()))
+            .filter(|count| self.unit_ledger.get(count).is_some_and(|pool| pool.has_shares()))
             .map(|count| (count, victim.units(count)))
             .collect();
         let enough = !held.is_empty()
