--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -375,7 +375,7 @@
 fn waiting_for(count: &str, short: &[UnsatisfiedDemand]) -> u64 {
     short
         .iter()
-        .filter(|short| &*short.lack.count == count)
+        .filter(|short| &*short.shortage.count == count)
         .map(|short| u64::from(short.tasks))
         .sum()
 }
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -160,8 +160,8 @@
             },
             why: short
                 .iter()
-                .find(|short| short.lack.count == *count)
-                .map(|short| short.lack.reason.text().to_owned()),
+                .find(|short| short.shortage.count == *count)
+                .map(|short| short.shortage.reason.text().to_owned()),
         });
         let waiting = job.waiting.len() as u32;
         let rents = self
@@ -175,8 +175,8 @@
             let tasks: u32 = short.iter().map(|short| short.tasks).sum();
             format!(
                 "{tasks} of its tasks wait for units of {}: {}",
-                first.lack.count,
-                first.lack.reason.text()
+                first.shortage.count,
+                first.shortage.reason.text()
             )
         } else if let Some(why) = job.spec.condor.as_ref().and_then(|part| part.held()) {
             format!("it is held: {why}")
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -211,7 +211,7 @@
         let completion = completion(job, placed, delay);
         // More machines would not help a job that waits for units.
         let reason = match unsatisfied.get(&job.spec.id) {
-            Some(demand) => Cow::Owned(format!("waiting for units of {}", demand.lack.count)),
+            Some(demand) => Cow::Owned(format!("waiting for units of {}", demand.shortage.count)),
             None => Cow::Borrowed(completion.reason),
         };
         let class = job.spec.class.as_str();
@@ -289,7 +289,7 @@
             self.not_begun.insert(class.to_owned(), io.now);
             let id = &oldest.spec.id;
             let why = match short.iter().find(|short| short.job == *id) {
-                Some(short) => format!("units of {}", short.lack.count),
+                Some(short) => format!("units of {}", short.shortage.count),
                 None => "machines".to_owned(),
             };
             io.effects.push(Effect::Warning(format!(
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -36,7 +36,7 @@
     /// How many of its tasks wait.
     pub tasks: u32,
     /// What they lack.
-    pub lack: Shortage,
+    pub shortage: Shortage,
 }
 
 impl<'a> CountedUnits<'a> {
@@ -175,17 +175,17 @@
     pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, together: u32, tasks: u32) {
         let job = entry.job;
         let asker = self.asker(job);
-        let (lack, reservation) = self
+        let (shortage, reservation) = self
             .unit_ledger
             .handle_shortage(&job.spec.counts, together, &asker);
         if reservation {
             self.plan.units_reserved_for.insert(job.spec.id.clone());
         }
-        if let Some(lack) = lack {
+        if let Some(shortage) = shortage {
             self.plan.unsatisfied.push(UnsatisfiedDemand {
                 job: job.spec.id.clone(),
                 tasks,
-                lack,
+                shortage,
             });
         }
         let lower = self.lowest_unit_priority() > Some(job.spec.priority);
--- a/crates/experiments/src/play.rs
+++ b/crates/experiments/src/play.rs
@@ -428,7 +428,7 @@
             truth.wanted = false;
         }
         for short in &plan.unsatisfied {
-            if let Some(truth) = self.truth.get_mut(&short.lack.count) {
+            if let Some(truth) = self.truth.get_mut(&short.shortage.count) {
                 truth.wanted = true;
             }
         }
