--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -11,7 +11,7 @@
 use crate::leader::{LeaderTerm, PeerView};
 use crate::model::{MachineId, MachineKind, Timestamp};
 use crate::protocol::{MachineNames, paths};
-use crate::scheduling::placement::{MachineTypes, faulty};
+use crate::scheduling::placement::{MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::{GuardedOperation, Permit};
 use std::collections::{HashMap, HashSet};
@@ -140,7 +140,7 @@
                 && idle.select(machine);
             let useless = machine.is_up()
                 && machine.is_empty()
-                && (faulty(machine) || machine.reclaim_notice_until.is_some());
+                && (is_faulty(machine) || machine.reclaim_notice_until.is_some());
             let why = if machine.releasing {
                 continue;
             } else if never_up {
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -10,7 +10,7 @@
 use crate::io::{Effect, FencedDestination, Io, Method, Outcome};
 use crate::model::{Job, JobId, MachineId, Timestamp};
 use crate::protocol::paths;
-use crate::scheduling::placement::{self, Units, UnsatisfiedDemand};
+use crate::scheduling::placement::{self, CountedUnits, UnsatisfiedDemand};
 use crate::storage::records::ReleasedMachine;
 use indigopath_counted_resources::constants::{
     MAX_SERVER_ANSWER_BYTES, SERVER_TIMEOUT_MS, SERVER_USAGE_VALID_MS,
@@ -86,14 +86,14 @@
 
 impl LeaderTerm {
     /// What a pass needs to know of counted resources.
-    pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> Units<'a> {
-        Units {
+    pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> CountedUnits<'a> {
+        CountedUnits {
             definitions,
             policy: ReservationPolicy::default(),
             reserved_since: &self.counted_resources.keepers,
             feeds: &self.counted_resources.feeds,
             lingers: &self.counted_resources.lingers,
-            gone: self.machines.recently_released(),
+            recently_released: self.machines.recently_released(),
         }
     }
 
@@ -266,7 +266,7 @@
         self.counted_resources.looked_at = io.now;
         self.settle_lingers(io.now);
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, io.now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, io.now);
         let mut found: Vec<(Name, Trouble, String)> = Vec::new();
         let mut over = BTreeSet::new();
         for pool in book.pools() {
@@ -387,7 +387,7 @@
 fn waiting_for(count: &str, short: &[UnsatisfiedDemand]) -> u64 {
     short
         .iter()
-        .filter(|short| &*short.lack.count == count)
+        .filter(|short| &*short.shortage.count == count)
         .map(|short| u64::from(short.tasks))
         .sum()
 }
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -18,7 +18,7 @@
     /// Every count at a glance.
     pub fn count_status(&self, definitions: &Definitions, now: Timestamp) -> Vec<CountStatus> {
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         book.pools().map(|pool| self.status_of(pool, now)).collect()
     }
 
@@ -152,7 +152,7 @@
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
             .counted_resources
             .short
@@ -171,8 +171,8 @@
             },
             why: short
                 .iter()
-                .find(|short| short.lack.count == *count)
-                .map(|short| short.lack.reason.text().to_owned()),
+                .find(|short| short.shortage.count == *count)
+                .map(|short| short.shortage.reason.text().to_owned()),
         });
         let waiting = job.waiting.len() as u32;
         let rents = self
@@ -186,8 +186,8 @@
             let tasks: u32 = short.iter().map(|short| short.tasks).sum();
             format!(
                 "{tasks} of its tasks wait for units of {}: {}",
-                first.lack.count,
-                first.lack.reason.text()
+                first.shortage.count,
+                first.shortage.reason.text()
             )
         } else if let Some(why) = job.spec.condor.as_ref().and_then(|part| part.held()) {
             format!("it is held: {why}")
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -56,7 +56,7 @@
         rate * faded(at, self.now)
     }
 
-    fn loss(&self, spot: bool) -> f64 {
+    fn loss_rate(&self, spot: bool) -> f64 {
         let own = (f64::from(self.lost) + MACHINE_LOSS_PRIOR_PER_S * MACHINE_LOSS_PRIOR_WEIGHT_S)
             / (self.machine_s + MACHINE_LOSS_PRIOR_WEIGHT_S);
         if spot { own.max(self.spot_loss) } else { own }
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -8,7 +8,7 @@
 use crate::io::{Io, RequestId};
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::protocol::{Heartbeat, HeartbeatResponse, Shape, TaskEndCause};
-use crate::scheduling::placement::{self, faulty};
+use crate::scheduling::placement::{self, is_faulty};
 use indigopath_accounting::LossCause;
 use std::sync::Arc;
 
@@ -238,7 +238,7 @@
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
-            gang.lost();
+            gang.record_lost_task();
         }
         self.requeue(task, now);
     }
@@ -313,7 +313,7 @@
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number) {
-                gang.ended(cause, fetching);
+                gang.record_ended_task(cause, fetching);
             }
             match cause {
                 TaskEndCause::Error | TaskEndCause::Unknown | TaskEndCause::Other => {
@@ -339,7 +339,7 @@
                         && let Some(machine) = self.machines.get_mut(id)
                     {
                         machine.failed_jobs.insert(task.job.clone());
-                        if faulty(machine) {
+                        if is_faulty(machine) {
                             log::info!("machine cordoned machine={id}: tasks of different jobs failed there");
                         }
                     }
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -11,15 +11,15 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GangSlot {
     /// In how many s the machine has it, by estimate.
-    pub(super) in_s: f64,
+    pub(super) available_in_s: f64,
     has_image: bool,
     /// Position of the machine in the pass.
-    pub(super) at: usize,
+    pub(super) machine_index: usize,
 }
 
 /// When a running task frees its resources.
 struct Release<'r, 'a> {
-    in_s: f64,
+    available_in_s: f64,
     running: &'r RunningTask<'a>,
 }
 
@@ -28,24 +28,24 @@
     /// Seconds of work lost.
     lost_s: f64,
     slots: Vec<GangSlot>,
-    stops: Vec<MachineVictims>,
+    machine_victims: Vec<MachineVictims>,
 }
 
 /// What would be stopped on one machine.
 struct MachineVictims {
     /// Position of the machine in the pass.
-    at: usize,
+    machine_index: usize,
     victims: Victims,
 }
 
 /// In how many s the last task of a gang finds capacity.
 pub(super) fn last_slot_s(slots: &[GangSlot]) -> f64 {
-    slots.last().map_or(f64::INFINITY, |slot| slot.in_s)
+    slots.last().map_or(f64::INFINITY, |slot| slot.available_in_s)
 }
 
 impl<'a> Pass<'a> {
     /// Slots for all tasks of a gang that are soonest free, in one of these choices of zones.
-    pub(super) fn soonest_slots(
+    pub(super) fn earliest_slots(
         &self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
@@ -74,7 +74,7 @@
         tasks_by_zone: &TasksByZone,
     ) -> Option<Vec<GangSlot>> {
         // A spread gang's zones would have to be counted while its capacity is made.
-        if !self.may_displace(requirements.job)
+        if !self.may_preempt(requirements.job)
             || requirements.job.spec.spread
             || self.preemption_searches >= PREEMPTION_SEARCHES_PER_PASS
         {
@@ -92,8 +92,8 @@
             }
         }
         let best = best?;
-        for stop in best.stops {
-            self.stop_victims(stop.at, stop.victims);
+        for victims_of_machine in best.machine_victims {
+            self.stop_victims(victims_of_machine.machine_index, victims_of_machine.victims);
         }
         Some(best.slots)
     }
@@ -106,33 +106,38 @@
         zones: &OpenZones,
         mut slots: Vec<GangSlot>,
     ) -> Option<PreemptionPlan> {
-        let taken: HashSet<usize> = slots.iter().map(|slot| slot.at).collect();
-        let mut stops: Vec<MachineVictims> = (0..self.capacities.len())
-            .filter(|at| !taken.contains(at) && self.allowed(requirements, *at, zones))
-            .filter_map(|at| {
-                let victims = self.victims(requirements, at)?;
-                Some(MachineVictims { at, victims })
+        let used_machines: HashSet<usize> = slots.iter().map(|slot| slot.machine_index).collect();
+        let mut machine_victims: Vec<MachineVictims> = (0..self.capacities.len())
+            .filter(|machine_index| {
+                !used_machines.contains(machine_index) && self.is_allowed(requirements, *machine_index, zones)
+            })
+            .filter_map(|machine_index| {
+                let victims = self.victims(requirements, machine_index)?;
+                Some(MachineVictims {
+                    machine_index,
+                    victims,
+                })
             })
             .collect();
-        stops.sort_by(|left, right| {
-            let by_cost = left.victims.cost.total_cmp(&right.victims.cost);
-            by_cost.then(left.at.cmp(&right.at))
+        machine_victims.sort_by(|left, right| {
+            let by_cost = left.victims.total_cost_s.total_cmp(&right.victims.total_cost_s);
+            by_cost.then(left.machine_index.cmp(&right.machine_index))
         });
         let missing = tasks - slots.len();
-        if stops.len() < missing {
+        if machine_victims.len() < missing {
             return None;
         }
-        stops.truncate(missing);
-        slots.extend(stops.iter().map(|stop| GangSlot {
-            in_s: STOP_GRACE_EXTRA_S,
-            has_image: self.has_image(requirements, stop.at),
-            at: stop.at,
+        machine_victims.truncate(missing);
+        slots.extend(machine_victims.iter().map(|stop| GangSlot {
+            available_in_s: STOP_GRACE_EXTRA_S,
+            has_image: self.has_image(requirements, stop.machine_index),
+            machine_index: stop.machine_index,
         }));
-        slots.sort_by(|left, right| left.in_s.total_cmp(&right.in_s));
+        slots.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         Some(PreemptionPlan {
-            lost_s: stops.iter().map(|stop| stop.victims.cost).sum(),
+            lost_s: machine_victims.iter().map(|stop| stop.victims.total_cost_s).sum(),
             slots,
-            stops,
+            machine_victims,
         })
     }
 
@@ -146,18 +151,20 @@
         tasks_by_zone: &TasksByZone,
     ) -> Vec<GangSlot> {
         let mut slots: Vec<GangSlot> = Vec::new();
-        for at in (0..self.capacities.len()).filter(|at| self.allowed(requirements, *at, zones)) {
-            self.add_slots_of(requirements, tasks, at, &mut slots);
+        for machine_index in (0..self.capacities.len())
+            .filter(|machine_index| self.is_allowed(requirements, *machine_index, zones))
+        {
+            self.add_slots_of(requirements, tasks, machine_index, &mut slots);
         }
         slots.sort_by(|left, right| {
-            (left.in_s.total_cmp(&right.in_s))
+            (left.available_in_s.total_cmp(&right.available_in_s))
                 .then(right.has_image.cmp(&left.has_image))
-                .then(left.at.cmp(&right.at))
+                .then(left.machine_index.cmp(&right.machine_index))
         });
         let cap = requirements.job.spec.max_tasks_per_zone();
         let mut tasks_by_zone = tasks_by_zone.clone();
         slots.retain(|slot| {
-            let Some((_, zone)) = self.capacities[slot.at].place else {
+            let Some((_, zone)) = self.capacities[slot.machine_index].type_and_zone else {
                 return false;
             };
             let fits = tasks_by_zone[zone] < cap;
@@ -173,26 +180,30 @@
         &self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
-        at: usize,
+        machine_index: usize,
         slots: &mut Vec<GangSlot>,
     ) {
         let needs = requirements.job.spec.needs;
-        let has_image = self.has_image(requirements, at);
-        let capacity = &self.capacities[at];
+        let has_image = self.has_image(requirements, machine_index);
+        let capacity = &self.capacities[machine_index];
         let mut releases = self.releases(&capacity.running).into_iter();
         let mut free = capacity.free;
-        let mut in_s = 0.0;
+        let mut available_in_s = 0.0;
         let mut found = 0;
         loop {
             while found < tasks && needs.fits_in(&free) {
                 free -= needs;
                 found += 1;
-                slots.push(GangSlot { in_s, has_image, at });
+                slots.push(GangSlot {
+                    available_in_s,
+                    has_image,
+                    machine_index,
+                });
             }
             let Some(release) = releases.next() else {
                 break;
             };
-            in_s = release.in_s;
+            available_in_s = release.available_in_s;
             free += release.running.attempt.needs;
         }
     }
@@ -202,12 +213,12 @@
         let mut releases: Vec<Release<'r, 'a>> = running
             .iter()
             .map(|running| Release {
-                in_s: self.ends_in_s(running),
+                available_in_s: self.ends_in_s(running),
                 running,
             })
-            .filter(|release| release.in_s <= RESERVATION_HORIZON_S)
+            .filter(|release| release.available_in_s <= RESERVATION_HORIZON_S)
             .collect();
-        releases.sort_by(|left, right| left.in_s.total_cmp(&right.in_s));
+        releases.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         releases
     }
 
