--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -214,7 +214,7 @@
     }
 
     /// Rejects a request. The problem may quote the request, so it is truncated to
-    /// [`MAX_ERROR_CHARS`].
+    /// [`MAX_ERROR_CHARS`] to stay within the length of a line.
     pub fn reply_error(&mut self, request: RequestId, status: u16, problem: &str) {
         let problem: String = problem.chars().take(MAX_ERROR_CHARS).collect();
         self.reply(request, status, &ErrorResponse { error: &problem });
--- a/crates/controller/src/job_api/admission.rs
+++ b/crates/controller/src/job_api/admission.rs
@@ -1,5 +1,4 @@
-//! What a submission must satisfy. Kept apart from HTTP, so that other ways of
-//! submitting can share it.
+//! Validation of submissions. Independent of HTTP, so that other interfaces can share it.
 
 use crate::constants::{MAX_AMOUNT, MAX_DURATION_S, MAX_NAME, MAX_TASKS};
 use crate::model::{JobId, JobSpec, Resources};
@@ -9,42 +8,43 @@
 use std::borrow::Cow;
 use std::sync::Arc;
 
-/// Said where only a former leader's list of machine types is known.
+/// Problem reported while only a machine type list stored by an earlier leader is known.
 pub const MACHINE_TYPES_UNCONFIRMED: &str = "the cloud has not told its machine types yet";
 
 const NO_ZONE: &str = "no allowed zone does, or too few for tasks that have to be apart";
 
-/// Longest number in a job's id, in digits: any count below 2^64 has at most 20.
+/// Maximum number of digits in a job id: numbers below 2^64 have at most 20.
 const ID_DIGITS: usize = 20;
 
-/// A job's id is always the prefix and a number.
+/// Parses a job id: the prefix and a decimal number.
 pub fn parse_id(text: &str) -> Option<JobId> {
     let digits = text.strip_prefix(JOB_PREFIX)?;
     let valid = (1..=ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
     valid.then(|| JobId(Arc::from(text)))
 }
 
-/// Machine types as this node knows them.
+/// The machine types that this node knows.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownMachineTypes<'a> {
     pub list: &'a [MachineType],
-    /// The cloud itself has told them; else they are what a former leader left, and a new one may lack.
+    /// Whether the list was read from the cloud; otherwise an earlier leader stored it, and it may lack
+    /// new types.
     pub confirmed: bool,
 }
 
-/// Why a submission is not accepted.
+/// Why a submission is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
     /// Malformed.
     Invalid(String),
-    /// Well-formed, but it could never run.
+    /// Well-formed, but the job could never run.
     Impossible(Cow<'static, str>),
-    /// This node cannot tell yet.
+    /// This node lacks the information to decide; the user may retry.
     Undecided(&'static str),
 }
 
-/// Reads and checks a submission. The id comes back even with a refusal, because
-/// an id accepted before gets its job's state, whatever the body says now.
+/// Parses and validates a submission. A refusal includes the id if it could be read, because a request
+/// with the id of an existing job is answered with that job's status whatever else the body says.
 pub fn accept(
     body: &[u8],
     deployment: &Deployment,
@@ -52,7 +52,7 @@
     types: Option<KnownMachineTypes<'_>>,
     wall_ms: u64,
 ) -> Result<JobSpec, (Option<JobId>, Refusal)> {
-    // An array of the right values, in the fields' order, would be read as well.
+    // Deserialization would also accept an array of the values in field order.
     if body.trim_ascii_start().first() != Some(&b'{') {
         return Err((None, invalid("not an object")));
     }
@@ -66,7 +66,8 @@
     let Some(id) = parse_id(&body.id) else {
         return Err((None, invalid("Id is not a job id")));
     };
-    check(id.clone(), body, deployment, definitions, types, wall_ms).map_err(|refusal| (Some(id), refusal))
+    check_submission(id.clone(), body, deployment, definitions, types, wall_ms)
+        .map_err(|refusal| (Some(id), refusal))
 }
 
 fn id_of(body: &[u8]) -> Option<JobId> {
@@ -87,9 +88,9 @@
     Refusal::Invalid(problem.to_owned())
 }
 
-/// A number from 0 to `most`.
-fn amount(field: &str, value: f64, most: f64) -> Result<f64, Refusal> {
-    if value.is_finite() && (0.0..=most).contains(&value) {
+/// Checks that a number is from 0 to `max`.
+fn check_amount(field: &str, value: f64, max: f64) -> Result<f64, Refusal> {
+    if value.is_finite() && (0.0..=max).contains(&value) {
         Ok(value)
     } else {
         Err(Refusal::Invalid(format!("{field} is out of range")))
@@ -104,9 +105,9 @@
     }
 }
 
-/// Checks in the order in which problems are reported: the fields, then what could never run whatever
-/// machine types there are, then what depends on them.
-fn check(
+/// Checks in the order in which problems are reported: fields first, then conditions that hold for any
+/// machine types, then conditions that depend on the machine types.
+fn check_submission(
     id: JobId,
     body: JobSubmission,
     deployment: &Deployment,
@@ -133,17 +134,17 @@
         return Err(invalid("Picks is out of range"));
     }
     let needs = Resources {
-        cpus: amount("Cpus", body.cpus, MAX_AMOUNT)?,
-        gpus: amount("Gpus", body.gpus, MAX_AMOUNT)?,
-        memory_gb: amount("MemGb", body.memory_gb, MAX_AMOUNT)?,
+        cpus: check_amount("Cpus", body.cpus, MAX_AMOUNT)?,
+        gpus: check_amount("Gpus", body.gpus, MAX_AMOUNT)?,
+        memory_gb: check_amount("MemGb", body.memory_gb, MAX_AMOUNT)?,
     };
-    let image_gb = amount("PullGb", body.image_gb, MAX_AMOUNT)?;
-    let estimate_s = amount("RuntimeS", body.estimate_s, MAX_DURATION_S)?;
-    let checkpoint_s = amount("StashEveryS", body.checkpoint_s, MAX_DURATION_S)?;
-    let save_s = amount("StashS", body.save_s, MAX_DURATION_S)?;
+    let image_gb = check_amount("PullGb", body.image_gb, MAX_AMOUNT)?;
+    let estimate_s = check_amount("RuntimeS", body.estimate_s, MAX_DURATION_S)?;
+    let checkpoint_s = check_amount("StashEveryS", body.checkpoint_s, MAX_DURATION_S)?;
+    let save_s = check_amount("StashS", body.save_s, MAX_DURATION_S)?;
     let deadline_s = body
         .deadline_s
-        .map(|value| amount("DueS", value, MAX_DURATION_S))
+        .map(|value| check_amount("DueS", value, MAX_DURATION_S))
         .transpose()?;
     let counts = body.counts.as_ref().map_or(Ok(Demand::default()), Demand::new);
     let counts = counts.map_err(|error| Refusal::Invalid(error.to_string()))?;
@@ -173,31 +174,31 @@
     })
 }
 
-/// Tasks that have to run at the same time.
-fn tasks_at_once(spec: &JobSpec) -> u64 {
+/// Number of tasks that have to run at the same time.
+fn concurrent_tasks(spec: &JobSpec) -> u64 {
     spec.shape.concurrent_tasks(spec.tasks.into())
 }
 
-/// Whether tasks that run at the same time have to be in different zones. An array's tasks run one after
-/// the other.
+/// Whether tasks that run at the same time have to be in different zones. The tasks of an array may run
+/// one after another.
 fn needs_two_zones(spec: &JobSpec) -> bool {
-    spec.spread && tasks_at_once(spec) > 1
+    spec.spread && concurrent_tasks(spec) > 1
 }
 
-/// Refuses what its team can never have at once.
+/// Rejects a job that can never run within its team's limit, the counted resources or its zone rules.
 fn check_limits(spec: &JobSpec, deployment: &Deployment, definitions: &Definitions) -> Result<(), Refusal> {
     let Some(team) = deployment.teams.iter().find(|team| team.name == spec.team) else {
         return Err(impossible("unknown team"));
     };
-    // One task of an array must fit the team's limit; of the other shapes, all.
-    let at_once = tasks_at_once(spec);
-    if !team.allows(&spec.needs.times(at_once as f64)) {
+    // The team's limit must allow one task of an array, or all tasks of another shape.
+    let concurrent = concurrent_tasks(spec);
+    if !team.allows(&spec.needs.times(concurrent as f64)) {
         return Err(impossible("over the team's limit"));
     }
-    // The same holds for counted resources: a job whose tasks can never have their units at once never
+    // Likewise for counted resources: a job whose concurrent tasks need more units than exist never
     // starts.
     spec.counts
-        .check(definitions, at_once)
+        .check(definitions, concurrent)
         .map_err(|error| Refusal::Impossible(Cow::Owned(error.to_string())))?;
     if needs_two_zones(spec) && spec.one_zone {
         return Err(impossible("its tasks may neither share a zone nor be in several"));
@@ -205,33 +206,34 @@
     Ok(())
 }
 
-fn are_enough(zones: &[&String], spec: &JobSpec) -> bool {
+fn has_enough_zones(zones: &[&String], spec: &JobSpec) -> bool {
     zones.len() > usize::from(needs_two_zones(spec))
 }
 
-/// Zones in which the job may run. Too few are a refusal, whatever machine types there are.
+/// Zones in which the job may run; too few are an error regardless of machine types.
 fn allowed_zones<'a>(spec: &JobSpec, deployment: &'a Deployment) -> Result<Vec<&'a String>, Refusal> {
     let is_allowed = |zone: &&String| spec.zone.as_ref().is_none_or(|only| only == *zone);
     let zones: Vec<&String> = deployment.zones.iter().filter(is_allowed).collect();
-    if !are_enough(&zones, spec) {
+    if !has_enough_zones(&zones, spec) {
         return Err(impossible(NO_ZONE));
     }
     Ok(zones)
 }
 
-/// Refuses a job that fits no machine type in these zones, but only as the cloud itself names the types.
+/// Rejects a job that fits no machine type in these zones; undecided until the cloud itself has listed the
+/// types.
 fn check_machine_types(
     spec: &JobSpec,
     zones: Vec<&String>,
     types: KnownMachineTypes<'_>,
 ) -> Result<(), Refusal> {
-    let is_sold = |zone: &&String| {
+    let is_offered = |zone: &&String| {
         let mut list = types.list.iter();
-        // A type that the cloud does not sell in a zone is never rented there.
+        // A type that the cloud does not offer in a zone is never rented there.
         list.any(|known| known.zones.contains(*zone) && spec.eligible(known, zone, false))
     };
-    let zones: Vec<&String> = zones.into_iter().filter(is_sold).collect();
-    if are_enough(&zones, spec) {
+    let zones: Vec<&String> = zones.into_iter().filter(is_offered).collect();
+    if has_enough_zones(&zones, spec) {
         return Ok(());
     }
     Err(match (types.confirmed, zones.is_empty()) {
@@ -241,7 +243,7 @@
     })
 }
 
-/// Keeps only names of types that exist, which bounds the record.
+/// Removes names of unknown types, which bounds the size of the stored record.
 fn keep_known_types(spec: &mut JobSpec, types: &[MachineType]) {
     if let Some(allowed) = &mut spec.types {
         allowed.retain(|name| types.iter().any(|machine_type| machine_type.name == *name));
--- a/crates/controller/src/job_api/admission/tests.rs
+++ b/crates/controller/src/job_api/admission/tests.rs
@@ -35,7 +35,7 @@
     accept(body, &deployment(), &definitions(), known, 0)
 }
 
-/// Of a body as text, where all is known.
+/// Validates a serialized body with all machine types known.
 fn outcome_of(body: &[u8]) -> Outcome {
     outcome_at(body, Some((&types(), true)))
 }
@@ -49,14 +49,15 @@
 /// Fields that may be null.
 const NULLABLE: [&str; 3] = ["Rigs", "Yard", "DueS"];
 
-/// Refused as malformed, with the field's name.
-fn names(field: &str, result: &Result<JobSpec, Refusal>) -> bool {
+/// Whether the result is an error that names the field.
+fn is_invalid_field(field: &str, result: &Result<JobSpec, Refusal>) -> bool {
     matches!(result, Err(Refusal::Invalid(problem)) if problem.contains(field))
 }
 
-// "If a field may be null, it may also be missing"; "400: a field is missing or invalid".
+// Required by the platform: "If a field may be null, it may also be missing"; "400: a field is missing or
+// invalid".
 #[test]
-fn each_field_may_be_missing_or_null_only_if_it_may_be_null() {
+fn only_nullable_fields_may_be_missing_or_null() {
     let whole = outcome(|_| ()).unwrap();
     let fields: Vec<String> = body().as_object().unwrap().keys().cloned().collect();
     assert_eq!(fields.len(), 20);
@@ -67,14 +68,14 @@
             assert_eq!(missing.as_ref(), Ok(&whole), "{field}");
             assert_eq!(null.as_ref(), Ok(&whole), "{field}");
         } else {
-            assert!(names(&field, &missing), "{field} missing: {missing:?}");
-            assert!(names(&field, &null), "{field} null: {null:?}");
+            assert!(is_invalid_field(&field, &missing), "{field} missing: {missing:?}");
+            assert!(is_invalid_field(&field, &null), "{field} null: {null:?}");
         }
     }
 }
 
 #[test]
-fn a_value_of_another_type_is_malformed_whichever_field_has_it() {
+fn a_value_of_the_wrong_type_is_invalid_in_every_field() {
     let samples = r#"[true, 7, "x", ["x"], {"x": 1}, {"sweep": null}, {"low": null}, [[[7]]]]"#;
     let samples: Vec<serde_json::Value> = serde_json::from_str(samples).unwrap();
     let mut good = body();
@@ -87,13 +88,13 @@
         };
         for value in samples.iter().filter(other) {
             let result = outcome(|body| body[field] = value.clone());
-            assert!(names(field, &result), "{field} = {value}: {result:?}");
+            assert!(is_invalid_field(field, &result), "{field} = {value}: {result:?}");
         }
     }
 }
 
 #[test]
-fn numbers_out_of_range_are_malformed() {
+fn numbers_out_of_range_are_invalid() {
     let text = body().to_string();
     for (field, value) in [
         ("Cpus", "4.0"),
@@ -103,7 +104,7 @@
     ] {
         let good = format!("\"{field}\":{value}");
         assert!(text.contains(&good));
-        for odd in [
+        for malformed in [
             "-1",
             "-0.5",
             "1e300",
@@ -119,20 +120,23 @@
             "1_000",
             "\"NaN\"",
         ] {
-            let result = outcome_of(text.replace(&good, &format!("\"{field}\":{odd}")).as_bytes());
+            let result = outcome_of(
+                text.replace(&good, &format!("\"{field}\":{malformed}"))
+                    .as_bytes(),
+            );
             assert!(
                 matches!(result, Err((_, Refusal::Invalid(_)))),
-                "{field} {odd}: {result:?}"
+                "{field} {malformed}: {result:?}"
             );
         }
     }
 }
 
 #[test]
-fn what_is_not_one_object_is_malformed() {
+fn a_body_that_is_not_a_single_object_is_invalid() {
     let whole = body();
     let text = whole.to_string();
-    // In the order of the fields, as a list of values would be read.
+    // Field order, in which deserialization would accept an array of the values.
     let order = [
         "Id",
         "Lane",
@@ -160,7 +164,7 @@
     let list = serde_json::to_string(&values).unwrap();
     let twice = format!("{text}{text}");
     let deep = "[".repeat(60_000);
-    for odd in [
+    for malformed in [
         "",
         " ",
         "null",
@@ -175,10 +179,10 @@
         "\u{feff}{}",
         "{\"Id\":",
     ] {
-        let result = outcome_of(odd.as_bytes());
+        let result = outcome_of(malformed.as_bytes());
         assert!(
             matches!(result, Err((None, Refusal::Invalid(_)))),
-            "{odd:.40}: {result:?}"
+            "{malformed:.40}: {result:?}"
         );
     }
     for end in 0..text.len() {
@@ -193,12 +197,12 @@
     for (field, value) in whole.as_object().unwrap() {
         let again = format!("{{\"{field}\":{value},{}", &text[1..]);
         let result = outcome_of(again.as_bytes()).map_err(|(_, refusal)| refusal);
-        assert!(names(field, &result), "{field} twice: {result:?}");
+        assert!(is_invalid_field(field, &result), "{field} twice: {result:?}");
     }
 }
 
 #[test]
-fn fields_that_nobody_knows_are_ignored() {
+fn unknown_fields_are_ignored() {
     let text = body().to_string();
     let deep = format!("{}{}", "[".repeat(30_000), "]".repeat(30_000));
     for more in [
@@ -213,22 +217,22 @@
     }
 }
 
-// Whatever else is wrong, an id that was accepted before gets its job's state.
+// A submission with the id of an existing job is answered with its status whatever else is wrong.
 #[test]
-fn the_id_is_known_wherever_it_can_be_read() {
-    for odd in [
+fn the_id_is_returned_with_an_error_if_it_can_be_read() {
+    for malformed in [
         r#"{"Id":"wk-1"}"#,
         r#"{"Id":"wk-1","Cpus":1e999}"#,
         r#"{"Cpus":[[[[]]]],"Id":"wk-1","Cpus":7}"#,
         r#" {"Rigs":{"Id":"wk-2"},"Id":"wk-1","Id2":"wk-3"} "#,
     ] {
-        let id = outcome_of(odd.as_bytes()).unwrap_err().0;
-        assert_eq!(id, parse_id("wk-1"), "{odd}");
+        let id = outcome_of(malformed.as_bytes()).unwrap_err().0;
+        assert_eq!(id, parse_id("wk-1"), "{malformed}");
     }
 }
 
 #[test]
-fn fields_are_checked_one_by_one() {
+fn every_field_is_checked() {
     assert!(outcome(|_| ()).is_ok());
     for (field, value) in [
         ("Picks", serde_json::json!(0)),
@@ -260,7 +264,7 @@
 }
 
 #[test]
-fn impossible_jobs_are_told_apart_from_malformed_ones() {
+fn impossible_jobs_are_distinguished_from_invalid_ones() {
     for (field, value) in [
         ("Crew", serde_json::json!("nobody")),
         ("Gpus", serde_json::json!(9.0)),
@@ -284,24 +288,24 @@
 }
 
 #[test]
-fn what_can_never_have_its_units_is_refused_with_the_reason() {
-    let asks = |shape: &str, tasks: u32, name: &str, units: u32| {
+fn a_job_that_needs_more_units_than_exist_is_rejected_with_the_reason() {
+    let submit = |shape: &str, tasks: u32, name: &str, units: u32| {
         outcome(|body| {
             body["Shape"] = shape.into();
             body["Picks"] = tasks.into();
             body["Counts"] = serde_json::json!({ name: units });
         })
     };
-    assert_eq!(asks("sweep", 9, "seat", 4).unwrap().counts.units("seat"), 4);
-    assert!(asks("gang", 2, "seat", 2).is_ok());
+    assert_eq!(submit("sweep", 9, "seat", 4).unwrap().counts.units("seat"), 4);
+    assert!(submit("gang", 2, "seat", 2).is_ok());
     for (refused, reason) in [
         (
-            asks("sweep", 1, "seat", 5),
+            submit("sweep", 1, "seat", 5),
             "needs 5 of count \"seat\" at once, of which there are 4",
         ),
-        (asks("gang", 3, "seat", 2), "needs 6 of count"),
-        (asks("daemon", 3, "seat", 2), "needs 6 of count"),
-        (asks("sweep", 1, "chair", 1), "there is no count \"chair\""),
+        (submit("gang", 3, "seat", 2), "needs 6 of count"),
+        (submit("daemon", 3, "seat", 2), "needs 6 of count"),
+        (submit("sweep", 1, "chair", 1), "there is no count \"chair\""),
     ] {
         match refused {
             Err(Refusal::Impossible(text)) => assert!(text.contains(reason), "{text}"),
@@ -310,7 +314,10 @@
     }
 }
 
-fn never(change: impl FnOnce(&mut serde_json::Value), types: Option<(&[MachineType], bool)>) -> Option<u16> {
+fn error_status(
+    change: impl FnOnce(&mut serde_json::Value),
+    types: Option<(&[MachineType], bool)>,
+) -> Option<u16> {
     let mut body = body();
     change(&mut body);
     match outcome_at(body.to_string().as_bytes(), types) {
@@ -321,13 +328,13 @@
     }
 }
 
-// A submission is refused for what no list of types can change, whatever is known of them; else once
-// the cloud itself has told them.
+// A submission that no machine type list could make possible is rejected immediately; otherwise the
+// decision waits until the cloud itself has listed its types.
 #[test]
-fn what_hangs_on_machine_types_waits_for_them() {
+fn checks_that_depend_on_machine_types_wait_for_them() {
     let types = types();
     let known = |certain| Some((types.as_slice(), certain));
-    let says = |body: &mut serde_json::Value, text: &str| {
+    let set_fields = |body: &mut serde_json::Value, text: &str| {
         let fields: serde_json::Value = serde_json::from_str(text).unwrap();
         for (field, value) in fields.as_object().unwrap() {
             body[field] = value.clone();
@@ -353,15 +360,27 @@
         (r#"{"Rigs":["huge"]}"#, Some(503), Some(503), Some(422)),
         (r#"{"Gpus":9.0}"#, Some(503), Some(503), Some(422)),
     ] {
-        assert_eq!(never(|body| says(body, fields), None), unknown, "{fields}");
-        assert_eq!(never(|body| says(body, fields), known(false)), stored, "{fields}");
-        assert_eq!(never(|body| says(body, fields), known(true)), certain, "{fields}");
+        assert_eq!(
+            error_status(|body| set_fields(body, fields), None),
+            unknown,
+            "{fields}"
+        );
+        assert_eq!(
+            error_status(|body| set_fields(body, fields), known(false)),
+            stored,
+            "{fields}"
+        );
+        assert_eq!(
+            error_status(|body| set_fields(body, fields), known(true)),
+            certain,
+            "{fields}"
+        );
     }
 }
 
-// Half of the tasks in each of two zones at most: what has to be there at once needs two.
+// With `Apart`, each zone may hold at most half of the tasks, so tasks that run at once need two zones.
 #[test]
-fn tasks_apart_need_two_zones_at_once() {
+fn concurrent_spread_tasks_need_two_zones() {
     let both = types();
     let mut east = types();
     east.iter_mut()
@@ -374,64 +393,64 @@
             body["OneZone"] = one_zone.into();
             body["Yard"] = zone.into();
         };
-        never(fill, Some((types, true)))
+        error_status(fill, Some((types, true)))
     };
     for shape in ["gang", "daemon"] {
         assert_eq!(apart(shape, 2, false, None, &both), None);
         assert_eq!(
             apart(shape, 1, true, Some("east"), &east),
             None,
-            "1 of 1 may be in one zone"
+            "a single task may be in one zone"
         );
         assert_eq!(apart(shape, 2, true, None, &both), Some(422));
         assert_eq!(apart(shape, 2, false, Some("east"), &both), Some(422));
         assert_eq!(
             apart(shape, 2, false, None, &east),
             Some(422),
-            "the cloud sells in one zone"
+            "the cloud offers the types in one zone only"
         );
     }
-    // An array's tasks need not be there at once: two at a time.
+    // An array's tasks need not run at the same time.
     assert_eq!(apart("sweep", 4, true, Some("east"), &east), None);
 }
 
 #[test]
-fn a_type_that_is_not_sold_in_the_zone_does_not_do() {
+fn a_type_that_is_not_offered_in_the_zone_is_not_eligible() {
     let mut types = types();
     types[0].zones = vec!["west".to_owned()];
-    let asks = |rigs: serde_json::Value, zone: &str, spot: bool| {
+    let submit = |rigs: serde_json::Value, zone: &str, spot: bool| {
         let fill = |body: &mut serde_json::Value| {
             body["Rigs"] = rigs;
             body["Yard"] = zone.into();
             body["Loaners"] = spot.into();
         };
-        never(fill, Some((&types, true)))
+        error_status(fill, Some((&types, true)))
     };
     for spot in [false, true] {
-        assert_eq!(asks(serde_json::json!(["small"]), "west", spot), None);
-        assert_eq!(asks(serde_json::json!(["small"]), "east", spot), Some(422));
-        assert_eq!(asks(serde_json::json!(["small", "large"]), "east", spot), None);
-        assert_eq!(asks(serde_json::Value::Null, "east", spot), None);
+        assert_eq!(submit(serde_json::json!(["small"]), "west", spot), None);
+        assert_eq!(submit(serde_json::json!(["small"]), "east", spot), Some(422));
+        assert_eq!(submit(serde_json::json!(["small", "large"]), "east", spot), None);
+        assert_eq!(submit(serde_json::Value::Null, "east", spot), None);
     }
-    // Nowhere that the settings name.
+    // Offered only in a zone that the settings do not name.
     types
         .iter_mut()
         .for_each(|known| known.zones = vec!["north".to_owned()]);
-    assert_eq!(never(|_| (), Some((&types, true))), Some(422));
+    assert_eq!(error_status(|_| (), Some((&types, true))), Some(422));
 }
 
 proptest! {
     #[test]
-    fn no_body_panics(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bodies_never_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = outcome_of(&body);
     }
 
-    // Bodies that are nearly right: a byte of a good one is another.
+    // A valid body with one changed byte.
     #[test]
-    fn no_changed_byte_panics(at in 0usize..400, value in any::<u8>()) {
+    fn a_changed_byte_never_panics(index in 0usize..400, value in any::<u8>()) {
         let mut text = body().to_string().into_bytes();
-        let at = at % text.len();
-        text[at] = value;
+        let position = index % text.len();
+        text[position] = value;
         let _ = outcome_of(&text);
     }
 }
--- a/crates/controller/src/job_api/authorization.rs
+++ b/crates/controller/src/job_api/authorization.rs
@@ -1,12 +1,12 @@
-//! Which team sends a request, and which team owns a job: what [`indigopath_accounting`] decides by.
+//! Maps requests and jobs to teams, on which the rules of [`indigopath_accounting`] are based.
 
 use crate::model::JobSpec;
 use crate::settings::Settings;
 use indigopath_accounting::{Access, EndedJob, Hidden, Owner, Team};
 
-/// A team by its name as the settings write it. Submit files may write it in other letters, and
-/// where they name none they mean the operators' default.
-fn resolved(name: &str, settings: &Settings) -> Team {
+/// Resolves a team name to its spelling in the settings. Names in submit files are not case-sensitive,
+/// and an empty name means the operators' default team.
+fn resolve_team(name: &str, settings: &Settings) -> Team {
     let condor = settings.operator.condor.as_ref();
     let default = condor.and_then(|condor| condor.default_team.as_deref());
     let name = if name.is_empty() {
@@ -15,7 +15,7 @@
         name
     };
     let teams = &settings.deployment.teams;
-    // Where two teams differ by such letters alone, each is itself.
+    // An exact match wins where two teams' names differ only in case.
     let known = teams
         .iter()
         .find(|team| team.name == name)
@@ -23,32 +23,32 @@
     Team::named(known.map_or(name, |team| &team.name))
 }
 
-/// The team that sends a request which may state one (`?team=`), as a submit file may by its
+/// The team that sends a request, which may be stated by `?team=` or, in a submit file, by
 /// `accounting_group`.
 pub fn requesting_team(stated: Option<&str>, settings: &Settings) -> Team {
-    resolved(stated.unwrap_or(""), settings)
+    resolve_team(stated.unwrap_or(""), settings)
 }
 
-/// The owner of a job.
+/// The owner recorded for a job.
 pub fn job_owner(spec: &JobSpec) -> Owner {
     Owner::on_record(&spec.id.0, &spec.team)
 }
 
-/// Permission to see a job and to alter it.
+/// Permission of the requesting team to see and change a job.
 ///
 /// # Errors
 /// Another team owns the job.
-pub fn access(spec: &JobSpec, asks: &Team, settings: &Settings) -> Result<Access, Hidden> {
-    let team = resolved(&spec.team, settings);
-    Access::stated(&Owner::on_record(&spec.id.0, team.name()), asks)
+pub fn access(spec: &JobSpec, requester: &Team, settings: &Settings) -> Result<Access, Hidden> {
+    let team = resolve_team(&spec.team, settings);
+    Access::stated(&Owner::on_record(&spec.id.0, team.name()), requester)
 }
 
-/// Whether the sender may see what this team owns.
-pub fn is_same_team(team: &str, asks: &Team, settings: &Settings) -> bool {
-    resolved(team, settings) == *asks
+/// Whether the name `team` resolves to the requesting team.
+pub fn is_same_team(team: &str, requester: &Team, settings: &Settings) -> bool {
+    resolve_team(team, settings) == *requester
 }
 
-/// What a job was, for its team's account.
+/// Facts of an ended job for its team's accounting entry.
 pub fn ended_job(spec: &JobSpec, wall_ms: u64) -> EndedJob<'_> {
     EndedJob {
         class: &spec.class,
@@ -58,7 +58,7 @@
     }
 }
 
-/// The team that a query states: `team=red`, escaped as usual.
+/// The percent-decoded `team` parameter of a URL query.
 pub fn team_in_query(query: &str) -> Option<String> {
     let pair = query.split('&').find_map(|pair| pair.strip_prefix("team="))?;
     let mut bytes = Vec::with_capacity(pair.len());
--- a/crates/controller/src/job_api/authorization/tests.rs
+++ b/crates/controller/src/job_api/authorization/tests.rs
@@ -2,7 +2,7 @@
 use crate::settings::OperatorSettings;
 
 #[test]
-fn teams_are_named_as_submit_files_may() {
+fn team_names_are_resolved_without_case_and_with_the_default() {
     let settings = Settings::parse(include_str!("../../../tests/support/settings.json")).unwrap();
     assert_eq!(requesting_team(Some("RED"), &settings).name(), "red");
     assert_eq!(requesting_team(None, &settings).name(), "");
@@ -15,10 +15,10 @@
 }
 
 #[test]
-fn a_query_states_a_team_or_none() {
+fn the_team_parameter_of_a_query_is_decoded() {
     assert_eq!(team_in_query("team=red").as_deref(), Some("red"));
     assert_eq!(team_in_query("a=b&team=a%20b+c%2f").as_deref(), Some("a b c/"));
-    for none in ["", "teams=red", "team=%", "team=%4", "team=%zz", "team=%ff"] {
-        assert_eq!(team_in_query(none), None, "{none}");
+    for query in ["", "teams=red", "team=%", "team=%4", "team=%zz", "team=%ff"] {
+        assert_eq!(team_in_query(query), None, "{query}");
     }
 }
--- a/crates/controller/src/job_api/cache.rs
+++ b/crates/controller/src/job_api/cache.rs
@@ -1,5 +1,5 @@
-//! What a node remembers of jobs between requests: how ended jobs ended, and at which version live
-//! jobs were last seen. Everything here may be forgotten; it is then read from the state service.
+//! Bounded caches of job state: how ended jobs ended, and at which version live jobs were last read.
+//! Every entry may be evicted; it is then read from the state service again.
 
 use crate::constants::LIVE_CACHE;
 use crate::expiring_cache::ExpiringCache;
@@ -8,12 +8,12 @@
 use indigopath_accounting::Team;
 use std::collections::{HashMap, HashSet};
 
-/// How a job ended, as this node remembers it.
+/// How a job ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TerminalState {
     pub end: Ending,
     pub tasks: u32,
-    /// The team that owned the job, where its record names one.
+    /// The team that owned the job, if its record names one.
     pub team: Option<Team>,
 }
 
@@ -30,7 +30,7 @@
 /// A live job as it was last read.
 #[derive(Debug)]
 pub(super) struct LiveJob {
-    /// Version of its record, only ever used in a comparison: it may be out of date.
+    /// Version of its record. It may be outdated, so it is only used in comparisons.
     pub version: u64,
     pub team: Team,
 }
@@ -40,34 +40,34 @@
 pub(super) struct JobCache {
     ended: ExpiringCache<TerminalState>,
     live: HashMap<JobId, LiveJob>,
-    /// Jobs that were not live any more when reading their end took too long. Their ends are read
-    /// first the next time: where the state service answers slowly there is time for one call and
-    /// not for two, so polls of ended jobs would fail while polls of live ones succeed.
+    /// Jobs whose live record was absent and whose end could not be read in time. The next request reads
+    /// the end record first: while the state service responds slowly there is time for one call but not
+    /// for two, so polls of ended jobs would fail while polls of live ones succeed.
     possibly_ended: HashSet<JobId>,
 }
 
 impl JobCache {
-    /// How the job ended, if this node knows that it did.
+    /// How the job ended, if its end is cached.
     pub(super) fn ended(&self, job: &JobId) -> Option<&TerminalState> {
         self.ended.get(job)
     }
 
-    /// Whether this node knows that the job has ended.
+    /// Whether the job's end is cached.
     pub(super) fn has_ended(&self, job: &JobId) -> bool {
         self.ended.contains_key(job)
     }
 
-    /// The job as it was last seen live.
+    /// The job as it was last read live.
     pub(super) fn live(&self, job: &JobId) -> Option<&LiveJob> {
         self.live.get(job)
     }
 
-    /// Whether another live job can be kept without forgetting others.
+    /// Whether another live job can be cached without evicting others.
     pub(super) fn has_room_for_live(&self) -> bool {
         self.live.len() < LIVE_CACHE
     }
 
-    /// Records that the job was read as live. A known end is final and stays.
+    /// Caches a live job; ignored if its end is known, because ends are final.
     pub(super) fn record_live(&mut self, job: &JobId, version: u64, team: Team) {
         if self.has_ended(job) {
             return;
@@ -78,19 +78,19 @@
         self.live.insert(job.clone(), LiveJob { version, team });
     }
 
-    /// The job's record has changed or is gone: its version is of no use any more.
+    /// Removes a live job whose record has changed or is gone.
     pub(super) fn forget_live(&mut self, job: &JobId) {
         self.live.remove(job);
     }
 
-    /// Records a committed end. Ends never change, so they may be kept.
+    /// Caches a committed end, which never changes.
     pub(super) fn record_end(&mut self, job: JobId, ended: TerminalState) {
         self.live.remove(&job);
         self.possibly_ended.remove(&job);
         self.ended.insert(job, ended);
     }
 
-    /// The job may have ended: its end is read first the next time.
+    /// Records that the job may have ended, so that its end is read first the next time.
     pub(super) fn suspect_ended(&mut self, job: JobId) {
         if self.possibly_ended.len() >= LIVE_CACHE {
             self.possibly_ended.clear();
@@ -98,12 +98,12 @@
         self.possibly_ended.insert(job);
     }
 
-    /// No end of the job was found.
+    /// Records that no end of the job was found.
     pub(super) fn clear_suspicion(&mut self, job: &JobId) {
         self.possibly_ended.remove(job);
     }
 
-    /// Whether the job's end is to be read before its live record.
+    /// Whether the job's end should be read before its live record.
     pub(super) fn is_possibly_ended(&self, job: &JobId) -> bool {
         self.possibly_ended.contains(job)
     }
--- a/crates/controller/src/job_api/cancel.rs
+++ b/crates/controller/src/job_api/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellations: the live record is replaced by the record of the job's end in one transaction.
+//! Cancellations: one transaction replaces the live record by the end record.
 
 use crate::constants::MAX_REREADS;
 use crate::io::{Io, Outcome, RequestId};
@@ -10,7 +10,7 @@
 use crate::storage::records::{self, EndedRecord, Record};
 use indigopath_accounting::{Entry, VisibleJob};
 
-/// Replaces the job's live record, if it still has this version, by the record of its end.
+/// Replaces the live record by the end record if the live record still has this version.
 pub(super) fn move_transaction(job: &JobId, version: u64, record: &EndedRecord) -> Transaction {
     let live_key = records::job_key(&job.0);
     Transaction {
@@ -30,7 +30,7 @@
 }
 
 impl JobApi {
-    /// Ends a job whose live record was read at this version.
+    /// Cancels a job whose live record was read at this version.
     pub(super) fn cancel_live(
         &mut self,
         request: RequestId,
@@ -41,8 +41,8 @@
         let Some(pending) = self.pending.get_mut(request) else {
             return;
         };
-        // The protocol names no team here: whoever knows the id may cancel the job, and the account
-        // entry goes to its owner's team.
+        // The protocol names no team here: anyone who knows the id may cancel the job, and the
+        // accounting entry goes to the owner's team.
         let visible = VisibleJob::by_protocol(&pending.job.0);
         let entry = spec.and_then(|spec| {
             let owner = authorization::job_owner(spec);
@@ -53,7 +53,7 @@
         self.send_next_call(request, StateCall::MoveToEnded { version }, io);
     }
 
-    pub(super) fn on_move_answer(
+    pub(super) fn on_move_response(
         &mut self,
         request: RequestId,
         outcome: &Outcome,
--- a/crates/controller/src/job_api/commit_wait.rs
+++ b/crates/controller/src/job_api/commit_wait.rs
@@ -1,46 +1,47 @@
-//! Commit wait: which ends of jobs users may see. A node that learns that a job has ended notifies its
-//! peers, and answers no user with it while one of them can still answer "live". That is so until each
-//! peer has acknowledged the notice, and gives no older reading of the job any more, or until
-//! [`COMMIT_WAIT_MS`] have passed, after which whatever was read before the end was committed is too old
-//! to be given (see `docs/design/commit-wait.md`).
+//! Commit wait: decides when users may see the end of a job. A node that learns that a job has ended
+//! notifies its peers and does not report the end while a peer may still answer "live": until every peer
+//! has acknowledged the notice, and so returns no older reading of the job, or until [`COMMIT_WAIT_MS`]
+//! have passed, after which any reading made before the end was committed is too old to be returned (see
+//! `docs/design/commit-wait.md`).
 
 use crate::constants::{COMMIT_WAIT_MS, MAX_COMMIT_WAITS};
 use crate::model::{JobId, Timestamp};
 use std::collections::BTreeMap;
 
-/// When users may see an end that has just been learned.
+/// When users may see an end that was just learned.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Visibility {
-    /// No peer can answer with anything older.
+    /// Immediately: no peer can answer with an older state.
     Immediate,
-    /// Each peer is to be sent its nonce, and to acknowledge it.
+    /// Once the peers have acknowledged these nonces, one for each peer.
     AwaitingPeers(Vec<u64>),
-    /// Too many ends wait: this one is not kept, and no user may see it.
+    /// Too many ends are waiting: this one is not recorded and must not be reported.
     Overloaded,
 }
 
 /// An end that users may not see yet.
 #[derive(Debug)]
 struct OpenWait<T> {
-    /// From then on users may see it although peers are silent.
+    /// When users may see it even if peers have not acknowledged it.
     until: Timestamp,
-    /// Nonces that peers have not acknowledged.
+    /// Nonces that peers have not acknowledged yet.
     unacknowledged: Vec<u64>,
-    waiting: Vec<T>,
+    requests: Vec<T>,
 }
 
-/// Ends that this node knows and users may not see yet, with the requests that wait for them.
+/// Ends that this node knows but users may not see yet, with the requests that wait for them.
 #[derive(Debug)]
 pub struct CommitWait<T> {
     peers: usize,
     next_nonce: u64,
     open: BTreeMap<JobId, OpenWait<T>>,
+    /// Number of waiting requests of all ends.
     waiting: usize,
 }
 
 impl<T> CommitWait<T> {
-    /// `first_nonce` is of this process alone, so that no acknowledgement for a former process of this
-    /// node counts for this one.
+    /// `first_nonce` must be unique to this process, so that acknowledgements for an earlier process of
+    /// this node do not count.
     pub fn new(peers: usize, first_nonce: u64) -> CommitWait<T> {
         CommitWait {
             peers,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// This node knows since `known_at`, by its own clock, that the job's end is committed.
+    /// Starts the wait for a job's end, known to be committed since `known_at` on this node's clock.
     pub fn begin(&mut self, job: &JobId, known_at: Timestamp, now: Timestamp) -> Visibility {
         let until = known_at + COMMIT_WAIT_MS;
         if self.open.contains_key(job) {
@@ -62,38 +63,38 @@
         if self.open.len() >= MAX_COMMIT_WAITS {
             return Visibility::Overloaded;
         }
-        // Each peer gets its own nonce, which tells the peers apart as well.
-        let nonce = |at: usize| self.next_nonce.wrapping_add(at as u64);
+        // A nonce of its own for each peer also tells the peers apart.
+        let nonce = |peer: usize| self.next_nonce.wrapping_add(peer as u64);
         let nonces: Vec<u64> = (0..self.peers).map(nonce).collect();
         self.next_nonce = self.next_nonce.wrapping_add(self.peers as u64);
         let open = OpenWait {
             until,
             unacknowledged: nonces.clone(),
-            waiting: Vec::new(),
+            requests: Vec::new(),
         };
         self.open.insert(job.clone(), open);
         Visibility::AwaitingPeers(nonces)
     }
 
-    /// Whether users may not see the end of this job yet.
+    /// Whether the end of this job is not visible to users yet.
     pub fn is_open(&self, job: &str) -> bool {
         self.open.contains_key(job)
     }
 
-    /// Keeps a request until users may see the end of its job. It is given back if the end is not held
-    /// back, or if as many requests as `most` wait already.
-    pub fn wait(&mut self, job: &JobId, what: T, most: usize) -> Result<(), T> {
+    /// Queues a request until users may see the end of its job. Returns the request if no wait is open for
+    /// the job, or if `max_waiting` requests wait already.
+    pub fn wait(&mut self, job: &JobId, request: T, max_waiting: usize) -> Result<(), T> {
         match self.open.get_mut(job) {
-            Some(open) if self.waiting < most => {
-                open.waiting.push(what);
+            Some(open) if self.waiting < max_waiting => {
+                open.requests.push(request);
                 self.waiting += 1;
                 Ok(())
             }
-            _ => Err(what),
+            _ => Err(request),
         }
     }
 
-    /// A peer acknowledges a nonce. The requests that waited, if it was the last one.
+    /// Records a peer's acknowledgement. Returns the waiting requests if it was the last one.
     pub fn acknowledged(&mut self, job: &JobId, nonce: u64) -> Option<Vec<T>> {
         let open = self.open.get_mut(job)?;
         open.unacknowledged
@@ -104,28 +105,28 @@
         self.close(job)
     }
 
-    /// Ends that users may see by now although peers are silent, with the requests that waited.
+    /// Closes the waits whose time has passed, and returns the jobs with their waiting requests.
     pub fn due(&mut self, now: Timestamp) -> Vec<(JobId, Vec<T>)> {
         let due = self.open.iter().filter(|(_, open)| now >= open.until);
         let due: Vec<JobId> = due.map(|(job, _)| job.clone()).collect();
         let closed = due.into_iter().filter_map(|job| {
-            let waiting = self.close(&job)?;
-            Some((job, waiting))
+            let requests = self.close(&job)?;
+            Some((job, requests))
         });
         closed.collect()
     }
 
     fn close(&mut self, job: &JobId) -> Option<Vec<T>> {
-        let waiting = self.open.remove(job)?.waiting;
-        self.waiting -= waiting.len();
-        Some(waiting)
+        let requests = self.open.remove(job)?.requests;
+        self.waiting -= requests.len();
+        Some(requests)
     }
 
-    /// Takes out the requests that cannot wait any longer.
-    pub fn take_if(&mut self, late: impl Fn(&T) -> bool) -> Vec<T> {
+    /// Removes and returns the requests for which the predicate holds.
+    pub fn take_if(&mut self, predicate: impl Fn(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
         for open in self.open.values_mut() {
-            taken.extend(open.waiting.extract_if(.., |what| late(what)));
+            taken.extend(open.requests.extract_if(.., |request| predicate(request)));
         }
         self.waiting -= taken.len();
         taken
--- a/crates/controller/src/job_api/commit_wait/tests.rs
+++ b/crates/controller/src/job_api/commit_wait/tests.rs
@@ -5,25 +5,25 @@
     JobId(Arc::from("wk-1"))
 }
 
-/// Two peers, an end known since 1,000, and somebody who waits for it.
-fn open() -> (CommitWait<&'static str>, Vec<u64>) {
+/// A wait with two peers for an end known since 1,000 ms, and one waiting request.
+fn open_wait() -> (CommitWait<&'static str>, Vec<u64>) {
     let mut commit_wait = CommitWait::new(2, 70);
     let Visibility::AwaitingPeers(nonces) = commit_wait.begin(&job(), 1_000, 1_000) else {
-        panic!("it must wait");
+        panic!("the end must wait for the peers");
     };
     assert_eq!(commit_wait.wait(&job(), "user", 1), Ok(()));
     (commit_wait, nonces)
 }
 
 #[test]
-fn an_end_is_told_once_each_sibling_has_noted_it() {
-    let (mut commit_wait, nonces) = open();
+fn an_end_is_visible_once_every_peer_has_acknowledged_it() {
+    let (mut commit_wait, nonces) = open_wait();
     assert_eq!(nonces, [70, 71]);
     assert_eq!(commit_wait.acknowledged(&job(), 70), None);
     assert_eq!(
         commit_wait.acknowledged(&job(), 70),
         None,
-        "a copy is no second sibling"
+        "a duplicate does not count for the other peer"
     );
     assert!(commit_wait.is_open("wk-1"));
     assert_eq!(commit_wait.acknowledged(&job(), 71), Some(vec!["user"]));
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn a_number_of_another_life_or_job_proves_nothing() {
-    let (mut commit_wait, _) = open();
+fn a_nonce_of_another_process_or_job_does_not_count() {
+    let (mut commit_wait, _) = open_wait();
     for nonce in [0, 69, 72, u64::MAX] {
         assert_eq!(commit_wait.acknowledged(&job(), nonce), None);
     }
@@ -43,17 +43,17 @@
 }
 
 #[test]
-fn a_silent_sibling_is_waited_for_until_its_readings_are_too_old() {
-    let (mut commit_wait, _) = open();
+fn an_end_is_visible_after_the_commit_wait_without_acknowledgements() {
+    let (mut commit_wait, _) = open_wait();
     commit_wait.acknowledged(&job(), 70);
     assert!(commit_wait.due(1_000 + COMMIT_WAIT_MS - 1).is_empty());
     assert_eq!(commit_wait.due(1_000 + COMMIT_WAIT_MS), [(job(), vec!["user"])]);
-    // What it is asked about again is told at once.
+    // The wait is closed, so later requests are answered immediately.
     assert_eq!(commit_wait.wait(&job(), "late", 1), Err("late"));
 }
 
 #[test]
-fn who_knew_of_the_end_before_waits_the_less() {
+fn the_wait_counts_from_when_the_end_was_known() {
     let mut commit_wait: CommitWait<()> = CommitWait::new(2, 0);
     assert_eq!(
         commit_wait.begin(&job(), 1_000, 1_000 + COMMIT_WAIT_MS),
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn it_begins_once_and_keeps_within_its_bounds() {
-    let (mut commit_wait, _) = open();
+fn a_wait_is_opened_once_and_within_the_limits() {
+    let (mut commit_wait, _) = open_wait();
     assert_eq!(
         commit_wait.begin(&job(), 1_100, 1_100),
         Visibility::AwaitingPeers(Vec::new())
@@ -80,29 +80,32 @@
     assert_eq!(commit_wait.wait(&job(), "second", 1), Err("second"));
     assert_eq!(commit_wait.take_if(|_| true), ["user"]);
     assert_eq!(commit_wait.wait(&job(), "second", 1), Ok(()));
-    for more in 1..MAX_COMMIT_WAITS {
-        let job = JobId(Arc::from(format!("wk-9{more}")));
+    for number in 1..MAX_COMMIT_WAITS {
+        let job = JobId(Arc::from(format!("wk-9{number}")));
         assert!(matches!(
             commit_wait.begin(&job, 1_000, 1_000),
             Visibility::AwaitingPeers(_)
         ));
     }
-    let one_more = JobId(Arc::from("wk-80"));
-    assert_eq!(commit_wait.begin(&one_more, 1_000, 1_000), Visibility::Overloaded);
+    let excess_job = JobId(Arc::from("wk-80"));
     assert_eq!(
-        commit_wait.begin(&one_more, 0, COMMIT_WAIT_MS),
+        commit_wait.begin(&excess_job, 1_000, 1_000),
+        Visibility::Overloaded
+    );
+    assert_eq!(
+        commit_wait.begin(&excess_job, 0, COMMIT_WAIT_MS),
         Visibility::Immediate
     );
 }
 
-/// Readings at the worst clocks: whatever was read before the end was committed is too old wherever it
-/// is given after the telling.
+/// Even at the maximum clock drift, a reading made before the end was committed is too old to be returned
+/// by any node once the end is visible to users.
 #[test]
-fn no_reading_outlives_the_telling_at_the_worst_drift() {
+fn no_older_reading_is_returned_after_the_end_is_visible_at_maximum_drift() {
     let drift = crate::constants::CLOCK_DRIFT_PPM as f64 / 1e6;
-    // The teller's clock is as fast as it may be, the reader's as slow.
-    let told_after_ms = COMMIT_WAIT_MS as f64 / (1.0 + drift);
-    let given_within_ms = crate::constants::LIVE_READ_MAX_AGE_MS as f64 / (1.0 - drift);
-    // Either clock shows whole ms.
-    assert!(told_after_ms - 1.0 >= given_within_ms);
+    // The reporting node's clock is as fast as possible, the reading node's as slow.
+    let visible_after_ms = COMMIT_WAIT_MS as f64 / (1.0 + drift);
+    let returned_within_ms = crate::constants::LIVE_READ_MAX_AGE_MS as f64 / (1.0 - drift);
+    // Clocks are read in whole milliseconds.
+    assert!(visible_after_ms - 1.0 >= returned_within_ms);
 }
--- a/crates/controller/src/job_api/end_visibility.rs
+++ b/crates/controller/src/job_api/end_visibility.rs
@@ -1,5 +1,5 @@
-//! Ends of jobs and when users may see them: an end that this node knows is announced to the peers, and
-//! requests that ask for it wait until no peer can answer with anything older (see `commit_wait.rs`).
+//! Visibility of job ends: this node notifies its peers of an end that it learns, and requests for the job
+//! wait until no peer can answer with an older state (see `commit_wait.rs`).
 
 use crate::constants::{MAX_WAITING_REQUESTS, POLL_RESPONSE_MS, RETRY_AFTER_S, WRITE_RESPONSE_MS};
 use crate::io::{Effect, Io, RequestId};
@@ -12,16 +12,16 @@
 use crate::peers::Frame;
 use crate::storage::records::Ending;
 
-/// A request whose answer is the end of a job, which users may not see yet.
+/// A request that waits for a job's end to become visible to users.
 #[derive(Debug)]
 pub(super) struct WaitingRequest {
     request: RequestId,
     kind: JobRequest,
-    /// When its user is asked to come back.
+    /// When its user is told to retry.
     until: Timestamp,
 }
 
-/// How long after its arrival a request may wait for an end to become visible, in ms.
+/// Maximum time from the arrival of a request to its response, in ms.
 fn response_ms(kind: &JobRequest) -> u64 {
     match kind {
         JobRequest::Poll => POLL_RESPONSE_MS,
@@ -30,23 +30,23 @@
 }
 
 impl JobApi {
-    /// A peer has answered a user with this job's acceptance, or knows of its end and is about to. From
-    /// now on nothing is given that was read before. False if there is no room to record it: it must
-    /// not be acknowledged then.
+    /// Records that a peer has reported the job's acceptance to a user, or is about to report its end.
+    /// From now on no earlier reading of the job is returned. Returns false if there is no room to record
+    /// the notice, which must not be acknowledged then.
     pub fn on_peer_notice(&mut self, job: JobId, ended: bool, now: Timestamp) -> bool {
         if !self.peer_notices.record(job.clone(), ended, now) {
             return false;
         }
         if ended && !self.cache.has_ended(&job) {
-            // One reading tells how it ended, in place of a comparison and two readings.
+            // The next request then needs one read instead of a comparison and two reads.
             self.cache.forget_live(&job);
             self.cache.suspect_ended(job);
         }
         true
     }
 
-    /// This node knows that a job's end is committed, from whatever it read or wrote. Users may see it
-    /// once no peer can say anything older. False if there is no room to keep it.
+    /// Records an end that this node knows to be committed, and starts its commit wait. Returns false if
+    /// there is no room to record it.
     pub fn learn_end(&mut self, job: &JobId, ended: TerminalState, io: &mut Io) -> bool {
         if self.cache.has_ended(job) {
             return true;
@@ -58,7 +58,8 @@
             Visibility::Overloaded => return false,
         };
         self.notify_peers(job, nonces, io);
-        // The node that cancelled it may never have got the answer: any node that knows logs it.
+        // Every node that learns of a cancellation logs it, because the node that made it may have
+        // received no response.
         if ended.end == Ending::Cancelled {
             log::debug!("job cancelled job={job}");
         }
@@ -66,7 +67,7 @@
         true
     }
 
-    /// Sends each peer the nonce that it is to send back.
+    /// Sends each peer an end notice with its nonce.
     fn notify_peers(&self, job: &JobId, nonces: Vec<u64>, io: &mut Io) {
         let index = self.index;
         for (peer, nonce) in nonces.into_iter().enumerate() {
@@ -76,28 +77,28 @@
         }
     }
 
-    /// A peer gives no older reading of this job any more.
+    /// Handles a peer's acknowledgement that it returns no older reading of the job.
     pub fn on_end_acknowledged(&mut self, job: &JobId, nonce: u64, io: &mut Io) {
         if let Some(waiting) = self.commit_wait.acknowledged(job, nonce) {
             self.reply_to_all(job, &waiting, io);
         }
     }
 
-    /// Answers requests for ends that have become visible because time has passed.
+    /// Answers requests for ends that have become visible because the commit wait has passed.
     pub(super) fn reply_visible_ends(&mut self, io: &mut Io) {
         for (job, waiting) in self.commit_wait.due(io.now) {
             self.reply_to_all(&job, &waiting, io);
         }
     }
 
-    /// Asks users to come back who cannot wait any longer for an end to become visible.
+    /// Rejects requests that have waited too long for an end to become visible.
     pub(super) fn reject_expired_waits(&mut self, io: &mut Io) {
         for waiting in self.commit_wait.take_if(|waiting| io.now >= waiting.until) {
             io.reply_retry_later(waiting.request, RETRY_AFTER_S, END_NOT_VISIBLE);
         }
     }
 
-    /// An end that has just been read or written, for the request that needed it.
+    /// Records an end that a request has read or written, and answers the request once it is visible.
     pub(super) fn learn_end_and_reply(
         &mut self,
         job: &JobId,
@@ -112,13 +113,17 @@
         }
     }
 
-    /// Answers with the end of a job that this node knows, now or as soon as users may see it.
+    /// Answers with a known end, immediately or as soon as users may see it.
     pub(super) fn reply_ended_when_visible(&mut self, job: &JobId, requester: Requester, io: &mut Io) {
-        let Requester { request, kind, since } = requester;
+        let Requester {
+            request,
+            kind,
+            received_at,
+        } = requester;
         if !self.commit_wait.is_open(&job.0) {
             return self.reply_ended(request, job, &kind, io);
         }
-        let until = since + response_ms(&kind);
+        let until = received_at + response_ms(&kind);
         let waiting = WaitingRequest { request, kind, until };
         if self.commit_wait.wait(job, waiting, MAX_WAITING_REQUESTS).is_err() {
             io.reply_retry_later(request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Answers with an end that users may see, unless it has been forgotten meanwhile.
+    /// Answers with a visible end, unless it has been evicted from the cache meanwhile.
     fn reply_ended(&self, request: RequestId, job: &JobId, kind: &JobRequest, io: &mut Io) {
         match self.cache.ended(job) {
             Some(ended) => {
--- a/crates/controller/src/job_api/job_scan.rs
+++ b/crates/controller/src/job_api/job_scan.rs
@@ -1,6 +1,6 @@
-//! Reads which jobs are live, page by page. A node that has just started knows no job, and every job's
-//! user polls it: a scan costs a few requests, while reading each job on its own would take all that
-//! there are each second.
+//! Scan of the live jobs, page by page. A node that has just started knows no job, while the users of all
+//! jobs poll it. The scan takes a few requests; reading each job separately would use up the rate limit of
+//! the state service.
 
 use crate::constants::{PAGE_ITEMS, POLL_RESERVE, SECOND_MS, STATE_TIMEOUT_MS};
 use crate::io::{CallId, FencedDestination, Io, Method, Outcome};
@@ -10,14 +10,14 @@
 use crate::storage::records::{self, Record};
 use indigopath_accounting::Team;
 
-/// How far a node has read the list of live jobs.
+/// Progress of the scan.
 #[derive(Debug)]
 pub(super) enum JobScan {
-    /// Nobody has polled a job that this node does not know.
+    /// No unknown job has been polled yet.
     NotStarted,
     /// The next page is to be read at `at` or later.
     Due {
-        /// Last key of the page before.
+        /// Last key of the previous page.
         after: Option<String>,
         at: Timestamp,
     },
@@ -28,19 +28,19 @@
 /// A call for one page of the scan.
 pub(super) struct PageCall {
     pub call: CallId,
-    /// Last key of the page before.
+    /// Last key of the previous page.
     pub after: Option<String>,
 }
 
 impl JobScan {
-    /// Starts the scan unless it has been started before.
+    /// Starts the scan unless it was started before.
     pub(super) fn start(&mut self, now: Timestamp) {
         if matches!(self, JobScan::NotStarted) {
             *self = JobScan::Due { after: None, at: now };
         }
     }
 
-    /// Asks for the next page, if one is due and the budget allows it.
+    /// Requests the next page if one is due and the budget allows it.
     pub(super) fn next_page(&mut self, io: &mut Io) -> Option<PageCall> {
         let is_due = matches!(self, JobScan::Due { at, .. } if io.now >= *at);
         if !is_due || !io.state_budget.take(1.0, POLL_RESERVE, io.now) {
@@ -59,7 +59,7 @@
         Some(PageCall { call, after })
     }
 
-    /// Takes in a page, or has it read again after a while.
+    /// Caches the jobs of a page; a page that could not be read is requested again after a second.
     pub(super) fn on_page(
         &mut self,
         after: Option<String>,
--- a/crates/controller/src/job_api/mod.rs
+++ b/crates/controller/src/job_api/mod.rs
@@ -1,9 +1,10 @@
 //! The users' job API: submit, poll and cancel. Any node serves it from the state service alone;
-//! `docs/design/commit-wait.md` says how a node never gives an older answer than another has given.
+//! `docs/design/commit-wait.md` explains why no node returns an older answer than another node has
+//! given.
 //!
-//! A request waits in `throttle` for its team's turn, or in `poll` for the next comparison; it is
-//! then `pending` while calls for it are in flight. Answers are handled in `submit`, `read`,
-//! `cancel` and `poll`; `end_visibility` holds back ends that users may not see yet.
+//! A request waits in `throttle` for its team's turn, or in `poll` for the next batched comparison; it
+//! is then `pending` while calls for it are in flight. Responses of the state service are handled in
+//! `submit`, `read`, `cancel` and `poll`; `end_visibility` delays ends that users may not see yet.
 
 pub mod admission;
 pub mod authorization;
@@ -35,51 +36,51 @@
 use job_scan::JobScan;
 use peer_notices::PeerNotices;
 use pending::{PendingRequest, PendingRequests, Requester};
-use poll::{GatheredPoll, GatheredPolls};
+use poll::{BatchedPoll, PollBatch};
 use state_call::{CallPurpose, StateCall};
 use std::collections::BTreeMap;
 use throttle::{QueuedRequest, RequestQueues, Throttle};
 
-/// What a user asks for.
+/// A user's request about one job.
 #[derive(Debug, Clone)]
 pub enum JobRequest {
     Submit(Box<JobSpec>),
-    /// A submission that cannot be accepted, unless its id has been before.
+    /// A submission that is rejected unless a job with its id exists.
     Refused(Refusal),
     Poll,
     Cancel,
 }
 
-/// What the node should know of a request that was carried out.
+/// A committed change of a job that the node has to act on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestOutcome {
     Accepted { spec: Box<JobSpec>, version: u64 },
     Cancelled(JobId),
 }
 
-/// Tasks done and running, for display.
+/// Numbers of done and running tasks by job, for display.
 pub type TaskCounts = BTreeMap<JobId, (u32, u32)>;
 
-/// All requests about jobs that this node serves.
+/// Serves users' requests about jobs.
 #[derive(Debug)]
 pub struct JobApi {
-    /// This node's position among all members.
+    /// This node's position among all members in name order.
     index: u16,
     cache: JobCache,
     peer_notices: PeerNotices,
-    /// Ends that this node knows and users may not see yet.
+    /// Ends that this node knows but users may not see yet.
     commit_wait: CommitWait<WaitingRequest>,
     throttle: Throttle,
     queues: RequestQueues,
-    polls: GatheredPolls,
+    polls: PollBatch,
     scan: JobScan,
     pending: PendingRequests,
     calls: PendingCalls<CallPurpose>,
 }
 
 impl JobApi {
-    /// `index`: this node's position among all members; `first_nonce`: one that no former process of
-    /// this node has used.
+    /// `index` is this node's position among all members in name order; `first_nonce` must not have been
+    /// used by an earlier process of this node.
     pub fn new(settings: &Settings, index: u16, first_nonce: u64, now: Timestamp) -> JobApi {
         JobApi {
             index,
@@ -88,64 +89,72 @@
             commit_wait: CommitWait::new(settings.peers.len(), first_nonce),
             throttle: Throttle::new(settings.operator.request_weights.clone()),
             queues: RequestQueues::new(settings, now),
-            polls: GatheredPolls::new(),
+            polls: PollBatch::new(),
             scan: JobScan::NotStarted,
             pending: PendingRequests::default(),
             calls: PendingCalls::default(),
         }
     }
 
-    /// This node's position among all members.
+    /// This node's position among all members in name order.
     pub fn index(&self) -> u16 {
         self.index
     }
 
-    /// Requests that were asked to come back for want of room or after waiting for too long, by team,
-    /// since this node began.
+    /// Number of requests by team that were rejected since this process started, because a queue was
+    /// full or they had waited too long.
     pub fn throttled(&self) -> impl Iterator<Item = (&Team, u64)> {
         self.throttle.rejected()
     }
 
-    /// Takes in a user's request.
-    pub fn begin(&mut self, request: RequestId, job: JobId, kind: JobRequest, io: &mut Io) {
-        let since = io.now;
+    /// Queues or answers a user's request.
+    pub fn handle_request(&mut self, request: RequestId, job: JobId, kind: JobRequest, io: &mut Io) {
+        let received_at = io.now;
         if self.cache.has_ended(&job) {
-            let requester = Requester { request, kind, since };
+            let requester = Requester {
+                request,
+                kind,
+                received_at,
+            };
             return self.reply_ended_when_visible(&job, requester, io);
         }
         let team = self.queue_team(&job, &kind);
         let live = self.cache.live(&job);
         if let (JobRequest::Poll, Some(live)) = (&kind, live) {
             let version = live.version;
-            let poll = GatheredPoll {
+            let poll = BatchedPoll {
                 request,
                 job,
                 version,
-                since,
+                received_at,
             };
             return self.polls.push(&team, poll, &mut self.throttle, io);
         }
         if matches!(kind, JobRequest::Poll) {
             self.scan.start(io.now);
         }
-        let requester = Requester { request, kind, since };
+        let requester = Requester {
+            request,
+            kind,
+            received_at,
+        };
         let queued = QueuedRequest { job, requester };
         self.queues.push(&team, queued, &mut self.throttle, io);
         self.serve_queues(io);
     }
 
-    /// The team in whose turn a request is served.
+    /// The team in whose queue the request waits.
     fn queue_team(&self, job: &JobId, kind: &JobRequest) -> Team {
         match (kind, self.cache.live(job)) {
             (JobRequest::Submit(spec), _) => Team::named(&spec.team),
             (_, Some(live)) => live.team.clone(),
-            // Nobody knows yet who owns it: such requests share one turn among the teams'.
+            // The owner is not known yet: such requests share one queue, which takes turns like a team's.
             (_, None) => Team::named(""),
         }
     }
 
-    /// Does what is due: answers, rejects and sends what has waited, and sends comparisons of at most
-    /// `max_polls` polls each.
+    /// Does what is due: answers and rejects waiting requests, sends their calls, and sends comparisons
+    /// of at most `max_polls` polls each.
     pub fn run_due_work(&mut self, max_polls: usize, io: &mut Io) {
         self.reply_visible_ends(io);
         self.scan_next_page(io);
@@ -161,14 +170,14 @@
         }
     }
 
-    /// Asks users to come back whose requests have waited for too long.
+    /// Rejects requests that have waited too long; their users are told to retry.
     fn reject_expired(&mut self, io: &mut Io) {
         self.queues.reject_expired(&mut self.throttle, io);
         self.polls.reject_expired(&mut self.throttle, io);
         self.reject_expired_waits(io);
     }
 
-    /// Sends the first calls for requests whose turn it is, as far as the budgets go.
+    /// Sends the first calls of queued requests in fair order while the budgets allow it.
     fn serve_queues(&mut self, io: &mut Io) {
         while self.pending.has_room()
             && let Some(queued) = self.queues.next_write(io)
@@ -189,8 +198,12 @@
 
     fn send_first_call(&mut self, queued: QueuedRequest, call: StateCall, io: &mut Io) {
         let QueuedRequest { job, requester } = queued;
-        let Requester { request, kind, since } = requester;
-        let pending = PendingRequest::new(job, kind, since, since);
+        let Requester {
+            request,
+            kind,
+            received_at,
+        } = requester;
+        let pending = PendingRequest::new(job, kind, received_at, received_at);
         self.pending.insert(request, pending);
         self.send_call(request, call, io);
     }
--- a/crates/controller/src/job_api/peer_notices.rs
+++ b/crates/controller/src/job_api/peer_notices.rs
@@ -1,5 +1,5 @@
-//! What peers have announced about jobs lately. A reading that began before a peer's notice may be
-//! older than what that peer answers its users, so it is not given any more.
+//! Recent notices of peers about jobs. A reading that began before a peer's notice may be older than what
+//! the peer has told its users, so it is not returned.
 
 use crate::constants::{PEER_NOTICES, USER_ACT_TIMEOUT_MS};
 use crate::model::{JobId, Timestamp};
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 struct PeerNotice {
     received_at: Timestamp,
-    /// Since when this node knows that the job's end is committed.
+    /// When this node first learned from a peer that the job's end is committed.
     ended_since: Option<Timestamp>,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl PeerNotices {
-    /// Records a notice. False if there is no room: it must not be acknowledged then.
+    /// Records a notice. Returns false if there is no room; the notice must not be acknowledged then.
     pub(super) fn record(&mut self, job: JobId, ended: bool, now: Timestamp) -> bool {
         if self.notices.len() >= PEER_NOTICES {
             self.notices
@@ -40,15 +40,15 @@
         true
     }
 
-    /// Whether a notice of the job came at `since` or later: what was read from then on may be older
-    /// than what the peer answers.
+    /// Whether a notice about the job arrived at `since` or later. A reading that began at `since` may then
+    /// be older than what the peer has told its users.
     pub(super) fn supersedes(&self, job: &JobId, since: Timestamp) -> bool {
         self.notices
             .get(job)
             .is_some_and(|notice| notice.received_at >= since)
     }
 
-    /// Since when this node knows from a peer that the job's end is committed.
+    /// When this node first learned from a peer that the job's end is committed.
     pub(super) fn ended_since(&self, job: &JobId) -> Option<Timestamp> {
         self.notices.get(job).and_then(|notice| notice.ended_since)
     }
--- a/crates/controller/src/job_api/pending.rs
+++ b/crates/controller/src/job_api/pending.rs
@@ -7,64 +7,69 @@
 use crate::storage::records::EndedRecord;
 use std::collections::HashMap;
 
-/// Whom an answer goes to, and what they asked.
+/// A user's request that is to be answered.
 #[derive(Debug)]
 pub(super) struct Requester {
     pub request: RequestId,
     pub kind: JobRequest,
-    /// When the request came.
-    pub since: Timestamp,
+    /// When the request arrived.
+    pub received_at: Timestamp,
 }
 
-/// How far a request has come.
+/// State of a request while calls for it are in flight.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub job: JobId,
     pub kind: JobRequest,
-    /// When the request came.
-    pub since: Timestamp,
-    /// Rounds of reading again because another node changed the job meanwhile.
+    /// When the request arrived.
+    pub received_at: Timestamp,
+    /// How often the job was read again because another node changed it meanwhile.
     pub rereads: u32,
-    /// Calls made for it so far.
+    /// Number of calls made so far.
     pub calls: u32,
-    /// When the call was made on which an answer would rest.
-    pub asked_at: Timestamp,
-    /// When its live record was last asked for, if there was none.
+    /// When the latest call was sent, from which the answer's age is counted.
+    pub call_sent_at: Timestamp,
+    /// When the live record was last requested, if it was absent.
     pub not_live_at: Option<Timestamp>,
-    /// The record that is to replace the live one.
+    /// The end record that replaces the live record.
     pub end: Option<EndedRecord>,
 }
 
 impl PendingRequest {
-    pub(super) fn new(job: JobId, kind: JobRequest, since: Timestamp, asked_at: Timestamp) -> PendingRequest {
+    pub(super) fn new(
+        job: JobId,
+        kind: JobRequest,
+        received_at: Timestamp,
+        call_sent_at: Timestamp,
+    ) -> PendingRequest {
         PendingRequest {
             job,
             kind,
-            since,
+            received_at,
             rereads: 0,
             calls: 0,
-            asked_at,
+            call_sent_at,
             not_live_at: None,
             end: None,
         }
     }
 
-    /// By when a call for it has to be answered. Whoever polls waits for 2 s; others wait longer, and
-    /// need more than one call.
+    /// Deadline for the response to a call. Users wait 2 s for a poll; they wait longer for other requests,
+    /// which need more than one call.
     pub(super) fn deadline(&self) -> Timestamp {
         let within_ms = match self.kind {
             JobRequest::Poll => USER_STATE_TIMEOUT_MS,
             _ if self.calls <= 1 => USER_STATE_TIMEOUT_MS,
             _ => USER_ACT_TIMEOUT_MS,
         };
-        self.since + within_ms
+        self.received_at + within_ms
     }
 
     pub(super) fn into_requester(self, request: RequestId) -> Requester {
         Requester {
             request,
             kind: self.kind,
-            since: self.since,
+            received_at: self.received_at,
         }
     }
 }
@@ -76,7 +81,7 @@
 }
 
 impl PendingRequests {
-    /// Whether calls for another request may be made.
+    /// Whether another request may be inserted.
     pub(super) fn has_room(&self) -> bool {
         self.requests.len() < MAX_WAITING_REQUESTS
     }
--- a/crates/controller/src/job_api/poll.rs
+++ b/crates/controller/src/job_api/poll.rs
@@ -1,5 +1,5 @@
-//! Polls of jobs that were live when last seen. They gather for a moment, and one comparison of the
-//! records' versions then tells for all of them whether the jobs still are.
+//! Polls of jobs that were live when last read. They are batched for a short time, and one comparison of
+//! record versions then shows which of the jobs are still live.
 
 use crate::constants::{MAX_WAITING_REQUESTS, POLL_GATHER_MS, USER_STATE_TIMEOUT_MS};
 use crate::io::{FencedDestination, Io, Method, Outcome, RequestId, json};
@@ -13,35 +13,35 @@
 use indigopath_accounting::{FairQueue, Team, VisibleJob};
 use std::collections::HashSet;
 
-/// A poll that waits for a comparison, with the version to compare.
+/// A poll that waits for a comparison, with the version to compare with.
 #[derive(Debug)]
-pub(super) struct GatheredPoll {
+pub(super) struct BatchedPoll {
     pub request: RequestId,
     pub job: JobId,
     pub version: u64,
-    /// When the request came.
-    pub since: Timestamp,
+    /// When the request arrived.
+    pub received_at: Timestamp,
 }
 
-/// Polls that gather for the next comparison.
+/// Polls that wait for the next comparison.
 #[derive(Debug)]
-pub(super) struct GatheredPolls {
-    queue: FairQueue<GatheredPoll>,
-    /// When the first of them came.
-    gathering_since: Timestamp,
+pub(super) struct PollBatch {
+    queue: FairQueue<BatchedPoll>,
+    /// When the first of them arrived.
+    batching_since: Timestamp,
 }
 
-impl GatheredPolls {
-    pub(super) fn new() -> GatheredPolls {
-        GatheredPolls {
+impl PollBatch {
+    pub(super) fn new() -> PollBatch {
+        PollBatch {
             queue: FairQueue::new(MAX_WAITING_REQUESTS),
-            gathering_since: 0,
+            batching_since: 0,
         }
     }
 
-    pub(super) fn push(&mut self, team: &Team, poll: GatheredPoll, throttle: &mut Throttle, io: &mut Io) {
+    pub(super) fn push(&mut self, team: &Team, poll: BatchedPoll, throttle: &mut Throttle, io: &mut Io) {
         if self.queue.is_empty() {
-            self.gathering_since = io.now;
+            self.batching_since = io.now;
         }
         throttle.enqueue(&mut self.queue, team, poll, io);
     }
@@ -53,10 +53,10 @@
     /// Whether a comparison of at most `max_polls` polls is to be sent now.
     fn is_due(&self, max_polls: usize, now: Timestamp) -> bool {
         let is_full = self.queue.len() >= max_polls;
-        !self.queue.is_empty() && (is_full || now >= self.gathering_since + POLL_GATHER_MS)
+        !self.queue.is_empty() && (is_full || now >= self.batching_since + POLL_GATHER_MS)
     }
 
-    fn take(&mut self, max_polls: usize) -> Vec<GatheredPoll> {
+    fn take(&mut self, max_polls: usize) -> Vec<BatchedPoll> {
         let mut polls = Vec::new();
         while polls.len() < max_polls
             && let Some((_, poll)) = self.queue.pop()
@@ -67,8 +67,8 @@
     }
 }
 
-/// One condition for each record that the polls ask about.
-fn conditions(polls: &[GatheredPoll]) -> Vec<Condition> {
+/// One condition for each polled record.
+fn conditions(polls: &[BatchedPoll]) -> Vec<Condition> {
     let mut conditions: Vec<Condition> = Vec::with_capacity(polls.len());
     for poll in polls {
         let condition = Condition {
@@ -82,19 +82,19 @@
     conditions
 }
 
-/// Keys of records whose versions differed, if the comparison was answered.
+/// Keys of the records whose versions differ, if the comparison was answered.
 fn failed_keys(outcome: &Outcome) -> Option<HashSet<String>> {
     match outcome.status() {
         Some(200) => Some(HashSet::new()),
         Some(409) => outcome
             .read::<TransactionResponse>(&[409])
-            .map(|answer| answer.failed.into_iter().collect()),
+            .map(|response| response.failed.into_iter().collect()),
         _ => None,
     }
 }
 
 impl JobApi {
-    /// Sends the comparisons that are due, of at most `max_polls` polls each.
+    /// Sends the due comparisons, each of at most `max_polls` polls.
     pub(super) fn send_comparisons(&mut self, max_polls: usize, io: &mut Io) {
         while self.polls.is_due(max_polls, io.now)
             && self.pending.has_room()
@@ -105,9 +105,9 @@
         }
     }
 
-    fn send_comparison(&mut self, polls: Vec<GatheredPoll>, io: &mut Io) {
+    fn send_comparison(&mut self, polls: Vec<BatchedPoll>, io: &mut Io) {
         for poll in &polls {
-            let pending = PendingRequest::new(poll.job.clone(), JobRequest::Poll, poll.since, io.now);
+            let pending = PendingRequest::new(poll.job.clone(), JobRequest::Poll, poll.received_at, io.now);
             self.pending.insert(poll.request, pending);
         }
         let body: Transaction = Transaction {
@@ -124,11 +124,11 @@
         self.calls.insert(call, CallPurpose::Comparison(polls));
     }
 
-    /// Jobs whose version is as it was are live still. Of the others, and where the answer does not say
-    /// which they are, the records are read one by one.
+    /// Handles a comparison. Jobs whose versions are unchanged are still live. The records of the others,
+    /// or of all jobs if the response does not name the failed conditions, are read one by one.
     pub(super) fn on_comparison(
         &mut self,
-        polls: Vec<GatheredPoll>,
+        polls: Vec<BatchedPoll>,
         outcome: &Outcome,
         counts: &TaskCounts,
         io: &mut Io,
@@ -153,13 +153,13 @@
             if has_changed || failed.is_empty() {
                 self.send_next_call(poll.request, StateCall::ReadLive, io);
             } else {
-                // The answer need not name every condition that failed.
-                self.gather_again(poll, io);
+                // The response need not name every failed condition, so the job may have changed too.
+                self.requeue_poll(poll, io);
             }
         }
     }
 
-    fn gather_again(&mut self, poll: GatheredPoll, io: &mut Io) {
+    fn requeue_poll(&mut self, poll: BatchedPoll, io: &mut Io) {
         let live = self.cache.live(&poll.job);
         let team = live.map_or_else(|| Team::named(""), |live| live.team.clone());
         self.pending.remove(poll.request);
--- a/crates/controller/src/job_api/read.rs
+++ b/crates/controller/src/job_api/read.rs
@@ -1,4 +1,4 @@
-//! Readings of a job's records, and when they are too old to be given to a user.
+//! Reads of a job's records, and when they are too old to be returned to a user.
 
 use crate::constants::{LIVE_READ_MAX_AGE_MS, MAX_REREADS, RETRY_AFTER_S};
 use crate::io::{Io, Outcome, RequestId};
@@ -12,7 +12,7 @@
 use indigopath_accounting::{Team, VisibleJob};
 
 impl JobApi {
-    /// Which record of a job is read first.
+    /// The record of a job that is read first.
     pub(super) fn first_read(&self, job: &JobId) -> StateCall {
         if self.cache.is_possibly_ended(job) {
             StateCall::ReadEnded
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Whether somebody may have been told something newer than what was asked for at `asked_at`.
-    pub(super) fn is_outdated(&self, job: &JobId, asked_at: Timestamp, now: Timestamp) -> bool {
-        now >= asked_at + LIVE_READ_MAX_AGE_MS || self.peer_notices.supersedes(job, asked_at)
+    /// Whether a user may have received a newer answer than a reading requested at `call_sent_at`.
+    pub(super) fn is_outdated(&self, job: &JobId, call_sent_at: Timestamp, now: Timestamp) -> bool {
+        now >= call_sent_at + LIVE_READ_MAX_AGE_MS || self.peer_notices.supersedes(job, call_sent_at)
     }
 
-    pub(super) fn on_live_answer(
+    pub(super) fn on_live_response(
         &mut self,
         request: RequestId,
         outcome: &Outcome,
@@ -37,7 +37,7 @@
             return;
         };
         let is_absent = outcome.status() == Some(404);
-        pending.not_live_at = is_absent.then_some(pending.asked_at);
+        pending.not_live_at = is_absent.then_some(pending.call_sent_at);
         if is_absent {
             return self.send_next_call(request, StateCall::ReadEnded, io);
         }
@@ -63,13 +63,13 @@
         self.reply_live(request, &visible, counts, io);
     }
 
-    pub(super) fn on_ended_answer(&mut self, request: RequestId, outcome: &Outcome, io: &mut Io) {
+    pub(super) fn on_ended_response(&mut self, request: RequestId, outcome: &Outcome, io: &mut Io) {
         let Some(pending) = self.pending.get(request) else {
             return;
         };
         match outcome.status() {
             Some(200) => self.on_found_ended(request, outcome, io),
-            Some(404) => self.on_no_end(request, io),
+            Some(404) => self.on_end_absent(request, io),
             _ => {
                 self.cache.suspect_ended(pending.job.clone());
                 self.give_up(request, io);
@@ -92,18 +92,18 @@
         self.learn_end_and_reply(&job, ended, pending.into_requester(request), io);
     }
 
-    fn on_no_end(&mut self, request: RequestId, io: &mut Io) {
+    fn on_end_absent(&mut self, request: RequestId, io: &mut Io) {
         let Some(pending) = self.pending.get(request) else {
             return;
         };
         let (job, not_live_at) = (pending.job.clone(), pending.not_live_at);
         self.cache.clear_suspicion(&job);
         match not_live_at {
-            // The end was read first: that there is none says nothing of when the live record is read.
+            // The end record was read first, so the job may be live.
             None => self.send_next_call(request, StateCall::ReadLive, io),
-            // Neither live nor ended: never accepted, unless it was accepted since the first of the two
-            // readings. The peer that accepted it says so; where its notice comes later than this
-            // answer, the two overlap: the user here asked before the other was answered.
+            // Neither live nor ended: the job was never accepted, unless that happened after the first
+            // of the two reads. The peer that accepted it sends a notice. If the notice arrives after this
+            // response, the requests overlap: this user asked before the other user was answered.
             Some(not_live_at) if self.peer_notices.supersedes(&job, not_live_at) => {
                 self.read_again(request, io);
             }
@@ -111,22 +111,22 @@
         }
     }
 
-    /// There is no such job.
+    /// Answers that the job does not exist.
     fn reply_absent(&mut self, request: RequestId, io: &mut Io) {
         let Some(pending) = self.pending.remove(request) else {
             return;
         };
         match &pending.kind {
             JobRequest::Refused(refusal) => reply::reply_refusal(request, refusal, io),
-            // Its creation failed because there was a record, and now there is none.
+            // Creation failed because a record existed, but now there is none.
             JobRequest::Submit(_) => self.give_up(request, io),
             JobRequest::Poll | JobRequest::Cancel => io.reply_error(request, 404, "no such job"),
         }
     }
 
-    /// The job was live when the state service was asked. If this node knows by now that it has ended,
-    /// that stands. If a peer has sent a notice since, or the answer took so long that a peer may have
-    /// answered with the job's end, it is read again.
+    /// Answers for a job that was live when the state service was called. If this node has learned of its
+    /// end since, the end is returned. If a peer has sent a notice since, or the response took so long that
+    /// a peer may have reported the job's end, the job is read again.
     pub(super) fn reply_live(
         &mut self,
         request: RequestId,
@@ -137,20 +137,20 @@
         let Some(pending) = self.pending.get(request) else {
             return;
         };
-        let (job, asked_at) = (pending.job.clone(), pending.asked_at);
+        let (job, call_sent_at) = (pending.job.clone(), pending.call_sent_at);
         if self.cache.has_ended(&job) {
             if let Some(pending) = self.pending.remove(request) {
                 self.reply_ended_when_visible(&job, pending.into_requester(request), io);
             }
-        } else if self.is_outdated(&job, asked_at, io.now) {
+        } else if self.is_outdated(&job, call_sent_at, io.now) {
             self.read_again(request, io);
         } else {
             self.pending.remove(request);
-            reply::reply_live(request, visible, asked_at + LIVE_READ_MAX_AGE_MS, counts, io);
+            reply::reply_live(request, visible, call_sent_at + LIVE_READ_MAX_AGE_MS, counts, io);
         }
     }
 
-    /// What was read may be older than what a peer has answered.
+    /// Reads the job again because the reading may be older than what a peer has answered.
     pub(super) fn read_again(&mut self, request: RequestId, io: &mut Io) {
         let Some(pending) = self.pending.get_mut(request) else {
             return;
--- a/crates/controller/src/job_api/reply.rs
+++ b/crates/controller/src/job_api/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to users about one job, and the texts of those that ask them to come back.
+//! Responses to users about one job, and the messages that tell users to retry.
 
 use crate::constants::RETRY_AFTER_S;
 use crate::io::{Io, RequestId};
@@ -10,16 +10,16 @@
 use crate::storage::records::Ending;
 use indigopath_accounting::{Owner, Team, VisibleJob};
 
-/// A peer may have answered something newer than what was read, several times over.
+/// A peer may have returned a newer answer, and repeated reads were outdated as well.
 pub(super) const READ_AGAIN: &str = "another node has told of this job meanwhile, ask again";
 
-/// The end is committed, and a peer may still answer that the job is live.
+/// The end is committed, but a peer may still answer that the job is live.
 pub(super) const END_NOT_VISIBLE: &str = "another node may still say something older, ask again";
 
-/// The request found no room, or waited for too long.
+/// A queue was full, or the request waited too long.
 pub(super) const TOO_MANY_REQUESTS: &str = "too many requests, come back later";
 
-/// Answers a submission that was not accepted.
+/// Answers a rejected submission.
 pub fn reply_refusal(request: RequestId, refusal: &Refusal, io: &mut Io) {
     match refusal {
         Refusal::Invalid(problem) => io.reply_error(request, 400, problem),
@@ -28,7 +28,7 @@
     }
 }
 
-/// What the sender of a request may see of a job that this team owns, if the owner is known.
+/// What the requester may see of a job; `team` is the owner, if it is known.
 pub(super) fn visible_job(job: &JobId, kind: &JobRequest, team: Option<&Team>) -> VisibleJob {
     let owner = team.map(|team| Owner::on_record(&job.0, team.name()));
     match kind {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Answers that the job is live, unless that cannot be sent before `until`.
+/// Answers that the job is live, unless the reply cannot be sent before `until`.
 pub(super) fn reply_live(
     request: RequestId,
     visible: &VisibleJob,
@@ -55,8 +55,8 @@
     } else {
         JobStatus::Pending
     };
-    let answer = JobStatusResponse::of(visible, status, Some(done.into()), Some(running.into()));
-    io.reply_until(request, 200, &answer, until);
+    let response = JobStatusResponse::of(visible, status, Some(done.into()), Some(running.into()));
+    io.reply_until(request, 200, &response, until);
 }
 
 /// Answers how the job ended.
@@ -65,6 +65,6 @@
         Ending::Done => (JobStatus::Done, Some(ended.tasks.into())),
         Ending::Cancelled => (JobStatus::Cancelled, None),
     };
-    let answer = JobStatusResponse::of(visible, status, done, Some(0));
-    io.reply(request, 200, &answer);
+    let response = JobStatusResponse::of(visible, status, done, Some(0));
+    io.reply(request, 200, &response);
 }
--- a/crates/controller/src/job_api/state_call.rs
+++ b/crates/controller/src/job_api/state_call.rs
@@ -1,39 +1,40 @@
-//! Calls to the state service that the job API makes, and where their answers go.
+//! Calls of the job API to the state service, and dispatch of their responses.
 
 use crate::constants::RETRY_AFTER_S;
 use crate::io::{CallId, FencedDestination, Io, Method, Outcome, RequestId, json};
 use crate::job_api::pending::PendingRequest;
-use crate::job_api::poll::GatheredPoll;
+use crate::job_api::poll::BatchedPoll;
 use crate::job_api::{JobApi, JobRequest, RequestOutcome, TaskCounts, cancel, submit};
 use crate::protocol::{Transaction, paths};
 use crate::storage::records;
 
-/// A call for one request.
+/// A call to the state service for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StateCall {
     /// Creates the job's record.
     Create,
     ReadLive,
     ReadEnded,
-    /// Replaces the live record, if it has this version, by the record of the job's end.
+    /// Replaces the live record, if it has this version, by the end record.
     MoveToEnded {
         version: u64,
     },
 }
 
-/// Whom a call to the state service is for.
+/// What a call to the state service was made for.
 #[derive(Debug)]
 pub(super) enum CallPurpose {
     Request(RequestId, StateCall),
-    /// Polls that one comparison answers.
-    Comparison(Vec<GatheredPoll>),
-    /// A page of the scan, after this key.
+    /// A comparison that answers these polls.
+    Comparison(Vec<BatchedPoll>),
+    /// A page of the job scan.
     ScanPage {
+        /// Last key of the previous page.
         after: Option<String>,
     },
 }
 
-/// What is sent to the state service.
+/// An HTTP request to the state service.
 struct StateRequest {
     method: Method,
     path: String,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// None if the request lacks what the call is to write.
+    /// Builds the request of a call; `None` if the pending request lacks the data to write.
     fn new(pending: &PendingRequest, call: StateCall) -> Option<StateRequest> {
         let job = &pending.job;
         let request = match call {
@@ -79,28 +80,29 @@
 }
 
 impl JobApi {
-    /// Sends a call for a request whose turn has come, which has paid for it.
+    /// Sends a call for a request. The caller has charged the budget for it.
     pub(super) fn send_call(&mut self, request: RequestId, call: StateCall, io: &mut Io) {
         let Some(pending) = self.pending.get_mut(request) else {
             return;
         };
         pending.calls += 1;
-        pending.asked_at = io.now;
+        pending.call_sent_at = io.now;
         let timeout_ms = pending.deadline().saturating_sub(io.now).max(1);
         let Some(StateRequest { method, path, body }) = StateRequest::new(pending, call) else {
             return;
         };
-        let sent = io.call(FencedDestination::State, method, path, body, timeout_ms);
-        self.calls.insert(sent, CallPurpose::Request(request, call));
+        let call_id = io.call(FencedDestination::State, method, path, body, timeout_ms);
+        self.calls.insert(call_id, CallPurpose::Request(request, call));
     }
 
-    /// Sends a further call for a request, charged to the budget whatever is left there.
+    /// Sends a further call for a request, charged to the budget even if it is used up.
     pub(super) fn send_next_call(&mut self, request: RequestId, call: StateCall, io: &mut Io) {
         io.state_budget.force(1.0, io.now);
         self.send_call(request, call, io);
     }
 
-    /// A call was answered. None if it was not made here, else what the node should know.
+    /// Handles the outcome of a call. Returns `None` if the call was not made here, else the change that the
+    /// node has to act on, if any.
     pub fn handle_response(
         &mut self,
         call: CallId,
@@ -108,8 +110,8 @@
         counts: &TaskCounts,
         io: &mut Io,
     ) -> Option<Option<RequestOutcome>> {
-        let done = match self.calls.complete(call)? {
-            CallPurpose::Request(request, call) => self.on_answer(request, call, outcome, counts, io),
+        let request_outcome = match self.calls.complete(call)? {
+            CallPurpose::Request(request, call) => self.on_response(request, call, outcome, counts, io),
             CallPurpose::ScanPage { after } => {
                 self.scan.on_page(after, outcome, &mut self.cache, io.now);
                 None
@@ -119,10 +121,10 @@
                 None
             }
         };
-        Some(done)
+        Some(request_outcome)
     }
 
-    fn on_answer(
+    fn on_response(
         &mut self,
         request: RequestId,
         call: StateCall,
@@ -131,20 +133,20 @@
         io: &mut Io,
     ) -> Option<RequestOutcome> {
         match call {
-            StateCall::Create => self.on_create_answer(request, outcome, io),
-            StateCall::MoveToEnded { .. } => self.on_move_answer(request, outcome, io),
+            StateCall::Create => self.on_create_response(request, outcome, io),
+            StateCall::MoveToEnded { .. } => self.on_move_response(request, outcome, io),
             StateCall::ReadLive => {
-                self.on_live_answer(request, outcome, counts, io);
+                self.on_live_response(request, outcome, counts, io);
                 None
             }
             StateCall::ReadEnded => {
-                self.on_ended_answer(request, outcome, io);
+                self.on_ended_response(request, outcome, io);
                 None
             }
         }
     }
 
-    /// The state service gave no usable answer in time.
+    /// Rejects a request because the state service gave no usable response in time.
     pub(super) fn give_up(&mut self, request: RequestId, io: &mut Io) {
         self.pending.remove(request);
         io.reply_retry_later(request, RETRY_AFTER_S, "the state service does not answer");
--- a/crates/controller/src/job_api/submit.rs
+++ b/crates/controller/src/job_api/submit.rs
@@ -1,4 +1,4 @@
-//! Submissions: the job's record is created unless the id is known, live or ended.
+//! Submissions: the job's record is created unless a live or ended job has the id.
 
 use crate::constants::LIVE_READ_MAX_AGE_MS;
 use crate::io::{Io, Outcome, RequestId};
@@ -9,7 +9,7 @@
 use crate::storage::records::{self, Record};
 use indigopath_accounting::{Team, VisibleJob};
 
-/// Creates the job's record if there is none, neither of a live job nor of an ended one.
+/// Creates the job's record if neither a live nor an ended job has the id.
 pub(super) fn create_transaction(spec: &JobSpec) -> Transaction {
     let live_key = records::job_key(&spec.id.0);
     let absent = |key: String| Condition { key, version: 0 };
@@ -24,7 +24,7 @@
 }
 
 impl JobApi {
-    pub(super) fn on_create_answer(
+    pub(super) fn on_create_response(
         &mut self,
         request: RequestId,
         outcome: &Outcome,
@@ -33,7 +33,7 @@
         self.pending.get(request)?;
         match outcome.status() {
             Some(200) => return self.on_created(request, outcome, io),
-            // The id has been accepted before: its job's state is the answer.
+            // A job with this id exists: its status is the answer.
             Some(409) => self.send_next_call(request, StateCall::ReadLive, io),
             _ => self.give_up(request, io),
         }
@@ -43,23 +43,23 @@
     fn on_created(&mut self, request: RequestId, outcome: &Outcome, io: &mut Io) -> Option<RequestOutcome> {
         let version = outcome
             .read::<TransactionResponse>(&[200])
-            .map_or(0, |answer| answer.revision);
+            .map_or(0, |response| response.revision);
         let pending = self.pending.get(request)?;
-        let asked_at = pending.asked_at;
+        let call_sent_at = pending.call_sent_at;
         let JobRequest::Submit(spec) = pending.kind.clone() else {
             return None;
         };
         if version > 0 {
             self.cache.record_live(&spec.id, version, Team::named(&spec.team));
         }
-        // Somebody may have cancelled it by another node already.
-        if self.is_outdated(&spec.id, asked_at, io.now) || self.cache.has_ended(&spec.id) {
+        // The job may already have been cancelled through another node.
+        if self.is_outdated(&spec.id, call_sent_at, io.now) || self.cache.has_ended(&spec.id) {
             self.read_again(request, io);
         } else {
             self.pending.remove(request);
             let visible = VisibleJob::by_protocol(&spec.id.0);
-            let answer = JobStatusResponse::of(&visible, JobStatus::Pending, None, None);
-            io.reply_until(request, 201, &answer, asked_at + LIVE_READ_MAX_AGE_MS);
+            let response = JobStatusResponse::of(&visible, JobStatus::Pending, None, None);
+            io.reply_until(request, 201, &response, call_sent_at + LIVE_READ_MAX_AGE_MS);
         }
         log::debug!(
             "job accepted job={} class={} tasks={}",
--- a/crates/controller/src/job_api/tests.rs
+++ b/crates/controller/src/job_api/tests.rs
@@ -14,7 +14,7 @@
     Settings::parse(include_str!("../../tests/support/settings.json")).unwrap()
 }
 
-fn users() -> JobApi {
+fn new_job_api() -> JobApi {
     JobApi::new(&settings(), 0, 0, 0)
 }
 
@@ -22,15 +22,15 @@
     Io::new(&settings(), 1, 1_000, 0)
 }
 
-fn answer(status: u16, body: serde_json::Value) -> Outcome {
+fn response(status: u16, body: serde_json::Value) -> Outcome {
     Outcome::Answer {
         status,
         body: body.to_string().into_bytes(),
     }
 }
 
-/// The last reply's body.
-fn told(io: &mut Io) -> serde_json::Value {
+/// The body of the last reply.
+fn reply_body(io: &mut Io) -> serde_json::Value {
     let replies = std::mem::take(&mut io.effects);
     let body = replies.into_iter().rev().find_map(|effect| match effect {
         Effect::Reply { body, .. } => Some(body),
@@ -39,8 +39,8 @@
     serde_json::from_slice(&body.expect("a reply")).unwrap()
 }
 
-/// The body of the one call made, and its number.
-fn comparison(io: &mut Io) -> (serde_json::Value, CallId) {
+/// The body and id of the only call.
+fn sent_comparison(io: &mut Io) -> (serde_json::Value, CallId) {
     let mut calls = std::mem::take(&mut io.effects)
         .into_iter()
         .filter_map(|effect| match effect {
@@ -53,73 +53,73 @@
     (body, call)
 }
 
-/// A node that has seen the job live and has a poll for it gathered.
-fn polled(io: &mut Io) -> JobApi {
-    let mut users = users();
+/// A job API that has cached the job as live and has batched a poll of it.
+fn api_with_batched_poll(io: &mut Io) -> JobApi {
+    let mut job_api = new_job_api();
     let job = JobId(std::sync::Arc::from(JOB));
-    users.cache.record_live(&job, 7, Team::named("red"));
-    users.begin(RequestId(1), job, JobRequest::Poll, io);
+    job_api.cache.record_live(&job, 7, Team::named("red"));
+    job_api.handle_request(RequestId(1), job, JobRequest::Poll, io);
     assert!(io.effects.is_empty());
-    users
+    job_api
 }
 
-fn cancel(users: &mut JobApi) {
+fn record_cancelled_end(job_api: &mut JobApi) {
     let ended = TerminalState {
         end: Ending::Cancelled,
         tasks: 0,
         team: None,
     };
-    users.cache.record_end(JobId(std::sync::Arc::from(JOB)), ended);
+    job_api.cache.record_end(JobId(std::sync::Arc::from(JOB)), ended);
 }
 
 #[test]
-fn gathered_polls_are_answered_by_one_comparison() {
+fn batched_polls_are_answered_by_one_comparison() {
     let mut io = io();
-    let mut users = polled(&mut io);
-    users.begin(
+    let mut job_api = api_with_batched_poll(&mut io);
+    job_api.handle_request(
         RequestId(2),
         JobId(std::sync::Arc::from(JOB)),
         JobRequest::Poll,
         &mut io,
     );
     io.now += POLL_GATHER_MS;
-    users.run_due_work(48, &mut io);
-    let (body, comparison) = comparison(&mut io);
+    job_api.run_due_work(48, &mut io);
+    let (body, comparison) = sent_comparison(&mut io);
     assert_eq!(
         body,
         serde_json::json!({ "If": [{ "Path": "j/wk-1", "Stamp": 7 }] })
     );
-    let same = answer(200, serde_json::json!({ "Ledger": 9 }));
-    users.handle_response(comparison, &same, &TaskCounts::new(), &mut io);
+    let same = response(200, serde_json::json!({ "Ledger": 9 }));
+    job_api.handle_response(comparison, &same, &TaskCounts::new(), &mut io);
     assert_eq!(io.effects.len(), 2);
-    assert_eq!(told(&mut io)["Status"], "pending");
+    assert_eq!(reply_body(&mut io)["Status"], "pending");
 }
 
-// Its user was told "cancelled", then "running" by the poll that had gathered: the
-// comparison went out without the job, which was live no longer.
+// A user saw "cancelled" and then "running" from a batched poll: the job was no longer cached as live, so
+// the comparison was sent without it.
 #[test]
-fn a_cancellation_between_poll_and_comparison_is_not_taken_back() {
+fn a_cancellation_between_poll_and_comparison_is_not_reverted() {
     let mut io = io();
-    let mut users = polled(&mut io);
-    cancel(&mut users);
+    let mut job_api = api_with_batched_poll(&mut io);
+    record_cancelled_end(&mut job_api);
     io.now += POLL_GATHER_MS;
-    users.run_due_work(48, &mut io);
-    let (body, comparison) = comparison(&mut io);
-    assert_eq!(body["If"][0]["Stamp"], 7, "the job is compared all the same");
-    let same = answer(200, serde_json::json!({ "Ledger": 9 }));
-    users.handle_response(comparison, &same, &TaskCounts::new(), &mut io);
-    assert_eq!(told(&mut io)["Status"], "cancelled");
+    job_api.run_due_work(48, &mut io);
+    let (body, comparison) = sent_comparison(&mut io);
+    assert_eq!(body["If"][0]["Stamp"], 7, "the job is still compared");
+    let same = response(200, serde_json::json!({ "Ledger": 9 }));
+    job_api.handle_response(comparison, &same, &TaskCounts::new(), &mut io);
+    assert_eq!(reply_body(&mut io)["Status"], "cancelled");
 }
 
 #[test]
-fn a_job_that_is_over_elsewhere_is_read_again() {
+fn a_job_that_ended_through_another_node_is_read_again() {
     let mut io = io();
-    let mut users = polled(&mut io);
+    let mut job_api = api_with_batched_poll(&mut io);
     io.now += POLL_GATHER_MS;
-    users.run_due_work(48, &mut io);
-    let (_, comparison) = comparison(&mut io);
-    let failed = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.handle_response(comparison, &failed, &TaskCounts::new(), &mut io);
+    job_api.run_due_work(48, &mut io);
+    let (_, comparison) = sent_comparison(&mut io);
+    let failed = response(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
+    job_api.handle_response(comparison, &failed, &TaskCounts::new(), &mut io);
     let path = io.effects.iter().find_map(|effect| match effect {
         Effect::Call { path, .. } => Some(path.clone()),
         _ => None,
@@ -127,8 +127,8 @@
     assert_eq!(path.as_deref(), Some("/store/j/wk-1"));
 }
 
-/// Where the one call made went, its number, and how long it may take, in ms.
-fn call(io: &mut Io) -> (String, CallId, u64) {
+/// The path, id and timeout in ms of the only call.
+fn only_call(io: &mut Io) -> (String, CallId, u64) {
     let mut calls = std::mem::take(&mut io.effects)
         .into_iter()
         .filter_map(|effect| match effect {
@@ -145,14 +145,14 @@
     one
 }
 
-fn poll(users: &mut JobApi, request: u64, io: &mut Io) {
-    // Which jobs there are is read beside it, and is not looked at here.
-    users.scan = JobScan::Complete;
+fn poll(job_api: &mut JobApi, request: u64, io: &mut Io) {
+    // The job scan would send calls of its own.
+    job_api.scan = JobScan::Complete;
     let job = JobId(std::sync::Arc::from(JOB));
-    users.begin(RequestId(request), job, JobRequest::Poll, io);
+    job_api.handle_request(RequestId(request), job, JobRequest::Poll, io);
 }
 
-fn status(io: &mut Io) -> u16 {
+fn reply_status(io: &mut Io) -> u16 {
     let effects = std::mem::take(&mut io.effects);
     let mut statuses = effects.into_iter().filter_map(|effect| match effect {
         Effect::Reply { status, .. } => Some(status),
@@ -163,129 +163,130 @@
     status
 }
 
-fn absent() -> Outcome {
-    answer(404, serde_json::json!({ "Ledger": 9 }))
+fn absent_response() -> Outcome {
+    response(404, serde_json::json!({ "Ledger": 9 }))
 }
 
-/// A node that knows nothing of the job, and whose reading of its end took too long.
-fn asked_too_slowly(io: &mut Io) -> JobApi {
-    let mut users = users();
-    poll(&mut users, 1, io);
-    let (path, live, _) = call(io);
+/// A job API without cached state whose read of the job's end timed out.
+fn api_after_slow_read(io: &mut Io) -> JobApi {
+    let mut job_api = new_job_api();
+    poll(&mut job_api, 1, io);
+    let (path, live, _) = only_call(io);
     assert_eq!(path, "/store/j/wk-1");
     io.now += 900;
-    users.handle_response(live, &absent(), &TaskCounts::new(), io);
-    let (path, ended, left) = call(io);
+    job_api.handle_response(live, &absent_response(), &TaskCounts::new(), io);
+    let (path, ended, left) = only_call(io);
     assert_eq!((&*path, left), ("/store/e/wk-1", USER_STATE_TIMEOUT_MS - 900));
-    users.handle_response(ended, &Outcome::NoAnswer, &TaskCounts::new(), io);
-    assert_eq!(status(io), 503);
-    users
+    job_api.handle_response(ended, &Outcome::NoAnswer, &TaskCounts::new(), io);
+    assert_eq!(reply_status(io), 503);
+    job_api
 }
 
-// The state service took 0.9 s for each answer: there was time for one reading and not for two, and
-// every poll of a job that was over failed, while those of live jobs were answered.
+// The state service took 0.9 s for each response, which left time for one read but not for two: every poll
+// of an ended job failed, while polls of live jobs were answered.
 #[test]
-fn an_end_that_was_read_too_slowly_is_read_first_the_next_time() {
+fn an_end_whose_read_timed_out_is_read_first_the_next_time() {
     let mut io = io();
-    let mut users = asked_too_slowly(&mut io);
-    poll(&mut users, 2, &mut io);
-    let (path, ended, left) = call(&mut io);
+    let mut job_api = api_after_slow_read(&mut io);
+    poll(&mut job_api, 2, &mut io);
+    let (path, ended, left) = only_call(&mut io);
     assert_eq!((&*path, left), ("/store/e/wk-1", USER_STATE_TIMEOUT_MS));
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "done", "tasks": 2 }, "Stamp": 8 });
-    users.handle_response(ended, &answer(200, record), &TaskCounts::new(), &mut io);
-    for (_, number) in ended_frames(&mut io) {
-        assert_eq!(replies(&io), 0);
-        users.on_end_acknowledged(&job(), number, &mut io);
+    job_api.handle_response(ended, &response(200, record), &TaskCounts::new(), &mut io);
+    for (_, nonce) in end_notices(&mut io) {
+        assert_eq!(reply_count(&io), 0);
+        job_api.on_end_acknowledged(&job(), nonce, &mut io);
     }
-    assert_eq!(told(&mut io)["Status"], "done");
+    assert_eq!(reply_body(&mut io)["Status"], "done");
 }
 
-// It may have ended between the two readings: only live and then ended tell that it was never there.
+// The job may end between the two reads: only reading the live record before the end record proves that it
+// does not exist.
 #[test]
-fn a_job_is_absent_only_if_its_end_is_read_last() {
+fn a_job_is_absent_only_if_the_end_record_is_read_last() {
     let mut io = io();
-    let mut users = asked_too_slowly(&mut io);
-    poll(&mut users, 2, &mut io);
+    let mut job_api = api_after_slow_read(&mut io);
+    poll(&mut job_api, 2, &mut io);
     for expected in ["/store/e/wk-1", "/store/j/wk-1", "/store/e/wk-1"] {
-        let (path, call, _) = call(&mut io);
+        let (path, call, _) = only_call(&mut io);
         assert_eq!(path, expected);
-        users.handle_response(call, &absent(), &TaskCounts::new(), &mut io);
+        job_api.handle_response(call, &absent_response(), &TaskCounts::new(), &mut io);
     }
-    assert_eq!(status(&mut io), 404);
-    // That it was thought to be over is forgotten.
-    poll(&mut users, 3, &mut io);
-    assert_eq!(call(&mut io).0, "/store/j/wk-1");
+    assert_eq!(reply_status(&mut io), 404);
+    // The job is no longer suspected to have ended.
+    poll(&mut job_api, 3, &mut io);
+    assert_eq!(only_call(&mut io).0, "/store/j/wk-1");
 }
 
 #[test]
-fn a_withdrawal_has_time_for_its_second_call() {
+fn a_cancellation_has_time_for_its_second_call() {
     let mut io = io();
-    let mut users = users();
+    let mut job_api = new_job_api();
     let job = JobId(std::sync::Arc::from(JOB));
-    users.begin(RequestId(1), job, JobRequest::Cancel, &mut io);
-    let (path, live, left) = call(&mut io);
+    job_api.handle_request(RequestId(1), job, JobRequest::Cancel, &mut io);
+    let (path, live, left) = only_call(&mut io);
     assert_eq!((&*path, left), ("/store/j/wk-1", USER_STATE_TIMEOUT_MS));
     io.now += 1_400;
     let record = serde_json::json!({ "Path": "j/wk-1", "V": {}, "Stamp": 7 });
-    users.handle_response(live, &answer(200, record), &TaskCounts::new(), &mut io);
-    let (path, _, left) = call(&mut io);
+    job_api.handle_response(live, &response(200, record), &TaskCounts::new(), &mut io);
+    let (path, _, left) = only_call(&mut io);
     assert_eq!((&*path, left), ("/multi", USER_ACT_TIMEOUT_MS - 1_400));
 }
 
-// A stream of small jobs fills what a node remembers of live and ended ones. What was forgotten is read
-// again: nobody hears that a job lives which this node said was over.
+// Many small jobs fill the caches of live and ended jobs. Evicted jobs are read again, so a job that this
+// node reported as ended is never reported as live.
 #[test]
-fn what_full_caches_forgot_is_read_again() {
+fn jobs_evicted_from_full_caches_are_read_again() {
     let mut io = io();
-    let mut users = polled(&mut io);
-    cancel(&mut users);
+    let mut job_api = api_with_batched_poll(&mut io);
+    record_cancelled_end(&mut job_api);
     let other = |number: usize| JobId(std::sync::Arc::from(format!("wk-{}", number + 100)));
-    let over = TerminalState {
+    let done = TerminalState {
         end: Ending::Done,
         tasks: 1,
         team: None,
     };
     for number in 0..ENDED_CACHE.max(LIVE_CACHE) + 1 {
-        users.cache.record_live(&other(number), 9, Team::named("red"));
-        users.cache.record_end(other(number), over.clone());
-        users
+        job_api.cache.record_live(&other(number), 9, Team::named("red"));
+        job_api.cache.record_end(other(number), done.clone());
+        job_api
             .cache
             .record_live(&other(1_000_000 + number), 9, Team::named("red"));
-        users.on_peer_notice(other(number), false, io.now);
+        job_api.on_peer_notice(other(number), false, io.now);
     }
-    assert!(users.cache.ended_len() <= ENDED_CACHE && users.cache.live_len() <= LIVE_CACHE);
-    assert!(users.peer_notices.len() <= PEER_NOTICES);
-    assert!(!users.cache.has_ended(&job()), "it is forgotten");
+    assert!(job_api.cache.ended_len() <= ENDED_CACHE && job_api.cache.live_len() <= LIVE_CACHE);
+    assert!(job_api.peer_notices.len() <= PEER_NOTICES);
+    assert!(!job_api.cache.has_ended(&job()), "it was evicted");
     io.now += POLL_GATHER_MS;
-    users.run_due_work(48, &mut io);
-    let (_, comparison) = comparison(&mut io);
-    let failed = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.handle_response(comparison, &failed, &TaskCounts::new(), &mut io);
-    let (path, live, _) = call(&mut io);
+    job_api.run_due_work(48, &mut io);
+    let (_, comparison) = sent_comparison(&mut io);
+    let failed = response(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
+    job_api.handle_response(comparison, &failed, &TaskCounts::new(), &mut io);
+    let (path, live, _) = only_call(&mut io);
     assert_eq!(path, "/store/j/wk-1");
-    users.handle_response(live, &absent(), &TaskCounts::new(), &mut io);
-    let (path, ended, _) = call(&mut io);
+    job_api.handle_response(live, &absent_response(), &TaskCounts::new(), &mut io);
+    let (path, ended, _) = only_call(&mut io);
     assert_eq!(path, "/store/e/wk-1");
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "cancelled", "tasks": 0 }, "Stamp": 8 });
-    users.handle_response(ended, &answer(200, record), &TaskCounts::new(), &mut io);
-    for (_, number) in ended_frames(&mut io) {
-        assert_eq!(replies(&io), 0);
-        users.on_end_acknowledged(&job(), number, &mut io);
+    job_api.handle_response(ended, &response(200, record), &TaskCounts::new(), &mut io);
+    for (_, nonce) in end_notices(&mut io) {
+        assert_eq!(reply_count(&io), 0);
+        job_api.on_end_acknowledged(&job(), nonce, &mut io);
     }
-    assert_eq!(told(&mut io)["Status"], "cancelled");
+    assert_eq!(reply_body(&mut io)["Status"], "cancelled");
 }
 
-// ---- what peers tell ----
+// ---- peer notices ----
 
 fn job() -> JobId {
     JobId(std::sync::Arc::from(JOB))
 }
 
-/// Frames sent to peers: to whom, and with what number.
-fn ended_frames(io: &mut Io) -> Vec<(usize, u64)> {
+/// End notices sent to peers: the peer and the nonce.
+fn end_notices(io: &mut Io) -> Vec<(usize, u64)> {
     let frames = io.effects.iter().filter_map(|effect| match effect {
         Effect::Frame { peer, bytes } => match Frame::decode(bytes) {
-            Ok(Some((Some(Frame::EndNotice { nonce: number, .. }), _))) => Some((*peer, number)),
+            Ok(Some((Some(Frame::EndNotice { nonce, .. }), _))) => Some((*peer, nonce)),
             _ => None,
         },
         _ => None,
@@ -293,82 +294,87 @@
     frames.collect()
 }
 
-fn replies(io: &Io) -> usize {
+fn reply_count(io: &Io) -> usize {
     let is_reply = |effect: &&Effect| matches!(effect, Effect::Reply { .. });
     io.effects.iter().filter(is_reply).count()
 }
 
-fn live_record() -> Outcome {
-    answer(200, serde_json::json!({ "Path": "j/wk-1", "V": {}, "Stamp": 7 }))
+fn live_response() -> Outcome {
+    response(200, serde_json::json!({ "Path": "j/wk-1", "V": {}, "Stamp": 7 }))
 }
 
-/// A node that has just withdrawn the job.
-fn withdrawn(io: &mut Io) -> JobApi {
-    let mut users = users();
-    users.begin(RequestId(1), job(), JobRequest::Cancel, io);
-    let (_, live, _) = call(io);
-    users.handle_response(live, &live_record(), &TaskCounts::new(), io);
-    let (_, moved, _) = call(io);
-    let committed = answer(200, serde_json::json!({ "Ledger": 9 }));
-    let done = users.handle_response(moved, &committed, &TaskCounts::new(), io);
+/// A job API that has just cancelled the job.
+fn api_after_cancellation(io: &mut Io) -> JobApi {
+    let mut job_api = new_job_api();
+    job_api.handle_request(RequestId(1), job(), JobRequest::Cancel, io);
+    let (_, live, _) = only_call(io);
+    job_api.handle_response(live, &live_response(), &TaskCounts::new(), io);
+    let (_, moved, _) = only_call(io);
+    let committed = response(200, serde_json::json!({ "Ledger": 9 }));
+    let done = job_api.handle_response(moved, &committed, &TaskCounts::new(), io);
     assert_eq!(done, Some(Some(RequestOutcome::Cancelled(job()))));
-    users
+    job_api
 }
 
 #[test]
-fn an_end_is_told_once_siblings_have_noted_it() {
+fn an_end_is_reported_once_peers_have_acknowledged_it() {
     let mut io = io();
-    let mut users = withdrawn(&mut io);
-    let frames = ended_frames(&mut io);
+    let mut job_api = api_after_cancellation(&mut io);
+    let frames = end_notices(&mut io);
     assert_eq!(frames.len(), settings().peers.len());
-    assert_eq!(replies(&io), 0);
-    for (at, (_, number)) in frames.iter().enumerate() {
-        assert_eq!(replies(&io), 0, "{at} of {} have noted it", frames.len());
-        users.on_end_acknowledged(&job(), *number, &mut io);
+    assert_eq!(reply_count(&io), 0);
+    for (acknowledged, (_, nonce)) in frames.iter().enumerate() {
+        assert_eq!(
+            reply_count(&io),
+            0,
+            "{acknowledged} of {} have acknowledged it",
+            frames.len()
+        );
+        job_api.on_end_acknowledged(&job(), *nonce, &mut io);
     }
-    assert_eq!(told(&mut io)["Status"], "cancelled");
-    // Everybody else is told at once.
-    poll(&mut users, 2, &mut io);
-    assert_eq!(told(&mut io)["Status"], "cancelled");
+    assert_eq!(reply_body(&mut io)["Status"], "cancelled");
+    // Later requests are answered immediately.
+    poll(&mut job_api, 2, &mut io);
+    assert_eq!(reply_body(&mut io)["Status"], "cancelled");
 }
 
 #[test]
-fn a_silent_sibling_costs_the_age_of_its_readings() {
+fn an_end_is_reported_after_the_commit_wait_without_acknowledgements() {
     let mut io = io();
-    let mut users = withdrawn(&mut io);
-    poll(&mut users, 2, &mut io);
+    let mut job_api = api_after_cancellation(&mut io);
+    poll(&mut job_api, 2, &mut io);
     io.now += COMMIT_WAIT_MS - 1;
-    users.run_due_work(48, &mut io);
-    assert_eq!(replies(&io), 0);
+    job_api.run_due_work(48, &mut io);
+    assert_eq!(reply_count(&io), 0);
     io.now += 1;
-    users.run_due_work(48, &mut io);
-    assert_eq!(replies(&io), 2);
-    assert_eq!(told(&mut io)["Status"], "cancelled");
+    job_api.run_due_work(48, &mut io);
+    assert_eq!(reply_count(&io), 2);
+    assert_eq!(reply_body(&mut io)["Status"], "cancelled");
 }
 
-// Its user hears something before it gives up, and the end when it comes again.
+// The user gets a response before its timeout, and the end when it retries.
 #[test]
-fn a_poll_that_cannot_wait_is_told_to_come_back() {
+fn a_poll_that_cannot_wait_longer_is_told_to_retry() {
     let mut io = io();
-    let mut users = users();
-    poll(&mut users, 1, &mut io);
+    let mut job_api = new_job_api();
+    poll(&mut job_api, 1, &mut io);
     io.now += 1_000;
-    let (_, live, _) = call(&mut io);
-    users.handle_response(live, &absent(), &TaskCounts::new(), &mut io);
-    let (_, ended, _) = call(&mut io);
+    let (_, live, _) = only_call(&mut io);
+    job_api.handle_response(live, &absent_response(), &TaskCounts::new(), &mut io);
+    let (_, ended, _) = only_call(&mut io);
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "done", "tasks": 2 }, "Stamp": 8 });
-    users.handle_response(ended, &answer(200, record), &TaskCounts::new(), &mut io);
-    assert_eq!(replies(&io), 0);
+    job_api.handle_response(ended, &response(200, record), &TaskCounts::new(), &mut io);
+    assert_eq!(reply_count(&io), 0);
     io.now += POLL_RESPONSE_MS - 1_000;
-    users.run_due_work(48, &mut io);
-    assert_eq!(status(&mut io), 503);
+    job_api.run_due_work(48, &mut io);
+    assert_eq!(reply_status(&mut io), 503);
     io.now += COMMIT_WAIT_MS;
-    users.run_due_work(48, &mut io);
-    poll(&mut users, 2, &mut io);
-    assert_eq!(told(&mut io)["Status"], "done");
+    job_api.run_due_work(48, &mut io);
+    poll(&mut job_api, 2, &mut io);
+    assert_eq!(reply_body(&mut io)["Status"], "done");
 }
 
-fn repeat(users: &mut JobApi, io: &mut Io) -> CallId {
+fn submit_job(job_api: &mut JobApi, io: &mut Io) -> CallId {
     let body = serde_json::json!({
         "Id": JOB, "Lane": "batch", "Crew": "red", "Shape": "sweep", "Urgency": "standard", "Picks": 1,
         "Cpus": 1.0, "Gpus": 0.0, "MemGb": 1.0, "Kit": "img-1", "PullGb": 1.0, "Rigs": null, "Yard": null,
@@ -386,87 +392,91 @@
         confirmed: true,
     });
     let spec = admission::accept(body.as_bytes(), &deployment, &counts, types, 0).unwrap();
-    users.begin(RequestId(1), job(), JobRequest::Submit(Box::new(spec)), io);
-    call(io).1
+    job_api.handle_request(RequestId(1), job(), JobRequest::Submit(Box::new(spec)), io);
+    only_call(io).1
 }
 
 #[test]
-fn a_repeated_submission_read_before_a_siblings_word_is_read_again() {
+fn a_repeated_submission_read_before_a_peers_notice_is_read_again() {
     let mut io = io();
-    let mut users = users();
-    let create = repeat(&mut users, &mut io);
-    let known = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.handle_response(create, &known, &TaskCounts::new(), &mut io);
-    let (path, live, _) = call(&mut io);
+    let mut job_api = new_job_api();
+    let create = submit_job(&mut job_api, &mut io);
+    let known = response(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
+    job_api.handle_response(create, &known, &TaskCounts::new(), &mut io);
+    let (path, live, _) = only_call(&mut io);
     assert_eq!(path, "/store/j/wk-1");
     io.now += 10;
-    assert!(users.on_peer_notice(job(), true, io.now));
-    users.handle_response(live, &live_record(), &TaskCounts::new(), &mut io);
-    assert_eq!(replies(&io), 0);
-    assert_eq!(call(&mut io).0, "/store/e/wk-1");
+    assert!(job_api.on_peer_notice(job(), true, io.now));
+    job_api.handle_response(live, &live_response(), &TaskCounts::new(), &mut io);
+    assert_eq!(reply_count(&io), 0);
+    assert_eq!(only_call(&mut io).0, "/store/e/wk-1");
 }
 
 #[test]
-fn a_reading_that_took_too_long_is_no_answer() {
+fn a_read_that_took_too_long_is_not_returned() {
     let mut io = io();
-    let mut users = users();
-    let create = repeat(&mut users, &mut io);
-    let known = answer(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
-    users.handle_response(create, &known, &TaskCounts::new(), &mut io);
-    let (_, live, _) = call(&mut io);
+    let mut job_api = new_job_api();
+    let create = submit_job(&mut job_api, &mut io);
+    let known = response(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
+    job_api.handle_response(create, &known, &TaskCounts::new(), &mut io);
+    let (_, live, _) = only_call(&mut io);
     io.now += LIVE_READ_MAX_AGE_MS;
-    users.handle_response(live, &live_record(), &TaskCounts::new(), &mut io);
-    assert_eq!(replies(&io), 0);
-    let (_, live, _) = call(&mut io);
+    job_api.handle_response(live, &live_response(), &TaskCounts::new(), &mut io);
+    assert_eq!(reply_count(&io), 0);
+    let (_, live, _) = only_call(&mut io);
     io.now += LIVE_READ_MAX_AGE_MS - 1;
-    users.handle_response(live, &live_record(), &TaskCounts::new(), &mut io);
+    job_api.handle_response(live, &live_response(), &TaskCounts::new(), &mut io);
     let until = io.effects.iter().find_map(|effect| match effect {
         Effect::Reply { until, .. } => *until,
         _ => None,
     });
-    assert_eq!(until, Some(io.now + 1), "and goes out by then, if at all");
+    assert_eq!(
+        until,
+        Some(io.now + 1),
+        "the reply expires when the reading is too old"
+    );
 }
 
 #[test]
-fn an_acceptance_that_was_overtaken_is_not_told_as_pending() {
+fn a_job_that_ended_during_its_acceptance_is_not_reported_as_pending() {
     let mut io = io();
-    let mut users = users();
-    let create = repeat(&mut users, &mut io);
+    let mut job_api = new_job_api();
+    let create = submit_job(&mut job_api, &mut io);
     io.now += 10;
-    assert!(users.on_peer_notice(job(), true, io.now));
-    let created = answer(200, serde_json::json!({ "Ledger": 9 }));
-    let done = users.handle_response(create, &created, &TaskCounts::new(), &mut io);
+    assert!(job_api.on_peer_notice(job(), true, io.now));
+    let created = response(200, serde_json::json!({ "Ledger": 9 }));
+    let done = job_api.handle_response(create, &created, &TaskCounts::new(), &mut io);
     assert!(matches!(
         done,
         Some(Some(RequestOutcome::Accepted { version: 9, .. }))
     ));
-    assert_eq!(replies(&io), 0);
-    assert_eq!(call(&mut io).0, "/store/e/wk-1");
+    assert_eq!(reply_count(&io), 0);
+    assert_eq!(only_call(&mut io).0, "/store/e/wk-1");
 }
 
-// A peer told of the acceptance between the two readings.
+// A peer's notice of the acceptance arrives between the two reads.
 #[test]
-fn a_job_accepted_elsewhere_meanwhile_is_not_told_absent() {
+fn a_job_accepted_by_a_peer_meanwhile_is_not_reported_as_absent() {
     let mut io = io();
-    let mut users = users();
-    poll(&mut users, 1, &mut io);
-    let (_, live, _) = call(&mut io);
-    users.handle_response(live, &absent(), &TaskCounts::new(), &mut io);
-    let (_, ended, _) = call(&mut io);
-    assert!(users.on_peer_notice(job(), false, io.now));
-    users.handle_response(ended, &absent(), &TaskCounts::new(), &mut io);
-    assert_eq!(replies(&io), 0);
-    assert_eq!(call(&mut io).0, "/store/j/wk-1");
-}
-
-// What is not noted must not be sent back.
+    let mut job_api = new_job_api();
+    poll(&mut job_api, 1, &mut io);
+    let (_, live, _) = only_call(&mut io);
+    job_api.handle_response(live, &absent_response(), &TaskCounts::new(), &mut io);
+    let (_, ended, _) = only_call(&mut io);
+    assert!(job_api.on_peer_notice(job(), false, io.now));
+    job_api.handle_response(ended, &absent_response(), &TaskCounts::new(), &mut io);
+    assert_eq!(reply_count(&io), 0);
+    assert_eq!(only_call(&mut io).0, "/store/j/wk-1");
+}
+
+// A notice that is not recorded must not be acknowledged.
 #[test]
-fn words_beyond_the_room_for_them_are_not_noted() {
-    let mut users = users();
-    for more in 0..PEER_NOTICES {
-        let job = JobId(std::sync::Arc::from(format!("wk-9{more}")));
-        assert!(users.on_peer_notice(job, true, 1_000));
+fn notices_beyond_the_limit_are_not_recorded() {
+    let mut job_api = new_job_api();
+    for number in 0..PEER_NOTICES {
+        let job = JobId(std::sync::Arc::from(format!("wk-9{number}")));
+        assert!(job_api.on_peer_notice(job, true, 1_000));
     }
-    assert!(!users.on_peer_notice(job(), true, 1_000));
-    assert!(users.on_peer_notice(job(), true, 1_000 + USER_ACT_TIMEOUT_MS));
+    assert!(!job_api.on_peer_notice(job(), true, 1_000));
+    assert!(job_api.on_peer_notice(job(), true, 1_000 + USER_ACT_TIMEOUT_MS));
 }
--- a/crates/controller/src/job_api/throttle.rs
+++ b/crates/controller/src/job_api/throttle.rs
@@ -1,5 +1,5 @@
-//! Fairness between teams: requests that need the state service wait for their team's turn, and those
-//! that find no room or wait for too long are asked to come back later.
+//! Fair queueing between teams: requests that need the state service wait for their team's turn. Requests
+//! that find the queue full or wait too long are rejected, and their users are told to retry.
 
 use crate::constants::{
     BEGIN_RESERVE, FLOOD_LANE, MAX_WAITING_REQUESTS, POLL_RESERVE, QUEUED_MS, RETRY_AFTER_S,
@@ -8,18 +8,18 @@
 use crate::io::{Io, RequestId};
 use crate::job_api::pending::Requester;
 use crate::job_api::reply::TOO_MANY_REQUESTS;
-use crate::job_api::{JobRequest, poll::GatheredPoll};
+use crate::job_api::{JobRequest, poll::BatchedPoll};
 use crate::model::{JobId, Timestamp};
 use crate::settings::Settings;
 use crate::token_bucket::TokenBucket;
 use indigopath_accounting::{FairQueue, Full, Team};
 use std::collections::BTreeMap;
 
-/// What can wait in a fair queue.
+/// An item of a fair queue that can be rejected.
 pub(super) trait Queueable {
     fn request(&self) -> RequestId;
-    /// When the request came.
-    fn since(&self) -> Timestamp;
+    /// When the request arrived.
+    fn received_at(&self) -> Timestamp;
 }
 
 /// A request that waits for its team's turn at the state service.
@@ -34,26 +34,26 @@
         self.requester.request
     }
 
-    fn since(&self) -> Timestamp {
-        self.requester.since
+    fn received_at(&self) -> Timestamp {
+        self.requester.received_at
     }
 }
 
-impl Queueable for GatheredPoll {
+impl Queueable for BatchedPoll {
     fn request(&self) -> RequestId {
         self.request
     }
 
-    fn since(&self) -> Timestamp {
-        self.since
+    fn received_at(&self) -> Timestamp {
+        self.received_at
     }
 }
 
-/// Weights of the teams' requests, and how many requests of each team were turned away.
+/// Weights of the teams' requests, and the number of rejected requests by team.
 #[derive(Debug)]
 pub(super) struct Throttle {
     weights: BTreeMap<String, u64>,
-    /// Requests that found no room or waited for too long, since this node began.
+    /// Requests rejected since this process started.
     rejected: BTreeMap<Team, u64>,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Appends to a queue; whoever finds no room there is asked to come back.
+    /// Appends to a queue. If it is full, the request that the queue gives up is rejected.
     pub(super) fn enqueue<T: Queueable>(
         &mut self,
         queue: &mut FairQueue<T>,
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Rejects what has waited for too long, while its user still listens.
+    /// Rejects requests that have waited too long, while their users still wait for a response.
     pub(super) fn reject_expired<T: Queueable>(&mut self, queue: &mut FairQueue<T>, io: &mut Io) {
         let now = io.now;
-        for (team, item) in queue.take_if(|item| now > item.since() + QUEUED_MS) {
+        for (team, item) in queue.take_if(|item| now > item.received_at() + QUEUED_MS) {
             self.reject(&team, item.request(), io);
         }
     }
@@ -94,7 +94,7 @@
         io.reply_retry_later(request, RETRY_AFTER_S, TOO_MANY_REQUESTS);
     }
 
-    /// Requests that were rejected since this node began, by team.
+    /// Number of requests by team that were rejected since this process started.
     pub(super) fn rejected(&self) -> impl Iterator<Item = (&Team, u64)> {
         self.rejected.iter().map(|(team, count)| (team, *count))
     }
@@ -105,9 +105,9 @@
 pub(super) struct RequestQueues {
     /// Submissions and cancellations.
     writes: FairQueue<QueuedRequest>,
-    /// Polls of jobs that this node does not know to be live.
+    /// Polls of jobs that are not cached as live.
     reads: FairQueue<QueuedRequest>,
-    /// This node's part of the state service's changes for what users ask.
+    /// This node's share of the state service's write rate for users' requests.
     write_budget: TokenBucket,
 }
 
@@ -144,19 +144,19 @@
         if self.writes.is_empty() {
             return None;
         }
-        // Part of the budget is kept for teams that ask now and then: they need not wait until what
-        // others use up comes back.
+        // Part of the budget is reserved for teams that send requests only occasionally, so that they
+        // need not wait until the budget used up by others is refilled.
         let reserve = if self.writes.begins() { 0.0 } else { BEGIN_RESERVE };
-        // Many requests of all teams may use whatever the leader leaves; a flood of one team may not.
-        let flood = self.writes.longest() > FLOOD_LANE;
-        if flood && !self.write_budget.has(1.0, reserve, io.now) {
+        // Requests of many teams may use all that the leader leaves; a flood of one team may not.
+        let is_flood = self.writes.longest() > FLOOD_LANE;
+        if is_flood && !self.write_budget.has(1.0, reserve, io.now) {
             return None;
         }
         if !io.state_budget.take(1.0, reserve, io.now) {
             return None;
         }
         let (_, queued) = self.writes.pop()?;
-        if flood {
+        if is_flood {
             self.write_budget.force(1.0, io.now);
         }
         Some(queued)
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -281,7 +281,9 @@
             Route::Health => self.health(request),
             Route::Report => self.report(request, body),
             Route::Submit => self.submit(request, body),
-            Route::Poll(job) => self.job_api.begin(request, job, JobRequest::Poll, &mut self.io),
+            Route::Poll(job) => self
+                .job_api
+                .handle_request(request, job, JobRequest::Poll, &mut self.io),
             Route::Counts | Route::Holders(_) | Route::Explain(..) => self.tell_counts(request, route),
             Route::Metrics => self.tell_metrics(request),
             Route::Condor(..) if self.settings.operator.condor.is_none() => {
@@ -292,7 +294,9 @@
                 let asks = authorization::requesting_team(team.as_deref(), &self.settings);
                 self.condor(request, route, asks, body);
             }
-            Route::Cancel(job) => self.job_api.begin(request, job, JobRequest::Cancel, &mut self.io),
+            Route::Cancel(job) => self
+                .job_api
+                .handle_request(request, job, JobRequest::Cancel, &mut self.io),
         }
     }
 
@@ -349,7 +353,8 @@
         } else {
             request_kind
         };
-        self.job_api.begin(request, job, request_kind, &mut self.io);
+        self.job_api
+            .handle_request(request, job, request_kind, &mut self.io);
     }
 
     /// Not healthy while the state service fails this node but not its peers: they can serve
