--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -9,7 +9,7 @@
 
 use crate::constants::{
     CLOUD_SHARE, CLOUD_TIMEOUT_MS, FOLLOWERS_STATE_SHARE, LEADER_STATE_SHARE, LEADER_WRITE_SHARE,
-    MAX_ERROR_CHARS, NEW_LEADER_WRITES, NEW_MS,
+    MAX_ERROR_CHARS, NEW_LEADER_WRITE_BURST, NODE_WARMUP_MS,
 };
 use crate::model::Timestamp;
 use crate::protocol::{ErrorResponse, paths};
@@ -42,7 +42,7 @@
     pub permits: Permits,
     /// Requests rejected with `Retry-After`, by reason, since they were last logged.
     pub rejections: BTreeMap<String, u32>,
-    /// End of this node's startup phase: see [`NEW_MS`].
+    /// End of this node's startup phase: see [`NODE_WARMUP_MS`].
     startup_until: Timestamp,
     state_rate: f64,
     follower_share: f64,
@@ -67,7 +67,7 @@
             effects: Vec::new(),
             permits: Permits::default(),
             rejections: BTreeMap::new(),
-            startup_until: now + NEW_MS,
+            startup_until: now + NODE_WARMUP_MS,
             state_rate: deployment.state.rps,
             follower_share,
             next_call: 1,
@@ -83,7 +83,7 @@
         };
         self.state_budget.set_rate(self.state_rate * share, self.now);
         if is_leader {
-            self.write_budget.drain_to(NEW_LEADER_WRITES, self.now);
+            self.write_budget.drain_to(NEW_LEADER_WRITE_BURST, self.now);
         }
     }
 
--- a/crates/controller/src/job_api/end_visibility.rs
+++ b/crates/controller/src/job_api/end_visibility.rs
@@ -1,7 +1,9 @@
 //! Visibility of job ends: this node notifies its peers of an end that it learns, and requests for the job
 //! wait until no peer can answer with an older state (see `commit_wait.rs`).
 
-use crate::constants::{MAX_WAITING_REQUESTS, POLL_RESPONSE_MS, RETRY_AFTER_S, WRITE_RESPONSE_MS};
+use crate::constants::{
+    MAX_WAITING_REQUESTS, POLL_RESPONSE_DEADLINE_MS, RETRY_AFTER_S, WRITE_RESPONSE_DEADLINE_MS,
+};
 use crate::io::{Effect, Io, RequestId};
 use crate::job_api::cache::TerminalState;
 use crate::job_api::commit_wait::Visibility;
@@ -24,8 +26,8 @@
 /// Maximum time from the arrival of a request to its response, in ms.
 fn response_ms(kind: &JobRequest) -> u64 {
     match kind {
-        JobRequest::Poll => POLL_RESPONSE_MS,
-        _ => WRITE_RESPONSE_MS,
+        JobRequest::Poll => POLL_RESPONSE_DEADLINE_MS,
+        _ => WRITE_RESPONSE_DEADLINE_MS,
     }
 }
 
--- a/crates/controller/src/job_api/tests.rs
+++ b/crates/controller/src/job_api/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::constants::{
-    COMMIT_WAIT_MS, ENDED_CACHE, LIVE_CACHE, LIVE_READ_MAX_AGE_MS, PEER_NOTICES, POLL_GATHER_MS,
-    POLL_RESPONSE_MS, USER_ACT_TIMEOUT_MS, USER_STATE_TIMEOUT_MS,
+    COMMIT_WAIT_MS, ENDED_JOB_CACHE_SIZE, LIVE_JOB_CACHE_SIZE, LIVE_READ_MAX_AGE_MS, MAX_PEER_NOTICES,
+    POLL_BATCH_MS, POLL_RESPONSE_DEADLINE_MS, USER_STATE_TIMEOUT_MS, USER_WRITE_TIMEOUT_MS,
 };
 use crate::io::{CallId, Effect, Outcome};
 use crate::peers::Frame;
@@ -82,7 +82,7 @@
         JobRequest::Poll,
         &mut io,
     );
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     job_api.run_due_work(48, &mut io);
     let (body, comparison) = sent_comparison(&mut io);
     assert_eq!(
@@ -102,7 +102,7 @@
     let mut io = io();
     let mut job_api = api_with_batched_poll(&mut io);
     record_cancelled_end(&mut job_api);
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     job_api.run_due_work(48, &mut io);
     let (body, comparison) = sent_comparison(&mut io);
     assert_eq!(body["If"][0]["Stamp"], 7, "the job is still compared");
@@ -115,7 +115,7 @@
 fn a_job_that_ended_through_another_node_is_read_again() {
     let mut io = io();
     let mut job_api = api_with_batched_poll(&mut io);
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     job_api.run_due_work(48, &mut io);
     let (_, comparison) = sent_comparison(&mut io);
     let failed = response(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
@@ -230,7 +230,7 @@
     let record = serde_json::json!({ "Path": "j/wk-1", "V": {}, "Stamp": 7 });
     job_api.handle_response(live, &response(200, record), &TaskCounts::new(), &mut io);
     let (path, _, left) = only_call(&mut io);
-    assert_eq!((&*path, left), ("/multi", USER_ACT_TIMEOUT_MS - 1_400));
+    assert_eq!((&*path, left), ("/multi", USER_WRITE_TIMEOUT_MS - 1_400));
 }
 
 // Many small jobs fill the caches of live and ended jobs. Evicted jobs are read again, so a job that this
@@ -246,7 +246,7 @@
         tasks: 1,
         team: None,
     };
-    for number in 0..ENDED_CACHE.max(LIVE_CACHE) + 1 {
+    for number in 0..ENDED_JOB_CACHE_SIZE.max(LIVE_JOB_CACHE_SIZE) + 1 {
         job_api.cache.record_live(&other(number), 9, Team::named("red"));
         job_api.cache.record_end(other(number), done.clone());
         job_api
@@ -254,10 +254,10 @@
             .record_live(&other(1_000_000 + number), 9, Team::named("red"));
         job_api.on_peer_notice(other(number), false, io.now);
     }
-    assert!(job_api.cache.ended_len() <= ENDED_CACHE && job_api.cache.live_len() <= LIVE_CACHE);
-    assert!(job_api.peer_notices.len() <= PEER_NOTICES);
+    assert!(job_api.cache.ended_len() <= ENDED_JOB_CACHE_SIZE && job_api.cache.live_len() <= LIVE_JOB_CACHE_SIZE);
+    assert!(job_api.peer_notices.len() <= MAX_PEER_NOTICES);
     assert!(!job_api.cache.has_ended(&job()), "it was evicted");
-    io.now += POLL_GATHER_MS;
+    io.now += POLL_BATCH_MS;
     job_api.run_due_work(48, &mut io);
     let (_, comparison) = sent_comparison(&mut io);
     let failed = response(409, serde_json::json!({ "failed": ["j/wk-1"], "Ledger": 9 }));
@@ -365,7 +365,7 @@
     let record = serde_json::json!({ "Path": "e/wk-1", "V": { "end": "done", "tasks": 2 }, "Stamp": 8 });
     job_api.handle_response(ended, &response(200, record), &TaskCounts::new(), &mut io);
     assert_eq!(reply_count(&io), 0);
-    io.now += POLL_RESPONSE_MS - 1_000;
+    io.now += POLL_RESPONSE_DEADLINE_MS - 1_000;
     job_api.run_due_work(48, &mut io);
     assert_eq!(reply_status(&mut io), 503);
     io.now += COMMIT_WAIT_MS;
@@ -473,10 +473,10 @@
 #[test]
 fn notices_beyond_the_limit_are_not_recorded() {
     let mut job_api = new_job_api();
-    for number in 0..PEER_NOTICES {
+    for number in 0..MAX_PEER_NOTICES {
         let job = JobId(std::sync::Arc::from(format!("wk-9{number}")));
         assert!(job_api.on_peer_notice(job, true, 1_000));
     }
     assert!(!job_api.on_peer_notice(job(), true, 1_000));
-    assert!(job_api.on_peer_notice(job(), true, 1_000 + USER_ACT_TIMEOUT_MS));
+    assert!(job_api.on_peer_notice(job(), true, 1_000 + USER_WRITE_TIMEOUT_MS));
 }
--- a/crates/controller/src/job_api/throttle.rs
+++ b/crates/controller/src/job_api/throttle.rs
@@ -2,8 +2,8 @@
 //! that find the queue full or wait too long are rejected, and their users are told to retry.
 
 use crate::constants::{
-    BEGIN_RESERVE, FLOOD_LANE, MAX_WAITING_REQUESTS, POLL_RESERVE, QUEUED_MS, RETRY_AFTER_S,
-    USER_WRITE_BURST, USER_WRITE_SHARE,
+    FLOOD_QUEUE_LENGTH, MAX_QUEUE_WAIT_MS, MAX_WAITING_REQUESTS, NEW_TEAM_RESERVE, RETRY_AFTER_S,
+    USER_WRITE_BURST, USER_WRITE_RESERVE, USER_WRITE_SHARE,
 };
 use crate::io::{Io, RequestId};
 use crate::job_api::pending::Requester;
@@ -84,7 +84,7 @@
     /// Rejects requests that have waited too long, while their users still wait for a response.
     pub(super) fn reject_expired<T: Queueable>(&mut self, queue: &mut FairQueue<T>, io: &mut Io) {
         let now = io.now;
-        for (team, item) in queue.take_if(|item| now > item.received_at() + QUEUED_MS) {
+        for (team, item) in queue.take_if(|item| now > item.received_at() + MAX_QUEUE_WAIT_MS) {
             self.reject(&team, item.request(), io);
         }
     }
@@ -146,9 +146,13 @@
         }
         // Part of the budget is reserved for teams that send requests only occasionally, so that they
         // need not wait until the budget used up by others is refilled.
-        let reserve = if self.writes.begins() { 0.0 } else { BEGIN_RESERVE };
+        let reserve = if self.writes.begins() {
+            0.0
+        } else {
+            NEW_TEAM_RESERVE
+        };
         // Requests of many teams may use all that the leader leaves; a flood of one team may not.
-        let is_flood = self.writes.longest() > FLOOD_LANE;
+        let is_flood = self.writes.longest() > FLOOD_QUEUE_LENGTH;
         if is_flood && !self.write_budget.has(1.0, reserve, io.now) {
             return None;
         }
@@ -164,7 +168,7 @@
 
     /// The next poll, if the budget allows one now.
     pub(super) fn next_read(&mut self, io: &mut Io) -> Option<QueuedRequest> {
-        if self.reads.is_empty() || !io.state_budget.take(1.0, POLL_RESERVE, io.now) {
+        if self.reads.is_empty() || !io.state_budget.take(1.0, USER_WRITE_RESERVE, io.now) {
             return None;
         }
         self.reads.pop().map(|(_, queued)| queued)
--- a/crates/controller/src/leader/oversubscription.rs
+++ b/crates/controller/src/leader/oversubscription.rs
@@ -2,10 +2,10 @@
 //! attempts hold some, which units linger, and which clients of the licence server are not ours.
 
 use crate::allocations::Attempt;
-use crate::constants::OVERSUBSCRIPTION_PARTS;
+use crate::constants::OVERSUBSCRIPTION_PARTS_LOGGED;
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::storage::batch_writer::ShardLinger;
-use indigopath_counted_resources::{Feed, Name, Pool};
+use indigopath_counted_resources::{Name, Pool, UsageFeed};
 use std::fmt::{self, Display, Formatter};
 
 /// Units of one attempt that may be on its machine.
@@ -114,8 +114,12 @@
 
 impl UsageReport {
     /// The last one, if the server was ever heard.
-    pub(super) fn of(feed: &Feed, is_ours: impl Fn(&str) -> bool, now: Timestamp) -> Option<UsageReport> {
-        let (usage, age_ms) = feed.last(now)?;
+    pub(super) fn of(
+        feed: &UsageFeed,
+        is_ours: impl Fn(&str) -> bool,
+        now: Timestamp,
+    ) -> Option<UsageReport> {
+        let (usage, age_ms) = feed.last_usage(now)?;
         let outside = usage.seats.iter().filter(|(host, _)| !is_ours(host));
         Some(UsageReport {
             age_ms,
@@ -156,7 +160,7 @@
             units: pool.units,
             held: pool.held,
             lingering: pool.lingering,
-            others: pool.others,
+            others: pool.external,
             attempts,
             lingers,
             server,
@@ -184,11 +188,11 @@
 /// Writes the first parts of a sum, and how many more there are.
 fn write_parts(out: &mut Formatter<'_>, name: &str, parts: &[impl Display]) -> fmt::Result {
     write!(out, " {name}=[")?;
-    for (at, part) in parts.iter().take(OVERSUBSCRIPTION_PARTS).enumerate() {
+    for (at, part) in parts.iter().take(OVERSUBSCRIPTION_PARTS_LOGGED).enumerate() {
         let separator = if at > 0 { "; " } else { "" };
         write!(out, "{separator}{part}")?;
     }
-    let more = parts.len().saturating_sub(OVERSUBSCRIPTION_PARTS);
+    let more = parts.len().saturating_sub(OVERSUBSCRIPTION_PARTS_LOGGED);
     if more > 0 {
         write!(out, "; {more} more")?;
     }
--- a/crates/controller/src/storage/batch_writer/machine_shards.rs
+++ b/crates/controller/src/storage/batch_writer/machine_shards.rs
@@ -4,12 +4,12 @@
 use super::next_number;
 use super::transaction::{PlannedStart, TransactionBuilder, Unit, WrittenShard, put_text};
 use crate::allocations::Machine;
-use crate::constants::{RELEASED_PER_SHARD, SHARD_CONDITIONS, SHARD_MACHINE_BYTES};
+use crate::constants::{RELEASED_MACHINES_PER_SHARD, SHARD_MACHINE_BYTES, SHARD_VERSION_CONDITIONS};
 use crate::model::{Job, JobId, MachineId, Timestamp};
 use crate::protocol::{Change, Condition};
 use crate::storage::keys;
 use crate::storage::records::{MachineRecord, Record, ReleasedMachine, ShardRecord};
-use indigopath_counted_resources::{Linger, LingerEntry, Lingers};
+use indigopath_counted_resources::{Linger, LingerEntry, LingerSet};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -20,9 +20,9 @@
     machines: BTreeSet<MachineId>,
     /// Units of attempts that stood here: they stay in the record from which their
     /// attempts go, so that at no time either is missing.
-    lingers: Lingers,
+    lingers: LingerSet,
     /// Those of them that a former leader recorded, as they were read.
-    inherited_lingers: Lingers,
+    inherited_lingers: LingerSet,
     /// Machines that stood here and are gone, and until when a licence server may name their clients.
     released: Vec<(MachineId, Timestamp)>,
     /// Half of its machines moved to that shard, and nobody knows yet whether this
@@ -42,9 +42,9 @@
     /// Beyond the most, those that are named for the shortest time are left out.
     fn add_released(&mut self, machine: MachineId, until: Timestamp) {
         self.released.push((machine, until));
-        if self.released.len() > RELEASED_PER_SHARD {
+        if self.released.len() > RELEASED_MACHINES_PER_SHARD {
             self.released.sort_by_key(|(_, until)| std::cmp::Reverse(*until));
-            self.released.truncate(RELEASED_PER_SHARD);
+            self.released.truncate(RELEASED_MACHINES_PER_SHARD);
         }
     }
 }
@@ -132,7 +132,7 @@
     }
 
     /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub(super) fn on_lingers_read(&mut self, number: u32, version: u64, lingers: Lingers, spent: bool) {
+    pub(super) fn on_lingers_read(&mut self, number: u32, version: u64, lingers: LingerSet, spent: bool) {
         let shard = self.shards.entry(number).or_default();
         shard.version = shard.version.max(version);
         shard.inherited_lingers = lingers.clone();
@@ -512,7 +512,7 @@
         if transaction.has_condition(&key) {
             return true;
         }
-        if !transaction.has_room_for_condition(self.conditions.len() + SHARD_CONDITIONS) {
+        if !transaction.has_room_for_condition(self.conditions.len() + SHARD_VERSION_CONDITIONS) {
             self.left_out = true;
             return false;
         }
