--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -54,7 +54,11 @@
             return;
         }
         self.queue_shifts(io.now);
-        let most = settings.deployment.state.txn_ops.min(io.writes.available(io.now));
+        let most = settings
+            .deployment
+            .state
+            .txn_ops
+            .min(io.write_budget.available(io.now));
         let Some((body, ops)) = self.writer.begin_batch(
             most,
             settings,
@@ -65,7 +69,7 @@
         ) else {
             return;
         };
-        io.writes.force_take(ops as f64, io.now);
+        io.write_budget.force_take(ops as f64, io.now);
         self.transact(body, TermCall::Write, io);
     }
 
@@ -131,7 +135,7 @@
                     self.condition_failed(key, io.now);
                 }
             }
-            outcome if outcome.refused() => {
+            outcome if outcome.is_safe_to_retry() => {
                 self.writer.retry_at = io.now + WRITE_RETRY_MS + io.rng.random_range(0..WRITE_RETRY_MS)
             }
             Outcome::Answer { status, body } => {
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -196,7 +196,7 @@
             ],
             changes: vec![change],
         };
-        io.writes.force_take(1.0, io.now);
+        io.write_budget.force_take(1.0, io.now);
         self.transact(json(&body), TermCall::Cluster, io);
     }
 
