--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines, read page by page: it leads to machines that no record names.
+//! Reads the cloud's machine list page by page, to find machines that are not in the records.
 
 use crate::allocations::Machine;
 use crate::constants::{
@@ -14,11 +14,12 @@
 use indigopath_fencing::GuardedOperation;
 use std::sync::Arc;
 
-/// How far the list has been read.
+/// Progress of reading the machine list.
 #[derive(Debug, Default)]
 pub(super) struct CloudListing {
     in_flight: bool,
-    /// The list has been read to its end once: what former leaders rented is known.
+    /// Whether the whole list has been read once in this term, so that the machines rented by former leaders
+    /// are known.
     complete: bool,
     machines: Vec<ListedMachine>,
     pages_read: u64,
@@ -26,12 +27,12 @@
 }
 
 impl CloudListing {
-    /// Whether the list has been read to its end in this term.
+    /// Whether the whole list has been read at least once in this term.
     pub(super) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Takes in a page; returns the whole list after the last one.
+    /// Adds a page, or `None` for a failed read. Returns the whole list after the last page.
     fn add_page(&mut self, page: Option<MachinePage>, now: Timestamp) -> Option<Vec<ListedMachine>> {
         self.in_flight = false;
         let Some(page) = page else {
@@ -40,22 +41,22 @@
             self.next_page_at = now + CLOUD_RETRY_MS;
             return None;
         };
-        let more = page.has_more && !page.machines.is_empty();
+        let has_more = page.has_more && !page.machines.is_empty();
         self.machines.extend(page.machines);
         self.pages_read += 1;
-        if more {
+        if has_more {
             self.next_page_at = now;
             return None;
         }
         self.complete = true;
-        // A long list takes its calls from renting and returning.
+        // Reading a long list uses calls that renting and releasing need, so it is read less often.
         self.next_page_at = now + LIST_INTERVAL_MS * std::mem::take(&mut self.pages_read).div_ceil(2);
         Some(std::mem::take(&mut self.machines))
     }
 }
 
 impl LeaderTerm {
-    /// Asks for the next page of the list, if one is due.
+    /// Requests the next page of the list, if one is due.
     pub(in crate::leader) fn poll_listing(&mut self, io: &mut Io) {
         let listing = &mut self.autoscaler.listing;
         if listing.in_flight || io.now < listing.next_page_at {
@@ -74,7 +75,7 @@
         self.calls.insert(call, TermCall::ListMachines);
     }
 
-    /// Follows a page of the list.
+    /// Handles a page of the list, and adopts the machines after the last page.
     pub(in crate::leader) fn handle_list_page(&mut self, outcome: &Outcome, io: &mut Io) {
         let page = outcome.read::<MachinePage>(&[200]);
         let Some(machines) = self.autoscaler.listing.add_page(page, io.now) else {
@@ -85,6 +86,7 @@
         }
     }
 
+    /// Updates a machine from the list, and adopts it if it is unknown.
     fn adopt_listed(&mut self, listed: ListedMachine, now: Timestamp) {
         let id = MachineId(Arc::from(listed.id.as_str()));
         if self.machines.is_recently_released(&id) {
@@ -116,19 +118,19 @@
         }
     }
 
-    /// Drops the records of requests whose machines the list must show by now.
+    /// Removes answered requests whose machines must be in the list by now.
     pub(in crate::leader) fn remove_listed_requests(&mut self, settings: &Settings, now: Timestamp) {
         let lag_s = settings.deployment.cloud.list_lag_s * LIST_LAG_MAX_FACTOR;
         let pages = (self.machines.len() / LIST_PAGE_MACHINES) as u64;
         let listed_ms = (lag_s * SECOND_MS as f64) as u64 + LIST_LAG_SLACK_MS + pages * LIST_PAGE_MS;
-        let listed: Vec<String> = self
+        let obsolete: Vec<String> = self
             .autoscaler
             .requests
             .iter()
             .filter(|(_, request)| request.answered.is_some_and(|at| now >= at + listed_ms))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in listed {
+        for key in obsolete {
             self.remove_request(&key);
         }
     }
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -1,4 +1,4 @@
-//! Autoscaling: which machines are rented, which go back, and what the cloud lists.
+//! Autoscaling: renting machines, releasing them, and reading the cloud's machine list.
 
 mod listing;
 mod scale_in;
@@ -16,29 +16,29 @@
 use spot_losses::SpotLosses;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Requests to the cloud, and what this term has seen of its answers.
+/// Scale-out requests of this term, and what it has learned about the cloud.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
     requests: BTreeMap<String, ScaleOutRequest>,
-    /// Requests that this term has made: the next one's name follows from it.
+    /// Number of requests made in this term, used to generate the next key.
     request_count: u64,
-    /// Kinds of machines that the cloud has too few of, and until when they are not asked for.
+    /// Kinds of machines that the cloud has no capacity for, and until when they are not requested again.
     capacity_refused_until: HashMap<MachineKind, Timestamp>,
-    /// Kinds of machines that waiting work could use: none of them is surplus.
+    /// Kinds of machines that waiting tasks could use. These are not scaled in.
     wanted: HashSet<MachineKind>,
     spot_losses: SpotLosses,
-    /// How long boots took, by machine type, in s.
+    /// Moving average of observed boot times, by machine type, in s.
     observed_boot_s: HashMap<String, f64>,
-    /// How long the cloud takes to confirm a return, in s.
+    /// Moving average of the time that the cloud takes to confirm a release, in s.
     release_s: f64,
     listing: CloudListing,
-    /// The cloud failed: nothing is rented or returned before.
+    /// Machines are neither rented nor released before this time, because a call to the cloud has failed.
     cloud_retry_at: Timestamp,
     next_sizing_at: Timestamp,
 }
 
 impl Autoscaler {
-    /// Nothing is known of the cloud yet.
+    /// Creates an autoscaler without any knowledge of the cloud.
     pub(super) fn new() -> Autoscaler {
         Autoscaler {
             requests: BTreeMap::new(),
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Scale-out requests by their names, for the writer.
+    /// Scale-out requests by key, for the batch writer.
     pub(super) fn requests(&self) -> &BTreeMap<String, ScaleOutRequest> {
         &self.requests
     }
 
-    /// Requests whose machines are not known yet.
+    /// Requests that the cloud has not fulfilled yet.
     pub(super) fn open_requests(&self) -> impl Iterator<Item = &ScaleOutRequest> {
         self.requests.values().filter(|request| request.is_open())
     }
 
-    /// Takes over a former leader's request: it may have been sent.
+    /// Adopts a request of a former leader, which may have been sent.
     pub(super) fn adopt_request(&mut self, request: RentalRequest) {
         let adopted = ScaleOutRequest {
             recorded: true,
@@ -75,29 +75,29 @@
         self.requests.insert(adopted.request.request.clone(), adopted);
     }
 
-    /// A request is on record, and may be sent.
+    /// Marks a request as recorded, so that it may be sent.
     pub(super) fn request_recorded(&mut self, key: &str) {
         if let Some(request) = self.requests.get_mut(key) {
             request.recorded = true;
         }
     }
 
-    /// Losses of spot machines.
+    /// Loss statistics of spot machines.
     pub(super) fn spot_losses(&self) -> &SpotLosses {
         &self.spot_losses
     }
 
-    /// Losses of spot machines, to be updated.
+    /// Loss statistics of spot machines, for modification.
     pub(super) fn spot_losses_mut(&mut self) -> &mut SpotLosses {
         &mut self.spot_losses
     }
 
-    /// How long boots took, by machine type, in s.
+    /// Moving average of observed boot times, by machine type, in s.
     pub(super) fn observed_boot_s(&self) -> &HashMap<String, f64> {
         &self.observed_boot_s
     }
 
-    /// Learns how long a machine of this type took to boot.
+    /// Records how long a machine of this type took to boot.
     pub(super) fn record_boot_time(&mut self, machine_type: &str, took_s: f64) {
         let average = self
             .observed_boot_s
@@ -106,17 +106,17 @@
         *average += BOOT_SMOOTHING * (took_s - *average);
     }
 
-    /// What renting a machine and giving it back wastes, in s.
-    fn overhead_s(&self, types: &MachineTypes, name: &str) -> f64 {
-        let boot_s = self
-            .observed_boot_s
-            .get(name)
-            .copied()
-            .or_else(|| types.get(name).map(|machine_type| machine_type.boot_s));
+    /// Time that a machine of this type spends booting and being released, in s.
+    fn overhead_s(&self, types: &MachineTypes, machine_type_name: &str) -> f64 {
+        let boot_s = self.observed_boot_s.get(machine_type_name).copied().or_else(|| {
+            types
+                .get(machine_type_name)
+                .map(|machine_type| machine_type.boot_s)
+        });
         (boot_s.unwrap_or(0.0) + self.release_s).max(1.0)
     }
 
-    /// Whether the fleet is to be sized now; the next time is set.
+    /// Returns whether the fleet is to be sized now, and schedules the next time if so.
     pub(super) fn take_sizing_due(&mut self, now: Timestamp) -> bool {
         let due = now >= self.next_sizing_at;
         if due {
@@ -127,7 +127,7 @@
 }
 
 impl LeaderTerm {
-    /// Drops a request, and its record.
+    /// Removes a request and its record.
     fn remove_request(&mut self, key: &str) {
         self.autoscaler.requests.remove(key);
         let unrecorded = self.writer.rentals.remove(key);
@@ -137,7 +137,7 @@
     }
 }
 
-/// How the names of requests of a term begin.
+/// Prefix of the keys of all requests of a term.
 fn request_prefix(first_token: u64) -> String {
     format!("r-{first_token}-")
 }
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: which machines go back to the cloud, and why.
+//! Scaling in: choosing machines to release, and releasing them to the cloud.
 
 use super::Autoscaler;
 use crate::allocations::Machine;
@@ -16,7 +16,7 @@
 use indigopath_fencing::{GuardedOperation, Permit};
 use std::collections::{HashMap, HashSet};
 
-/// Why a machine goes back.
+/// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ScaleInReason {
     BootFailed,
@@ -36,58 +36,58 @@
     }
 }
 
-/// Idle machines that are not kept, as one look goes through the fleet.
+/// Selects surplus idle machines during one iteration over the fleet.
 struct IdleSurplus<'a> {
     now: Timestamp,
     idle_ms: u64,
-    /// Machines that stay for the images that lie on them.
+    /// Machines that are kept for their cached images.
     image_holders: HashSet<MachineId>,
     wanted: &'a HashSet<MachineKind>,
-    /// Idle machines of each kind that have not been chosen.
+    /// Number of idle machines of each kind that have not been selected yet.
     idle_by_kind: HashMap<MachineKind, usize>,
 }
 
 impl IdleSurplus<'_> {
-    /// Whether the machine has been idle for too long; where many of its kind are, sooner.
+    /// Whether the machine has been idle for too long. The limit is shorter if many machines of its kind are idle.
     fn select(&mut self, machine: &Machine) -> bool {
         let Some(since) = machine.idle_since else {
             return false;
         };
         let kind = machine.kind();
-        let alike = self
+        let idle_count = self
             .idle_by_kind
             .get_mut(&kind)
-            .filter(|alike| **alike > IDLE_KEPT_PER_KIND);
-        let many = alike.is_some() && self.now >= since + self.idle_ms.min(EXCESS_IDLE_RELEASE_MS);
-        let goes = (many || self.now >= since + self.idle_ms) && !self.wanted.contains(&kind);
-        if goes && let Some(alike) = alike {
-            *alike -= 1;
+            .filter(|idle_count| **idle_count > IDLE_KEPT_PER_KIND);
+        let excess = idle_count.is_some() && self.now >= since + self.idle_ms.min(EXCESS_IDLE_RELEASE_MS);
+        let selected = (excess || self.now >= since + self.idle_ms) && !self.wanted.contains(&kind);
+        if selected && let Some(idle_count) = idle_count {
+            *idle_count -= 1;
         }
-        goes
+        selected
     }
 }
 
 impl Autoscaler {
-    /// Whether a machine that has not come up takes too long for its type.
+    /// Whether a machine has been booting for too long for its type.
     fn boot_failed(&self, machine: &Machine, types: &MachineTypes, now: Timestamp) -> bool {
         if machine.is_up() || !machine.attempts.is_empty() {
             return false;
         }
-        // Quick boots that were seen do not make a regular one late.
+        // Observed boots that were faster than the nominal time do not shorten the timeout.
         let nominal_s = types
             .get(&machine.machine_type)
             .map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let boot_s = self
             .observed_boot_s
             .get(&machine.machine_type)
-            .map_or(nominal_s, |seen| seen.max(nominal_s));
+            .map_or(nominal_s, |observed| observed.max(nominal_s));
         let known_ms = machine.age_at_first_known + now.saturating_sub(machine.first_known);
         known_ms as f64 > BOOT_TIMEOUT_FACTOR * boot_s * SECOND_MS as f64
     }
 }
 
 impl LeaderTerm {
-    /// Gives back machines that are idle, silent, useless or never came up.
+    /// Releases machines that are idle, unreachable or unusable, or did not boot.
     pub(in crate::leader) fn scale_in(
         &mut self,
         types: &MachineTypes,
@@ -101,13 +101,13 @@
         let Ok(permit) = io.permits.request(GuardedOperation::ReleaseMachines, io.now) else {
             return;
         };
-        for (name, why) in self.select_surplus(types, settings, peers, io.now) {
-            self.mark_for_release(&name, why, settings);
+        for (machine_id, reason) in self.select_surplus(types, settings, peers, io.now) {
+            self.mark_for_release(&machine_id, reason, settings);
         }
         self.send_releases(permit, io);
     }
 
-    /// Machines that are to go back, and why: no more than one call may name.
+    /// Selects machines to release, with the reason. Limited to the number that one call may release.
     fn select_surplus(
         &self,
         types: &MachineTypes,
@@ -115,8 +115,8 @@
         peers: PeerView,
         now: Timestamp,
     ) -> Vec<(MachineId, ScaleInReason)> {
-        let silence_is_proof = self.can_release_silent_machines(peers, now);
-        let kept = self.retained_machines(&settings.deployment, now);
+        let can_release_silent = self.can_release_silent_machines(peers, now);
+        let retained = self.retained_machines(&settings.deployment, now);
         let mut idle = IdleSurplus {
             now,
             idle_ms: (settings.operator.idle_return_s * SECOND_MS as f64) as u64,
@@ -129,48 +129,48 @@
             if machine.return_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
-            let never_up = self.autoscaler.boot_failed(machine, types, now);
-            let silent = machine.inspect_failed && silence_is_proof && !kept.contains(&machine.id);
-            // Asked of every machine, as it counts those of each kind that go.
+            let boot_failed = self.autoscaler.boot_failed(machine, types, now);
+            let unreachable = machine.inspect_failed && can_release_silent && !retained.contains(&machine.id);
+            // Evaluated for every machine, because `select` counts the selected ones of each kind.
             let surplus_idle = machine.is_up()
                 && machine.synced
                 && machine.is_empty()
                 && !idle.image_holders.contains(&machine.id)
                 && !self.protection_windows.kept.contains_key(&machine.id)
                 && idle.select(machine);
-            let useless =
+            let unusable =
                 machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
-            let why = if machine.returning {
+            let reason = if machine.returning {
                 continue;
-            } else if never_up {
+            } else if boot_failed {
                 ScaleInReason::BootFailed
-            } else if silent {
+            } else if unreachable {
                 ScaleInReason::Unreachable
-            } else if useless {
+            } else if unusable {
                 ScaleInReason::Unusable
             } else if surplus_idle {
                 ScaleInReason::Idle
             } else {
                 continue;
             };
-            surplus.push((machine.id.clone(), why));
+            surplus.push((machine.id.clone(), reason));
         }
         surplus
     }
 
-    /// How many machines of each kind are idle.
+    /// Counts idle machines by kind.
     fn idle_by_kind(&self) -> HashMap<MachineKind, usize> {
-        let mut alike: HashMap<MachineKind, usize> = HashMap::new();
+        let mut idle_by_kind: HashMap<MachineKind, usize> = HashMap::new();
         for machine in self.machines.values() {
             if machine.idle_since.is_some() {
-                *alike.entry(machine.kind()).or_default() += 1;
+                *idle_by_kind.entry(machine.kind()).or_default() += 1;
             }
         }
-        alike
+        idle_by_kind
     }
 
-    /// Has it recorded that the machine goes back.
-    fn mark_for_release(&mut self, id: &MachineId, why: ScaleInReason, settings: &Settings) {
+    /// Marks a machine for release and queues its record.
+    fn mark_for_release(&mut self, id: &MachineId, reason: ScaleInReason, settings: &Settings) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -179,27 +179,28 @@
         self.writer.record(machine);
         self.image_locality.goes(machine, settings);
         if !std::mem::replace(&mut machine.return_told, true) {
-            log::info!("scale-in requested machine={id}: {}", why.text());
-            if why == ScaleInReason::Unreachable {
+            log::info!("scale-in requested machine={id}: {}", reason.text());
+            if reason == ScaleInReason::Unreachable {
                 self.image_locality.lost();
             }
         }
     }
 
-    /// Asks the cloud to take back what is recorded as to be returned.
+    /// Releases the machines that are recorded as marked for release.
     ///
-    /// The record comes first: nobody at the cloud compares tokens, and a leader that was
-    /// replaced gave machines back on which its successor's tasks ran. A successor reads the
-    /// record, places nothing there and finishes the return.
+    /// The record must be written first, because the cloud does not check fencing tokens: a replaced leader
+    /// could otherwise release machines on which its successor runs tasks. A successor reads the record,
+    /// places nothing on the machine and completes the release.
     fn send_releases(&mut self, permit: Permit, io: &mut Io) {
-        let mut names: Vec<MachineId> = Vec::new();
+        let mut machine_ids: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.returning || machine.return_in_flight || names.len() >= MAX_MACHINES_PER_RELEASE {
+            if !machine.returning || machine.return_in_flight || machine_ids.len() >= MAX_MACHINES_PER_RELEASE
+            {
                 continue;
             }
-            // It has answered since, with work on it, and nobody was asked to take it.
-            let back = !machine.inspect_failed && machine.is_up() && !machine.is_empty();
-            if back && !machine.return_unanswered {
+            // The machine has answered since and runs tasks, and no release call may have reached the cloud.
+            let in_use = !machine.inspect_failed && machine.is_up() && !machine.is_empty();
+            if in_use && !machine.return_unanswered {
                 log::info!("scale-in cancelled machine={}: it answers again", machine.id);
                 machine.returning = false;
                 machine.return_recorded = false;
@@ -207,31 +208,34 @@
                 self.writer.record(machine);
                 self.scheduler.request_pass();
             } else if machine.return_recorded {
-                names.push(machine.id.clone());
+                machine_ids.push(machine.id.clone());
             }
         }
-        if names.is_empty() || !io.cloud_budget.take(1.0, 0.0, io.now) {
+        if machine_ids.is_empty() || !io.cloud_budget.take(1.0, 0.0, io.now) {
             return;
         }
-        for name in &names {
-            if let Some(machine) = self.machines.get_mut(name) {
+        for machine_id in &machine_ids {
+            if let Some(machine) = self.machines.get_mut(machine_id) {
                 machine.return_in_flight = true;
             }
         }
         let body = json(&MachineNames {
-            machines: names.iter().map(|name| name.to_string()).collect(),
+            machines: machine_ids
+                .iter()
+                .map(|machine_id| machine_id.to_string())
+                .collect(),
         });
         let call = io.cloud_call(permit, Method::Post, paths::RENTAL_RETURNS.to_owned(), body);
         self.calls.insert(
             call,
             TermCall::Release {
-                machines: names,
+                machines: machine_ids,
                 sent: io.now,
             },
         );
     }
 
-    /// Follows the answer to a return.
+    /// Handles the response to a release.
     pub(in crate::leader) fn handle_release_response(
         &mut self,
         machines: Vec<MachineId>,
@@ -243,16 +247,16 @@
             let took_s = (io.now - sent) as f64 / SECOND_MS as f64;
             self.autoscaler.release_s += BOOT_SMOOTHING * (took_s - self.autoscaler.release_s);
             for id in machines {
-                // The cloud confirms it: the machine and all that was on it are gone.
+                // The cloud has confirmed that the machine is gone, with everything on it.
                 let Some(mut machine) = self.machines.remove_released(&id, io.now) else {
                     continue;
                 };
-                let there = machine.tasks_there();
-                if there > 0 {
-                    log::info!("machine released machine={id} tasks_lost={there}");
+                let tasks_lost = machine.tasks_there();
+                if tasks_lost > 0 {
+                    log::info!("machine released machine={id} tasks_lost={tasks_lost}");
                 }
-                let taken = machine.inspect_failed || machine.notice_until.is_some();
-                if machine.spot && machine.is_up() && taken {
+                let reclaimed = machine.inspect_failed || machine.notice_until.is_some();
+                if machine.spot && machine.is_up() && reclaimed {
                     self.autoscaler.spot_losses.record_loss();
                 }
                 self.writer.machine_gone(&machine);
@@ -269,12 +273,12 @@
                 continue;
             };
             machine.return_in_flight = false;
-            // An unanswered return may still be carried out: nothing is placed
-            // there again, and it is asked for until the cloud confirms.
+            // A release without a response may still be executed. Nothing is placed on the machine, and
+            // the release is retried until the cloud confirms it.
             machine.return_unanswered |= !outcome.is_safe_to_retry();
             machine.returning = machine.return_unanswered;
             if !machine.returning {
-                // What was refused may be used again, and a successor must not finish it.
+                // After a refusal the machine may be used again, and a successor must not complete the release.
                 machine.return_recorded = false;
                 self.writer.record(machine);
             }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: which machines are rented, and what the cloud answers.
+//! Scaling out: deciding which machines to rent, sending the requests and handling the responses.
 
 use super::request_prefix;
 use crate::allocations::Machine;
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 
 impl LeaderTerm {
-    /// The paper's rule, kind by kind: rents the gap between its target and the
-    /// machines that are idle or booting.
+    /// For each kind of machine, requests the difference between the target size and the machines that are
+    /// idle or booting.
     pub(in crate::leader) fn size_fleet(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        // What former leaders rented must be known before anything is rented: twice
-        // as many machines as were needed booted after a take-over.
+        // The machines rented by former leaders must be known first. Otherwise a new leader rents them
+        // again, and twice as many machines as needed boot after a failover.
         if io.now < self.autoscaler.cloud_retry_at || !self.autoscaler.listing.is_complete() {
             return;
         }
@@ -29,18 +29,18 @@
             .capacity_refused_until
             .retain(|_, until| *until > io.now);
         self.autoscaler.wanted = self.wanted_kinds(types);
-        let mut coming = self.pending_capacity(types);
-        // Work that may use spot machines does not count on ordinary ones that others
-        // wait for. Spot machines stand first.
-        let ordinary_short = self.scheduler.unplaced().iter().any(|unplaced| {
+        let mut pending_capacity = self.pending_capacity(types);
+        // If gangs that cannot use spot machines are waiting for on-demand machines, work that may use
+        // spot machines does not count on pending on-demand ones. Spot machines are sorted first.
+        let on_demand_short = self.scheduler.unplaced().iter().any(|unplaced| {
             self.jobs
                 .get(&unplaced.job)
                 .is_some_and(|job| !job.spec.spot && job.spec.shape == Shape::Gang)
         });
-        let spot_ones = coming.iter().filter(|machine| machine.spot).count();
-        let mut in_zone: HashMap<&str, usize> = HashMap::new();
+        let pending_spot = pending_capacity.iter().filter(|machine| machine.spot).count();
+        let mut machines_by_zone: HashMap<&str, usize> = HashMap::new();
         for machine in self.machines.values() {
-            *in_zone.entry(&machine.zone).or_default() += 1;
+            *machines_by_zone.entry(&machine.zone).or_default() += 1;
         }
         let mut queues: BTreeMap<(String, bool, Vec<String>), QueuedDemand> = BTreeMap::new();
         for unplaced in self
@@ -53,14 +53,14 @@
                 continue;
             };
             let spec = self.scale_out_spec(job);
-            // Machines that are idle or coming take what they may, of whatever kind.
-            let most = if ordinary_short && spec.spot {
-                spot_ones
+            // Idle and pending machines of any eligible kind cover tasks first.
+            let usable = if on_demand_short && spec.spot {
+                pending_spot
             } else {
-                coming.len()
+                pending_capacity.len()
             };
             let tasks = target_size::uncovered_tasks(
-                &mut coming[..most],
+                &mut pending_capacity[..usable],
                 &spec,
                 job.avoids(io.now),
                 &unplaced.zones,
@@ -81,8 +81,8 @@
                 continue;
             };
             if job.spec.one_zone {
-                // Machines spread over zones would never take it whole.
-                zones = fullest_zone(zones, &in_zone);
+                // Machines spread over several zones could never run the whole job.
+                zones = fullest_zone(zones, &machines_by_zone);
             }
             let waste_s = self.autoscaler.overhead_s(types, &machine_type.name);
             let per_machine = job.spec.needs.count_in(&machine_type.resources());
@@ -116,8 +116,8 @@
         }
     }
 
-    /// A job as machines are rented for it: what is protected, and may have any other, is kept off spot
-    /// ones.
+    /// The job specification used to choose machines to rent. A protected job that could use on-demand
+    /// machines does not get spot machines.
     fn scale_out_spec<'j>(&self, job: &'j Job) -> std::borrow::Cow<'j, JobSpec> {
         let protection = &self.protection_windows.protection;
         if !protection.avoids_spot(&job.spec, &self.forecast.satisfaction().starved) {
@@ -129,8 +129,8 @@
         })
     }
 
-    /// Kinds of machines that some waiting task could use. A gang for which there are
-    /// too few must not lose those that stand ready for it.
+    /// Kinds of machines that some waiting task could use. A gang that is waiting for more machines must not
+    /// lose the idle ones it already has.
     fn wanted_kinds(&self, types: &MachineTypes) -> HashSet<MachineKind> {
         let mut wanted = HashSet::new();
         for unplaced in self
@@ -158,12 +158,12 @@
         wanted
     }
 
-    /// Machines that are idle, booting or being rented.
+    /// Free capacity of machines that are idle, booting or requested.
     fn pending_capacity(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
         let machines = self.machines.values().filter(|machine| {
-            let coming = !machine.is_up() && machine.attempts.is_empty() || machine.idle_since.is_some();
-            let takes = machine.notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
-            coming && !machine.returning && takes
+            let pending = !machine.is_up() && machine.attempts.is_empty() || machine.idle_since.is_some();
+            let usable = machine.notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
+            pending && !machine.returning && usable
         });
         let machines = machines.map(|machine| {
             let kind = (&machine.machine_type, &machine.zone, machine.spot);
@@ -174,17 +174,17 @@
             let kind = (&request.machine_type, &request.zone, request.spot);
             (None, kind, request.count)
         });
-        let mut coming = Vec::new();
+        let mut capacity = Vec::new();
         for (machine, (machine_type, zone, spot), count) in machines.chain(rentals) {
-            let Some(known) = types.get(machine_type) else {
+            let Some(known_type) = types.get(machine_type) else {
                 continue;
             };
-            let mut free = known.resources();
-            if let Some(kept) = machine.and_then(|machine| self.protection_windows.kept.get(machine)) {
-                free -= *kept;
+            let mut free = known_type.resources();
+            if let Some(reserved) = machine.and_then(|machine| self.protection_windows.kept.get(machine)) {
+                free -= *reserved;
             }
             for _ in 0..count {
-                coming.push(PendingCapacity {
+                capacity.push(PendingCapacity {
                     machine: machine.cloned(),
                     machine_type: machine_type.clone(),
                     zone: zone.clone(),
@@ -193,15 +193,15 @@
                 });
             }
         }
-        // What may use spot machines leaves the others to what may not.
-        coming.sort_by(|a: &PendingCapacity, b: &PendingCapacity| {
+        // Work that may use spot machines uses them first, to leave the others to work that may not.
+        capacity.sort_by(|a: &PendingCapacity, b: &PendingCapacity| {
             (!a.spot, &a.machine_type, &a.zone).cmp(&(!b.spot, &b.machine_type, &b.zone))
         });
-        coming
+        capacity
     }
 
-    /// The cheapest kind of machine, per task, that the cloud may have; for a job that
-    /// avoids spot machines, an ordinary one if there is any.
+    /// Returns the kind of machine with the lowest price per task for which the cloud may have capacity, and
+    /// its eligible zones. If `avoids_spot`, on-demand machines are preferred at any price.
     fn cheapest_kind<'a>(
         &self,
         spec: &JobSpec,
@@ -247,35 +247,36 @@
         best
     }
 
-    /// Spreads `count` machines over the zones with the fewest of the site's.
-    fn create_requests(&mut self, name: &str, spot: bool, zones: &[String], count: u32) {
-        let mut have: BTreeMap<&String, u32> = zones.iter().map(|zone| (zone, 0)).collect();
+    /// Creates requests for `count` machines, placing each in the zone with the fewest machines.
+    fn create_requests(&mut self, machine_type: &str, spot: bool, zones: &[String], count: u32) {
+        let mut machines_by_zone: BTreeMap<&String, u32> = zones.iter().map(|zone| (zone, 0)).collect();
         for machine in self.machines.values() {
-            if let Some(count) = have.get_mut(&machine.zone) {
+            if let Some(count) = machines_by_zone.get_mut(&machine.zone) {
                 *count += 1;
             }
         }
         for rental in self.autoscaler.open_requests() {
-            if let Some(count) = have.get_mut(&rental.request.zone) {
+            if let Some(count) = machines_by_zone.get_mut(&rental.request.zone) {
                 *count += rental.request.count;
             }
         }
-        let mut share: BTreeMap<&String, u32> = BTreeMap::new();
+        let mut count_by_zone: BTreeMap<&String, u32> = BTreeMap::new();
         for _ in 0..count {
-            let Some((zone, at)) = have.iter_mut().min_by_key(|(_, count)| **count) else {
+            let Some((zone, zone_count)) = machines_by_zone.iter_mut().min_by_key(|(_, count)| **count)
+            else {
                 return;
             };
-            *at += 1;
-            *share.entry(*zone).or_default() += 1;
+            *zone_count += 1;
+            *count_by_zone.entry(*zone).or_default() += 1;
         }
-        for (zone, mut left) in share {
+        for (zone, mut remaining) in count_by_zone {
             log::info!(
-                "scale-out requested count={left} type={name} zone={zone}{}",
+                "scale-out requested count={remaining} type={machine_type} zone={zone}{}",
                 if spot { " spot=true" } else { "" }
             );
-            while left > 0 {
-                let count = left.min(MAX_MACHINES_PER_RENTAL);
-                left -= count;
+            while remaining > 0 {
+                let count = remaining.min(MAX_MACHINES_PER_RENTAL);
+                remaining -= count;
                 self.autoscaler.request_count += 1;
                 let request = RentalRequest {
                     request: format!(
@@ -283,7 +284,7 @@
                         request_prefix(self.first_token),
                         self.autoscaler.request_count
                     ),
-                    machine_type: name.to_owned(),
+                    machine_type: machine_type.to_owned(),
                     zone: zone.clone(),
                     spot,
                     count,
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Sends the requests that are on record, as far as the budget of calls goes.
+    /// Sends the recorded requests that are due, within the call budget.
     pub(in crate::leader) fn send_scale_out_requests(&mut self, io: &mut Io) {
         let now = io.now;
         let due = |rental: &ScaleOutRequest| {
@@ -329,7 +330,7 @@
         }
     }
 
-    /// Follows the answer to a scale-out request.
+    /// Handles the response to a scale-out request.
     pub(in crate::leader) fn handle_launch_response(&mut self, key: &str, outcome: &Outcome, io: &mut Io) {
         let Some(rental) = self.autoscaler.requests.get_mut(key) else {
             return;
@@ -350,7 +351,7 @@
                             request.spot,
                             io.now,
                         );
-                        // A former leader's may have booted for long.
+                        // The boot time of a machine requested by a former leader is unknown.
                         machine.rented_at = own.then_some(io.now);
                         machine
                     });
@@ -362,39 +363,39 @@
             }
         } else if outcome.status() == Some(503) {
             #[derive(serde::Deserialize)]
-            struct Problem {
+            struct ErrorBody {
                 #[serde(default)]
                 error: String,
             }
-            let problem = outcome
-                .read::<Problem>(&[503])
-                .map(|problem| problem.error)
+            let error = outcome
+                .read::<ErrorBody>(&[503])
+                .map(|error| error.error)
                 .unwrap_or_default();
-            if problem.contains("capacity") {
+            if error.contains("capacity") {
                 self.record_capacity_refusal(&request, io);
             } else {
                 self.autoscaler.cloud_retry_at = io.now + CLOUD_RETRY_MS;
             }
             match self.autoscaler.requests.get_mut(key) {
-                // An earlier call of it may still be carried out: its record stays, or nobody
-                // would know of the machines, and as many would be rented again.
-                Some(rental) if rental.doubtful && !problem.contains("capacity") => {
+                // An earlier call for this request may still be executed. Its record must stay, as the
+                // machines would otherwise be unknown and rented a second time.
+                Some(rental) if rental.doubtful && !error.contains("capacity") => {
                     rental.retry_at = io.now + CLOUD_RETRY_MS;
                 }
-                // Nothing was rented, and the need may have changed: decide afresh.
+                // Nothing was rented. Drop the request, as the demand may have changed.
                 _ => self.remove_request(key),
             }
         } else if outcome.status() == Some(400) {
             log::error!("scale-out rejected request={key}: the cloud calls it malformed");
             self.remove_request(key);
         } else {
-            // Perhaps rented: the request is idempotent, so repeating it shows, and rents nothing twice.
+            // The machines may have been rented. The request is idempotent, so it is retried.
             rental.doubtful |= !outcome.is_safe_to_retry();
             rental.retry_at = io.now + CLOUD_RETRY_MS;
         }
     }
 
-    /// The cloud has too few machines of this kind: none are asked for during a while.
+    /// Records that the cloud lacks capacity for this kind of machine, and stops requesting it for a while.
     fn record_capacity_refusal(&mut self, request: &RentalRequest, io: &Io) {
         log::info!(
             "scale-out refused for want of capacity type={} zone={}{}",
@@ -406,21 +407,21 @@
         self.autoscaler
             .capacity_refused_until
             .insert(kind.clone(), io.now + CAPACITY_RETRY_MS);
-        // What has not been sent of the same kind would be refused too, a call each.
-        let in_vain: Vec<String> = self
+        // Unsent requests for the same kind would be refused too, at the cost of one call each.
+        let unsent: Vec<String> = self
             .autoscaler
             .requests
             .values()
             .filter(|rental| !rental.sent && rental.request.kind() == kind)
             .map(|rental| rental.request.request.clone())
             .collect();
-        for key in in_vain {
+        for key in unsent {
             self.remove_request(&key);
         }
     }
 }
 
-/// The zone with the most of the site's machines, the first of several.
+/// Returns the zone with the most machines, the first one if several have as many.
 fn fullest_zone(zones: Vec<String>, machines: &HashMap<&str, usize>) -> Vec<String> {
     let fullest = zones
         .into_iter()
--- a/crates/controller/src/leader/autoscaling/spot_losses.rs
+++ b/crates/controller/src/leader/autoscaling/spot_losses.rs
@@ -1,9 +1,9 @@
-//! How often the cloud takes spot machines back.
+//! Loss rate of spot machines.
 
 use crate::constants::{SECOND_MS, SPOT_LOSS_PRIOR_PER_S, SPOT_LOSS_PRIOR_WEIGHT_S};
 use crate::model::Timestamp;
 
-/// How often spot machines are lost, as seen in this term.
+/// Loss statistics of spot machines, observed in this term.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct SpotLosses {
     machine_uptime_s: f64,
@@ -12,7 +12,7 @@
 }
 
 impl SpotLosses {
-    /// So many spot machines have been up since the last call.
+    /// Adds the uptime of this number of spot machines since the last call.
     pub(in crate::leader) fn add_uptime(&mut self, machines: usize, now: Timestamp) {
         let since_s = now.saturating_sub(self.updated_at) as f64 / SECOND_MS as f64;
         if self.updated_at > 0 {
@@ -21,12 +21,12 @@
         self.updated_at = now;
     }
 
-    /// The cloud has taken a spot machine back, or it fell silent for good.
+    /// Counts a spot machine that was reclaimed by the cloud or became unreachable for good.
     pub(in crate::leader) fn record_loss(&mut self) {
         self.losses += 1;
     }
 
-    /// Losses per second and machine.
+    /// Losses per machine and second, smoothed with a prior.
     pub(in crate::leader) fn rate(&self) -> f64 {
         (f64::from(self.losses) + SPOT_LOSS_PRIOR_PER_S * SPOT_LOSS_PRIOR_WEIGHT_S)
             / (self.machine_uptime_s + SPOT_LOSS_PRIOR_WEIGHT_S)
