--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -95,7 +95,7 @@
                 to_probe.push((rank, Reverse(silent_ms), machine.id.clone()));
             }
             // The latest time at which any leader can have renewed the machine's lease: this leader when
-            // it last_heard_at heard from the machine or answered_at it, a former leader when it had to step down.
+            // it last heard from the machine or answered it, a former leader when it had to step down.
             let answered_at = machine.answered.unwrap_or(0);
             let renewed_until = if machine.synced {
                 last_heard_at.max(answered_at)
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -95,7 +95,7 @@
                 _ => probe_sample.partitioned && io.now < probe_sample.silent_at + ZONE_RENTAL_BACKOFF_MS,
             });
         for (zone, tally) in tallies {
-            // A zone with nearly total of the fleet cannot be compared with other zones.
+            // A zone with nearly all of the fleet cannot be compared with other zones.
             let dominates_fleet = tally.up as f64 > ZONE_OUTAGE_MAX_FLEET_SHARE * total as f64;
             if tally.silent == 0 || tally.up < ZONE_OUTAGE_MIN_MACHINES || dominates_fleet {
                 continue;
