--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub(super) struct CloudListing {
     in_flight: bool,
-    /// Whether the whole list has been read once in this term, so that the machines rented by former leaders
+    /// Whether the whole list has been read once in this term, so that the machines launched by former leaders
     /// are known.
     complete: bool,
     machines: Vec<ListedMachine>,
@@ -49,7 +49,7 @@
             return None;
         }
         self.complete = true;
-        // Reading a long list uses calls that renting and releasing need, so it is read less often.
+        // Reading a long list uses calls that launches and releases need, so it is read less often.
         self.next_page_at = now + LIST_INTERVAL_MS * std::mem::take(&mut self.pages_read).div_ceil(2);
         Some(std::mem::take(&mut self.machines))
     }
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -1,4 +1,4 @@
-//! Autoscaling: renting machines, releasing them, and reading the cloud's machine list.
+//! Autoscaling: launching machines, releasing them, and reading the cloud's machine list.
 
 mod listing;
 mod scale_in;
@@ -32,7 +32,7 @@
     /// Moving average of the time that the cloud takes to confirm a release, in s.
     release_s: f64,
     listing: CloudListing,
-    /// Machines are neither rented nor released before this time, because a call to the cloud has failed.
+    /// Machines are neither launched nor released before this time, because a call to the cloud has failed.
     cloud_retry_at: Timestamp,
     next_sizing_at: Timestamp,
 }
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -48,7 +48,8 @@
 }
 
 impl IdleSurplus<'_> {
-    /// Whether the machine has been idle for too long. The limit is shorter if many machines of its kind are idle.
+    /// Whether the machine has been idle for too long. The limit is shorter if many machines of its kind are
+    /// idle.
     fn select(&mut self, machine: &Machine) -> bool {
         let Some(since) = machine.idle_since else {
             return false;
@@ -115,7 +116,7 @@
         peers: PeerView,
         now: Timestamp,
     ) -> Vec<(MachineId, ScaleInReason)> {
-        let can_release_silent = self.can_release_silent_machines(peers, now);
+        let can_release_unreachable = self.can_release_unreachable_machines(peers, now);
         let retained = self.retained_machines(&settings.deployment, now);
         let mut idle = IdleSurplus {
             now,
@@ -130,7 +131,8 @@
                 continue;
             }
             let boot_failed = self.autoscaler.boot_failed(machine, types, now);
-            let unreachable = machine.inspect_failed && can_release_silent && !retained.contains(&machine.id);
+            let unreachable =
+                machine.inspect_failed && can_release_unreachable && !retained.contains(&machine.id);
             // Evaluated for every machine, because `select` counts the selected ones of each kind.
             let surplus_idle = machine.is_up()
                 && machine.synced
@@ -278,7 +280,8 @@
             machine.return_unanswered |= !outcome.is_safe_to_retry();
             machine.returning = machine.return_unanswered;
             if !machine.returning {
-                // After a refusal the machine may be used again, and a successor must not complete the release.
+                // After a refusal the machine may be used again, and a successor must not complete the
+                // release.
                 machine.return_recorded = false;
                 self.writer.record(machine);
             }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: deciding which machines to rent, sending the requests and handling the responses.
+//! Scaling out: deciding which machines to launch, sending the requests and handling the responses.
 
 use super::request_prefix;
 use crate::allocations::Machine;
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 
 impl LeaderTerm {
-    /// For each kind of machine, requests the difference between the target size and the machines that are
-    /// idle or booting.
+    /// For each kind of machine, requests the difference between the target size, as [`target_size`] computes
+    /// it, and the machines that are idle or booting.
     pub(in crate::leader) fn size_fleet(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        // The machines rented by former leaders must be known first. Otherwise a new leader rents them
-        // again, and twice as many machines as needed boot after a failover.
+        // The machines launched by former leaders must be known first. Otherwise a new leader requests
+        // them again, and twice as many machines as needed boot after a failover.
         if io.now < self.autoscaler.cloud_retry_at || !self.autoscaler.listing.is_complete() {
             return;
         }
@@ -100,7 +100,7 @@
         let pending: u32 = self
             .autoscaler
             .open_requests()
-            .map(|rental| rental.request.count)
+            .map(|scale_out| scale_out.request.count)
             .sum();
         let mut room = settings
             .operator
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The job specification used to choose machines to rent. A protected job that could use on-demand
+    /// The job specification used to choose machines to launch. A protected job that could use on-demand
     /// machines does not get spot machines.
     fn scale_out_spec<'j>(&self, job: &'j Job) -> std::borrow::Cow<'j, JobSpec> {
         let protection = &self.protection_windows.protection;
@@ -169,13 +169,13 @@
             let kind = (&machine.machine_type, &machine.zone, machine.spot);
             (Some(&machine.id), kind, 1)
         });
-        let rentals = self.autoscaler.open_requests().map(|rental| {
-            let request = &rental.request;
+        let requests = self.autoscaler.open_requests().map(|scale_out| {
+            let request = &scale_out.request;
             let kind = (&request.machine_type, &request.zone, request.spot);
             (None, kind, request.count)
         });
         let mut capacity = Vec::new();
-        for (machine, (machine_type, zone, spot), count) in machines.chain(rentals) {
+        for (machine, (machine_type, zone, spot), count) in machines.chain(requests) {
             let Some(known_type) = types.get(machine_type) else {
                 continue;
             };
@@ -255,9 +255,9 @@
                 *count += 1;
             }
         }
-        for rental in self.autoscaler.open_requests() {
-            if let Some(count) = machines_by_zone.get_mut(&rental.request.zone) {
-                *count += rental.request.count;
+        for scale_out in self.autoscaler.open_requests() {
+            if let Some(count) = machines_by_zone.get_mut(&scale_out.request.zone) {
+                *count += scale_out.request.count;
             }
         }
         let mut count_by_zone: BTreeMap<&String, u32> = BTreeMap::new();
@@ -301,8 +301,8 @@
     /// Sends the recorded requests that are due, within the call budget.
     pub(in crate::leader) fn send_scale_out_requests(&mut self, io: &mut Io) {
         let now = io.now;
-        let due = |rental: &ScaleOutRequest| {
-            rental.recorded && rental.is_open() && !rental.in_flight && now >= rental.retry_at
+        let due = |scale_out: &ScaleOutRequest| {
+            scale_out.recorded && scale_out.is_open() && !scale_out.in_flight && now >= scale_out.retry_at
         };
         if !self.autoscaler.requests.values().any(due) {
             return;
@@ -311,11 +311,11 @@
             return;
         };
         let mut sends = Vec::new();
-        for rental in self.autoscaler.requests.values_mut() {
-            if due(rental) && io.cloud_budget.take(1.0, RELEASE_CALL_RESERVE, io.now) {
-                rental.sent = true;
-                rental.in_flight = true;
-                sends.push(rental.request.clone());
+        for scale_out in self.autoscaler.requests.values_mut() {
+            if due(scale_out) && io.cloud_budget.take(1.0, RELEASE_CALL_RESERVE, io.now) {
+                scale_out.sent = true;
+                scale_out.in_flight = true;
+                sends.push(scale_out.request.clone());
             }
         }
         for request in sends {
@@ -332,14 +332,14 @@
 
     /// Handles the response to a scale-out request.
     pub(in crate::leader) fn handle_launch_response(&mut self, key: &str, outcome: &Outcome, io: &mut Io) {
-        let Some(rental) = self.autoscaler.requests.get_mut(key) else {
+        let Some(scale_out) = self.autoscaler.requests.get_mut(key) else {
             return;
         };
-        rental.in_flight = false;
-        let request = rental.request.clone();
+        scale_out.in_flight = false;
+        let request = scale_out.request.clone();
         let own = request.request.starts_with(&request_prefix(self.first_token));
         if let Some(names) = outcome.read::<MachineNames>(&[200]) {
-            rental.answered = Some(io.now);
+            scale_out.answered = Some(io.now);
             for name in &names.machines {
                 let id = MachineId(Arc::from(name.as_str()));
                 if !self.machines.is_recently_released(&id) {
@@ -378,20 +378,20 @@
             }
             match self.autoscaler.requests.get_mut(key) {
                 // An earlier call for this request may still be executed. Its record must stay, as the
-                // machines would otherwise be unknown and rented a second time.
-                Some(rental) if rental.doubtful && !error.contains("capacity") => {
-                    rental.retry_at = io.now + CLOUD_RETRY_MS;
+                // machines would otherwise be unknown and launched a second time.
+                Some(scale_out) if scale_out.doubtful && !error.contains("capacity") => {
+                    scale_out.retry_at = io.now + CLOUD_RETRY_MS;
                 }
-                // Nothing was rented. Drop the request, as the demand may have changed.
+                // Nothing was launched. Drop the request, as the demand may have changed.
                 _ => self.remove_request(key),
             }
         } else if outcome.status() == Some(400) {
             log::error!("scale-out rejected request={key}: the cloud calls it malformed");
             self.remove_request(key);
         } else {
-            // The machines may have been rented. The request is idempotent, so it is retried.
-            rental.doubtful |= !outcome.is_safe_to_retry();
-            rental.retry_at = io.now + CLOUD_RETRY_MS;
+            // The machines may have been launched. The request is idempotent, so it is retried.
+            scale_out.doubtful |= !outcome.is_safe_to_retry();
+            scale_out.retry_at = io.now + CLOUD_RETRY_MS;
         }
     }
 
@@ -412,8 +412,8 @@
             .autoscaler
             .requests
             .values()
-            .filter(|rental| !rental.sent && rental.request.kind() == kind)
-            .map(|rental| rental.request.request.clone())
+            .filter(|scale_out| !scale_out.sent && scale_out.request.kind() == kind)
+            .map(|scale_out| scale_out.request.request.clone())
             .collect();
         for key in unsent {
             self.remove_request(&key);
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -1,7 +1,7 @@
 //! Detection of one-way partitions: machines that answer probes and execute commands, but whose own
 //! heartbeats reach no controller. Only the response to a heartbeat renews a worker's lease, so the tasks on
 //! such a machine are killed when the lease expires, although the machine seems healthy. No task is started
-//! on such a machine, and no machine is rented in a zone where most machines are affected.
+//! on such a machine, and no machine is launched in a zone where most machines are affected.
 
 use super::LeaderTerm;
 use crate::constants::MUTE_ZONE_MIN_MACHINES;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether machines rented in this zone would be affected by a one-way partition.
+    /// Whether machines launched in this zone would be affected by a one-way partition.
     pub(super) fn is_zone_one_way_partitioned(&self, zone: &str) -> bool {
         self.one_way_partitions.zones.contains(zone)
     }
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -141,7 +141,7 @@
     ///
     /// While this node may be partitioned and no peer can be consulted, nothing is released. A peer that
     /// hears no worker either confirms that the machines have failed.
-    pub(super) fn can_release_silent_machines(&self, peers: PeerView, now: Timestamp) -> bool {
+    pub(super) fn can_release_unreachable_machines(&self, peers: PeerView, now: Timestamp) -> bool {
         let may_be_partitioned = self.suspects_own_partition()
             && (peers.recently_heard == 0
                 || peers.max_workers_heard > 0
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -93,8 +93,8 @@
         self.reconcile(report, Machine::absorb_answer, io);
     }
 
-    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false if
-    /// the report is outdated.
+    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false
+    /// if the report is outdated.
     fn reconcile(
         &mut self,
         report: &Heartbeat,
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -86,7 +86,8 @@
 }
 
 impl LeaderTerm {
-    /// Runs a scheduling pass: plans which waiting tasks start and which running tasks stop, and requests both.
+    /// Runs a scheduling pass: plans which waiting tasks start and which running tasks stop, and requests
+    /// both.
     pub(super) fn run_pass(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         self.scheduler.begin_pass(io.now);
         self.settle_lingers(io.now);
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -27,7 +27,7 @@
     /// Whether the zone is considered partitioned.
     partitioned: bool,
     /// When the zone last had an unreachable machine that was not released.
-    silent_at: Timestamp,
+    last_unreachable_at: Timestamp,
     /// When the zone was reachable again after a partition.
     recovered_at: Option<Timestamp>,
 }
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneTally {
     up: usize,
-    silent: usize,
+    unreachable: usize,
     last_unreachable_at: Timestamp,
 }
 
@@ -61,7 +61,7 @@
             };
             tally.up += 1;
             if machine.inspect_failed && !machine.returning {
-                tally.silent += 1;
+                tally.unreachable += 1;
                 tally.last_unreachable_at = tally.last_unreachable_at.max(machine.silent_at);
             }
         }
@@ -81,8 +81,8 @@
         self.zone_health
             .probe_samples
             .retain(|zone, probe_sample| match tallies.get(zone) {
-                Some(tally) if tally.silent > 0 => {
-                    probe_sample.silent_at = io.now;
+                Some(tally) if tally.unreachable > 0 => {
+                    probe_sample.last_unreachable_at = io.now;
                     true
                 }
                 Some(tally) if tally.up >= ZONE_OUTAGE_MIN_MACHINES => {
@@ -92,12 +92,15 @@
                     false
                 }
                 // Its machines have been released. The zone is avoided for a while, then tried again.
-                _ => probe_sample.partitioned && io.now < probe_sample.silent_at + ZONE_RENTAL_BACKOFF_MS,
+                _ => {
+                    probe_sample.partitioned
+                        && io.now < probe_sample.last_unreachable_at + ZONE_RENTAL_BACKOFF_MS
+                }
             });
         for (zone, tally) in tallies {
             // A zone with nearly all of the fleet cannot be compared with other zones.
             let dominates_fleet = tally.up as f64 > ZONE_OUTAGE_MAX_FLEET_SHARE * total as f64;
-            if tally.silent == 0 || tally.up < ZONE_OUTAGE_MIN_MACHINES || dominates_fleet {
+            if tally.unreachable == 0 || tally.up < ZONE_OUTAGE_MIN_MACHINES || dominates_fleet {
                 continue;
             }
             // Evaluate the last sample before a new one replaces it: while machines keep becoming
@@ -134,7 +137,7 @@
             sampled_at: io.now,
             probed: self.probe_sample(others, ZONE_PROBE_SAMPLE, io),
             partitioned,
-            silent_at: io.now,
+            last_unreachable_at: io.now,
             recovered_at,
         };
         self.zone_health
@@ -148,10 +151,10 @@
             return;
         };
         let heard = self.count_heard_since(&probe_sample.probed, probe_sample.sampled_at);
-        let silent = probe_sample.probed.len() - heard;
-        let answering = heard > 0 && heard >= silent;
+        let unheard = probe_sample.probed.len() - heard;
+        let answering = heard > 0 && heard >= unheard;
         let timed_out = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-        let mostly_silent = tally.silent as f64 >= ZONE_OUTAGE_SILENT_SHARE * tally.up as f64;
+        let mostly_unreachable = tally.unreachable as f64 >= ZONE_OUTAGE_SILENT_SHARE * tally.up as f64;
         let Some(probe_sample) = self.zone_health.probe_samples.get_mut(zone) else {
             return;
         };
@@ -160,17 +163,17 @@
                 probe_sample.recovered_at = Some(now);
                 log::info!("zone reachable again zone={zone}");
             }
-        } else if (mostly_silent || timed_out && silent > heard) && !probe_sample.partitioned {
+        } else if (mostly_unreachable || timed_out && unheard > heard) && !probe_sample.partitioned {
             probe_sample.partitioned = true;
             log::warn!(
                 "zone unreachable zone={zone} silent={} machines={}: they are kept meanwhile",
-                tally.silent,
+                tally.unreachable,
                 tally.up
             );
         }
     }
 
-    /// Whether the zone is partitioned, so that machines rented there would be unreachable.
+    /// Whether the zone is partitioned, so that machines launched there would be unreachable.
     pub(super) fn is_zone_partitioned(&self, zone: &str) -> bool {
         let probe_sample = self.zone_health.probe_samples.get(zone);
         probe_sample.is_some_and(|probe_sample| probe_sample.partitioned)
@@ -179,8 +182,8 @@
     /// Unreachable machines that must not be released now.
     ///
     /// They are retained while their zone is being evaluated, for a while after it has become reachable
-    /// again, and for [`ZONE_OUTAGE_KEPT_LEASES`] leases while it is partitioned. The last does not hold for a
-    /// machine with a replica that could run in another zone, where its users can reach it.
+    /// again, and for [`ZONE_OUTAGE_KEPT_LEASES`] leases while it is partitioned. The last does not hold for
+    /// a machine with a replica that could run in another zone, where its users can reach it.
     pub(super) fn retained_machines(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
         let lease_ms = (deployment.workers.lease_s * SECOND_MS as f64) as u64;
         let mut retained = HashSet::new();
