--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -386,7 +386,7 @@
                 _ => self.remove_request(key),
             }
         } else if outcome.status() == Some(400) {
-            log::error!("scale-out rejected request={key}: the cloud calls it malformed");
+            log::error!("scale-out rejected request={key}: the cloud reports it as malformed");
             self.remove_request(key);
         } else {
             // The machines may have been launched. The request is idempotent, so it is retried.
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -310,7 +310,7 @@
 fn step_down_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
     // The leader's own lease may still be valid, but worker leases can no longer be renewed here. A peer may
     // be able to read newer cancellations.
-    let reason = "no word of which jobs are over";
+    let reason = "the cancellation watermark has expired";
     if election.certain(io.now) {
         election.hand_over(reason, io)
     } else {
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -34,7 +34,7 @@
         for zone in affected_zones.symmetric_difference(&self.one_way_partitions.zones) {
             if affected_zones.contains(zone) {
                 log::warn!(
-                    "one-way partition detected zone={zone}: most of its machines answer but send no heartbeat, none is rented there"
+                    "one-way partition detected zone={zone}: most of its machines answer but their heartbeats do not arrive, no machine is launched there"
                 );
             } else {
                 log::info!("one-way partition ended zone={zone}");
@@ -49,7 +49,7 @@
                 self.scheduler.request_pass();
                 if one_way_partition {
                     log::info!(
-                        "one-way partition detected machine={}: it answers but sends no heartbeat, nothing is started there",
+                        "one-way partition detected machine={}: it answers but its heartbeats do not arrive, no task is started there",
                         machine.id
                     );
                 }
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -123,7 +123,7 @@
         }
         let since = *self.partition_detector.suspected_since.get_or_insert(io.now);
         if io.now >= since + SELF_PARTITION_HANDOVER_MS && peers.max_workers_heard > 0 {
-            return election.hand_over("most workers are silent here, but not to a sibling", io);
+            return election.hand_over("most workers are unreachable from here, but not from a peer", io);
         }
         // Peers that this node cannot reach may hear all workers. If none does, handing over costs
         // nothing, as this leader hears no worker either.
@@ -132,7 +132,10 @@
             && self.partition_detector.sample_unreachable
             && io.now >= since + SELF_PARTITION_HANDOVER_ALONE_MS
         {
-            return election.hand_over("most workers are silent here, and no sibling can be asked", io);
+            return election.hand_over(
+                "most workers are unreachable from here, and no peer can be consulted",
+                io,
+            );
         }
         None
     }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -135,7 +135,7 @@
                 // An earlier renewal of this leader that was given up may have been executed before
                 // this transaction. Then there is no other leader, as re-reading the key shows.
                 if failed_keys.iter().any(|key| key == records::LEADER) && !self.writer.may_be_renewed() {
-                    return election.deposed("a transaction met a newer leader");
+                    return election.deposed("a transaction conflicted with a newer leader");
                 }
                 for key in failed_keys {
                     self.on_condition_failed(key, io.now);
@@ -296,7 +296,7 @@
                 election.renewed(version);
                 self.writer.token = version;
             } else {
-                return election.deposed("its key belongs to another");
+                return election.deposed("the leader key belongs to another node");
             }
         } else if let Some(job) = key.strip_prefix(records::JOBS) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -146,7 +146,7 @@
         if let Err(error) = self.adopt_records(loaded, settings, io) {
             // The records may contain starts that this version cannot read.
             log::error!("leadership declined: {error}");
-            return election.hand_over("a later build's records", io);
+            return election.hand_over("records of a later version", io);
         }
         log::info!(
             "records loaded jobs={} machines={}",
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -166,7 +166,7 @@
         } else if (mostly_unreachable || timed_out && unheard > heard) && !probe_sample.partitioned {
             probe_sample.partitioned = true;
             log::warn!(
-                "zone unreachable zone={zone} silent={} machines={}: they are kept meanwhile",
+                "zone unreachable zone={zone} silent={} machines={}: its machines are kept for now",
                 tally.unreachable,
                 tally.up
             );
