--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -66,7 +66,7 @@
             listing.next_page_at = io.now + LIVENESS_CHECK_MS;
             return;
         };
-        if !io.cloud_budget.take(1.0, RELEASE_CALL_RESERVE, io.now) {
+        if !io.cloud_budget.try_take(1.0, RELEASE_CALL_RESERVE, io.now) {
             return;
         }
         listing.in_flight = true;
@@ -104,17 +104,17 @@
             machine.needs_fencing_probe = listed.status == ListedStatus::Running;
             machine
         });
-        machine.hearsay = false;
+        machine.unconfirmed = false;
         let age_ms = (listed.age_s.max(0.0) * SECOND_MS as f64) as u64;
-        if age_ms > machine.age_at_first_known + now.saturating_sub(machine.first_known) {
-            machine.first_known = now;
-            machine.age_at_first_known = age_ms;
+        if age_ms > machine.age_ms_at_first_known + now.saturating_sub(machine.first_known_at) {
+            machine.first_known_at = now;
+            machine.age_ms_at_first_known = age_ms;
         }
         if machine.addr.is_none() {
             machine.addr = listed.addr;
         }
         if listed.status == ListedStatus::Failed {
-            machine.inspect_failed = true;
+            machine.unreachable = true;
         }
     }
 
@@ -127,7 +127,7 @@
             .autoscaler
             .requests
             .iter()
-            .filter(|(_, request)| request.answered.is_some_and(|at| now >= at + listed_ms))
+            .filter(|(_, request)| request.answered_at.is_some_and(|at| now >= at + listed_ms))
             .map(|(key, _)| key.clone())
             .collect();
         for key in obsolete {
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -67,9 +67,9 @@
     /// Adopts a request of a former leader, which may have been sent.
     pub(super) fn adopt_request(&mut self, request: RentalRequest) {
         let adopted = ScaleOutRequest {
-            recorded: true,
+            persisted: true,
             sent: true,
-            doubtful: true,
+            outcome_unknown: true,
             ..ScaleOutRequest::new(request)
         };
         self.requests.insert(adopted.request.request.clone(), adopted);
@@ -78,7 +78,7 @@
     /// Marks a request as recorded, so that it may be sent.
     pub(super) fn request_recorded(&mut self, key: &str) {
         if let Some(request) = self.requests.get_mut(key) {
-            request.recorded = true;
+            request.persisted = true;
         }
     }
 
@@ -130,9 +130,9 @@
     /// Removes a request and its record.
     fn remove_request(&mut self, key: &str) {
         self.autoscaler.requests.remove(key);
-        let unrecorded = self.writer.rentals.remove(key);
+        let unrecorded = self.writer.rentals_to_record.remove(key);
         if !unrecorded {
-            self.writer.garbage.insert(records::rental_key(key));
+            self.writer.obsolete_keys.insert(records::rental_key(key));
         }
     }
 }
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -11,7 +11,7 @@
 use crate::leader::{LeaderTerm, PeerView};
 use crate::model::{MachineId, MachineKind, Timestamp};
 use crate::protocol::{MachineNames, paths};
-use crate::scheduling::placement::{MachineTypes, faulty};
+use crate::scheduling::placement::{MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::{GuardedOperation, Permit};
 use std::collections::{HashMap, HashSet};
@@ -82,7 +82,7 @@
             .observed_boot_s
             .get(&machine.machine_type)
             .map_or(nominal_s, |observed| observed.max(nominal_s));
-        let known_ms = machine.age_at_first_known + now.saturating_sub(machine.first_known);
+        let known_ms = machine.age_ms_at_first_known + now.saturating_sub(machine.first_known_at);
         known_ms as f64 > BOOT_TIMEOUT_FACTOR * boot_s * SECOND_MS as f64
     }
 }
@@ -127,12 +127,12 @@
         };
         let mut surplus = Vec::new();
         for machine in self.machines.values() {
-            if machine.return_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
+            if machine.release_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
             let boot_failed = self.autoscaler.boot_failed(machine, types, now);
             let unreachable =
-                machine.inspect_failed && can_release_unreachable && !retained.contains(&machine.id);
+                machine.unreachable && can_release_unreachable && !retained.contains(&machine.id);
             // Evaluated for every machine, because `select` counts the selected ones of each kind.
             let surplus_idle = machine.is_up()
                 && machine.synced
@@ -140,9 +140,10 @@
                 && !idle.image_holders.contains(&machine.id)
                 && !self.protection_windows.kept.contains_key(&machine.id)
                 && idle.select(machine);
-            let unusable =
-                machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
-            let reason = if machine.returning {
+            let unusable = machine.is_up()
+                && machine.is_empty()
+                && (is_faulty(machine) || machine.reclaim_notice_until.is_some());
+            let reason = if machine.releasing {
                 continue;
             } else if boot_failed {
                 ScaleInReason::BootFailed
@@ -176,11 +177,11 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.returning = true;
-        machine.return_recorded = false;
-        self.writer.record(machine);
+        machine.releasing = true;
+        machine.release_recorded = false;
+        self.writer.queue_machine(machine);
         self.image_locality.goes(machine, settings);
-        if !std::mem::replace(&mut machine.return_told, true) {
+        if !std::mem::replace(&mut machine.release_logged, true) {
             log::info!("scale-in requested machine={id}: {}", reason.text());
             if reason == ScaleInReason::Unreachable {
                 self.image_locality.lost();
@@ -196,29 +197,29 @@
     fn send_releases(&mut self, permit: Permit, io: &mut Io) {
         let mut machine_ids: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.returning || machine.return_in_flight || machine_ids.len() >= MAX_MACHINES_PER_RELEASE
+            if !machine.releasing || machine.release_in_flight || machine_ids.len() >= MAX_MACHINES_PER_RELEASE
             {
                 continue;
             }
             // The machine has answered since and runs tasks, and no release call may have reached the cloud.
-            let in_use = !machine.inspect_failed && machine.is_up() && !machine.is_empty();
-            if in_use && !machine.return_unanswered {
+            let in_use = !machine.unreachable && machine.is_up() && !machine.is_empty();
+            if in_use && !machine.release_unanswered {
                 log::info!("scale-in cancelled machine={}: it answers again", machine.id);
-                machine.returning = false;
-                machine.return_recorded = false;
-                machine.return_told = false;
-                self.writer.record(machine);
+                machine.releasing = false;
+                machine.release_recorded = false;
+                machine.release_logged = false;
+                self.writer.queue_machine(machine);
                 self.scheduler.request_pass();
-            } else if machine.return_recorded {
+            } else if machine.release_recorded {
                 machine_ids.push(machine.id.clone());
             }
         }
-        if machine_ids.is_empty() || !io.cloud_budget.take(1.0, 0.0, io.now) {
+        if machine_ids.is_empty() || !io.cloud_budget.try_take(1.0, 0.0, io.now) {
             return;
         }
         for machine_id in &machine_ids {
             if let Some(machine) = self.machines.get_mut(machine_id) {
-                machine.return_in_flight = true;
+                machine.release_in_flight = true;
             }
         }
         let body = json(&MachineNames {
@@ -253,15 +254,15 @@
                 let Some(mut machine) = self.machines.remove_released(&id, io.now) else {
                     continue;
                 };
-                let tasks_lost = machine.tasks_there();
+                let tasks_lost = machine.task_count();
                 if tasks_lost > 0 {
                     log::info!("machine released machine={id} tasks_lost={tasks_lost}");
                 }
-                let reclaimed = machine.inspect_failed || machine.notice_until.is_some();
+                let reclaimed = machine.unreachable || machine.reclaim_notice_until.is_some();
                 if machine.spot && machine.is_up() && reclaimed {
                     self.autoscaler.spot_losses.record_loss();
                 }
-                self.writer.machine_gone(&machine);
+                self.writer.remove_machine(&machine);
                 let changes = machine.clear();
                 self.apply_changes_from_shard(&id, machine.shard, changes, io);
                 self.remember_clients(&machine);
@@ -274,16 +275,16 @@
             let Some(machine) = self.machines.get_mut(&id) else {
                 continue;
             };
-            machine.return_in_flight = false;
+            machine.release_in_flight = false;
             // A release without a response may still be executed. Nothing is placed on the machine, and
             // the release is retried until the cloud confirms it.
-            machine.return_unanswered |= !outcome.is_safe_to_retry();
-            machine.returning = machine.return_unanswered;
-            if !machine.returning {
+            machine.release_unanswered |= !outcome.is_safe_to_retry();
+            machine.releasing = machine.release_unanswered;
+            if !machine.releasing {
                 // After a refusal the machine may be used again, and a successor must not complete the
                 // release.
-                machine.return_recorded = false;
-                self.writer.record(machine);
+                machine.release_recorded = false;
+                self.writer.queue_machine(machine);
             }
         }
     }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -10,7 +10,7 @@
 use crate::leader::calls::TermCall;
 use crate::model::{Job, JobSpec, MachineId, MachineKind};
 use crate::protocol::{MachineNames, MachineType, RentalRequest, Shape, paths};
-use crate::scheduling::placement::{self, MachineTypes, faulty};
+use crate::scheduling::placement::{self, MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::GuardedOperation;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -62,7 +62,7 @@
             let tasks = target_size::uncovered_tasks(
                 &mut pending_capacity[..usable],
                 &spec,
-                job.avoids(io.now),
+                job.avoided_machines(io.now),
                 &unplaced.zones,
                 unplaced.tasks,
                 types,
@@ -85,12 +85,12 @@
                 zones = fullest_zone(zones, &machines_by_zone);
             }
             let waste_s = self.autoscaler.overhead_s(types, &machine_type.name);
-            let per_machine = job.spec.needs.count_in(&machine_type.resources());
+            let per_machine = job.spec.needs.instances_in(&machine_type.resources());
             let waiting = target_size::WaitingTasks {
                 tasks,
                 estimate_s: job.spec.estimate_s,
                 per_machine,
-                gang: job.spec.shape == Shape::Gang,
+                is_gang: job.spec.shape == Shape::Gang,
             };
             queues
                 .entry((machine_type.name.clone(), spot, zones))
@@ -107,7 +107,7 @@
             .fleet_max
             .saturating_sub(self.machines.len() as u32 + pending);
         for ((name, spot, zones), queue) in queues {
-            let target = target_size::target(&queue, self.autoscaler.overhead_s(types, &name));
+            let target = target_size::target_machines(&queue, self.autoscaler.overhead_s(types, &name));
             let count = target.min(room);
             if count > 0 {
                 room -= count;
@@ -149,7 +149,7 @@
                     .iter()
                     .flat_map(|zone| [(zone, false), (zone, true)])
                 {
-                    if spec.eligible(machine_type, zone, spot) {
+                    if spec.is_eligible(machine_type, zone, spot) {
                         wanted.insert((machine_type.name.clone(), zone.clone(), spot));
                     }
                 }
@@ -162,8 +162,9 @@
     fn pending_capacity(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
         let machines = self.machines.values().filter(|machine| {
             let pending = !machine.is_up() && machine.attempts.is_empty() || machine.idle_since.is_some();
-            let usable = machine.notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
-            pending && !machine.returning && usable
+            let usable =
+                machine.reclaim_notice_until.is_none() && !machine.one_way_partition && !is_faulty(machine);
+            pending && !machine.releasing && usable
         });
         let machines = machines.map(|machine| {
             let kind = (&machine.machine_type, &machine.zone, machine.spot);
@@ -216,7 +217,7 @@
                 let open: Vec<String> = zones
                     .iter()
                     .filter(|zone| {
-                        machine_type.zones.contains(zone) && spec.eligible(machine_type, zone, spot)
+                        machine_type.zones.contains(zone) && spec.is_eligible(machine_type, zone, spot)
                     })
                     .filter(|zone| !self.is_zone_partitioned(zone) && !self.is_zone_one_way_partitioned(zone))
                     .filter(|zone| {
@@ -231,7 +232,7 @@
                 if open.is_empty() {
                     continue;
                 }
-                let per_machine = spec.needs.count_in(&machine_type.resources()).max(1.0);
+                let per_machine = spec.needs.instances_in(&machine_type.resources()).max(1.0);
                 let price = if spot {
                     machine_type.spot_price
                 } else {
@@ -293,7 +294,7 @@
                 self.autoscaler
                     .requests
                     .insert(key.clone(), ScaleOutRequest::new(request));
-                self.writer.rentals.insert(key);
+                self.writer.rentals_to_record.insert(key);
             }
         }
     }
@@ -302,7 +303,7 @@
     pub(in crate::leader) fn send_scale_out_requests(&mut self, io: &mut Io) {
         let now = io.now;
         let due = |scale_out: &ScaleOutRequest| {
-            scale_out.recorded && scale_out.is_open() && !scale_out.in_flight && now >= scale_out.retry_at
+            scale_out.persisted && scale_out.is_open() && !scale_out.in_flight && now >= scale_out.retry_at
         };
         if !self.autoscaler.requests.values().any(due) {
             return;
@@ -312,7 +313,7 @@
         };
         let mut sends = Vec::new();
         for scale_out in self.autoscaler.requests.values_mut() {
-            if due(scale_out) && io.cloud_budget.take(1.0, RELEASE_CALL_RESERVE, io.now) {
+            if due(scale_out) && io.cloud_budget.try_take(1.0, RELEASE_CALL_RESERVE, io.now) {
                 scale_out.sent = true;
                 scale_out.in_flight = true;
                 sends.push(scale_out.request.clone());
@@ -339,7 +340,7 @@
         let request = scale_out.request.clone();
         let own = request.request.starts_with(&request_prefix(self.first_token));
         if let Some(names) = outcome.read::<MachineNames>(&[200]) {
-            scale_out.answered = Some(io.now);
+            scale_out.answered_at = Some(io.now);
             for name in &names.machines {
                 let id = MachineId(Arc::from(name.as_str()));
                 if !self.machines.is_recently_released(&id) {
@@ -355,7 +356,7 @@
                         machine.rented_at = own.then_some(io.now);
                         machine
                     });
-                    machine.hearsay = false;
+                    machine.unconfirmed = false;
                 }
             }
             if (names.machines.len() as u32) < request.count {
@@ -379,7 +380,7 @@
             match self.autoscaler.requests.get_mut(key) {
                 // An earlier call for this request may still be executed. Its record must stay, as the
                 // machines would otherwise be unknown and launched a second time.
-                Some(scale_out) if scale_out.doubtful && !error.contains("capacity") => {
+                Some(scale_out) if scale_out.outcome_unknown && !error.contains("capacity") => {
                     scale_out.retry_at = io.now + CLOUD_RETRY_MS;
                 }
                 // Nothing was launched. Drop the request, as the demand may have changed.
@@ -390,7 +391,7 @@
             self.remove_request(key);
         } else {
             // The machines may have been launched. The request is idempotent, so it is retried.
-            scale_out.doubtful |= !outcome.is_safe_to_retry();
+            scale_out.outcome_unknown |= !outcome.is_safe_to_retry();
             scale_out.retry_at = io.now + CLOUD_RETRY_MS;
         }
     }
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -10,7 +10,7 @@
 use crate::io::{Effect, FencedDestination, Io, Method, Outcome};
 use crate::model::{Job, JobId, MachineId, Timestamp};
 use crate::protocol::paths;
-use crate::scheduling::placement::{self, Units, UnsatisfiedDemand};
+use crate::scheduling::placement::{self, CountedUnits, UnsatisfiedDemand};
 use crate::storage::records::ReleasedMachine;
 use indigopath_counted_resources::constants::{
     MAX_SERVER_ANSWER_BYTES, SERVER_TIMEOUT_MS, SERVER_USAGE_VALID_MS,
@@ -86,14 +86,14 @@
 
 impl LeaderTerm {
     /// What a pass needs to know of counted resources.
-    pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> Units<'a> {
-        Units {
+    pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> CountedUnits<'a> {
+        CountedUnits {
             definitions,
             policy: ReservationPolicy::default(),
             reserved_since: &self.counted_resources.keepers,
             feeds: &self.counted_resources.feeds,
             lingers: &self.counted_resources.lingers,
-            gone: self.machines.recently_released(),
+            recently_released: self.machines.recently_released(),
         }
     }
 
@@ -107,7 +107,7 @@
     /// Brings what lingers up to date, before a pass or a look.
     pub(super) fn settle_lingers(&mut self, now: Timestamp) {
         let before = self.counted_resources.lingers.len();
-        self.counted_resources.lingers = self.writer.lingers(now);
+        self.counted_resources.lingers = self.writer.active_lingers(now);
         // Units that have come free are a reason to place.
         self.scheduler
             .request_pass_if(self.counted_resources.lingers.len() < before);
@@ -145,7 +145,7 @@
                 };
                 // What is said of the count before the next pass must not lack it.
                 self.counted_resources.lingers.push(linger.clone());
-                self.writer.linger(shard, linger);
+                self.writer.add_linger(shard, linger);
             }
         }
     }
@@ -155,7 +155,7 @@
     pub(super) fn remember_clients(&mut self, machine: &Machine) {
         let named_until = machine
             .shard
-            .and_then(|shard| self.writer.machine_released(shard, &machine.id));
+            .and_then(|shard| self.writer.on_machine_released(shard, &machine.id));
         if let Some(until) = named_until {
             // A server that falls silent then is believed for a while.
             self.machines
@@ -186,7 +186,7 @@
             let id = MachineId(released.name.clone());
             self.machines
                 .remember_released(&id, until + SERVER_USAGE_VALID_MS);
-            self.writer.released_read(shard, id, until);
+            self.writer.load_released_machine(shard, id, until);
         }
     }
 
@@ -266,7 +266,7 @@
         self.counted_resources.looked_at = io.now;
         self.settle_lingers(io.now);
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, io.now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, io.now);
         let mut found: Vec<(Name, Trouble, String)> = Vec::new();
         let mut over = BTreeSet::new();
         for pool in book.pools() {
@@ -387,7 +387,7 @@
 fn waiting_for(count: &str, short: &[UnsatisfiedDemand]) -> u64 {
     short
         .iter()
-        .filter(|short| &*short.lack.count == count)
+        .filter(|short| &*short.shortage.count == count)
         .map(|short| u64::from(short.tasks))
         .sum()
 }
@@ -398,7 +398,7 @@
     let mut largest: BTreeMap<&Name, (u64, &JobId)> = BTreeMap::new();
     for job in jobs.values().filter(|job| !job.parked && !job.waiting.is_empty()) {
         for (count, units) in job.spec.counts.iter() {
-            let wanted = u64::from(units) * u64::from(job.together());
+            let wanted = u64::from(units) * u64::from(job.gang_size());
             let there = definitions.get(count).map_or(0, |definition| definition.units);
             let known = largest.get(count).map_or(0, |(most, _)| *most);
             if wanted > u64::from(there) && wanted > known {
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -18,7 +18,7 @@
     /// Every count at a glance.
     pub fn count_status(&self, definitions: &Definitions, now: Timestamp) -> Vec<CountStatus> {
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         book.pools().map(|pool| self.status_of(pool, now)).collect()
     }
 
@@ -152,7 +152,7 @@
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
         let units = self.units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
             .counted_resources
             .short
@@ -161,7 +161,7 @@
             .collect();
         let counts = job.spec.counts.iter().map(|(count, units)| RequestedCount {
             count: count.to_string(),
-            needs: u64::from(units) * u64::from(job.together()),
+            needs: u64::from(units) * u64::from(job.gang_size()),
             free: book.get(count).map_or(0, |pool| pool.free()),
             kept: self.counted_resources.kept.get(count).copied().unwrap_or(0),
             ahead: if short.is_empty() {
@@ -171,8 +171,8 @@
             },
             why: short
                 .iter()
-                .find(|short| short.lack.count == *count)
-                .map(|short| short.lack.reason.text().to_owned()),
+                .find(|short| short.shortage.count == *count)
+                .map(|short| short.shortage.reason.text().to_owned()),
         });
         let waiting = job.waiting.len() as u32;
         let rents = self
@@ -186,14 +186,14 @@
             let tasks: u32 = short.iter().map(|short| short.tasks).sum();
             format!(
                 "{tasks} of its tasks wait for units of {}: {}",
-                first.lack.count,
-                first.lack.reason.text()
+                first.shortage.count,
+                first.shortage.reason.text()
             )
         } else if let Some(why) = job.spec.condor.as_ref().and_then(|part| part.held()) {
             format!("it is held: {why}")
         } else if job.parked {
             "its cluster is not accepted yet".to_owned()
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             "it failed on several machines and is tried again in a while".to_owned()
         } else if rents {
             "it has its units and waits for machines".to_owned()
@@ -213,10 +213,10 @@
 pub(super) fn holder_state(machine: &Machine, attempt: &Attempt) -> &'static str {
     if attempt.stop.is_some() {
         "stopping"
-    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.inspect_failed {
+    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.unreachable {
         "uncertain"
     } else {
-        match attempt.seen {
+        match attempt.reported_state {
             None if attempt.durable => "sent",
             None => "planned",
             Some(_) => "running",
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -47,7 +47,7 @@
 
     /// Takes one probe from the budget, unless that would use up the reserve.
     pub(super) fn try_take_probe(&mut self, reserve: f64, now: Timestamp) -> bool {
-        self.probe_budget.take(1.0, reserve, now)
+        self.probe_budget.try_take(1.0, reserve, now)
     }
 }
 
@@ -72,19 +72,19 @@
             .count();
         self.autoscaler.spot_losses_mut().add_uptime(spot_up, io.now);
         for machine in self.machines.values_mut() {
-            if machine.direct_due(true, io.now) {
+            if machine.is_direct_command_due(true, io.now) {
                 self.commands.mark_due(machine.id.clone());
             }
             if !machine.has_been_up() {
                 continue;
             }
-            let last_heard_at = machine.heard.unwrap_or(self.started);
+            let last_heard_at = machine.last_heard_at.unwrap_or(self.started);
             let silent_ms = io.now.saturating_sub(last_heard_at);
             if silent_ms < PROBE_AFTER_MS {
                 continue;
             }
-            if !machine.inspecting && machine.addr.is_some() {
-                let rank = match (machine.inspect_failed, silent_ms >= overdue_ms) {
+            if !machine.probe_in_flight && machine.addr.is_some() {
+                let rank = match (machine.unreachable, silent_ms >= overdue_ms) {
                     (false, true) => 0,
                     // Probed before without a response; it may be reachable again.
                     (true, _) => 1,
@@ -96,7 +96,7 @@
             }
             // The latest time at which any leader can have renewed the machine's lease: this leader when
             // it last heard from the machine or answered it, a former leader when it had to step down.
-            let answered_at = machine.answered.unwrap_or(0);
+            let answered_at = machine.last_answered_at.unwrap_or(0);
             let renewed_until = if machine.synced {
                 last_heard_at.max(answered_at)
             } else {
@@ -129,7 +129,7 @@
     /// Requeues the tasks of machines whose lease has expired, as their workers have killed them.
     fn expire_leases(&mut self, expired: Vec<MachineId>, io: &mut Io) {
         for id in expired {
-            let tasks_lost = self.machines.get(&id).map_or(0, Machine::tasks_there);
+            let tasks_lost = self.machines.get(&id).map_or(0, Machine::task_count);
             log::info!("lease expired machine={id} tasks_lost={tasks_lost}");
             let changes = self.machines.get_mut(&id).map(Machine::clear).unwrap_or_default();
             self.apply_changes(&id, changes, io);
@@ -141,10 +141,10 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(addr) = machine.addr.clone().filter(|_| !machine.inspecting) else {
+        let Some(addr) = machine.addr.clone().filter(|_| !machine.probe_in_flight) else {
             return;
         };
-        machine.inspecting = true;
+        machine.probe_in_flight = true;
         let call = io.call(
             FencedDestination::Worker(addr),
             Method::Get,
@@ -165,13 +165,13 @@
     ) -> Option<ElectionEvent> {
         let current = self.token();
         let machine = self.machines.get_mut(id)?;
-        machine.inspecting = false;
+        machine.probe_in_flight = false;
         match outcome
             .read::<Heartbeat>(&[200])
             .filter(|report| report.machine == *id.0)
         {
             Some(report) if report.token > current => {
-                return election.deposed("a worker has seen a newer leader");
+                return election.depose("a worker has seen a newer leader");
             }
             Some(report) => self.reconcile_response(&report, io),
             None => self.mark_unreachable(id, io.now),
@@ -182,11 +182,11 @@
     /// Marks a machine as unreachable because it did not answer a probe in time.
     pub(super) fn mark_unreachable(&mut self, id: &MachineId, now: Timestamp) {
         if let Some(machine) = self.machines.get_mut(id) {
-            if !machine.inspect_failed {
+            if !machine.unreachable {
                 log::info!("machine unreachable machine={id}: no heartbeat and no answer");
-                machine.silent_at = now;
+                machine.last_unreachable_at = now;
             }
-            machine.inspect_failed = true;
+            machine.unreachable = true;
             self.scheduler.request_pass();
         }
     }
@@ -203,7 +203,7 @@
         let first = io.rng.random_range(0..stride);
         let sample: Vec<MachineId> = machines.into_iter().skip(first).step_by(stride).collect();
         for id in &sample {
-            self.liveness.probe_budget.force(1.0, io.now);
+            self.liveness.probe_budget.force_take(1.0, io.now);
             self.probe(id, io);
         }
         sample
@@ -213,7 +213,7 @@
     pub(super) fn count_heard_since(&self, sample: &[MachineId], sampled_at: Timestamp) -> usize {
         let sample = sample.iter().filter_map(|id| self.machines.get(id));
         sample
-            .filter(|machine| machine.heard.is_some_and(|at| at >= sampled_at))
+            .filter(|machine| machine.last_heard_at.is_some_and(|at| at >= sampled_at))
             .count()
     }
 }
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -189,7 +189,7 @@
         }
         self.poll_watch(io);
         self.look_at_shifts(types, settings, io);
-        let certain = election.certain(io.now);
+        let certain = election.is_lease_live(io.now);
         if let Some(event) = self.check_fleet(election, types, settings, peers, io) {
             return Some(event);
         }
@@ -211,10 +211,10 @@
     /// Answers the heartbeats that were buffered during recovery.
     fn answer_buffered_heartbeats(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
         while let Some((request, heartbeat)) = self.buffered_heartbeats.pop() {
-            if let Err(superseded) = self.handle_heartbeat(request, &heartbeat, election.certain(io.now), io)
+            if let Err(superseded) = self.handle_heartbeat(request, &heartbeat, election.is_lease_live(io.now), io)
             {
                 buffered_heartbeats::reject(request, io);
-                return election.deposed(&superseded.to_string());
+                return election.depose(&superseded.to_string());
             }
         }
         None
@@ -244,7 +244,7 @@
 
     /// Runs a scheduling pass, scales out and updates what depends on both, each if it is due.
     fn schedule(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.stalled(io.now) {
+        if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.is_stalled(io.now) {
             self.run_pass(types, settings, io);
         }
         if self.autoscaler.take_sizing_due(io.now) {
@@ -311,9 +311,9 @@
     // The leader's own lease may still be valid, but worker leases can no longer be renewed here. A peer may
     // be able to read newer cancellations.
     let reason = "the cancellation watermark has expired";
-    if election.certain(io.now) {
+    if election.is_lease_live(io.now) {
         election.hand_over(reason, io)
     } else {
-        election.deposed(reason)
+        election.depose(reason)
     }
 }
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -25,7 +25,7 @@
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
             let (total, affected) = zones.entry(&machine.zone).or_default();
             *total += 1;
-            *affected += usize::from(machine.own_report_late(late_ms, now));
+            *affected += usize::from(machine.is_own_report_late(late_ms, now));
         }
         let affected_zones = zones
             .into_iter()
@@ -42,9 +42,9 @@
         }
         self.one_way_partitions.zones = affected_zones;
         for machine in self.machines.values_mut() {
-            let in_affected_zone = !machine.reports && self.one_way_partitions.zones.contains(&machine.zone);
+            let in_affected_zone = !machine.has_own_report && self.one_way_partitions.zones.contains(&machine.zone);
             let one_way_partition =
-                machine.is_up() && (in_affected_zone || machine.own_report_late(late_ms, now));
+                machine.is_up() && (in_affected_zone || machine.is_own_report_late(late_ms, now));
             if one_way_partition != std::mem::replace(&mut machine.one_way_partition, one_way_partition) {
                 self.scheduler.request_pass();
                 if one_way_partition {
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -40,8 +40,8 @@
         let last_unreachable_at = self
             .machines
             .values()
-            .filter(|machine| machine.inspect_failed && !machine.returning)
-            .map(|machine| machine.silent_at)
+            .filter(|machine| machine.unreachable && !machine.releasing)
+            .map(|machine| machine.last_unreachable_at)
             .max();
         if self
             .partition_detector
@@ -64,7 +64,7 @@
         let others: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|machine| machine.is_up() && !machine.inspect_failed)
+            .filter(|machine| machine.is_up() && !machine.unreachable)
             .map(|machine| machine.id.clone())
             .collect();
         self.partition_detector.sample = self.probe_sample(others, PROBE_SAMPLE, io);
@@ -90,11 +90,11 @@
         let up = self
             .machines
             .values()
-            .filter(|machine| machine.has_been_up() && !machine.hearsay);
+            .filter(|machine| machine.has_been_up() && !machine.unconfirmed);
         let (mut unreachable, mut total) = (0, 0);
         for machine in up {
             total += 1;
-            unreachable += u32::from(machine.inspect_failed);
+            unreachable += u32::from(machine.unreachable);
         }
         ReachabilityCount { unreachable, total }
     }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -12,7 +12,7 @@
 use crate::protocol::{self, StoredItem, paths};
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
-use crate::storage::batch_writer::Unit;
+use crate::storage::batch_writer::WriteUnit;
 use crate::storage::records::{self, Record};
 use indigopath_accounting::Team;
 use rand::RngExt;
@@ -40,16 +40,16 @@
             self.read_state(path, kind, io);
             return;
         }
-        if !self.writer.ready(io.now) {
+        if !self.writer.can_send(io.now) {
             return;
         }
         if self.persistence.fencing_needed
             && io.now >= self.persistence.token_renewed_at + STATE_TIMEOUT_MS
-            && let Some(renewal) = election.renewal()
+            && let Some(renewal) = election.key_renewal()
         {
             self.persistence.token_renewed_at = io.now;
             self.persistence.fencing_needed = false;
-            let body = self.writer.renewal(renewal);
+            let body = self.writer.begin_renewal(renewal);
             self.transact(body, TermCall::Transaction, io);
             return;
         }
@@ -59,7 +59,7 @@
             .state
             .txn_ops
             .min(io.write_budget.available(io.now));
-        let Some((body, ops)) = self.writer.batch(
+        let Some((body, ops)) = self.writer.begin_batch(
             max_ops,
             settings,
             self.machines.as_map_mut(),
@@ -69,7 +69,7 @@
         ) else {
             return;
         };
-        io.write_budget.force(ops as f64, io.now);
+        io.write_budget.force_take(ops as f64, io.now);
         self.transact(body, TermCall::Transaction, io);
     }
 
@@ -91,15 +91,15 @@
             now >= self.persistence.token_renewed_at.max(self.started) + FORGET_TOKEN_RENEWAL_MS;
         self.machines.values().any(|machine| {
             let mut pending_forgets = 0;
-            !machine.returning
+            !machine.releasing
                 && machine.attempts.iter().any(|attempt| {
-                    let awaits_renewal = attempt.forget_waits(token);
+                    let awaits_renewal = attempt.forget_awaits_token(token);
                     pending_forgets += usize::from(awaits_renewal);
                     // A task that gave up waiting for its gang can rejoin only once it is forgotten.
                     awaits_renewal
                         && (interval_passed
                             || pending_forgets > MAX_PENDING_FORGETS
-                            || attempt.waited_in_vain())
+                            || attempt.gang_wait_timed_out())
                         || attempt
                             .unacknowledged
                             .is_some_and(|unacknowledged| unacknowledged.token == token)
@@ -115,7 +115,7 @@
         election: &mut Election,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let units = self.writer.take_batch();
+        let units = self.writer.take_in_flight();
         if outcome.status() == Some(200)
             && let Some(response) = outcome.read::<protocol::TransactionResponse>(&[200])
         {
@@ -124,7 +124,7 @@
             }
             return None;
         }
-        self.writer.failed(&units, io.now);
+        self.writer.requeue(&units, io.now);
         self.protection_windows.failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
@@ -134,8 +134,8 @@
                     .unwrap_or_default();
                 // An earlier renewal of this leader that was given up may have been executed before
                 // this transaction. Then there is no other leader, as re-reading the key shows.
-                if failed_keys.iter().any(|key| key == records::LEADER) && !self.writer.may_be_renewed() {
-                    return election.deposed("a transaction conflicted with a newer leader");
+                if failed_keys.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed() {
+                    return election.depose("a transaction conflicted with a newer leader");
                 }
                 for key in failed_keys {
                     self.on_condition_failed(key, io.now);
@@ -152,12 +152,12 @@
                 self.writer.retry_at = io.now + SECOND_MS;
             }
             _ => {
-                if units.contains(&Unit::Renewal) {
-                    self.writer.renewal_unanswered();
+                if units.contains(&WriteUnit::Renewal) {
+                    self.writer.on_renewal_unanswered();
                 }
                 for unit in &units {
                     for key in unit.keys() {
-                        self.writer.reread(key);
+                        self.writer.queue_reread(key);
                     }
                 }
             }
@@ -167,30 +167,30 @@
 
     /// Handles a record that did not have the version required by a transaction.
     fn on_condition_failed(&mut self, key: String, now: Timestamp) {
-        match key.strip_prefix(records::JOBS) {
+        match key.strip_prefix(records::JOB_PREFIX) {
             // Another controller cancelled the job. Only jobs of a submitted cluster can change before
             // they end, when they are held or released.
             Some(job) if !self.may_change(job) => self.job_over(&JobId(Arc::from(job)), now),
-            _ => self.writer.reread(key),
+            _ => self.writer.queue_reread(key),
         }
     }
 
     /// Applies the effects of a committed unit of a transaction.
-    fn on_unit_committed(&mut self, unit: Unit, revision: u64, election: &mut Election, now: Timestamp) {
+    fn on_unit_committed(&mut self, unit: WriteUnit, revision: u64, election: &mut Election, now: Timestamp) {
         match unit {
-            Unit::Renewal => {
-                election.renewed(revision);
+            WriteUnit::Renewal => {
+                election.on_key_renewed(revision);
                 self.writer.token = revision;
             }
-            Unit::Shards {
-                numbers,
-                planned,
-                returns,
+            WriteUnit::Shards {
+                shards: numbers,
+                planned_starts: planned,
+                releases: returns,
             } => {
-                self.writer.shards_written(&numbers, revision);
+                self.writer.on_shards_written(&numbers, revision);
                 for id in returns {
                     if let Some(machine) = self.machines.get_mut(&id) {
-                        machine.return_recorded = machine.returning;
+                        machine.release_recorded = machine.releasing;
                     }
                 }
                 for start in planned {
@@ -201,32 +201,32 @@
                     {
                         attempt.durable = true;
                         if let Some(job) = self.jobs.get_mut(&start.task.job) {
-                            job.account.attempt();
+                            job.execution_stats.attempt();
                         }
                         self.commands.mark_due(start.machine);
                     }
                 }
             }
-            Unit::Done { number, tasks } => {
-                self.writer.done_version(number, revision);
+            WriteUnit::CompletedTasks { number, tasks } => {
+                self.writer.set_completed_tasks_version(number, revision);
                 for ((job, _), tasks) in tasks {
                     self.machines.for_each_attempt(&job, |_, attempt| {
                         if attempt.exited() && tasks.contains(&attempt.task.index) {
-                            attempt.closed = true;
+                            attempt.end_processed = true;
                         }
                     });
                 }
             }
-            Unit::Finish { job } => self.on_job_finished(job, now),
-            Unit::ScaleOutRequest { request } => {
+            WriteUnit::FinishJob { job } => self.on_job_finished(job, now),
+            WriteUnit::ScaleOutRequest { request } => {
                 self.autoscaler.request_recorded(&request);
             }
-            Unit::Shifts { number, deleted } => {
+            WriteUnit::ProtectionWindows { number, deleted } => {
                 self.protection_windows
                     .ledger
                     .written(number, if deleted { 0 } else { revision });
             }
-            Unit::Garbage { .. } => (),
+            WriteUnit::ObsoleteKey { .. } => (),
         }
     }
 
@@ -248,11 +248,11 @@
         };
         let body = protocol::Transaction {
             conditions: vec![protocol::Condition {
-                key: records::LEADER.to_owned(),
+                key: records::LEADER_KEY.to_owned(),
                 version: self.token(),
             }],
             changes: vec![protocol::Change::Put {
-                key: records::TYPES.to_owned(),
+                key: records::MACHINE_TYPES_KEY.to_owned(),
                 value: flavors.to_value(),
                 lease: None,
             }],
@@ -269,7 +269,7 @@
         let team = self.jobs.get(&job).map_or("", |job| &job.spec.team);
         let team = Team::named(team);
         self.job_over(&job, now);
-        self.writer.finished.push((job, team));
+        self.writer.recently_finished.push((job, team));
     }
 
     /// Handles the re-read of a record whose version was uncertain.
@@ -286,19 +286,19 @@
             (Some(item), _) => item.version,
             (None, Some(404)) => 0,
             _ => {
-                self.writer.reread_failed(key, io.now);
+                self.writer.on_reread_failed(key, io.now);
                 return None;
             }
         };
-        self.writer.reread_done(&key);
-        if key == records::LEADER {
-            if election.is_mine(item.as_ref()) {
-                election.renewed(version);
+        self.writer.on_reread(&key);
+        if key == records::LEADER_KEY {
+            if election.is_own_key(item.as_ref()) {
+                election.on_key_renewed(version);
                 self.writer.token = version;
             } else {
-                return election.deposed("the leader key belongs to another node");
+                return election.depose("the leader key belongs to another node");
             }
-        } else if let Some(job) = key.strip_prefix(records::JOBS) {
+        } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
             match spec {
                 _ if version == 0 => self.job_over(&JobId(Arc::from(job)), io.now),
@@ -310,11 +310,11 @@
                 Some(Err(error)) => log::error!("record ignored key={key}: {error}"),
                 None => (),
             }
-        } else if let Some(number) = records::parse_number(records::SHARDS, &key) {
-            self.writer.shard_read(number, version);
-        } else if let Some(number) = records::parse_number(records::DONE, &key) {
-            self.writer.done_version(number, version);
-        } else if let Some(number) = records::parse_number(records::SHIFTS, &key) {
+        } else if let Some(number) = records::parse_numbered_key(records::SHARD_PREFIX, &key) {
+            self.writer.on_shard_reread(number, version);
+        } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &key) {
+            self.writer.set_completed_tasks_version(number, version);
+        } else if let Some(number) = records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &key) {
             self.protection_windows.ledger.found(number, version);
         }
         None
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -8,7 +8,7 @@
 use crate::io::{Io, RequestId};
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::protocol::{Heartbeat, HeartbeatResponse, Shape, TaskEndCause};
-use crate::scheduling::placement::{self, faulty};
+use crate::scheduling::placement::{self, is_faulty};
 use indigopath_accounting::LossCause;
 use std::sync::Arc;
 
@@ -58,18 +58,18 @@
         let is_newest = self.reconcile_heartbeat(heartbeat, io);
         let token = self.token();
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.note_answered(heartbeat, io.now);
+            machine.record_answered_report(heartbeat, io.now);
             // A heartbeat that is older than the response to a direct command still renews the lease, so
             // its reply carries stop commands. Its contents must have no other effect.
             let orders = if is_newest {
-                machine.orders(
+                machine.due_commands(
                     Some((heartbeat.agent_epoch, heartbeat.seq)),
                     certain,
                     token,
                     io.now,
                 )
             } else {
-                machine.stops(io.now)
+                machine.stop_commands(io.now)
             };
             io.reply(
                 request,
@@ -85,12 +85,12 @@
 
     /// Reconciles a heartbeat. Returns false if newer state of the machine is known already.
     pub(super) fn reconcile_heartbeat(&mut self, heartbeat: &Heartbeat, io: &mut Io) -> bool {
-        self.reconcile(heartbeat, Machine::absorb, io)
+        self.reconcile(heartbeat, Machine::apply_heartbeat, io)
     }
 
     /// Reconciles the state in the response to a direct command or probe.
     pub(super) fn reconcile_response(&mut self, report: &Heartbeat, io: &mut Io) {
-        self.reconcile(report, Machine::absorb_answer, io);
+        self.reconcile(report, Machine::apply_response, io);
     }
 
     /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false
@@ -111,10 +111,10 @@
                 report.spot,
                 io.now,
             );
-            machine.hearsay = true;
+            machine.unconfirmed = true;
             machine
         });
-        let rented_at = machine.rented_at.filter(|_| machine.heard.is_none());
+        let rented_at = machine.rented_at.filter(|_| machine.last_heard_at.is_none());
         let before = machine.usability();
         let Some(changes) = absorb(machine, report, self.first_token, io.now) else {
             return false;
@@ -157,8 +157,8 @@
                 Change::Exited {
                     task,
                     number,
-                    why: TaskEndCause::Done,
-                    ran_s,
+                    cause: TaskEndCause::Done,
+                    elapsed_s: ran_s,
                 } => {
                     log::debug!(
                         "task done job={} machine={machine} task={} ran_s={ran_s:.1}",
@@ -169,13 +169,16 @@
                     self.on_task_completed(machine, &task, number, io.now);
                 }
                 Change::Exited {
-                    task, number, why, ..
+                    task,
+                    number,
+                    cause: why,
+                    ..
                 } => {
                     self.note_end(&task, number, loss_cause(why), io.now);
                     self.on_task_failed(machine, &task, number, why, io);
                 }
                 Change::Released(task) => self.requeue(&task, io.now),
-                Change::Stranger(task) => self.adopt_unrecorded(machine, task),
+                Change::Unrecorded(task) => self.adopt_unrecorded(machine, task),
                 Change::Fetched { gb, took_ms, others } => {
                     if let Some(machine) = self.machines.get(machine) {
                         self.image_locality
@@ -191,10 +194,10 @@
                         self.freed(shard, &team, &counts, io.now);
                     }
                     if let Some(shard) = shard {
-                        self.writer.units_freed(shard);
+                        self.writer.on_units_freed(shard);
                     }
                 }
-                Change::Vanished { task, number } => self.on_task_lost(&task, number, io.now),
+                Change::Lost { task, number } => self.on_task_lost(&task, number, io.now),
             }
         }
     }
@@ -212,7 +215,7 @@
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
             gang.started = true;
-            job.began = true;
+            job.has_started = true;
         }
     }
 
@@ -235,7 +238,7 @@
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
-            gang.lost();
+            gang.record_lost_task();
         }
         self.requeue(task, now);
     }
@@ -246,9 +249,9 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        for job in std::mem::take(&mut machine.errors) {
+        for job in std::mem::take(&mut machine.failed_jobs) {
             if let Some(job) = self.jobs.get_mut(&job) {
-                job.failed_on_good = true;
+                job.failed_on_healthy_machine = true;
             }
         }
     }
@@ -259,9 +262,9 @@
             self.close_attempt(machine, task, number);
             return;
         };
-        job.failures = 0;
+        job.failure_rounds = 0;
         job.failed_on.clear();
-        job.failed_on_good = false;
+        job.failed_on_healthy_machine = false;
         let completed: Vec<u32> = match job.spec.shape {
             // Tasks of a gang complete together.
             Shape::Gang => (0..job.spec.tasks).collect(),
@@ -278,12 +281,12 @@
             // A task that a former leader has recorded as done is recorded once more, as only a written
             // record lets the worker forget the attempt. Otherwise the machine is never empty and cannot
             // be released while other tasks of the job run.
-            if job.done.insert(index) || index == task.index && !job.complete() {
-                self.writer.done(job, index, now);
+            if job.done.insert(index) || index == task.index && !job.is_complete() {
+                self.writer.add_completed_task(job, index, now);
             }
         }
-        if job.complete() {
-            self.writer.finishing.insert(task.job.clone());
+        if job.is_complete() {
+            self.writer.jobs_to_finish.insert(task.job.clone());
         }
     }
 
@@ -294,7 +297,7 @@
             .get_mut(machine)
             .and_then(|machine| machine.attempt_mut(task, number))
         {
-            attempt.closed = true;
+            attempt.end_processed = true;
         }
     }
 
@@ -312,12 +315,12 @@
         let mut fetching = false;
         if cause == TaskEndCause::Alone {
             self.machines.for_each_attempt(&task.job, |_, attempt| {
-                fetching |= attempt.number == number && attempt.stop.is_none() && attempt.fetching();
+                fetching |= attempt.number == number && attempt.stop.is_none() && attempt.is_fetching();
             });
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number) {
-                gang.ended(cause, fetching);
+                gang.record_ended_task(cause, fetching);
             }
             match cause {
                 TaskEndCause::Error | TaskEndCause::Unknown | TaskEndCause::Other => {
@@ -328,22 +331,22 @@
                     );
                     job.failed_on.insert(id.clone());
                     job.failed_at = now;
-                    if job.to_blame() && now >= job.held_until {
+                    if job.fails_on_many_machines() && now >= job.backoff_until {
                         let backoff_ms =
-                            FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_MAX_DOUBLINGS);
-                        job.held_until = now + backoff_ms;
-                        job.failures += 1;
+                            FAILING_JOB_BACKOFF_MS << job.failure_rounds.min(FAILING_JOB_MAX_DOUBLINGS);
+                        job.backoff_until = now + backoff_ms;
+                        job.failure_rounds += 1;
                     }
                     // A failure counts against the machine even if the job has failed on several
                     // machines, until another task starts on one of them. In a wave of faulty machines
                     // each job fails on several; blaming only the job would leave all of them
                     // undetected.
                     if cause == TaskEndCause::Error
-                        && !job.failed_on_good
+                        && !job.failed_on_healthy_machine
                         && let Some(machine) = self.machines.get_mut(id)
                     {
-                        machine.errors.insert(task.job.clone());
-                        if faulty(machine) {
+                        machine.failed_jobs.insert(task.job.clone());
+                        if is_faulty(machine) {
                             log::info!("machine cordoned machine={id}: tasks of different jobs failed there");
                         }
                     }
@@ -369,8 +372,8 @@
         let broken = job.gang.is_some_and(|gang| gang.broken);
         let grace_s = placement::grace_s(&job.spec);
         self.machines.for_each_attempt(&task.job, |machine_id, attempt| {
-            any_left |= attempt.may_be_there();
-            elsewhere |= attempt.task.index == task.index && attempt.may_be_there();
+            any_left |= attempt.may_be_running();
+            elsewhere |= attempt.task.index == task.index && attempt.may_be_running();
             if broken && !attempt.exited() && attempt.stop.is_none() {
                 self.commands.request_stop(attempt, machine_id, grace_s, now);
             }
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -98,7 +98,7 @@
             jobs: self.jobs.as_map(),
             machines: self.machines.as_map(),
             task_locations: self.machines.task_locations(),
-            spot_loss: self.autoscaler.spot_losses().rate(),
+            spot_loss_rate: self.autoscaler.spot_losses().rate(),
             units: self.units(&settings.operator.counts),
             starved: &self.forecast.satisfaction().starved,
             aging_credit: self.scheduler.aging_credit,
@@ -124,7 +124,7 @@
                     if let Some(job) = self.jobs.get(&task.job) {
                         self.scheduler
                             .aging_credit
-                            .placed(job, &settings.deployment, io.now);
+                            .record_placement(job, &settings.deployment, io.now);
                     }
                     self.start_task(task, &machine, types, io.now);
                 }
@@ -160,7 +160,10 @@
             log::info!("first task placed after_s={took_s:.2}");
         }
         job.waiting.remove(&task.index);
-        self.forecast.satisfaction_mut().starved.placed(&job.spec);
+        self.forecast
+            .satisfaction_mut()
+            .starved
+            .record_placement(&job.spec);
         let counts = job.spec.counts.clone();
         let waited_ms = job.age_ms(now);
         let cached = machine.has_image(&job.spec.image);
@@ -184,7 +187,7 @@
             image_gb: job.spec.image_gb,
             estimate_s: job.spec.estimate_s,
             counts: counts.clone(),
-            fetches: !cached,
+            needs_image_fetch: !cached,
             ..Attempt::planned(
                 task,
                 number,
@@ -194,7 +197,7 @@
                 now,
             )
         });
-        self.writer.record(machine);
+        self.writer.queue_machine(machine);
         self.machines.add_location(job_id, machine_id.clone());
         if !counts.is_empty() {
             self.note_wait(&counts, waited_ms);
@@ -243,7 +246,7 @@
             });
         }
         for shard in shards_with_freed_units {
-            self.writer.units_freed(shard);
+            self.writer.on_units_freed(shard);
         }
         for task in dropped {
             self.requeue(&task, io.now);
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -53,16 +53,16 @@
         let up = self
             .machines
             .values()
-            .filter(|machine| machine.has_been_up() && !machine.hearsay);
+            .filter(|machine| machine.has_been_up() && !machine.unconfirmed);
         for machine in up {
             let tally = match tallies.get_mut(machine.zone.as_str()) {
                 Some(tally) => tally,
                 None => tallies.entry(machine.zone.clone()).or_default(),
             };
             tally.up += 1;
-            if machine.inspect_failed && !machine.returning {
+            if machine.unreachable && !machine.releasing {
                 tally.unreachable += 1;
-                tally.last_unreachable_at = tally.last_unreachable_at.max(machine.silent_at);
+                tally.last_unreachable_at = tally.last_unreachable_at.max(machine.last_unreachable_at);
             }
         }
         tallies
@@ -71,9 +71,7 @@
     /// Probes a sample of a zone's other machines when one has newly become unreachable, and updates whether
     /// the zone is partitioned.
     pub(super) fn update_zone_health(&mut self, io: &mut Io) {
-        if self.zone_health.probe_samples.is_empty()
-            && self.machines.values().all(|machine| !machine.inspect_failed)
-        {
+        if self.zone_health.probe_samples.is_empty() && self.machines.values().all(|machine| !machine.unreachable) {
             return;
         }
         let tallies = self.tally_zones();
@@ -124,7 +122,7 @@
         let others: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|machine| machine.zone == zone && machine.has_been_up() && !machine.inspect_failed)
+            .filter(|machine| machine.zone == zone && machine.has_been_up() && !machine.unreachable)
             .map(|machine| machine.id.clone())
             .collect();
         let partitioned = self.is_zone_partitioned(zone);
@@ -200,10 +198,10 @@
                 continue;
             }
             for machine in self.machines.values() {
-                if machine.zone != *zone || !machine.inspect_failed {
+                if machine.zone != *zone || !machine.unreachable {
                     continue;
                 }
-                let last_heard_at = machine.heard.unwrap_or(self.started);
+                let last_heard_at = machine.last_heard_at.unwrap_or(self.started);
                 let retention_expired = now > last_heard_at + ZONE_OUTAGE_KEPT_LEASES * lease_ms;
                 if evaluating
                     || just_recovered
@@ -218,7 +216,7 @@
 
     /// Whether a replica on the machine could run in another zone.
     fn has_movable_replica(&self, machine: &Machine, zones: &[String]) -> bool {
-        let present = machine.attempts.iter().filter(|attempt| attempt.may_be_there());
+        let present = machine.attempts.iter().filter(|attempt| attempt.may_be_running());
         let mut jobs = present.filter_map(|attempt| self.jobs.get(&attempt.task.job));
         jobs.any(|job| job.spec.shape == Shape::Service && self.can_move_from(job, &machine.zone, zones))
     }
@@ -239,6 +237,6 @@
             .iter()
             .zip(tasks_by_zone)
             .filter(|(other, _)| *other != zone);
-        others.any(|(_, tasks)| tasks < spec.zone_cap())
+        others.any(|(_, tasks)| tasks < spec.max_tasks_per_zone())
     }
 }
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -13,7 +13,7 @@
 
 /// What is known of counted resources apart from what runs.
 #[derive(Clone, Copy)]
-pub struct Units<'a> {
+pub struct CountedUnits<'a> {
     /// Counted resources as the operators define them.
     pub definitions: &'a Definitions,
     /// How free units are shared among requests.
@@ -25,7 +25,7 @@
     /// Units of attempts that are gone, which no licence server has back yet.
     pub lingers: &'a [Linger],
     /// Machines that went lately: a licence server may still name them.
-    pub gone: &'a HashMap<MachineId, Timestamp>,
+    pub recently_released: &'a HashMap<MachineId, Timestamp>,
 }
 
 /// Tasks that wait for units only, or before anything else.
@@ -36,48 +36,48 @@
     /// How many of its tasks wait.
     pub tasks: u32,
     /// What they lack.
-    pub lack: Shortage,
+    pub shortage: Shortage,
 }
 
-impl<'a> Units<'a> {
+impl<'a> CountedUnits<'a> {
     /// Completes a book in which all attempts stand.
-    pub(super) fn settle(
+    pub(super) fn add_external_usage(
         &self,
-        book: &mut UnitLedger<'a>,
+        ledger: &mut UnitLedger<'a>,
         machines: &BTreeMap<MachineId, Machine>,
         now: Timestamp,
     ) {
         for linger in self.lingers.iter().filter(|linger| now < linger.until) {
             let left_s = (linger.until - now) as f64 / SECOND_MS as f64;
-            book.linger(&linger.team, &linger.count, linger.units, left_s);
+            ledger.linger(&linger.team, &linger.count, linger.units, left_s);
         }
         // A server that nobody has asked yet closes its count as well.
-        book.apply_server_usage(self.feeds, now, |host| {
-            machines.contains_key(host) || self.gone.contains_key(host)
+        ledger.apply_server_usage(self.feeds, now, |host| {
+            machines.contains_key(host) || self.recently_released.contains_key(host)
         });
     }
 }
 
 /// Who holds what now, for those who ask between passes.
-pub fn book<'a>(
+pub fn unit_ledger<'a>(
     machines: &'a BTreeMap<MachineId, Machine>,
-    units: &Units<'a>,
+    units: &CountedUnits<'a>,
     now: Timestamp,
 ) -> UnitLedger<'a> {
-    let mut book = UnitLedger::with_policy(units.definitions, units.policy);
+    let mut ledger = UnitLedger::with_policy(units.definitions, units.policy);
     for attempt in machines.values().flat_map(|machine| &machine.attempts) {
-        record_units(&mut book, attempt, now);
+        record_units(&mut ledger, attempt, now);
     }
-    units.settle(&mut book, machines, now);
-    book
+    units.add_external_usage(&mut ledger, machines, now);
+    ledger
 }
 
 /// Notes the units, if any, that an attempt holds.
-pub(super) fn record_units<'a>(book: &mut UnitLedger<'a>, attempt: &'a Attempt, now: Timestamp) {
+pub(super) fn record_units<'a>(ledger: &mut UnitLedger<'a>, attempt: &'a Attempt, now: Timestamp) {
     if !attempt.holds_units() {
         return;
     }
-    let over_s = attempt.ran_s(now) - attempt.estimate_s;
+    let over_s = attempt.elapsed_s(now) - attempt.estimate_s;
     let left_s = if attempt.estimate_s <= 0.0 {
         f64::INFINITY
     } else if over_s <= 0.0 {
@@ -87,7 +87,7 @@
         // for ever.
         over_s.max(MIN_OCCUPANCY_S)
     };
-    book.hold(&attempt.team, &attempt.counts, left_s, attempt.stop.is_some());
+    ledger.hold(&attempt.team, &attempt.counts, left_s, attempt.stop.is_some());
 }
 
 /// For how long a task of this job holds its units, in s, as far as its owner says.
@@ -117,29 +117,32 @@
         }
     }
 
-    /// How many of `most` tasks of the job may have their units now.
-    pub(super) fn tasks_with_units(&self, entry: &QueueEntry<'a>, most: u32) -> u32 {
+    /// How many of `max_tasks` tasks of the job may have their units now.
+    pub(super) fn tasks_with_units(&self, entry: &QueueEntry<'a>, max_tasks: u32) -> u32 {
         if !entry.needs_units {
-            return most;
+            return max_tasks;
         }
         match entry.single_count {
-            Some(only) => self.book.startable_tasks_of(only, most, || self.asker(entry.job)),
+            Some(only) => self
+                .unit_ledger
+                .startable_tasks_of(only, max_tasks, || self.asker(entry.job)),
             None => {
                 let asker = self.asker(entry.job);
-                self.book.startable_tasks(&entry.job.spec.counts, most, &asker)
+                self.unit_ledger
+                    .startable_tasks(&entry.job.spec.counts, max_tasks, &asker)
             }
         }
     }
 
     /// How many of `tasks` that lack machines would have units once these came. For the
     /// others nothing is rented.
-    pub(super) fn tasks_promised_units(&mut self, entry: &QueueEntry<'a>, tasks: u32) -> u32 {
+    pub(super) fn tasks_with_expected_units(&mut self, entry: &QueueEntry<'a>, tasks: u32) -> u32 {
         if !entry.needs_units || tasks == 0 {
             return tasks;
         }
         match entry.single_count {
-            Some(only) => self.book.promise_of(only, tasks),
-            None => self.book.promise(&entry.job.spec.counts, tasks),
+            Some(only) => self.unit_ledger.promise_of(only, tasks),
+            None => self.unit_ledger.promise(&entry.job.spec.counts, tasks),
         }
     }
 
@@ -148,11 +151,11 @@
     pub(super) fn reserve_units(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let age_s = job.age_ms(self.cluster.now) as f64 / SECOND_MS as f64;
-        if entry.needs_units && self.book.may_reserve_at(age_s) {
+        if entry.needs_units && self.unit_ledger.may_reserve_at(age_s) {
             let asker = self.asker(job);
             if self
-                .book
-                .reserve_for_machines(&job.spec.counts, job.together(), &asker)
+                .unit_ledger
+                .reserve_for_machines(&job.spec.counts, job.gang_size(), &asker)
             {
                 self.plan.units_reserved_for.insert(job.spec.id.clone());
             }
@@ -161,7 +164,7 @@
 
     /// Free units that are reserved, by count.
     pub(super) fn reserved_units(&self) -> BTreeMap<Name, u32> {
-        let reserved = self.book.pools().filter(|pool| pool.reserved() > 0);
+        let reserved = self.unit_ledger.pools().filter(|pool| pool.reserved() > 0);
         reserved
             .map(|pool| (Name::from(pool.name), pool.reserved().min(pool.free())))
             .collect()
@@ -172,15 +175,17 @@
     pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, together: u32, tasks: u32) {
         let job = entry.job;
         let asker = self.asker(job);
-        let (lack, reservation) = self.book.handle_shortage(&job.spec.counts, together, &asker);
+        let (shortage, reservation) = self
+            .unit_ledger
+            .handle_shortage(&job.spec.counts, together, &asker);
         if reservation {
             self.plan.units_reserved_for.insert(job.spec.id.clone());
         }
-        if let Some(lack) = lack {
+        if let Some(shortage) = shortage {
             self.plan.unsatisfied.push(UnsatisfiedDemand {
                 job: job.spec.id.clone(),
                 tasks,
-                lack,
+                shortage,
             });
         }
         let lower = self.lowest_unit_priority() > Some(job.spec.priority);
@@ -188,20 +193,20 @@
         for _ in 0..rounds {
             // What is leaving goes to those who wait, in their order, whether or not
             // they may stop anything.
-            let Some(missing) = self.book.deficit(&job.spec.counts, together) else {
+            let Some(missing) = self.unit_ledger.deficit(&job.spec.counts, together) else {
                 return;
             };
             if !lower && !entry.units_guaranteed {
                 return;
             }
-            if !missing.units.is_empty() && !self.free_units(entry, missing.units) {
+            if !missing.units.is_empty() && !self.preempt_for_units(entry, missing.units) {
                 return;
             }
             // Until the rest of what is being freed for it has come, what it has stays its
             // own. What only ends by itself is nothing to idle units for: an old request
             // has them reserved in any case.
             if !missing.awaits_completions {
-                self.book.claim(&job.spec.counts, together);
+                self.unit_ledger.claim(&job.spec.counts, together);
             }
         }
     }
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -1,4 +1,4 @@
-//! The filter phase: what a job requires of a machine, and which machines qualify.
+//! The filter phase: a job's requirements on machines, and the machines that satisfy them.
 
 use super::pass::{EquivalenceClass, OpenZones, Pass, RankSteps, TaskRequirements, TasksByZone};
 use super::queue_order::is_short_of_time;
@@ -14,44 +14,45 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How many tasks of the job are, or may be, in each of these zones, and after them in others.
+/// Counts the job's tasks that are, or may be, in each of these zones. The last element counts those in all
+/// other zones.
 pub fn tasks_by_zone(
     job: &JobId,
     task_locations: &TaskLocations,
     machines: &BTreeMap<MachineId, Machine>,
     zones: &[String],
 ) -> Vec<u32> {
-    let mut taken = vec![0; zones.len() + 1];
+    let mut counts = vec![0; zones.len() + 1];
     for machine in task_locations
         .get(job)
         .into_iter()
         .flatten()
         .filter_map(|id| machines.get(id))
     {
-        let there = machine
+        let attempts = machine
             .attempts
             .iter()
-            .filter(|attempt| attempt.task.job == *job && attempt.may_be_there());
-        let at = zones.iter().position(|zone| *zone == machine.zone);
-        taken[at.unwrap_or(zones.len())] += there.count() as u32;
+            .filter(|attempt| attempt.task.job == *job && attempt.may_be_running());
+        let zone_index = zones.iter().position(|zone| *zone == machine.zone);
+        counts[zone_index.unwrap_or(zones.len())] += attempts.count() as u32;
     }
-    taken
+    counts
 }
 
-/// Whether the job had better stay off spot machines, which are lost at this rate.
-pub fn avoids_spot(job: &Job, deployment: &Deployment, spot_loss: f64, now: Timestamp) -> bool {
-    !job.spec.saves()
-        && job.spec.estimate_s * spot_loss > SPOT_MAX_LOSS_PROBABILITY
+/// Whether the job should avoid spot machines, given the rate at which they are lost.
+pub fn avoids_spot(job: &Job, deployment: &Deployment, spot_loss_rate: f64, now: Timestamp) -> bool {
+    !job.spec.writes_checkpoints()
+        && job.spec.estimate_s * spot_loss_rate > SPOT_MAX_LOSS_PROBABILITY
         && is_short_of_time(job, RERUN_MARGIN_RUNS, deployment, now)
 }
 
 impl<'a> Pass<'a> {
-    /// Position of a type, zone and kind (on-demand or spot) in [`TaskRequirements::eligible`].
-    pub(super) fn slot(&self, (kind, zone): (usize, usize), spot: bool) -> usize {
-        (kind * self.cluster.deployment.zones.len() + zone) * 2 + usize::from(spot)
+    /// Index of a machine type, zone and market (on-demand or spot) in [`TaskRequirements::eligible`].
+    pub(super) fn kind_index(&self, (machine_type, zone): (usize, usize), spot: bool) -> usize {
+        (machine_type * self.cluster.deployment.zones.len() + zone) * 2 + usize::from(spot)
     }
 
-    /// What the job requires of a machine.
+    /// Computes the job's requirements on machines.
     pub(super) fn requirements(&self, job: &'a Job) -> TaskRequirements<'a> {
         let steps = job.spec.kinds.as_ref().map(|kinds| self.rank_steps(kinds));
         let mut eligible = match &steps {
@@ -62,12 +63,12 @@
         TaskRequirements {
             job,
             eligible,
-            steps: steps.filter(RankSteps::has_preference),
+            rank_steps: steps.filter(RankSteps::has_preference),
             image: self.images.number(&job.spec.image),
             start_within_s: self.cluster.deployment.tightest_s("wait", &job.spec.class),
-            avoids_failed_machines: !job.avoids(self.cluster.now).is_empty(),
-            // Without the bound, work of a class without an objective on its end left idle machines to a
-            // gang for which there never were enough.
+            avoids_failed_machines: !job.avoided_machines(self.cluster.now).is_empty(),
+            // Without the age limit, jobs whose class has no finishing objective left idle machines to a gang
+            // that never found enough of them.
             is_deadline_critical: is_short_of_time(
                 job,
                 RUN_MARGIN_FACTOR,
@@ -77,7 +78,7 @@
             avoids_spot: avoids_spot(
                 job,
                 self.cluster.deployment,
-                self.cluster.spot_loss,
+                self.cluster.spot_loss_rate,
                 self.cluster.now,
             ),
             on_demand_only,
@@ -85,26 +86,26 @@
         }
     }
 
-    /// Kinds that the job's set of kinds allows and in which a task fits.
+    /// Returns which kinds are allowed by the job's set of kinds and large enough for a task.
     fn eligible_by_steps(&self, spec: &JobSpec, steps: &RankSteps) -> Vec<bool> {
         let kinds_per_type = self.cluster.deployment.zones.len() * 2;
         let mut eligible = Vec::with_capacity(steps.0.len());
         for machine_type in &self.types {
-            // The set says all but whether a task fits.
+            // The set covers every condition except whether a task fits.
             let fits = spec.needs.fits_in(&machine_type.resources());
-            let from = eligible.len();
-            let own = &steps.0[from..from + kinds_per_type];
-            eligible.extend(own.iter().map(|step| fits && step.is_some()));
+            let offset = eligible.len();
+            let steps_of_type = &steps.0[offset..offset + kinds_per_type];
+            eligible.extend(steps_of_type.iter().map(|step| fits && step.is_some()));
         }
         eligible
     }
 
-    /// Kinds that the job's own types, zone and spot setting allow.
+    /// Returns which kinds are allowed by the job's own types, zone and spot setting.
     fn eligible_by_spec(&self, spec: &JobSpec) -> Vec<bool> {
-        self.each_kind(|machine_type, zone, spot| spec.eligible(machine_type, zone, spot))
+        self.each_kind(|machine_type, zone, spot| spec.is_eligible(machine_type, zone, spot))
     }
 
-    /// A value for each type, zone and kind: see [`Self::slot`].
+    /// Computes a value for each kind of machine, in the order of [`Self::kind_index`].
     fn each_kind<T>(&self, mut value: impl FnMut(&MachineType, &str, bool) -> T) -> Vec<T> {
         let zones = &self.cluster.deployment.zones;
         let mut values = Vec::with_capacity(self.types.len() * zones.len() * 2);
@@ -118,7 +119,7 @@
         values
     }
 
-    /// Rank steps of a set of kinds, evaluated once a pass.
+    /// Returns the rank steps of a set of kinds, evaluated once per pass.
     fn rank_steps(&self, kinds: &'a Arc<KindSet>) -> RankSteps {
         let address = Arc::as_ptr(kinds).addr();
         if let Some(known) = self.kind_sets.borrow().get(&address) {
@@ -130,7 +131,7 @@
         steps
     }
 
-    /// The class of jobs with the same requirements.
+    /// Returns the class of jobs with the same requirements.
     pub(super) fn equivalence_class(&self, requirements: &TaskRequirements<'_>) -> EquivalenceClass {
         EquivalenceClass {
             needs: requirements.job.spec.needs.into(),
@@ -147,33 +148,33 @@
         }
     }
 
-    /// Where tasks of the job are or may be.
-    pub(super) fn zones_of(&self, job: &JobId) -> TasksByZone {
+    /// Counts the job's tasks by zone, including those placed in this pass.
+    pub(super) fn job_tasks_by_zone(&self, job: &JobId) -> TasksByZone {
         let zones = &self.cluster.deployment.zones;
-        let mut taken = tasks_by_zone(job, self.cluster.task_locations, self.cluster.machines, zones);
-        for (taken, placed) in taken
+        let mut counts = tasks_by_zone(job, self.cluster.task_locations, self.cluster.machines, zones);
+        for (count, placed) in counts
             .iter_mut()
             .zip(self.placed_zones.get(job).into_iter().flatten())
         {
-            *taken += placed;
+            *count += placed;
         }
-        taken
+        counts
     }
 
-    /// Zones into which one more task of the job may go.
-    pub(super) fn open_zones(&self, spec: &JobSpec, taken: &TasksByZone) -> OpenZones {
+    /// Returns which zones may take one more task of the job.
+    pub(super) fn open_zones(&self, spec: &JobSpec, tasks_by_zone: &TasksByZone) -> OpenZones {
         (0..self.cluster.deployment.zones.len())
             .map(|zone| {
-                let alone = taken
+                let no_other_zone_used = tasks_by_zone
                     .iter()
                     .enumerate()
                     .all(|(other, count)| *count == 0 || other == zone);
-                (!spec.one_zone || alone) && taken[zone] < spec.zone_cap()
+                (!spec.one_zone || no_other_zone_used) && tasks_by_zone[zone] < spec.max_tasks_per_zone()
             })
             .collect()
     }
 
-    /// Names of the open zones.
+    /// Returns the names of the open zones.
     pub(super) fn zone_names(&self, open: &OpenZones) -> Vec<String> {
         let zones = self.cluster.deployment.zones.iter().zip(open);
         zones
@@ -182,28 +183,35 @@
             .collect()
     }
 
-    /// Whether the machine may take a task of the job, apart from what is free there.
-    pub(super) fn allowed(&self, requirements: &TaskRequirements<'_>, at: usize, zones: &OpenZones) -> bool {
-        let capacity = &self.capacities[at];
-        let Some(place) = capacity.place else { return false };
+    /// Whether the machine may run a task of the job, regardless of its free resources.
+    pub(super) fn is_allowed(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        machine_index: usize,
+        zones: &OpenZones,
+    ) -> bool {
+        let capacity = &self.capacities[machine_index];
+        let Some(type_and_zone) = capacity.type_and_zone else {
+            return false;
+        };
         capacity.usable
             && capacity
                 .reservation
                 .is_none_or(|reservation| reservation.admits(&requirements.job.spec))
-            && zones[place.1]
-            && requirements.eligible[self.slot(place, capacity.machine.spot)]
+            && zones[type_and_zone.1]
+            && requirements.eligible[self.kind_index(type_and_zone, capacity.machine.spot)]
             && !(requirements.avoids_failed_machines
                 && requirements.job.failed_on.contains(&capacity.machine.id))
             && (capacity.machine.spot
-                || !self.on_demand_short
+                || !self.on_demand_shortage
                 || !requirements.job.spec.spot
                 || requirements.is_deadline_critical
                 || requirements.on_demand_only)
     }
 
-    /// Whether the machine has the job's image already.
-    pub(super) fn has_image(&self, requirements: &TaskRequirements<'_>, at: usize) -> bool {
-        let capacity = &self.capacities[at];
+    /// Whether the machine already has the job's image.
+    pub(super) fn has_image(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> bool {
+        let capacity = &self.capacities[machine_index];
         requirements.image.is_some_and(|image| {
             capacity.images.contains(&image) && capacity.fetching.iter().all(|fetch| fetch.image != image)
         })
