--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -1,4 +1,4 @@
-//! Units of counted resources in a pass: which tasks have them, and which wait for them.
+//! Units of counted resources in a pass: the tasks that hold them, and the tasks that wait for them.
 
 use super::pass::Pass;
 use super::queue_order::QueueEntry;
@@ -11,36 +11,36 @@
 };
 use std::collections::{BTreeMap, HashMap};
 
-/// What is known of counted resources apart from what runs.
+/// The state of counted resources, apart from the units held by running tasks.
 #[derive(Clone, Copy)]
 pub struct CountedUnits<'a> {
-    /// Counted resources as the operators define them.
+    /// Counted resources as defined by the operators.
     pub definitions: &'a Definitions,
-    /// How free units are shared among requests.
+    /// How free units are reserved for and shared among requests.
     pub policy: ReservationPolicy,
-    /// Jobs for which the last passes reserved units, and since when.
+    /// Jobs for which recent passes reserved units, with the start of the reservation.
     pub reserved_since: &'a BTreeMap<JobId, Timestamp>,
-    /// What licence servers say.
+    /// Usage reported by licence servers.
     pub feeds: &'a BTreeMap<Name, UsageFeed>,
-    /// Units of attempts that are gone, which no licence server has back yet.
+    /// Units of lost attempts that licence servers may not have reclaimed yet.
     pub lingers: &'a [Linger],
-    /// Machines that went lately: a licence server may still name them.
+    /// Recently released machines, which licence servers may still report as hosts.
     pub recently_released: &'a HashMap<MachineId, Timestamp>,
 }
 
-/// Tasks that wait for units only, or before anything else.
+/// Tasks that wait for units, whether or not they would also have to wait for machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnsatisfiedDemand {
     /// The job.
     pub job: JobId,
-    /// How many of its tasks wait.
+    /// Number of its tasks that wait.
     pub tasks: u32,
-    /// What they lack.
+    /// The counted resource that they lack, and why.
     pub shortage: Shortage,
 }
 
 impl<'a> CountedUnits<'a> {
-    /// Completes a book in which all attempts stand.
+    /// Adds lingering units and licence server usage to a ledger that has all attempts.
     pub(super) fn add_external_usage(
         &self,
         ledger: &mut UnitLedger<'a>,
@@ -48,17 +48,17 @@
         now: Timestamp,
     ) {
         for linger in self.lingers.iter().filter(|linger| now < linger.until) {
-            let left_s = (linger.until - now) as f64 / SECOND_MS as f64;
-            ledger.linger(&linger.team, &linger.count, linger.units, left_s);
+            let remaining_s = (linger.until - now) as f64 / SECOND_MS as f64;
+            ledger.linger(&linger.team, &linger.count, linger.units, remaining_s);
         }
-        // A server that nobody has asked yet closes its count as well.
+        // A counted resource whose server has not been polled yet is closed as well.
         ledger.apply_server_usage(self.feeds, now, |host| {
             machines.contains_key(host) || self.recently_released.contains_key(host)
         });
     }
 }
 
-/// Who holds what now, for those who ask between passes.
+/// Returns the units in use now, for callers outside a pass.
 pub fn unit_ledger<'a>(
     machines: &'a BTreeMap<MachineId, Machine>,
     units: &CountedUnits<'a>,
@@ -72,25 +72,30 @@
     ledger
 }
 
-/// Notes the units, if any, that an attempt holds.
+/// Records the units, if any, that an attempt holds.
 pub(super) fn record_units<'a>(ledger: &mut UnitLedger<'a>, attempt: &'a Attempt, now: Timestamp) {
     if !attempt.holds_units() {
         return;
     }
-    let over_s = attempt.ran_s(now) - attempt.estimate_s;
-    let left_s = if attempt.estimate_s <= 0.0 {
+    let overrun_s = attempt.ran_s(now) - attempt.estimate_s;
+    let remaining_s = if attempt.estimate_s <= 0.0 {
         f64::INFINITY
-    } else if over_s <= 0.0 {
-        -over_s
+    } else if overrun_s <= 0.0 {
+        -overrun_s
     } else {
-        // What has run over may do so for as long again: else it would seem about to end
-        // for ever.
-        over_s.max(MIN_OCCUPANCY_S)
+        // A task that has overrun its estimate is expected to run on for as long as the overrun. Otherwise it
+        // would always seem about to end.
+        overrun_s.max(MIN_OCCUPANCY_S)
     };
-    ledger.hold(&attempt.team, &attempt.counts, left_s, attempt.stop.is_some());
+    ledger.hold(
+        &attempt.team,
+        &attempt.counts,
+        remaining_s,
+        attempt.stop.is_some(),
+    );
 }
 
-/// For how long a task of this job holds its units, in s, as far as its owner says.
+/// Returns the estimated time for which a task of this job holds its units, in s.
 pub(super) fn units_held_s(spec: &JobSpec) -> f64 {
     if spec.estimate_s > 0.0 {
         spec.estimate_s
@@ -100,8 +105,8 @@
 }
 
 impl<'a> Pass<'a> {
-    /// The job as the shared counts see it.
-    fn asker(&self, job: &Job) -> Requester {
+    /// Describes the job as a requester of units.
+    fn requester(&self, job: &Job) -> Requester {
         let now = self.cluster.now;
         let reserved_since = self
             .cluster
@@ -117,52 +122,52 @@
         }
     }
 
-    /// How many of `max_tasks` tasks of the job may have their units now.
+    /// Returns how many tasks of the entry, at most `max_tasks`, can have their units now.
     pub(super) fn tasks_with_units(&self, entry: &QueueEntry<'a>, max_tasks: u32) -> u32 {
         if !entry.needs_units {
             return max_tasks;
         }
         match entry.single_count {
-            Some(only) => self
+            Some(count) => self
                 .unit_ledger
-                .startable_tasks_of(only, max_tasks, || self.asker(entry.job)),
+                .startable_tasks_of(count, max_tasks, || self.requester(entry.job)),
             None => {
-                let asker = self.asker(entry.job);
+                let requester = self.requester(entry.job);
                 self.unit_ledger
-                    .startable_tasks(&entry.job.spec.counts, max_tasks, &asker)
+                    .startable_tasks(&entry.job.spec.counts, max_tasks, &requester)
             }
         }
     }
 
-    /// How many of `tasks` that lack machines would have units once these came. For the
-    /// others nothing is rented.
+    /// Returns how many of `tasks` that lack machines would have their units once the machines are up. No
+    /// machines are rented for the others.
     pub(super) fn tasks_with_expected_units(&mut self, entry: &QueueEntry<'a>, tasks: u32) -> u32 {
         if !entry.needs_units || tasks == 0 {
             return tasks;
         }
         match entry.single_count {
-            Some(only) => self.unit_ledger.promise_of(only, tasks),
+            Some(count) => self.unit_ledger.promise_of(count, tasks),
             None => self.unit_ledger.promise(&entry.job.spec.counts, tasks),
         }
     }
 
-    /// Tasks of the job wait for machines: what is free is reserved for it if it is old, or
-    /// its units would be gone whenever its machines are there.
+    /// Reserves free units for an old job whose tasks wait for machines. Otherwise other jobs would have taken
+    /// its units whenever its machines become available.
     pub(super) fn reserve_units(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let age_s = job.age_ms(self.cluster.now) as f64 / SECOND_MS as f64;
         if entry.needs_units && self.unit_ledger.may_reserve_at(age_s) {
-            let asker = self.asker(job);
+            let requester = self.requester(job);
             if self
                 .unit_ledger
-                .reserve_for_machines(&job.spec.counts, job.together(), &asker)
+                .reserve_for_machines(&job.spec.counts, job.together(), &requester)
             {
                 self.plan.units_reserved_for.insert(job.spec.id.clone());
             }
         }
     }
 
-    /// Free units that are reserved, by count.
+    /// Returns the free units that are reserved, by counted resource.
     pub(super) fn reserved_units(&self) -> BTreeMap<Name, u32> {
         let reserved = self.unit_ledger.pools().filter(|pool| pool.reserved() > 0);
         reserved
@@ -170,14 +175,14 @@
             .collect()
     }
 
-    /// `tasks` of the job, of which `together` start at once, find too few units: they
-    /// wait, and what may be stopped for them is.
+    /// Handles a shortage of units for `tasks` of the entry, of which `together` start at once: records their
+    /// demand, and preempts holders of units where allowed.
     pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, together: u32, tasks: u32) {
         let job = entry.job;
-        let asker = self.asker(job);
-        let (shortage, reservation) = self
-            .unit_ledger
-            .handle_shortage(&job.spec.counts, together, &asker);
+        let requester = self.requester(job);
+        let (shortage, reservation) =
+            self.unit_ledger
+                .handle_shortage(&job.spec.counts, together, &requester);
         if reservation {
             self.plan.units_reserved_for.insert(job.spec.id.clone());
         }
@@ -188,33 +193,31 @@
                 shortage,
             });
         }
-        let lower = self.lowest_unit_priority() > Some(job.spec.priority);
-        let rounds = (tasks / together.max(1)).min(UNIT_SEARCHES_PER_JOB);
-        for _ in 0..rounds {
-            // What is leaving goes to those who wait, in their order, whether or not
-            // they may stop anything.
+        let lower_priority_holders = self.lowest_unit_priority() > Some(job.spec.priority);
+        let preemption_rounds = (tasks / together.max(1)).min(UNIT_SEARCHES_PER_JOB);
+        for _ in 0..preemption_rounds {
+            // Units being released go to the waiting jobs in order, whether or not they may preempt.
             let Some(missing) = self.unit_ledger.deficit(&job.spec.counts, together) else {
                 return;
             };
-            if !lower && !entry.units_guaranteed {
+            if !lower_priority_holders && !entry.units_guaranteed {
                 return;
             }
             if !missing.units.is_empty() && !self.preempt_for_units(entry, missing.units) {
                 return;
             }
-            // Until the rest of what is being freed for it has come, what it has stays its
-            // own. What only ends by itself is nothing to idle units for: an old request
-            // has them reserved in any case.
+            // Claims the free units while the rest is being released for it. Units are not left idle for tasks
+            // that are only expected to end on their own: for an old request they are reserved anyway.
             if !missing.awaits_completions {
                 self.unit_ledger.claim(&job.spec.counts, together);
             }
         }
     }
 
-    /// The lowest priority of any job that holds units.
+    /// Returns the lowest priority of any job that holds units.
     fn lowest_unit_priority(&mut self) -> Option<Priority> {
-        if let Some(known) = self.lowest_unit_priority {
-            return known;
+        if let Some(cached) = self.lowest_unit_priority {
+            return cached;
         }
         self.resolve_running_jobs();
         let holders = self.capacities.iter().flat_map(|capacity| &capacity.running);
--- a/crates/controller/src/scheduling/placement/gang_placement.rs
+++ b/crates/controller/src/scheduling/placement/gang_placement.rs
@@ -1,4 +1,4 @@
-//! The bind phase for gangs: all missing tasks at once, or none.
+//! The bind phase for gangs: places all missing tasks at once, or none.
 
 use super::is_usable;
 use super::pass::{OpenZones, Pass, TaskRequirements, TasksByZone};
@@ -6,22 +6,22 @@
 use super::scoring::Candidate;
 use crate::model::{Job, JobSpec};
 
-/// Which attempt of a gang the missing tasks belong to.
+/// Whether the missing tasks of a gang may start, and in which attempt.
 #[derive(Debug, Clone, Copy)]
 enum GangAdmission {
     /// They may not start now.
     Wait,
-    /// They join an attempt that has not started.
+    /// They join the attempt of this number, which has not started.
     Join(u64),
-    /// They begin a new attempt.
+    /// They form a new attempt.
     New,
 }
 
 /// Machines for all missing tasks of a gang.
 struct GangFit {
-    /// That of the most expensive place: the gang starts when its slowest image is there.
+    /// The cost of the most expensive machine: the gang starts once its slowest image is fetched.
     cost: f64,
-    /// Positions of the machines, one for each task.
+    /// Indexes of the machines, one for each task.
     machines: Vec<usize>,
 }
 
@@ -37,10 +37,10 @@
         };
         let tasks = job.waiting.len() as u32;
         if self.quota_left(&job.spec, tasks) < tasks {
-            // Machines boot while its part of the limit comes free.
+            // Machines can boot while its part of the limit becomes free.
             if self.has_reserved_quota(job) {
-                let zones = self.open_zones(&job.spec, &tasks_by_zone);
-                self.record_unplaced(entry, tasks, &zones);
+                let open_zones = self.open_zones(&job.spec, &tasks_by_zone);
+                self.record_unplaced(entry, tasks, &open_zones);
             }
             return;
         }
@@ -49,8 +49,8 @@
             return;
         }
         let mut requirements = self.requirements(job);
-        let zones = self.open_zones(&job.spec, &tasks_by_zone);
-        match self.find_gang_fit(&requirements, &zones, &tasks_by_zone, attempt) {
+        let open_zones = self.open_zones(&job.spec, &tasks_by_zone);
+        match self.find_gang_fit(&requirements, &open_zones, &tasks_by_zone, attempt) {
             Some(fit) => {
                 for (index, machine_index) in job.waiting.iter().copied().zip(fit.machines) {
                     self.bind(&mut requirements, index, machine_index);
@@ -59,30 +59,30 @@
                     self.release_reservations(job);
                 }
             }
-            None => self.handle_gang_without_fit(entry, tasks, &requirements, &zones),
+            None => self.handle_gang_without_fit(entry, tasks, &requirements, &open_zones),
         }
     }
 
     fn gang_admission(&self, job: &Job, tasks_by_zone: &TasksByZone) -> GangAdmission {
         match &job.gang {
-            // Whoever waited in vain goes back to its image, in a moment.
+            // A task whose wait for the gang timed out shortly rejoins on the machine that has its image.
             Some(attempt) if attempt.accepts_tasks() && self.gang_wait_timed_out(job, attempt.number) => {
                 GangAdmission::Wait
             }
             // A replacement joins an attempt that has not started.
             Some(attempt) if attempt.accepts_tasks() => GangAdmission::Join(attempt.number),
             Some(_) => GangAdmission::Wait,
-            // Nothing of an old attempt may be left anywhere.
+            // A new attempt must wait until no task of the old one may be running.
             None if tasks_by_zone.iter().any(|count| *count > 0) => GangAdmission::Wait,
             None => GangAdmission::New,
         }
     }
 
-    /// The cheapest machines for all missing tasks of a gang.
+    /// Returns the cheapest machines for all missing tasks of a gang.
     fn find_gang_fit(
         &mut self,
         requirements: &TaskRequirements<'a>,
-        zones: &OpenZones,
+        open_zones: &OpenZones,
         tasks_by_zone: &TasksByZone,
         attempt: Option<u64>,
     ) -> Option<GangFit> {
@@ -93,41 +93,42 @@
             return None;
         }
         let mut best: Option<GangFit> = None;
-        for choice in self.zone_choices(spec, zones) {
-            if let Some(fit) = self.fit_gang(requirements, tasks, &choice, tasks_by_zone, attempt)
+        for zone_choice in self.zone_choices(spec, open_zones) {
+            if let Some(fit) = self.fit_gang(requirements, tasks, &zone_choice, tasks_by_zone, attempt)
                 && best.as_ref().is_none_or(|best| fit.cost < best.cost)
             {
                 best = Some(fit);
             }
         }
         let is_general = attempt.is_none() && !requirements.avoids_failed_machines && !spec.spread;
-        if best.is_none() && is_general && zones.iter().all(|open| *open) {
+        if best.is_none() && is_general && open_zones.iter().all(|open| *open) {
             self.unschedulable.insert(class, tasks as u32);
         }
         best
     }
 
+    /// Preempts work for a gang that found no machines, or records its tasks as unplaced.
     fn handle_gang_without_fit(
         &mut self,
         entry: &QueueEntry<'a>,
         tasks: u32,
         requirements: &TaskRequirements<'a>,
-        zones: &OpenZones,
+        open_zones: &OpenZones,
     ) {
-        // Its units are spoken for by the time its machines are there.
+        // Other requests will have taken its units by the time its machines are available.
         if self.tasks_with_expected_units(entry, tasks) < tasks {
             return;
         }
-        // Capacity for a larger gang is made by renting: stopping others for a part of it would waste
-        // their work without starting it.
-        if tasks == 1 && self.preempt_for(requirements, zones, None) {
+        // Capacity for a larger gang comes from scaling out: preempting work for only a part of the gang would
+        // waste that work without starting the gang.
+        if tasks == 1 && self.preempt_for(requirements, open_zones, None) {
             return;
         }
         self.on_demand_shortage |= !entry.job.spec.spot;
-        self.record_unplaced(entry, tasks, zones);
+        self.record_unplaced(entry, tasks, open_zones);
     }
 
-    /// Whether a task of this attempt has given up waiting for the others, and its worker still lists it.
+    /// Whether a task of this attempt has timed out waiting for the others, and its worker still lists it.
     fn gang_wait_timed_out(&self, job: &Job, number: u64) -> bool {
         let locations = self.cluster.task_locations.get(&job.spec.id);
         locations
@@ -141,23 +142,24 @@
             })
     }
 
-    /// Each open zone alone where all tasks must share one, else all at once.
+    /// Returns the alternative sets of zones for a job: each open zone alone if all tasks must share one,
+    /// else all open zones together.
     pub(super) fn zone_choices(&self, spec: &JobSpec, open: &OpenZones) -> Vec<OpenZones> {
         if !spec.one_zone {
             return vec![open.clone()];
         }
-        let zones = (0..open.len()).filter(|zone| open[*zone]);
-        zones
+        let zone_indexes = (0..open.len()).filter(|zone| open[*zone]);
+        zone_indexes
             .map(|only| (0..open.len()).map(|zone| zone == only).collect())
             .collect()
     }
 
-    /// Tries to fit all missing tasks into these zones; changes nothing.
+    /// Tries to fit all missing tasks into these zones without changing the pass.
     fn fit_gang(
         &self,
         requirements: &TaskRequirements<'_>,
         tasks: usize,
-        zones: &OpenZones,
+        open_zones: &OpenZones,
         tasks_by_zone: &TasksByZone,
         attempt: Option<u64>,
     ) -> Option<GangFit> {
@@ -167,7 +169,7 @@
             machines: Vec::with_capacity(tasks),
         };
         let mut tasks_by_zone = tasks_by_zone.clone();
-        for Candidate { cost, machine_index } in self.candidates(requirements, zones, attempt) {
+        for Candidate { cost, machine_index } in self.candidates(requirements, open_zones, attempt) {
             let Some((_, zone)) = self.capacities[machine_index].type_and_zone else {
                 continue;
             };
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -1,4 +1,5 @@
-//! Slots for large gangs: where and when each of their tasks finds capacity, by estimate or by preemption.
+//! Slots for large gangs: the machine and the time at which each of their tasks finds capacity, as estimated or
+//! made by preemption.
 
 use super::grace_s;
 use super::inventory::remaining_s;
@@ -10,51 +11,51 @@
 /// Capacity for one task of a gang.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GangSlot {
-    /// In how many s the machine has it, by estimate.
+    /// Estimated time until the machine has this capacity, in s.
     pub(super) available_in_s: f64,
     has_image: bool,
-    /// Position of the machine in the pass.
+    /// Index of the machine in the pass.
     pub(super) machine_index: usize,
 }
 
-/// When a running task frees its resources.
+/// The release of a running task's resources.
 struct Release<'r, 'a> {
     available_in_s: f64,
     running: &'r RunningTask<'a>,
 }
 
-/// What would be preempted for a gang, and the capacity that it then has.
+/// The tasks that would be preempted for a gang, and the slots that it would then have.
 struct PreemptionPlan {
     /// Seconds of work lost.
     lost_s: f64,
     slots: Vec<GangSlot>,
-    machine_victims: Vec<MachineVictims>,
+    victim_machines: Vec<MachineVictims>,
 }
 
-/// What would be stopped on one machine.
+/// The tasks that would be preempted on one machine.
 struct MachineVictims {
-    /// Position of the machine in the pass.
+    /// Index of the machine in the pass.
     machine_index: usize,
     victims: Victims,
 }
 
-/// In how many s the last task of a gang finds capacity.
+/// Returns the time until the last task of a gang finds capacity, in s, given the slots in order of time.
 pub(super) fn last_slot_s(slots: &[GangSlot]) -> f64 {
     slots.last().map_or(f64::INFINITY, |slot| slot.available_in_s)
 }
 
 impl<'a> Pass<'a> {
-    /// Slots for all tasks of a gang that are soonest free, in one of these choices of zones.
+    /// Returns the earliest slots for all tasks of a gang, in one of these sets of zones.
     pub(super) fn earliest_slots(
         &self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
-        choices: &[OpenZones],
+        zone_choices: &[OpenZones],
         tasks_by_zone: &TasksByZone,
     ) -> Option<Vec<GangSlot>> {
         let mut best: Option<Vec<GangSlot>> = None;
-        for zones in choices {
-            let slots = self.slots(requirements, tasks, zones, tasks_by_zone);
+        for open_zones in zone_choices {
+            let slots = self.slots(requirements, tasks, open_zones, tasks_by_zone);
             let is_sooner = |best: &Vec<GangSlot>| last_slot_s(&slots) < last_slot_s(best);
             if slots.len() == tasks && best.as_ref().is_none_or(is_sooner) {
                 best = Some(slots);
@@ -63,17 +64,18 @@
         best
     }
 
-    /// Preempts work for a gang, in the zone where least is lost, if that and what is free within
-    /// [`RESERVATION_HORIZON_S`] makes capacity for all of its tasks: for a part of them work would be lost in
-    /// vain.
+    /// Preempts work for a gang, in the set of zones where the least work is lost, if this and the capacity
+    /// free within [`RESERVATION_HORIZON_S`] suffice for all of its tasks. Preempting for only a part of them
+    /// would waste that work.
     pub(super) fn preempt_for_gang(
         &mut self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
-        choices: &[OpenZones],
+        zone_choices: &[OpenZones],
         tasks_by_zone: &TasksByZone,
     ) -> Option<Vec<GangSlot>> {
-        // A spread gang's zones would have to be counted while its capacity is made.
+        // Not supported for spread gangs: their tasks per zone would have to be counted while victims are
+        // chosen.
         if !self.may_preempt(requirements.job)
             || requirements.job.spec.spread
             || self.preemption_searches >= PREEMPTION_SEARCHES_PER_PASS
@@ -82,9 +84,9 @@
         }
         self.preemption_searches += 1;
         let mut best: Option<PreemptionPlan> = None;
-        for zones in choices {
-            let slots = self.slots(requirements, tasks, zones, tasks_by_zone);
-            let Some(plan) = self.preemption_plan(requirements, tasks, zones, slots) else {
+        for open_zones in zone_choices {
+            let slots = self.slots(requirements, tasks, open_zones, tasks_by_zone);
+            let Some(plan) = self.preemption_plan(requirements, tasks, open_zones, slots) else {
                 continue;
             };
             if best.as_ref().is_none_or(|best| plan.lost_s < best.lost_s) {
@@ -92,24 +94,25 @@
             }
         }
         let best = best?;
-        for victims_of_machine in best.machine_victims {
-            self.stop_victims(victims_of_machine.machine_index, victims_of_machine.victims);
+        for victim_machine in best.victim_machines {
+            self.stop_victims(victim_machine.machine_index, victim_machine.victims);
         }
         Some(best.slots)
     }
 
-    /// The cheapest stops in these zones that complete the slots of a gang.
+    /// Returns the cheapest preemptions in these zones that complete the slots of a gang.
     fn preemption_plan(
         &self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
-        zones: &OpenZones,
+        open_zones: &OpenZones,
         mut slots: Vec<GangSlot>,
     ) -> Option<PreemptionPlan> {
         let used_machines: HashSet<usize> = slots.iter().map(|slot| slot.machine_index).collect();
-        let mut machine_victims: Vec<MachineVictims> = (0..self.capacities.len())
+        let mut victim_machines: Vec<MachineVictims> = (0..self.capacities.len())
             .filter(|machine_index| {
-                !used_machines.contains(machine_index) && self.is_allowed(requirements, *machine_index, zones)
+                !used_machines.contains(machine_index)
+                    && self.is_allowed(requirements, *machine_index, open_zones)
             })
             .filter_map(|machine_index| {
                 let victims = self.victims(requirements, machine_index)?;
@@ -119,40 +122,43 @@
                 })
             })
             .collect();
-        machine_victims.sort_by(|left, right| {
-            let by_cost = left.victims.total_cost_s.total_cmp(&right.victims.total_cost_s);
-            by_cost.then(left.machine_index.cmp(&right.machine_index))
+        victim_machines.sort_by(|left, right| {
+            let cost_order = left.victims.total_cost_s.total_cmp(&right.victims.total_cost_s);
+            cost_order.then(left.machine_index.cmp(&right.machine_index))
         });
         let missing = tasks - slots.len();
-        if machine_victims.len() < missing {
+        if victim_machines.len() < missing {
             return None;
         }
-        machine_victims.truncate(missing);
-        slots.extend(machine_victims.iter().map(|stop| GangSlot {
+        victim_machines.truncate(missing);
+        slots.extend(victim_machines.iter().map(|victim_machine| GangSlot {
             available_in_s: STOP_GRACE_EXTRA_S,
-            has_image: self.has_image(requirements, stop.machine_index),
-            machine_index: stop.machine_index,
+            has_image: self.has_image(requirements, victim_machine.machine_index),
+            machine_index: victim_machine.machine_index,
         }));
         slots.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
         Some(PreemptionPlan {
-            lost_s: machine_victims.iter().map(|stop| stop.victims.total_cost_s).sum(),
+            lost_s: victim_machines
+                .iter()
+                .map(|victim_machine| victim_machine.victims.total_cost_s)
+                .sum(),
             slots,
-            machine_victims,
+            victim_machines,
         })
     }
 
-    /// Slots for this many tasks in these zones, the soonest first; fewer if there are no more within
-    /// [`RESERVATION_HORIZON_S`].
+    /// Returns slots for this many tasks in these zones, the earliest first, or fewer if there are no more
+    /// within [`RESERVATION_HORIZON_S`].
     fn slots(
         &self,
         requirements: &TaskRequirements<'a>,
         tasks: usize,
-        zones: &OpenZones,
+        open_zones: &OpenZones,
         tasks_by_zone: &TasksByZone,
     ) -> Vec<GangSlot> {
         let mut slots: Vec<GangSlot> = Vec::new();
         for machine_index in (0..self.capacities.len())
-            .filter(|machine_index| self.is_allowed(requirements, *machine_index, zones))
+            .filter(|machine_index| self.is_allowed(requirements, *machine_index, open_zones))
         {
             self.add_slots_of(requirements, tasks, machine_index, &mut slots);
         }
@@ -161,13 +167,13 @@
                 .then(right.has_image.cmp(&left.has_image))
                 .then(left.machine_index.cmp(&right.machine_index))
         });
-        let cap = requirements.job.spec.zone_cap();
+        let zone_cap = requirements.job.spec.zone_cap();
         let mut tasks_by_zone = tasks_by_zone.clone();
         slots.retain(|slot| {
             let Some((_, zone)) = self.capacities[slot.machine_index].type_and_zone else {
                 return false;
             };
-            let fits = tasks_by_zone[zone] < cap;
+            let fits = tasks_by_zone[zone] < zone_cap;
             tasks_by_zone[zone] += u32::from(fits);
             fits
         });
@@ -175,7 +181,7 @@
         slots
     }
 
-    /// Adds the slots of one machine: now, and as its tasks end.
+    /// Adds the slots of one machine: those available now, and those available as its tasks end.
     fn add_slots_of(
         &self,
         requirements: &TaskRequirements<'a>,
@@ -189,11 +195,11 @@
         let mut releases = self.releases(&capacity.running).into_iter();
         let mut free = capacity.free;
         let mut available_in_s = 0.0;
-        let mut found = 0;
+        let mut slots_found = 0;
         loop {
-            while found < tasks && needs.fits_in(&free) {
+            while slots_found < tasks && needs.fits_in(&free) {
                 free -= needs;
-                found += 1;
+                slots_found += 1;
                 slots.push(GangSlot {
                     available_in_s,
                     has_image,
@@ -208,7 +214,7 @@
         }
     }
 
-    /// When the tasks of a machine end, the soonest first, as far as that is within [`RESERVATION_HORIZON_S`].
+    /// Returns the expected releases of a machine's tasks within [`RESERVATION_HORIZON_S`], the earliest first.
     fn releases<'r>(&self, running: &'r [RunningTask<'a>]) -> Vec<Release<'r, 'a>> {
         let mut releases: Vec<Release<'r, 'a>> = running
             .iter()
@@ -222,7 +228,7 @@
         releases
     }
 
-    /// In how many s a task will have left its machine, by its owner's estimate.
+    /// Returns the estimated time until a task has left its machine, in s.
     pub(super) fn ends_in_s(&self, running: &RunningTask<'_>) -> f64 {
         if running.stopping {
             return running.job.map_or(0.0, |job| grace_s(&job.spec)) + STOP_GRACE_EXTRA_S;
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -1,4 +1,4 @@
-//! The start of a pass: an inventory of machines, images, usage by team and units of counts.
+//! The snapshot phase: an inventory of machines, images, usage by team, and units of counted resources.
 
 use super::counted_units::record_units;
 use super::image_catalog::{ImageCatalog, add_image};
@@ -14,7 +14,7 @@
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 
-/// What is gathered while the machines are visited one by one.
+/// Totals accumulated while the machines are visited one by one.
 struct Inventory<'a> {
     cluster: &'a ClusterSnapshot<'a>,
     types: Vec<&'a MachineType>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Counts what is on a machine, and returns what it has left.
+    /// Counts the tasks on a machine, and returns its remaining capacity.
     fn add_machine(&mut self, machine: &'a Machine) -> MachineCapacity<'a> {
         let type_position = self
             .types
@@ -74,13 +74,13 @@
         capacity
     }
 
-    /// Numbers of the images that the machine has.
+    /// Returns the catalog numbers of the images that the machine has.
     fn cached_images(&mut self, machine: &'a Machine) -> Vec<u32> {
         let mut cached = Vec::new();
         for image in machine.images.held() {
             let number = self.images.intern(&image.image, image.gb);
-            if let Some(known) = self.images.get_mut(number) {
-                known.size_gb = image.gb;
+            if let Some(image_info) = self.images.get_mut(number) {
+                image_info.size_gb = image.gb;
             }
             add_image(&mut cached, number);
         }
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Counts the fetch for which an attempt waits, if any.
+    /// Counts the image fetch that an attempt waits for, if any.
     fn add_fetch(&mut self, attempt: &'a Attempt, capacity: &mut MachineCapacity<'a>) {
         let Some(image) = &attempt.image else { return };
         if !attempt.fetching() || capacity.machine.has_image(image) {
@@ -165,7 +165,7 @@
     }
 }
 
-/// The lowest priority of any job with tasks on machines.
+/// Returns the lowest priority of any job with tasks on machines; larger values are lower priorities.
 fn lowest_placed_priority(cluster: &ClusterSnapshot<'_>) -> Option<Priority> {
     cluster
         .jobs
@@ -175,11 +175,11 @@
         .max()
 }
 
-/// For how long, in s, a task will occupy its machine, by its owner's estimate.
+/// Returns the estimated time for which a task will still occupy its machine, in s.
 pub(super) fn remaining_s(attempt: &Attempt, now: Timestamp) -> f64 {
     if attempt.estimate_s > 0.0 {
-        // A task that has run over may do so for as long again: else it seemed about to end for ever,
-        // and machines beside it were reserved for a gang as long as it ran.
+        // A task that has overrun its estimate is expected to run on for as long as the overrun. Otherwise it
+        // would always seem about to end, and machines stayed reserved for a gang for as long as it ran.
         (attempt.estimate_s - attempt.ran_s(now))
             .abs()
             .max(MIN_OCCUPANCY_S)
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -114,14 +114,14 @@
     ) -> Option<Vec<GangSlot>> {
         let requirements = self.requirements(job);
         let open_zones = self.open_zones(&job.spec, tasks_by_zone);
-        let choices = self.zone_choices(&job.spec, &open_zones);
+        let zone_choices = self.zone_choices(&job.spec, &open_zones);
         self.resolve_running_jobs();
-        let earliest = self.earliest_slots(&requirements, tasks, &choices, tasks_by_zone);
+        let earliest = self.earliest_slots(&requirements, tasks, &zone_choices, tasks_by_zone);
         // Preempting work for a gang that still waits for its team's limit would waste that work.
         if earliest.is_some() || quota_available_in_s > 0.0 {
             return earliest;
         }
-        self.preempt_for_gang(&requirements, tasks, &choices, tasks_by_zone)
+        self.preempt_for_gang(&requirements, tasks, &zone_choices, tasks_by_zone)
     }
 
     /// Returns the estimated time, in s, until the team's limit allows the gang; `None` if that is not within
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption for units of counted resources: which holders are stopped so that units come free.
+//! Preemption for units of counted resources: chooses the holders to stop so that their units are freed.
 
 use super::pass::Pass;
 use super::queue_order::QueueEntry;
@@ -10,8 +10,8 @@
 use std::collections::HashMap;
 
 impl<'a> Pass<'a> {
-    /// Stops what holds these units, if enough of it may be stopped for the job: work of
-    /// lower priority, or of a team that borrows, for one that its team is guaranteed.
+    /// Preempts holders of these units, if enough of them may be preempted for the entry: work of lower
+    /// priority, or, for guaranteed units, work of teams that borrow. Returns whether that freed all of them.
     pub(super) fn preempt_for_units(
         &mut self,
         entry: &QueueEntry<'a>,
@@ -35,7 +35,7 @@
         true
     }
 
-    /// The cheapest victims that together free all missing units.
+    /// Returns the cheapest victims that together free all missing units.
     fn choose_unit_victims(
         &self,
         entry: &QueueEntry<'a>,
@@ -50,10 +50,10 @@
             if still_missing.iter().all(|(_, units)| *units == 0) {
                 break;
             }
-            let helps = still_missing
+            let frees_missing = still_missing
                 .iter()
                 .any(|(count, units)| *units > 0 && victim.units(count) > 0);
-            if !helps || !self.claim_borrowed_units(&victim, &mut borrowed) {
+            if !frees_missing || !self.claim_borrowed_units(&victim, &mut borrowed) {
                 continue;
             }
             for (count, units) in &mut still_missing {
@@ -81,8 +81,8 @@
         self.stop(victim.attempt, machine);
     }
 
-    /// What holds any of these units and may be stopped for the job. A gang is listed once, with all its
-    /// tasks.
+    /// Returns the work that holds any of these units and may be preempted for the entry. A gang is listed
+    /// once, with all its tasks.
     fn unit_victims(&self, entry: &QueueEntry<'a>, missing: &[(Name, u32)]) -> Vec<UnitVictim<'a>> {
         let job = entry.job;
         let mut victims: Vec<UnitVictim<'a>> = Vec::new();
@@ -90,8 +90,8 @@
         for (machine_index, capacity) in self.capacities.iter().enumerate() {
             for (running_index, running) in capacity.running.iter().enumerate() {
                 let attempt = running.attempt;
-                let holds = missing.iter().any(|(count, _)| attempt.counts.units(count) > 0);
-                if !holds || running.stopping || attempt.exited() {
+                let holds_missing = missing.iter().any(|(count, _)| attempt.counts.units(count) > 0);
+                if !holds_missing || running.stopping || attempt.exited() {
                     continue;
                 }
                 let Some(holder) = running.job else { continue };
@@ -99,8 +99,8 @@
                 if !has_lower_priority && !may_reclaim(entry, holder) {
                     continue;
                 }
-                if let Some(known) = gangs.get(&holder.spec.id) {
-                    victims[*known].tasks += 1;
+                if let Some(victim_index) = gangs.get(&holder.spec.id) {
+                    victims[*victim_index].tasks += 1;
                     continue;
                 }
                 if holder.spec.shape == Shape::Gang {
@@ -121,8 +121,8 @@
         victims
     }
 
-    /// Whether all that a victim holds of shared counts is borrowed, beside what others
-    /// chosen before it give back. One of lower priority gives way in any case.
+    /// Whether everything that a victim holds of shared counted resources is borrowed, in addition to what
+    /// earlier victims give back; if so, adds it to `reclaimed`. Victims of lower priority always qualify.
     fn claim_borrowed_units(
         &self,
         victim: &UnitVictim<'a>,
@@ -131,73 +131,73 @@
         if victim.has_lower_priority {
             return true;
         }
-        let held: Vec<(&'a str, u32)> = victim
+        let held_units: Vec<(&'a str, u32)> = victim
             .counts
             .iter()
             .map(|(count, _)| &**count)
             .filter(|count| self.unit_ledger.get(count).is_some_and(|pool| pool.has_shares()))
             .map(|count| (count, victim.units(count)))
             .collect();
-        let enough = !held.is_empty()
-            && held.iter().all(|(count, units)| {
+        let is_borrowed = !held_units.is_empty()
+            && held_units.iter().all(|(count, units)| {
                 let borrowed = self
                     .unit_ledger
                     .get(count)
                     .map_or(0, |pool| pool.borrowed(victim.team));
-                let before = reclaimed.get(&(victim.team, *count)).copied().unwrap_or(0);
-                before + units <= borrowed
+                let reclaimed_before = reclaimed.get(&(victim.team, *count)).copied().unwrap_or(0);
+                reclaimed_before + units <= borrowed
             });
-        if enough {
-            for (count, units) in held {
+        if is_borrowed {
+            for (count, units) in held_units {
                 *reclaimed.entry((victim.team, count)).or_default() += units;
             }
         }
-        enough
+        is_borrowed
     }
 }
 
-/// Whether the job's team is guaranteed units that the holder, of another team, may have borrowed.
+/// Whether the entry's team is guaranteed units that the holder, of another team, may have borrowed.
 fn may_reclaim(entry: &QueueEntry<'_>, holder: &Job) -> bool {
     entry.units_guaranteed
         && holder.spec.priority >= entry.job.spec.priority
         && holder.spec.team != entry.job.spec.team
 }
 
-/// Drops victims whose units are not needed: the cheapest were chosen first, and a dearer one may have made
-/// some of them needless.
+/// Drops victims whose units are not needed: the cheapest were chosen first, and a more expensive one may have
+/// made some of them redundant.
 fn drop_redundant(chosen: &mut Vec<UnitVictim<'_>>, missing: &[(Name, u32)]) {
     let mut surplus: HashMap<Name, u32> = HashMap::new();
     for (count, units) in missing {
-        let freed: u32 = chosen.iter().map(|victim| victim.units(count)).sum();
-        surplus.insert(count.clone(), freed.saturating_sub(*units));
+        let freed_units: u32 = chosen.iter().map(|victim| victim.units(count)).sum();
+        surplus.insert(count.clone(), freed_units.saturating_sub(*units));
     }
     chosen.retain(|victim| {
         let is_redundant = missing
             .iter()
             .all(|(count, _)| victim.units(count) <= surplus.get(count).copied().unwrap_or(0));
         if is_redundant {
-            for (count, left) in &mut surplus {
-                *left -= victim.units(count).min(*left);
+            for (count, surplus_units) in &mut surplus {
+                *surplus_units -= victim.units(count).min(*surplus_units);
             }
         }
         !is_redundant
     });
 }
 
-/// Work that holds units and may be stopped.
+/// Work that holds units and may be preempted.
 struct UnitVictim<'a> {
     attempt: &'a Attempt,
-    /// Position of its machine in the pass.
+    /// Index of its machine in the pass.
     machine_index: usize,
-    /// Its position among the machine's running tasks.
+    /// Its index among the machine's running tasks.
     running_index: usize,
     team: &'a str,
     counts: &'a Demand,
-    /// Tasks that end with it.
+    /// Number of tasks that are stopped with it.
     tasks: u32,
-    /// It gives way whether or not its units are borrowed.
+    /// Whether its priority is lower, so that it may be preempted even if its units are not borrowed.
     has_lower_priority: bool,
-    /// Seconds of work that its stop throws away.
+    /// Seconds of work lost by its stop.
     lost_s: f64,
 }
 
