--- a/crates/controller/src/scheduling/placement/consolidation.rs
+++ b/crates/controller/src/scheduling/placement/consolidation.rs
@@ -1,4 +1,4 @@
-//! Consolidation of services: replicas move together, so that machines fall idle and are returned.
+//! Consolidation of services: moves replicas onto fewer machines, so that others become idle and are released.
 
 use super::Decision;
 use super::pass::{MachineCapacity, OpenZones, Pass, RunningTask};
@@ -11,22 +11,22 @@
 use crate::protocol::Shape;
 use std::collections::HashSet;
 
-/// A replica that moves to another machine.
+/// A move of a replica to another machine.
 struct ReplicaMove<'a> {
     attempt: &'a Attempt,
-    /// Position of that machine in the pass.
-    to: usize,
+    /// Index of that machine in the pass.
+    target_index: usize,
     needs: Resources,
 }
 
 impl<'a> Pass<'a> {
-    /// While nothing is left unplaced, moves replicas off the emptiest machines onto
-    /// fuller ones that hold their image, so that they fall idle and go back. With the
-    /// image there a move takes a fraction of a second.
+    /// If nothing is left unplaced, moves replicas from the emptiest machines to fuller ones that have their
+    /// image, so that the former become idle and are released. With the image present, a move takes a fraction
+    /// of a second.
     pub(super) fn consolidate_replicas(&mut self) {
-        let stops = |decision: &Decision| matches!(decision, Decision::Stop { .. });
-        let busy = !self.plan.unplaced.is_empty() || self.plan.decisions.iter().any(stops);
-        if !CONSOLIDATE_REPLICAS || busy {
+        let is_stop = |decision: &Decision| matches!(decision, Decision::Stop { .. });
+        let is_busy = !self.plan.unplaced.is_empty() || self.plan.decisions.iter().any(is_stop);
+        if !CONSOLIDATE_REPLICAS || is_busy {
             return;
         }
         let max_moves =
@@ -45,66 +45,66 @@
         let mut free: Vec<Resources> = self.capacities.iter().map(|capacity| capacity.free).collect();
         let mut targets = HashSet::new();
         let mut remaining = max_moves;
-        for (share, from) in emptiest
+        for (source_used_share, source_index) in emptiest
             .into_iter()
             .take(CONSOLIDATION_TRIES_PER_PASS * max_moves)
         {
-            if share > CONSOLIDATE_BELOW_SHARE || remaining == 0 {
+            if source_used_share > CONSOLIDATE_BELOW_SHARE || remaining == 0 {
                 return;
             }
-            // What others are moving to stays.
-            if targets.contains(&from) {
+            // A machine that receives replicas in this pass is not emptied.
+            if targets.contains(&source_index) {
                 continue;
             }
-            let Some(moves) = self.replica_moves(from, &mut free) else {
+            let Some(moves) = self.replica_moves(source_index, &mut free) else {
                 continue;
             };
-            let machine = self.capacities[from].machine.id.clone();
-            // It takes nothing itself any more.
-            free[from] = Resources::default();
+            let machine = self.capacities[source_index].machine.id.clone();
+            // A machine being emptied receives no replicas.
+            free[source_index] = Resources::default();
             for replica in moves.into_iter().take(remaining) {
-                targets.insert(replica.to);
+                targets.insert(replica.target_index);
                 remaining -= 1;
                 self.stop(replica.attempt, machine.clone());
             }
         }
     }
 
-    /// The replicas of a machine and where they fit, if all of them can move to fuller ones. Claims the
+    /// Returns the moves of a machine's replicas, if all of them can move to fuller machines. Claims the
     /// capacity there.
-    fn replica_moves(&self, from: usize, free: &mut [Resources]) -> Option<Vec<ReplicaMove<'a>>> {
+    fn replica_moves(&self, source_index: usize, free: &mut [Resources]) -> Option<Vec<ReplicaMove<'a>>> {
         let mut moves: Vec<ReplicaMove<'a>> = Vec::new();
-        let complete = self.find_moves(from, free, &mut moves);
-        if complete.is_none() || moves.is_empty() {
+        let all_moves_found = self.find_moves(source_index, free, &mut moves);
+        if all_moves_found.is_none() || moves.is_empty() {
             for replica in moves {
-                free[replica.to] += replica.needs;
+                free[replica.target_index] += replica.needs;
             }
             return None;
         }
         Some(moves)
     }
 
-    /// Adds the moves of a machine's replicas; `None` where one of them can't move.
+    /// Adds the moves of a machine's replicas; `None` if one of them cannot move.
     fn find_moves(
         &self,
-        from: usize,
+        source_index: usize,
         free: &mut [Resources],
         moves: &mut Vec<ReplicaMove<'a>>,
     ) -> Option<()> {
-        for running in &self.capacities[from].running {
+        for running in &self.capacities[source_index].running {
             let job = self.cluster.jobs.get(&running.attempt.task.job)?;
             if job.spec.shape != Shape::Service {
-                // It ends by itself.
+                // Batch tasks end on their own.
                 continue;
             }
             if !self.is_movable(running, job) {
                 return None;
             }
-            let to = self.move_target(job, from, free)?;
-            free[to] -= job.spec.needs;
+            let target_index = self.move_target(job, source_index, free)?;
+            free[target_index] -= job.spec.needs;
             moves.push(ReplicaMove {
                 attempt: running.attempt,
-                to,
+                target_index,
                 needs: job.spec.needs,
             });
         }
@@ -116,38 +116,38 @@
             .attempt
             .running_since
             .is_some_and(|since| self.cluster.now >= since + MIN_RUN_BEFORE_MOVE_MS);
-        // In the hours for which it is protected nothing is saved by a move.
+        // Moving a replica while it is protected saves nothing.
         let is_protected = self.cluster.protection.standing(&job.spec.id).is_some();
-        // The units of one that is stopped linger, and it could not start elsewhere.
+        // The units of a stopped replica linger, so it could not start elsewhere.
         let holds_units = !running.attempt.counts.is_empty();
         is_settled && !is_protected && !running.stopping && !holds_units
     }
 
-    /// A fuller machine that has the job's image and takes one of its replicas from this machine.
-    fn move_target(&self, job: &'a Job, from: usize, free: &[Resources]) -> Option<usize> {
-        let source = &self.capacities[from];
+    /// Returns a machine fuller than the source that has the job's image and can take one of its replicas.
+    fn move_target(&self, job: &'a Job, source_index: usize, free: &[Resources]) -> Option<usize> {
+        let source = &self.capacities[source_index];
         let requirements = self.requirements(job);
         let zones = self.move_zones(job, source);
-        (0..self.capacities.len()).find(|to| {
-            *to != from
-                && job.spec.needs.fits_in(&free[*to])
-                && self.is_allowed(&requirements, *to, &zones)
-                && self.has_image(&requirements, *to)
-                && self.capacities[*to].free.gpus.max(0.0) <= source.free.gpus
-                && self.capacities[*to].free.cpus <= source.free.cpus
+        (0..self.capacities.len()).find(|target_index| {
+            *target_index != source_index
+                && job.spec.needs.fits_in(&free[*target_index])
+                && self.is_allowed(&requirements, *target_index, &zones)
+                && self.has_image(&requirements, *target_index)
+                && self.capacities[*target_index].free.gpus.max(0.0) <= source.free.gpus
+                && self.capacities[*target_index].free.cpus <= source.free.cpus
         })
     }
 
-    /// Zones to which a replica may move.
+    /// Returns the zones to which a replica may move.
     fn move_zones(&self, job: &Job, source: &MachineCapacity<'_>) -> OpenZones {
         match (job.spec.spread && job.spec.tasks > 1, source.type_and_zone) {
-            // Where one zone holds too many already, the spread decides, not this.
+            // Spread jobs move within their zone only: correcting an uneven spread is not the task of
+            // consolidation.
             (true, Some((_, own_zone))) => (0..self.cluster.deployment.zones.len())
                 .map(|zone| zone == own_zone)
                 .collect(),
-            // What moves leaves its own zone, and makes place there: counted still, it
-            // closed the zone to itself, and where there is no other zone nothing
-            // ever moved.
+            // The moving replica frees a place in its own zone. If it were counted there, it would close the
+            // zone to itself, and with a single zone nothing would ever move.
             (_, type_and_zone) => {
                 let mut tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
                 if let Some((_, own_zone)) = type_and_zone {
--- a/crates/controller/src/scheduling/placement/image_catalog.rs
+++ b/crates/controller/src/scheduling/placement/image_catalog.rs
@@ -1,63 +1,63 @@
-//! Images that machines have or fetch, numbered for the length of a pass.
+//! Images that machines have or are fetching, numbered for the duration of a pass.
 
 use std::collections::HashMap;
 
-/// What a pass knows of an image.
+/// The state of an image in a pass.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct KnownImage {
+pub(super) struct ImageInfo {
     pub(super) size_gb: f64,
-    /// Machines that have it or fetch it.
+    /// Number of machines that have it or are fetching it.
     pub(super) copies: u32,
-    /// Expected cost, in s in which a replica is not up, of evicting one of the copies.
+    /// Expected cost of evicting one of the copies, in s of replica downtime.
     pub(super) eviction_cost_s: f64,
 }
 
-/// Images by number: machines refer to them by number, as comparing names is slow.
+/// Images by number. Machines refer to images by number because comparing names is slow.
 #[derive(Default)]
 pub(super) struct ImageCatalog<'a> {
     numbers: HashMap<&'a str, u32>,
-    images: Vec<KnownImage>,
+    images: Vec<ImageInfo>,
 }
 
 impl<'a> ImageCatalog<'a> {
-    /// The image's number, if any machine has it or fetches it.
+    /// Returns the image's number, if any machine has it or is fetching it.
     pub(super) fn number(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    /// The image's number; an image that is new gets one, and this size.
+    /// Returns the image's number. A new image gets the next number and this size.
     pub(super) fn intern(&mut self, name: &'a str, size_gb: f64) -> u32 {
-        let next = self.images.len() as u32;
-        let number = *self.numbers.entry(name).or_insert(next);
-        if number == next {
-            self.images.push(KnownImage {
+        let next_number = self.images.len() as u32;
+        let number = *self.numbers.entry(name).or_insert(next_number);
+        if number == next_number {
+            self.images.push(ImageInfo {
                 size_gb,
-                ..KnownImage::default()
+                ..ImageInfo::default()
             });
         }
         number
     }
 
-    /// What is known of the image; the default for a number that is not in the catalog.
-    pub(super) fn get(&self, number: u32) -> KnownImage {
+    /// Returns the state of the image, or the default for a number that is not in the catalog.
+    pub(super) fn get(&self, number: u32) -> ImageInfo {
         self.images.get(number as usize).copied().unwrap_or_default()
     }
 
-    pub(super) fn get_mut(&mut self, number: u32) -> Option<&mut KnownImage> {
+    pub(super) fn get_mut(&mut self, number: u32) -> Option<&mut ImageInfo> {
         self.images.get_mut(number as usize)
     }
 
-    /// All images, with their names.
-    pub(super) fn update_all(&mut self, mut update: impl FnMut(&str, &mut KnownImage)) {
+    /// Updates all images, given their names.
+    pub(super) fn update_all(&mut self, mut update: impl FnMut(&str, &mut ImageInfo)) {
         for (name, number) in &self.numbers {
-            if let Some(images) = self.images.get_mut(*number as usize) {
-                update(name, images);
+            if let Some(image_info) = self.images.get_mut(*number as usize) {
+                update(name, image_info);
             }
         }
     }
 }
 
-/// Notes that a machine has, or will have, an image. Returns whether that is new.
+/// Adds an image to those that a machine has or will have. Returns whether it is new.
 pub(super) fn add_image(images: &mut Vec<u32>, number: u32) -> bool {
     let is_new = !images.contains(&number);
     if is_new {
--- a/crates/controller/src/scheduling/placement/placement_cost.rs
+++ b/crates/controller/src/scheduling/placement/placement_cost.rs
@@ -1,5 +1,4 @@
-//! What a place costs by the one measure of [`indigopath_image_locality`]: expected seconds in which a
-//! replica is not up.
+//! Placement costs by the measure of [`indigopath_image_locality`]: expected seconds of replica downtime.
 
 use super::pass::{ImageFetch, MachineCapacity, Pass, TaskRequirements};
 use crate::allocations::Attempt;
@@ -8,9 +7,9 @@
 use indigopath_image_locality::constants::BATCH_SECONDS;
 use indigopath_image_locality::{CacheState, Choice, Cost, Evicted, Fetching, cost, waits_for_others};
 
-/// How much a fetch under way holds up: a replica counts 1, another task less.
+/// Returns the weight of an attempt that waits for a fetch: 1 for a replica, less for another task.
 pub(super) fn fetch_weight(attempt: &Attempt) -> f64 {
-    // Only a service's task has no run time.
+    // Only tasks of services have no run-time estimate.
     if attempt.estimate_s > 0.0 {
         1.0 / BATCH_SECONDS
     } else {
@@ -19,53 +18,57 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Computes for each image what it costs if one of its copies is evicted.
+    /// Computes the cost of evicting one copy of each image.
     pub(super) fn compute_eviction_costs(&mut self) {
         for image in self.capacities.iter().flat_map(|capacity| &capacity.images) {
-            if let Some(known) = self.images.get_mut(*image) {
-                known.copies += 1;
+            if let Some(image_info) = self.images.get_mut(*image) {
+                image_info.copies += 1;
             }
         }
         let fetch_s_per_gb = self
             .types
             .iter()
-            .map(|known| known.fetch_s(1.0))
+            .map(|machine_type| machine_type.fetch_s(1.0))
             .fold(0.0, f64::max);
         let statistics = self.cluster.image_statistics;
-        self.images.update_all(|name, known| {
+        self.images.update_all(|name, image_info| {
             let evicted = Evicted {
-                alone_s: known.size_gb * fetch_s_per_gb,
+                alone_s: image_info.size_gb * fetch_s_per_gb,
                 starts_per_s: statistics.starts_per_s(name),
-                copies: known.copies,
+                copies: image_info.copies,
             };
-            known.eviction_cost_s = evicted.cost_s();
+            image_info.eviction_cost_s = evicted.cost_s();
         });
     }
 
-    /// What a fetch alone takes there, in s.
-    fn uncontended_fetch_s(&self, capacity: &MachineCapacity<'_>, gb: f64) -> f64 {
-        capacity.machine_type.map_or(gb, |machine_type| {
+    /// Returns the duration of a fetch without concurrent fetches on the machine, in s.
+    fn uncontended_fetch_s(&self, capacity: &MachineCapacity<'_>, image_gb: f64) -> f64 {
+        capacity.machine_type.map_or(image_gb, |machine_type| {
             self.cluster
                 .image_statistics
                 .rates()
-                .alone_s(&machine_type.name, machine_type.fetch_s(gb))
+                .alone_s(&machine_type.name, machine_type.fetch_s(image_gb))
         })
     }
 
-    /// How much longer a fetch under way takes, in s.
+    /// Returns the estimated remaining duration of a fetch in progress, in s.
     fn fetch_remaining_s(&self, capacity: &MachineCapacity<'_>, fetch: &ImageFetch) -> f64 {
-        let gb = self.images.get(fetch.image).size_gb;
+        let image_gb = self.images.get(fetch.image).size_gb;
         let waited_s = self.cluster.now.saturating_sub(fetch.since) as f64 / SECOND_MS as f64;
-        (self.uncontended_fetch_s(capacity, gb) - waited_s).max(MIN_REMAINING_FETCH_S)
+        (self.uncontended_fetch_s(capacity, image_gb) - waited_s).max(MIN_REMAINING_FETCH_S)
     }
 
-    /// The other fetches under way there, for a task of the job.
-    fn others(&self, requirements: &TaskRequirements<'_>, capacity: &MachineCapacity<'_>) -> Vec<Fetching> {
-        let others = capacity
+    /// Returns the fetches in progress on the machine of images other than the job's.
+    fn other_fetches(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        capacity: &MachineCapacity<'_>,
+    ) -> Vec<Fetching> {
+        let other_fetches = capacity
             .fetching
             .iter()
             .filter(|fetch| Some(fetch.image) != requirements.image);
-        others
+        other_fetches
             .map(|fetch| Fetching {
                 left_s: self.fetch_remaining_s(capacity, fetch),
                 waiting: fetch.waiting,
@@ -73,84 +76,86 @@
             .collect()
     }
 
-    /// The place as the measure sees it.
-    fn choice<'o>(
+    /// Returns the inputs of the cost measure for a task of the job on the machine.
+    fn cost_inputs<'o>(
         &self,
         requirements: &TaskRequirements<'_>,
         machine_index: usize,
-        others: &'o [Fetching],
+        other_fetches: &'o [Fetching],
     ) -> Choice<'o> {
         let capacity = &self.capacities[machine_index];
-        let gb = requirements.job.spec.image_gb;
-        let held = requirements
+        let image_gb = requirements.job.spec.image_gb;
+        let has_image = requirements
             .image
             .is_some_and(|image| capacity.images.contains(&image));
-        let own = requirements
+        let own_fetch = requirements
             .image
             .and_then(|image| capacity.fetching.iter().find(|fetch| fetch.image == image));
-        let kind = capacity.machine_type.map_or("", |known| &known.name);
+        let type_name = capacity
+            .machine_type
+            .map_or("", |machine_type| &machine_type.name);
         let mut choice = Choice {
-            // What is thought to be there is taken for there: the cache's order is known.
-            cache_state: if held && own.is_none() {
+            // An image believed to be cached counts as cached, since the eviction order is known.
+            cache_state: if has_image && own_fetch.is_none() {
                 CacheState::Certain
             } else {
                 CacheState::Absent
             },
-            alone_s: self.uncontended_fetch_s(capacity, gb),
-            under_way_s: own.map(|fetch| self.fetch_remaining_s(capacity, fetch)),
-            others,
-            sharing: self.cluster.image_statistics.rates().sharing(kind),
-            evicts_s: if held {
+            alone_s: self.uncontended_fetch_s(capacity, image_gb),
+            under_way_s: own_fetch.map(|fetch| self.fetch_remaining_s(capacity, fetch)),
+            others: other_fetches,
+            sharing: self.cluster.image_statistics.rates().sharing(type_name),
+            evicts_s: if has_image {
                 0.0
             } else {
-                self.eviction_cost_s(capacity, gb)
+                self.eviction_cost_s(capacity, image_gb)
             },
             ..Choice::default()
         };
         if requirements.job.spec.shape == Shape::Service {
-            let there = capacity.running.iter();
+            let running = capacity.running.iter();
             let copies = requirements
                 .image
                 .map_or(0, |image| self.images.get(image).copies);
             choice.machine_loss = self.cluster.image_statistics.loss_rate(capacity.machine.spot);
-            choice.beside = there
+            choice.beside = running
                 .filter(|running| running.attempt.task.job == requirements.job.spec.id)
                 .count() as u32;
-            choice.copy_elsewhere = copies > u32::from(held);
+            choice.copy_elsewhere = copies > u32::from(has_image);
         }
         choice
     }
 
-    /// What the place costs a task of the job, in s in which a replica is not up; for other tasks,
-    /// in s of their own.
+    /// Returns the cost of the machine for a task of the job, in s of replica downtime; for other tasks, in s
+    /// of their own time.
     pub(super) fn downtime(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> Cost {
-        let others = self.others(requirements, &self.capacities[machine_index]);
-        let mut downtime = cost(&self.choice(requirements, machine_index, &others));
+        let other_fetches = self.other_fetches(requirements, &self.capacities[machine_index]);
+        let mut downtime = cost(&self.cost_inputs(requirements, machine_index, &other_fetches));
         let weight = downtime_weight(requirements);
         downtime.delay_s *= weight;
         downtime.evict_s *= weight;
         downtime
     }
 
-    /// What a fetch of so many GB evicts, in s in which replicas are not up.
-    fn eviction_cost_s(&self, capacity: &MachineCapacity<'_>, gb: f64) -> f64 {
-        let Some(known) = capacity.machine_type else {
+    /// Returns the cost of the images that a fetch of this size evicts, in s of replica downtime.
+    fn eviction_cost_s(&self, capacity: &MachineCapacity<'_>, image_gb: f64) -> f64 {
+        let Some(machine_type) = capacity.machine_type else {
             return 0.0;
         };
         let size = |image: &u32| self.images.get(*image).size_gb;
-        let mut over = capacity.images.iter().map(size).sum::<f64>() + gb - known.cache_gb;
-        let mut sum = 0.0;
+        let mut excess_gb = capacity.images.iter().map(size).sum::<f64>() + image_gb - machine_type.cache_gb;
+        let mut eviction_cost_s = 0.0;
         for image in &capacity.images {
-            if over <= 0.0 {
+            if excess_gb <= 0.0 {
                 break;
             }
-            over -= size(image);
-            sum += self.images.get(*image).eviction_cost_s;
+            excess_gb -= size(image);
+            eviction_cost_s += self.images.get(*image).eviction_cost_s;
         }
-        sum
+        eviction_cost_s
     }
 
-    /// Whether its image lies there, or will as soon as it could anywhere.
+    /// Whether the machine has the job's image, or will have it as soon as any machine could.
     pub(super) fn image_arrives_soonest(
         &self,
         requirements: &TaskRequirements<'_>,
@@ -164,7 +169,8 @@
                 <= self.uncontended_fetch_s(capacity, requirements.job.spec.image_gb)
     }
 
-    /// Work, in s of a task, that may be lost to start a task beside its image rather than there.
+    /// Returns how much work, in s, may be lost to preemption so that a task starts on a machine with its image
+    /// instead of this one.
     pub(super) fn preemption_budget_s(
         &self,
         requirements: &TaskRequirements<'_>,
@@ -177,7 +183,7 @@
             .clamp(PREEMPT_FOR_IMAGE_S, PREEMPT_FOR_IMAGE_MAX_S)
     }
 
-    /// Whether a task had better wait than start there: its fetch would hold others up.
+    /// Whether a task should wait instead of starting on the machine, because its fetch would delay others.
     pub(super) fn should_defer_start(
         &self,
         requirements: &TaskRequirements<'_>,
@@ -186,15 +192,15 @@
         if !self.cluster.image_statistics.is_enabled() || self.capacities[machine_index].fetching.is_empty() {
             return false;
         }
-        let others = self.others(requirements, &self.capacities[machine_index]);
+        let other_fetches = self.other_fetches(requirements, &self.capacities[machine_index]);
         waits_for_others(
-            &self.choice(requirements, machine_index, &others),
+            &self.cost_inputs(requirements, machine_index, &other_fetches),
             downtime_weight(requirements),
         )
     }
 }
 
-/// What a second in which a replica is not up counts against one of the job's tasks.
+/// Returns how many of the job's own seconds one second of replica downtime is worth.
 fn downtime_weight(requirements: &TaskRequirements<'_>) -> f64 {
     match requirements.job.spec.shape {
         Shape::Service => 1.0,
@@ -202,7 +208,7 @@
     }
 }
 
-/// Notes that a task waits for a fetch; begins it if it is none yet.
+/// Records that a task waits for a fetch, and adds the fetch if it is new.
 pub(super) fn record_fetch(fetching: &mut Vec<ImageFetch>, new: ImageFetch) {
     match fetching.iter_mut().find(|fetch| fetch.image == new.image) {
         Some(fetch) => {
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -1,4 +1,4 @@
-//! Protection windows: the order of protected services, and the spare capacity that is reserved for them.
+//! Protection windows: the order of protected services, and the spare capacity reserved for them.
 
 use super::pass::{MachineCapacity, OpenZones, Pass, TaskRequirements};
 use super::scoring::Candidate;
@@ -10,49 +10,50 @@
 use indigopath_protection_windows::Standing;
 use std::collections::BTreeMap;
 
-/// Spare capacity that is to be kept free.
+/// Spare capacity to be reserved.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpareCapacity {
-    /// It is for replicas of this job, or of one with the same requirements.
+    /// The job whose requirements it must satisfy. It is for replicas of this job and of similar ones.
     pub template: JobId,
-    /// For how many replicas.
+    /// Number of replicas that it must fit.
     pub tasks: u32,
 }
 
-/// What protection windows cover now. Empty where there are none.
+/// The jobs and spare capacity covered by open protection windows. Empty if there are none.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Protection {
-    /// Protected jobs, with their rank.
+    /// Protected jobs, with their place in the protection order.
     pub standings: BTreeMap<JobId, Standing>,
     /// Spare capacity to be reserved.
     pub spare: Vec<SpareCapacity>,
 }
 
 impl Protection {
-    /// The job's rank, if it is protected.
+    /// Returns the job's place in the protection order, if it is protected.
     pub fn standing(&self, job: &JobId) -> Option<Standing> {
-        // Nearly always there is none.
+        // Fast path: usually nothing is protected.
         if self.standings.is_empty() {
             return None;
         }
         self.standings.get(job).copied()
     }
 
-    /// A job's turn among work of its priority and standing to its team's guarantee: what is
-    /// protected first, by rank, and in the order that is on record.
+    /// Returns the sort key of a job among work of the same precedence: protected jobs first, by rank and
+    /// then in their persisted order.
     pub fn protection_order(&self, job: &JobId) -> (bool, Option<Standing>) {
         let standing = self.standing(job);
         (standing.is_none(), standing)
     }
 
-    /// Whether a job stays off spot machines: it is protected, and neither starved, as the least share
-    /// stands above protection, nor bound to them.
+    /// Whether a job should avoid spot machines because it is protected. Starved jobs are exempt, since the
+    /// minimum share takes precedence over protection. Jobs that may use spot machines only are not excluded
+    /// here.
     pub fn avoids_spot(&self, spec: &JobSpec, starved: &StarvedOwners) -> bool {
         spec.spot && self.standing(&spec.id).is_some() && !starved.is_starved(spec)
     }
 
-    /// How many machines the protected jobs and their spare capacity fill, judged by the largest type that
-    /// takes them.
+    /// Returns how many machines the protected jobs and their spare capacity fill, based on the largest
+    /// machine type that each may use.
     pub fn machine_demand(&self, jobs: &BTreeMap<JobId, Job>, types: &MachineTypes) -> f64 {
         let machines_filled = |id: &JobId, tasks: u32| {
             let Some(job) = jobs.get(id) else { return 0.0 };
@@ -76,14 +77,15 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Takes spot machines out of what may be used, where the job is protected and any other does.
+    /// Removes spot machines from the eligible kinds if the job is protected and any on-demand kind is
+    /// eligible. Returns whether it did.
     pub(super) fn on_demand_only(&self, job: &Job, eligible: &mut [bool]) -> bool {
-        let avoids = self
+        let avoids_spot = self
             .cluster
             .protection
             .avoids_spot(&job.spec, self.cluster.starved);
-        // Ordinary and spot take turns: see `Pass::kind_index`.
-        if !avoids || !eligible.iter().step_by(2).any(|allowed| *allowed) {
+        // On-demand and spot alternate; see `Pass::kind_index`.
+        if !avoids_spot || !eligible.iter().step_by(2).any(|allowed| *allowed) {
             return false;
         }
         for spot in eligible.iter_mut().skip(1).step_by(2) {
@@ -92,15 +94,15 @@
         true
     }
 
-    /// Whether spare capacity is closed to the job. Not to what is starved: the least share
-    /// stands above protection.
+    /// Whether spare capacity is closed to the job. Starved jobs are exempt, since the minimum share takes
+    /// precedence over protection.
     pub(super) fn is_batch(&self, spec: &JobSpec) -> bool {
         !self.cluster.protection.spare.is_empty()
             && spec.shape != Shape::Service
             && !self.cluster.starved.is_starved(spec)
     }
 
-    /// What is free on a machine for the job.
+    /// Returns the free resources of a machine that the job may use.
     pub(super) fn free_for(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> Resources {
         let capacity = &self.capacities[machine_index];
         let mut free = capacity.free;
@@ -110,14 +112,15 @@
         free
     }
 
-    /// Batch stops no protected replica for its priority: it would take by force what it may not
-    /// start in while that is free. For its team's guarantee it may.
+    /// Whether the victim is a protected replica that batch work may not preempt by priority: otherwise batch
+    /// would take by preemption the capacity that it may not use while it is free. Preemption for a team's
+    /// guarantee is not affected.
     pub(super) fn is_protected_from(&self, job: &Job, victim: &Job) -> bool {
         job.spec.shape != Shape::Service && self.cluster.protection.standing(&victim.spec.id).is_some()
     }
 
-    /// What the stop of a victim counts beyond the work that it loses: replicas give way after batch,
-    /// and protected ones last.
+    /// Returns the cost, in s, of preempting a victim in addition to the lost work. For a protected job, batch
+    /// is preempted before replicas; protected replicas are always preempted last.
     pub(super) fn protection_cost_s(&self, requirements: &TaskRequirements<'_>, victim: &Job) -> f64 {
         let protection = &self.cluster.protection;
         if protection.standing(&victim.spec.id).is_some() {
@@ -131,9 +134,9 @@
         }
     }
 
-    /// Reserves spare capacity for protected services, before anything is placed: beside their image and on
-    /// the fullest machines first. Where there is none, it is gathered where batch runs: what comes free
-    /// there is not filled again. Nothing is stopped for it.
+    /// Reserves spare capacity for protected services before any task is placed, preferring machines with
+    /// their image and the fullest machines. Any shortfall is made up on machines that run batch work, by not
+    /// refilling the capacity that becomes free there. Nothing is preempted for it.
     pub(super) fn reserve_spare_capacity(&mut self) {
         let cluster = self.cluster;
         for spare in &cluster.protection.spare {
@@ -172,7 +175,8 @@
         }
     }
 
-    /// Of machines on which batch runs, the emptiest are left to run dry.
+    /// Reserves spare capacity on the emptiest machines that run batch work, so that it is free once that work
+    /// ends.
     fn drain_for_spare(&mut self, requirements: &TaskRequirements<'_>, mut remaining: u32) {
         let needs = requirements.job.spec.needs;
         let zones: OpenZones = vec![true; self.cluster.deployment.zones.len()];
@@ -208,7 +212,7 @@
     }
 }
 
-/// What is free of a machine beyond its spare capacity.
+/// Returns the free resources of a machine beyond its spare capacity.
 fn unreserved(capacity: &MachineCapacity<'_>) -> Resources {
     let mut free = capacity.free;
     free -= capacity.spare;
