--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -12,15 +12,15 @@
     MAX_CLUSTER_OPERATIONS, MAX_CLUSTER_ROUNDS, MAX_TXN_BYTES, RETRY_AFTER_S, STATE_PAGE_ITEMS,
     STATE_TIMEOUT_MS, USER_WRITE_RESERVE,
 };
-use crate::io::{CallId, Calls, FencedDestination, Io, Method, Outcome, RequestId, json};
-use crate::job_api::admission::TYPES_UNCERTAIN;
+use crate::io::{CallId, FencedDestination, Io, Method, Outcome, PendingCalls, RequestId, json};
+use crate::job_api::admission::MACHINE_TYPES_UNCONFIRMED;
 use crate::job_api::authorization;
 use crate::model::{JobId, JobSpec, Timestamp};
 use crate::protocol::{
     Change, Condition, MachineType, StoredItem, StoredPage, Transaction, TransactionResponse, paths,
 };
 use crate::settings::Settings;
-use crate::storage::records::{self, EndedRecord, Ending, Record};
+use crate::storage::records::{self, EndedJobRecord, Ending, Record};
 use crate::token_bucket::TokenBucket;
 use indigopath_accounting::{Access, Entry, Owner, Team, VisibleJob, team_key_prefix};
 use indigopath_condor::cluster::{
@@ -185,7 +185,7 @@
 pub struct Desk {
     ops: BTreeMap<u64, Op>,
     next: u64,
-    calls: Calls<(u64, Step)>,
+    calls: PendingCalls<(u64, Step)>,
     pace: TokenBucket,
 }
 
@@ -217,7 +217,7 @@
         Desk {
             ops: BTreeMap::new(),
             next: 0,
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             pace: TokenBucket::new(rate, burst, now),
         }
     }
@@ -232,7 +232,7 @@
             return io.reply_error(request, 400, &problem);
         }
         if context.types.is_empty() {
-            return io.reply_later(request, RETRY_AFTER_S, "machine types are not known yet");
+            return io.reply_retry_later(request, RETRY_AFTER_S, "machine types are not known yet");
         }
         let digest = bundle.digest();
         let same = self.ops.values_mut().find_map(|op| match &op.work {
@@ -245,7 +245,7 @@
         match same {
             Some((op, true)) => {
                 if let Some(before) = op.request.replace(request) {
-                    io.reply_later(before, RETRY_AFTER_S, "the same submission came again");
+                    io.reply_retry_later(before, RETRY_AFTER_S, "the same submission came again");
                 }
                 op.answer_at = io.now + CLUSTER_RESPONSE_MS;
                 return;
@@ -317,8 +317,8 @@
     }
 
     fn begin(&mut self, request: RequestId, work: Work, first: Step, context: &Context<'_>, io: &mut Io) {
-        if self.ops.len() >= MAX_CLUSTER_OPERATIONS || !io.state.take(1.0, USER_WRITE_RESERVE, io.now) {
-            return io.reply_later(request, RETRY_AFTER_S, "too many requests, come back later");
+        if self.ops.len() >= MAX_CLUSTER_OPERATIONS || !io.state_budget.try_take(1.0, USER_WRITE_RESERVE, io.now) {
+            return io.reply_retry_later(request, RETRY_AFTER_S, "too many requests, come back later");
         }
         self.next += 1;
         let op = Op {
@@ -358,14 +358,14 @@
                     ),
                     _ => "it is not done yet; send the same again".to_owned(),
                 };
-                io.reply_later(request, RETRY_AFTER_S, &text);
+                io.reply_retry_later(request, RETRY_AFTER_S, &text);
             }
         }
     }
 
     /// Whether an operation on clusters waits for this call; it goes on.
     pub fn answered(&mut self, call: CallId, outcome: &Outcome, context: &Context<'_>, io: &mut Io) -> bool {
-        let Some((id, step)) = self.calls.settle(call) else {
+        let Some((id, step)) = self.calls.complete(call) else {
             return false;
         };
         let Some(op) = self.ops.get_mut(&id) else {
@@ -387,7 +387,11 @@
                     self.end(
                         id,
                         |request, io| {
-                            io.reply_later(request, RETRY_AFTER_S, "others change the same; come back later");
+                            io.reply_retry_later(
+                                request,
+                                RETRY_AFTER_S,
+                                "others change the same; come back later",
+                            );
                         },
                         io,
                     );
@@ -398,21 +402,25 @@
             Next::Reply(status, body) => self.end(
                 id,
                 |request, io| {
-                    io.reply_bytes(request, status, crate::io::Content::Json, body);
+                    io.reply_bytes(request, status, crate::io::ContentType::Json, body);
                 },
                 io,
             ),
             Next::Error(status, text) => {
                 self.end(id, |request, io| io.reply_error(request, status, &text), io)
             }
-            Next::Later(text) => self.end(id, |request, io| io.reply_later(request, RETRY_AFTER_S, text), io),
+            Next::Later(text) => self.end(
+                id,
+                |request, io| io.reply_retry_later(request, RETRY_AFTER_S, text),
+                io,
+            ),
         }
         true
     }
 
     /// Takes a step once its changes are within this node's share; until then it waits.
     fn paced(&mut self, id: u64, step: Step, changes: f64, context: &Context<'_>, io: &mut Io) {
-        if self.pace.take(changes, 0.0, io.now) {
+        if self.pace.try_take(changes, 0.0, io.now) {
             self.call(id, step, context, io);
         } else if let Some(op) = self.ops.get_mut(&id) {
             op.waiting = Some((step, changes));
@@ -442,9 +450,9 @@
                 io,
             );
         };
-        io.state.force(1.0, io.now);
+        io.state_budget.force_take(1.0, io.now);
         let call = io.call(FencedDestination::State, method, path, body, STATE_TIMEOUT_MS);
-        self.calls.expect(call, (id, step));
+        self.calls.insert(call, (id, step));
     }
 }
 
@@ -504,7 +512,7 @@
             Step::ReadNumber => get(NUMBER),
             Step::ReadOpen => get(&open),
             Step::ReadCluster => get(&cluster_key(self.cluster)),
-            Step::ReadStaged { .. } => page(&jobs_prefix(records::JOBS, self.cluster), None),
+            Step::ReadStaged { .. } => page(&jobs_prefix(records::JOB_PREFIX, self.cluster), None),
             Step::DropKey => {
                 let key = key_key(&self.bundle.key);
                 let conditions = vec![
@@ -555,7 +563,7 @@
                 let mut changes = Vec::new();
                 for spec in positions.iter().filter_map(|at| jobs.get(*at)) {
                     conditions.push((records::job_key(&spec.id.0), 0));
-                    conditions.push((records::ended_key(&spec.id.0), 0));
+                    conditions.push((records::ended_job_key(&spec.id.0), 0));
                     changes.push(put(records::job_key(&spec.id.0), spec));
                 }
                 transaction(conditions, changes)
@@ -585,7 +593,7 @@
     fn plan(&mut self, cluster: u64, at_ms: u64, context: &Context<'_>) -> Result<(), Next> {
         let refused = |refused: Refused| match context.certain {
             // Machines that do may be among those that only the cloud can tell of.
-            false if !refused.refused.is_empty() => Next::Later(TYPES_UNCERTAIN),
+            false if !refused.refused.is_empty() => Next::Later(MACHINE_TYPES_UNCONFIRMED),
             _ => Next::Reply(422, json(&refused)),
         };
         let plan = planned(&self.bundle, cluster, at_ms, context).map_err(refused)?;
@@ -784,7 +792,7 @@
     let any = record
         .teams
         .iter()
-        .any(|team| authorization::is_of(team, asks, settings));
+        .any(|team| authorization::is_same_team(team, asks, settings));
     (!record.teams.is_empty()).then_some(any)
 }
 
@@ -792,7 +800,7 @@
     fn message(&self, step: &Step, context: &Context<'_>, wall_ms: u64) -> Option<Message> {
         Some(match step {
             Step::ReadCluster => get(&cluster_key(self.target.cluster)),
-            Step::ReadJobs => page(&jobs_prefix(records::JOBS, self.target.cluster), None),
+            Step::ReadJobs => page(&jobs_prefix(records::JOB_PREFIX, self.target.cluster), None),
             Step::Apply(_) => {
                 let mut conditions = Vec::new();
                 let mut changes = Vec::new();
@@ -800,10 +808,10 @@
                     let key = records::job_key(access.job());
                     conditions.push((key.clone(), *version));
                     if self.act == Act::Remove {
-                        let entry = Entry::removed(access, &authorization::ended(spec, wall_ms));
-                        let record = EndedRecord::cancelled(&VisibleJob::from(access), Some(entry));
+                        let entry = Entry::removed(access, &authorization::ended_job(spec, wall_ms));
+                        let record = EndedJobRecord::cancelled(&VisibleJob::from(access), Some(entry));
                         changes.push(Change::Delete { key });
-                        changes.push(put(records::ended_key(&spec.id.0), &record));
+                        changes.push(put(records::ended_job_key(&spec.id.0), &record));
                     } else {
                         changes.push(put(key, spec));
                     }
@@ -992,8 +1000,8 @@
     match step {
         Step::Latest => get(NUMBER),
         Step::ReadBook => page(&team_key_prefix(asks), None),
-        Step::ReadEnded => page(&jobs_prefix(records::ENDED, cluster), None),
-        Step::ReadLive => page(&jobs_prefix(records::JOBS, cluster), None),
+        Step::ReadEnded => page(&jobs_prefix(records::ENDED_JOB_PREFIX, cluster), None),
+        Step::ReadLive => page(&jobs_prefix(records::JOB_PREFIX, cluster), None),
         Step::Page => {
             // The number before the first that is shown; none begins the page.
             let after = found.clusters.first().map(|record| cluster_key(record.cluster));
@@ -1096,8 +1104,8 @@
                     .first()
                     .and_then(|record| is_its(record, asks, settings));
                 let ended = page.items.iter().filter_map(|item| {
-                    let ended = EndedRecord::from_value(&item.value).ok()?;
-                    let id: Arc<str> = Arc::from(item.key.strip_prefix(records::ENDED)?);
+                    let ended = EndedJobRecord::from_value(&item.value).ok()?;
+                    let id: Arc<str> = Arc::from(item.key.strip_prefix(records::ENDED_JOB_PREFIX)?);
                     let entry = ended.entry();
                     // An earlier build did not write whose it was; its cluster may say.
                     let team = match entry {
@@ -1105,7 +1113,8 @@
                         None if named == Some(true) => asks.name(),
                         None => return None,
                     };
-                    let owner = Owner::on_record(&id, authorization::asks(Some(team), settings).name());
+                    let owner =
+                        Owner::on_record(&id, authorization::requesting_team(Some(team), settings).name());
                     let access = Access::stated(&owner, asks).ok()?;
                     let state = match ended.end {
                         Ending::Done => "completed",
@@ -1151,7 +1160,7 @@
     let teams = record
         .teams
         .iter()
-        .filter(|team| authorization::is_of(team, asks, settings));
+        .filter(|team| authorization::is_same_team(team, asks, settings));
     ClusterRecord {
         teams: teams.cloned().collect(),
         ..record
--- a/crates/controller/src/election/candidate.rs
+++ b/crates/controller/src/election/candidate.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{
     Change, Condition, LeaseRequest, LeaseResponse, Transaction, TransactionResponse, paths,
 };
-use crate::storage::records::{LEADER, Record};
+use crate::storage::records::{LEADER_KEY, Record};
 
 impl Election {
     pub(super) fn request_lease(&mut self, io: &mut Io) {
@@ -23,7 +23,7 @@
             self.claim_timeout_ms(),
         );
         let requested_at = io.now;
-        self.calls.expect(call, PendingCall::GrantLease { requested_at });
+        self.calls.insert(call, PendingCall::GrantLease { requested_at });
     }
 
     /// How long a call of an election may stay unanswered, in ms.
@@ -55,11 +55,11 @@
     fn claim_key(&mut self, lease: RequestedLease, io: &mut Io) {
         let body = Transaction {
             conditions: vec![Condition {
-                key: LEADER.to_owned(),
+                key: LEADER_KEY.to_owned(),
                 version: 0,
             }],
             changes: vec![Change::Put {
-                key: LEADER.to_owned(),
+                key: LEADER_KEY.to_owned(),
                 value: self.record().to_value(),
                 lease: Some(lease.id),
             }],
@@ -71,7 +71,7 @@
             json(&body),
             self.claim_timeout_ms(),
         );
-        self.calls.expect(call, PendingCall::ClaimKey(lease));
+        self.calls.insert(call, PendingCall::ClaimKey(lease));
     }
 
     pub(super) fn on_claim(
--- a/crates/controller/src/election/follower.rs
+++ b/crates/controller/src/election/follower.rs
@@ -8,8 +8,8 @@
 };
 use crate::io::{Io, Method, Outcome};
 use crate::model::Timestamp;
-use crate::protocol::{Changes, Event, StoredItem, StoredPage, TransactionResponse, paths};
-use crate::storage::records::{LEADER, LeaderRecord, Record};
+use crate::protocol::{StoredItem, StoredPage, TransactionResponse, WatchEvent, WatchResponse, paths};
+use crate::storage::records::{LEADER_KEY, LeaderRecord, Record};
 use rand::RngExt;
 use serde_json::Value;
 
@@ -40,7 +40,7 @@
     fn from_page(outcome: &Outcome) -> Option<KeyReading> {
         let page = outcome.read::<StoredPage>(&[200])?;
         Some(KeyReading {
-            item: page.items.into_iter().find(|item| item.key == LEADER),
+            item: page.items.into_iter().find(|item| item.key == LEADER_KEY),
             revision: page.revision,
         })
     }
@@ -53,12 +53,12 @@
     /// revision.
     pub(super) fn read_key(&mut self, io: &mut Io) {
         let path = if self.revision_compacted {
-            paths::page(LEADER, None, 1)
+            paths::page(LEADER_KEY, None, 1)
         } else {
-            paths::key(LEADER)
+            paths::key(LEADER_KEY)
         };
         let call = io.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS);
-        self.calls.expect(call, PendingCall::ReadKey);
+        self.calls.insert(call, PendingCall::ReadKey);
     }
 
     /// Watches the key; during a back-off only until nobody has led for so long that it ends.
@@ -68,9 +68,9 @@
             .vacant_since
             .map_or(WATCH_LONG_POLL_MS, left_ms)
             .min(WATCH_LONG_POLL_MS);
-        let path = paths::watch(LEADER, self.revision, hold_ms);
+        let path = paths::watch(LEADER_KEY, self.revision, hold_ms);
         let call = io.state_call(Method::Get, path, Vec::new(), hold_ms + WATCH_SLACK_MS);
-        self.calls.expect(call, PendingCall::WatchKey);
+        self.calls.insert(call, PendingCall::WatchKey);
     }
 
     pub(super) fn retry(&mut self, io: &mut Io) {
@@ -113,7 +113,7 @@
     }
 
     pub(super) fn on_watch(&mut self, outcome: &Outcome, io: &mut Io) {
-        let Some(changes) = outcome.read::<Changes>(&[200]) else {
+        let Some(changes) = outcome.read::<WatchResponse>(&[200]) else {
             self.retry(io);
             if outcome.status() == Some(410) {
                 self.revision_compacted = true;
@@ -126,11 +126,11 @@
         let mut vacant = false;
         for event in &changes.events {
             match event {
-                Event::Put { key, value, .. } if key == LEADER => {
+                WatchEvent::Put { key, value, .. } if key == LEADER_KEY => {
                     self.learn_leader(value);
                     vacant = false;
                 }
-                Event::Delete { key } if key == LEADER => vacant = true,
+                WatchEvent::Delete { key } if key == LEADER_KEY => vacant = true,
                 _ => (),
             }
         }
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -16,11 +16,11 @@
     WRITE_RETRY_MS,
 };
 use crate::io::{Io, Method, Outcome, json};
-use crate::metrics::BookStanding;
+use crate::metrics::AccountingGauges;
 use crate::model::{Job, JobId, TaskId, Timestamp};
 use crate::protocol::{self, Shape, paths};
 use crate::settings::Settings;
-use crate::storage::records::{self, EndedRecord, Record};
+use crate::storage::records::{self, EndedJobRecord, Record};
 use indigopath_accounting::{
     Entry, ExecutionStats, HEAD_KEY, JobAccounting, LossCause, Position, Queue, Rebuild, Team, WaitReason,
 };
@@ -89,12 +89,12 @@
 
 /// What the record of an ended job says for the books.
 fn end_of(key: &str, value: &serde_json::Value, version: u64) -> Option<(Position, Option<Entry>)> {
-    let job = key.strip_prefix(records::ENDED)?;
+    let job = key.strip_prefix(records::ENDED_JOB_PREFIX)?;
     let position = Position {
         revision: version,
         job: Arc::from(job),
     };
-    let ended = EndedRecord::from_value(value)
+    let ended = EndedJobRecord::from_value(value)
         .inspect_err(|problem| log::error!("accounting entry skipped key={key}: {problem}"));
     Some((position, ended.ok().and_then(|ended| ended.entry().cloned())))
 }
@@ -174,7 +174,7 @@
             }
         }
         let last = page.items.last().map(|item| item.key.clone());
-        self.loading = last.filter(|_| page.more).map(Some);
+        self.loading = last.filter(|_| page.has_more).map(Some);
         if self.loading.is_none() && self.head_version == 0 && self.books.totals().next().is_some() {
             log::error!("accounting rebuild began: its position is missing");
             self.broken = true;
@@ -199,14 +199,14 @@
             self.fall_behind();
             return;
         }
-        let Some(changes) = outcome.read::<protocol::Changes>(&[200]) else {
+        let Some(changes) = outcome.read::<protocol::WatchResponse>(&[200]) else {
             self.follow_at = now + SECOND_MS;
             return;
         };
         self.ended = false;
         let mut ends: Vec<(Position, Option<Entry>)> = Vec::new();
         for event in changes.events {
-            if let protocol::Event::Put { key, value, version } = event {
+            if let protocol::WatchEvent::Put { key, value, version } = event {
                 let Some((position, mut entry)) = end_of(&key, &value, version) else {
                     continue;
                 };
@@ -258,7 +258,7 @@
                 }
             }
             scan.after = page.items.last().map(|item| item.key.clone());
-            scan.read_all = !page.more || scan.after.is_none();
+            scan.read_all = !page.has_more || scan.after.is_none();
             for item in &page.items {
                 let end = end_of(&item.key, &item.value, item.version);
                 if let Some((position, entry)) = end
@@ -318,7 +318,7 @@
     /// Does what is due for the books, after all else: nobody waits for them.
     pub(super) fn look_at_books(&mut self, settings: &Settings, io: &mut Io) {
         let token = self.token();
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         if books.off || books.busy {
             return;
         }
@@ -341,22 +341,30 @@
             .as_ref()
             .filter(|scan| !scan.read_all && now >= books.scan_at)
         {
-            let path = paths::page(records::ENDED, scan.after.as_deref(), ACCOUNTING_SCAN_ITEMS);
+            let path = paths::page(
+                records::ENDED_JOB_PREFIX,
+                scan.after.as_deref(),
+                ACCOUNTING_SCAN_ITEMS,
+            );
             (Method::Get, path, Vec::new(), BookCall::Scan)
         } else if now >= books.follow_at
             && (books.ended || now >= books.follow_at + ACCOUNTING_IDLE_MS)
             && books.books.has_room()
             && !(behind && begins)
         {
-            let path = paths::watch(records::ENDED, books.from(), 0);
+            let path = paths::watch(records::ENDED_JOB_PREFIX, books.from(), 0);
             (Method::Get, path, Vec::new(), BookCall::Changes)
         } else if now >= books.write_at && !behind {
-            let most = settings.deployment.state.txn_ops.min(io.writes.available(now));
+            let most = settings
+                .deployment
+                .state
+                .txn_ops
+                .min(io.write_budget.available(now));
             let Some(changes) = books.books.write(most, MAX_TXN_BYTES) else {
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
-            io.writes.force(changes.len() as f64, now);
+            io.write_budget.force_take(changes.len() as f64, now);
             let changes = changes.into_iter().map(|(key, value)| match value {
                 Some(value) => protocol::Change::Put {
                     key,
@@ -371,7 +379,7 @@
             };
             let body = protocol::Transaction {
                 conditions: vec![
-                    condition(records::LEADER, token),
+                    condition(records::LEADER_KEY, token),
                     condition(HEAD_KEY, books.head_version),
                 ],
                 changes: changes.collect(),
@@ -381,13 +389,20 @@
         } else {
             return;
         };
-        self.books.busy = true;
-        self.state_call(method, path, body, STATE_TIMEOUT_MS, TermCall::Books(call), io);
+        self.accounting.busy = true;
+        self.state_call(
+            method,
+            path,
+            body,
+            STATE_TIMEOUT_MS,
+            TermCall::Accounting(call),
+            io,
+        );
     }
 
     /// Follows the answer to a call about accounts.
     pub(super) fn books_answered(&mut self, call: BookCall, outcome: &Outcome, now: Timestamp) {
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         books.busy = false;
         match call {
             BookCall::Load => books.loaded(outcome, now),
@@ -405,14 +420,14 @@
                             books.head_version = answer.revision;
                         }
                     }
-                    _ if outcome.refused() => books.books.refused(),
+                    _ if outcome.is_safe_to_retry() => books.books.refused(),
                     (_, Some(409)) => {
                         let failed = outcome
                             .read::<protocol::TransactionResponse>(&[409])
                             .map(|answer| answer.failed)
                             .unwrap_or_default();
                         // The leader's own renewal may have been between.
-                        if failed == [records::LEADER] {
+                        if failed == [records::LEADER_KEY] {
                             books.books.refused();
                         } else {
                             books.reload(now);
@@ -429,7 +444,12 @@
     /// Jobs that found no units, and no machine, in the last pass.
     pub(super) fn blocked(&self) -> Blocked<'_> {
         Blocked {
-            units: self.counted.short.iter().map(|short| &short.job).collect(),
+            units: self
+                .counted_resources
+                .short
+                .iter()
+                .map(|short| &short.job)
+                .collect(),
             machines: self
                 .scheduler
                 .unplaced()
@@ -455,7 +475,7 @@
             WaitReason::Recording
         } else if blocked.units.contains(id) {
             WaitReason::Units
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             WaitReason::Retry
         } else if blocked.machines.contains(id) {
             WaitReason::Machines
@@ -478,9 +498,9 @@
     }
 
     /// How the books stand, for metrics.
-    pub fn book_standing(&self, now: Timestamp) -> BookStanding {
-        let books = &self.books;
-        BookStanding {
+    pub fn book_standing(&self, now: Timestamp) -> AccountingGauges {
+        let books = &self.accounting;
+        AccountingGauges {
             waiting: self.queues(now),
             ended: books
                 .books
@@ -491,21 +511,21 @@
             unowned: books.books.unowned(),
             differences: books.differences,
             checked: books.checked,
-            off: books.off,
+            suspended: books.off,
         }
     }
 
     /// An attempt runs.
     pub(super) fn note_run(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        if self.books.runs.len() < MAX_TRACKED_RUNS {
-            self.books.runs.insert((task.clone(), number), now);
+        if self.accounting.runs.len() < MAX_TRACKED_RUNS {
+            self.accounting.runs.insert((task.clone(), number), now);
         }
     }
 
     /// An attempt is over: what it ran counts for nothing where `why` says so. Of work that
     /// saves, what lies before the last save does; it is taken to be at regular intervals.
     pub(super) fn note_end(&mut self, task: &TaskId, number: u64, why: Option<LossCause>, now: Timestamp) {
-        let Some(since) = self.books.runs.remove(&(task.clone(), number)) else {
+        let Some(since) = self.accounting.runs.remove(&(task.clone(), number)) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -515,11 +535,11 @@
             return;
         };
         let ran_s = now.saturating_sub(since) as f64 / SECOND_MS as f64;
-        let lost_s = match (job.spec.saves(), why) {
+        let lost_s = match (job.spec.writes_checkpoints(), why) {
             (true, LossCause::Stopped) => 0.0,
             (true, _) => ran_s.min(job.spec.checkpoint_s),
             (false, _) => ran_s,
         };
-        job.account.lose(why, lost_s);
+        job.execution_stats.lose(why, lost_s);
     }
 }
--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -9,7 +9,7 @@
 use crate::leader::LeaderTerm;
 use crate::leader::calls::TermCall;
 use crate::model::{MachineId, Timestamp};
-use crate::protocol::{ListedMachine, ListedStatus, Listing, paths};
+use crate::protocol::{ListedMachine, ListedStatus, MachinePage, paths};
 use crate::settings::Settings;
 use indigopath_fencing::GuardedOperation;
 use std::sync::Arc;
@@ -21,8 +21,8 @@
     /// The list has been read to its end once: what former leaders rented is known.
     complete: bool,
     machines: Vec<ListedMachine>,
-    pages: u64,
-    next_at: Timestamp,
+    pages_read: u64,
+    next_page_at: Timestamp,
 }
 
 impl CloudListing {
@@ -32,24 +32,24 @@
     }
 
     /// Takes in a page; returns the whole list after the last one.
-    fn page_read(&mut self, page: Option<Listing>, now: Timestamp) -> Option<Vec<ListedMachine>> {
+    fn add_page(&mut self, page: Option<MachinePage>, now: Timestamp) -> Option<Vec<ListedMachine>> {
         self.in_flight = false;
         let Some(page) = page else {
             self.machines.clear();
-            self.pages = 0;
-            self.next_at = now + CLOUD_RETRY_MS;
+            self.pages_read = 0;
+            self.next_page_at = now + CLOUD_RETRY_MS;
             return None;
         };
-        let more = page.more && !page.machines.is_empty();
+        let more = page.has_more && !page.machines.is_empty();
         self.machines.extend(page.machines);
-        self.pages += 1;
+        self.pages_read += 1;
         if more {
-            self.next_at = now;
+            self.next_page_at = now;
             return None;
         }
         self.complete = true;
         // A long list takes its calls from renting and returning.
-        self.next_at = now + LIST_INTERVAL_MS * std::mem::take(&mut self.pages).div_ceil(2);
+        self.next_page_at = now + LIST_INTERVAL_MS * std::mem::take(&mut self.pages_read).div_ceil(2);
         Some(std::mem::take(&mut self.machines))
     }
 }
@@ -58,26 +58,26 @@
     /// Asks for the next page of the list, if one is due.
     pub(in crate::leader) fn poll_listing(&mut self, io: &mut Io) {
         let listing = &mut self.autoscaler.listing;
-        if listing.in_flight || io.now < listing.next_at {
+        if listing.in_flight || io.now < listing.next_page_at {
             return;
         }
         let Ok(permit) = io.permits.request(GuardedOperation::ListMachines, io.now) else {
-            listing.next_at = io.now + LIVENESS_CHECK_MS;
+            listing.next_page_at = io.now + LIVENESS_CHECK_MS;
             return;
         };
-        if !io.cloud.take(1.0, RELEASE_CALL_RESERVE, io.now) {
+        if !io.cloud_budget.try_take(1.0, RELEASE_CALL_RESERVE, io.now) {
             return;
         }
         listing.in_flight = true;
         let path = paths::listing(listing.machines.last().map(|machine| machine.id.as_str()));
         let call = io.cloud_call(permit, Method::Get, path, Vec::new());
-        self.calls.expect(call, TermCall::List);
+        self.calls.insert(call, TermCall::ListMachines);
     }
 
     /// Follows a page of the list.
-    pub(in crate::leader) fn listed(&mut self, outcome: &Outcome, io: &mut Io) {
-        let page = outcome.read::<Listing>(&[200]);
-        let Some(machines) = self.autoscaler.listing.page_read(page, io.now) else {
+    pub(in crate::leader) fn handle_list_page(&mut self, outcome: &Outcome, io: &mut Io) {
+        let page = outcome.read::<MachinePage>(&[200]);
+        let Some(machines) = self.autoscaler.listing.add_page(page, io.now) else {
             return;
         };
         for listed in machines {
@@ -87,7 +87,7 @@
 
     fn adopt_listed(&mut self, listed: ListedMachine, now: Timestamp) {
         let id = MachineId(Arc::from(listed.id.as_str()));
-        if self.machines.is_gone(&id) {
+        if self.machines.is_recently_released(&id) {
             return;
         }
         let machine = self.machines.get_or_adopt(&id, || {
@@ -102,22 +102,22 @@
             machine.needs_fencing_probe = listed.status == ListedStatus::Running;
             machine
         });
-        machine.hearsay = false;
+        machine.unconfirmed = false;
         let age_ms = (listed.age_s.max(0.0) * SECOND_MS as f64) as u64;
-        if age_ms > machine.age_at_first_known + now.saturating_sub(machine.first_known) {
-            machine.first_known = now;
-            machine.age_at_first_known = age_ms;
+        if age_ms > machine.age_ms_at_first_known + now.saturating_sub(machine.first_known_at) {
+            machine.first_known_at = now;
+            machine.age_ms_at_first_known = age_ms;
         }
         if machine.addr.is_none() {
             machine.addr = listed.addr;
         }
         if listed.status == ListedStatus::Failed {
-            machine.inspect_failed = true;
+            machine.unreachable = true;
         }
     }
 
     /// Drops the records of requests whose machines the list must show by now.
-    pub(in crate::leader) fn forget_requests(&mut self, settings: &Settings, now: Timestamp) {
+    pub(in crate::leader) fn remove_listed_requests(&mut self, settings: &Settings, now: Timestamp) {
         let lag_s = settings.deployment.cloud.list_lag_s * LIST_LAG_MAX_FACTOR;
         let pages = (self.machines.len() / LIST_PAGE_MACHINES) as u64;
         let listed_ms = (lag_s * SECOND_MS as f64) as u64 + LIST_LAG_SLACK_MS + pages * LIST_PAGE_MS;
@@ -129,7 +129,7 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in listed {
-            self.end_request(&key);
+            self.remove_request(&key);
         }
     }
 }
--- a/crates/controller/src/leader/buffered_heartbeats.rs
+++ b/crates/controller/src/leader/buffered_heartbeats.rs
@@ -1,7 +1,9 @@
-//! Heartbeats that come while the records are being read. Until then a leader cannot tell which of a
-//! worker's tasks belong to jobs that are over, so an answer would renew its lease for nothing that
-//! can be proved; turned away, the whole fleet would go round all nodes. So they are kept, for less
-//! than their workers wait.
+//! Buffer for heartbeats that arrive during recovery.
+//!
+//! Before recovery is complete, the leader cannot tell which of a worker's tasks belong to jobs that have
+//! ended, so a reply would renew the lease of tasks that may have been cancelled. If the heartbeats were
+//! rejected, the whole fleet would try all controllers in turn. They are therefore buffered, for less than
+//! the time that a worker waits for a reply.
 
 use crate::constants::{BUFFERED_HEARTBEAT_MS, BUFFERED_HEARTBEATS};
 use crate::io::{Io, RequestId};
@@ -9,65 +11,66 @@
 use crate::protocol::Heartbeat;
 use std::collections::VecDeque;
 
-/// A heartbeat whose worker waits for an answer.
+/// A heartbeat whose worker waits for a reply.
 #[derive(Debug)]
-struct Buffered {
+struct BufferedHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
-impl Buffered {
+impl BufferedHeartbeat {
+    /// Number of entries that the heartbeat counts for: one, and one per task.
     fn size(&self) -> usize {
         1 + self.heartbeat.tasks.len()
     }
 }
 
-/// Heartbeats in the order of their arrival, bounded by their size.
+/// Heartbeats in order of arrival, bounded by their total size.
 #[derive(Debug, Default)]
 pub(super) struct BufferedHeartbeats {
-    waiting: VecDeque<Buffered>,
-    /// What they hold, as [`BUFFERED_HEARTBEATS`] counts it.
+    queue: VecDeque<BufferedHeartbeat>,
+    /// Total size, limited to [`BUFFERED_HEARTBEATS`].
     size: usize,
 }
 
 impl BufferedHeartbeats {
-    /// Keeps a heartbeat, or turns its worker away where there are too many.
-    pub(super) fn keep(&mut self, request: RequestId, heartbeat: &Heartbeat, io: &mut Io) {
-        let buffered = Buffered {
+    /// Buffers a heartbeat, or rejects it if the buffer is full.
+    pub(super) fn push(&mut self, request: RequestId, heartbeat: &Heartbeat, io: &mut Io) {
+        let buffered = BufferedHeartbeat {
             request,
             heartbeat: heartbeat.clone(),
-            at: io.now,
+            received_at: io.now,
         };
         if self.size + buffered.size() > BUFFERED_HEARTBEATS {
-            turn_away(request, io);
+            reject(request, io);
             return;
         }
         self.size += buffered.size();
-        self.waiting.push_back(buffered);
+        self.queue.push_back(buffered);
     }
 
-    /// Turns away whoever has waited for too long.
-    pub(super) fn give_up(&mut self, io: &mut Io) {
+    /// Rejects heartbeats that have been buffered for [`BUFFERED_HEARTBEAT_MS`].
+    pub(super) fn reject_expired(&mut self, io: &mut Io) {
         let now = io.now;
-        let late = |buffered: &Buffered| now >= buffered.at + BUFFERED_HEARTBEAT_MS;
-        while self.waiting.front().is_some_and(late) {
-            if let Some((request, _)) = self.next() {
-                turn_away(request, io);
+        let expired = |buffered: &BufferedHeartbeat| now >= buffered.received_at + BUFFERED_HEARTBEAT_MS;
+        while self.queue.front().is_some_and(expired) {
+            if let Some((request, _)) = self.pop() {
+                reject(request, io);
             }
         }
     }
 
-    /// The longest kept one, to be answered now.
-    pub(super) fn next(&mut self) -> Option<(RequestId, Heartbeat)> {
-        let buffered = self.waiting.pop_front()?;
+    /// Removes and returns the oldest heartbeat.
+    pub(super) fn pop(&mut self) -> Option<(RequestId, Heartbeat)> {
+        let buffered = self.queue.pop_front()?;
         self.size -= buffered.size();
         Some((buffered.request, buffered.heartbeat))
     }
 }
 
-/// Refuses a heartbeat: its worker asks another node.
-pub(super) fn turn_away(request: RequestId, io: &mut Io) {
+/// Rejects a heartbeat, so that its worker tries another controller.
+pub(super) fn reject(request: RequestId, io: &mut Io) {
     io.reply_error(request, 503, "which jobs are over is not known here");
 }
 
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -34,7 +34,7 @@
             .collect();
         teams.sort_by(|a, b| a.team.cmp(&b.team));
         let server = definition.and_then(|definition| definition.server).map(|addr| {
-            let feed = self.counted.feeds.get(pool.name);
+            let feed = self.counted_resources.feeds.get(pool.name);
             let last = feed.and_then(|feed| feed.last_usage(now));
             ServerStatus {
                 addr: addr.to_string(),
@@ -53,9 +53,14 @@
             lingering: pool.lingering,
             others: pool.external,
             free: pool.free(),
-            kept: self.counted.kept.get(pool.name).copied().unwrap_or(0),
+            kept: self.counted_resources.kept.get(pool.name).copied().unwrap_or(0),
             waiting: self.units_wanted(pool.name, None),
-            oversubscribed: self.counted.oversubscribed.get(pool.name).copied().unwrap_or(0),
+            oversubscribed: self
+                .counted_resources
+                .oversubscribed
+                .get(pool.name)
+                .copied()
+                .unwrap_or(0),
             closed: pool.closed.map(|closed| {
                 let text = match closed {
                     ClosedReason::Undefined => "it is not defined any more",
@@ -71,7 +76,7 @@
     /// Units of a count that tasks wait for; with a job, only tasks before it in the
     /// order of service.
     fn units_wanted(&self, count: &str, before: Option<&JobId>) -> u64 {
-        self.counted
+        self.counted_resources
             .short
             .iter()
             .take_while(|short| before != Some(&short.job))
@@ -109,8 +114,9 @@
                 }
             }
         }
-        let lingering = self.counted.lingers.iter().filter(|linger| {
-            now < linger.until && asks.is_none_or(|asks| authorization::is_of(&linger.team, asks, settings))
+        let lingering = self.counted_resources.lingers.iter().filter(|linger| {
+            now < linger.until
+                && asks.is_none_or(|asks| authorization::is_same_team(&linger.team, asks, settings))
         });
         holders.extend(lingering.map(|linger| Holder {
             count: linger.count.to_string(),
@@ -136,23 +142,28 @@
     ) -> Option<Explanation> {
         let job = self.jobs.get(id)?;
         let shown = settings.operator.show_holders && team.is_none();
-        let access = Access::shown_to_all(&authorization::owner(&job.spec), shown)
-            .or_else(|_| authorization::access(&job.spec, &authorization::asks(team, settings), settings));
+        let access = Access::shown_to_all(&authorization::job_owner(&job.spec), shown).or_else(|_| {
+            authorization::access(
+                &job.spec,
+                &authorization::requesting_team(team, settings),
+                settings,
+            )
+        });
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
         let units = self.units(definitions);
         let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
-            .counted
+            .counted_resources
             .short
             .iter()
             .filter(|short| short.job == *id)
             .collect();
         let counts = job.spec.counts.iter().map(|(count, units)| RequestedCount {
             count: count.to_string(),
-            needs: u64::from(units) * u64::from(job.together()),
+            needs: u64::from(units) * u64::from(job.gang_size()),
             free: book.get(count).map_or(0, |pool| pool.free()),
-            kept: self.counted.kept.get(count).copied().unwrap_or(0),
+            kept: self.counted_resources.kept.get(count).copied().unwrap_or(0),
             ahead: if short.is_empty() {
                 0
             } else {
@@ -182,7 +193,7 @@
             format!("it is held: {why}")
         } else if job.parked {
             "its cluster is not accepted yet".to_owned()
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             "it failed on several machines and is tried again in a while".to_owned()
         } else if rents {
             "it has its units and waits for machines".to_owned()
@@ -202,10 +213,10 @@
 pub(super) fn holder_state(machine: &Machine, attempt: &Attempt) -> &'static str {
     if attempt.stop.is_some() {
         "stopping"
-    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.inspect_failed {
+    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.unreachable {
         "uncertain"
     } else {
-        match attempt.seen {
+        match attempt.reported_state {
             None if attempt.durable => "sent",
             None => "planned",
             Some(_) => "running",
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -142,12 +142,12 @@
 impl LeaderTerm {
     /// Before a pass: what time alone changes of what is known.
     pub(super) fn look_at_weights(&mut self, types: &MachineTypes, settings: &Settings, now: Timestamp) {
-        self.weights.on = settings.operator.weights;
-        if self.weights.s_per_gb.len() != types.len() {
+        self.image_locality.on = settings.operator.image_locality;
+        if self.image_locality.s_per_gb.len() != types.len() {
             let known = types
                 .iter()
                 .map(|(name, known)| (name.clone(), known.fetch_s(1.0)));
-            self.weights.s_per_gb = known.collect();
+            self.image_locality.s_per_gb = known.collect();
         }
         let mut up = 0;
         for machine in self.machines.values_mut() {
@@ -158,13 +158,15 @@
                 machine.images.sized(known.cache_gb);
             }
         }
-        if now >= self.weights.copies_at + IMAGE_COPIES_INTERVAL_MS || self.weights.copies_at == 0 {
-            self.weights.copies_at = now;
+        if now >= self.image_locality.copies_at + IMAGE_COPIES_INTERVAL_MS
+            || self.image_locality.copies_at == 0
+        {
+            self.image_locality.copies_at = now;
             self.look_at_copies(settings);
         }
         let spot_loss = self.autoscaler.spot_losses().rate();
-        self.weights.up(up, spot_loss, now);
-        self.weights.forget();
+        self.image_locality.up(up, spot_loss, now);
+        self.image_locality.forget();
     }
 
     /// Where the images of live services lie.
@@ -173,7 +175,7 @@
         let live = self.jobs.values().filter(|job| job.spec.shape == Shape::Service);
         let live: HashSet<Arc<str>> = live.map(|job| job.spec.image.clone()).collect();
         let mut copies = ImageReplicas::of(live, zones.len());
-        let there = |machine: &&Machine| machine.is_up() && !machine.returning && !machine.inspect_failed;
+        let there = |machine: &&Machine| machine.is_up() && !machine.releasing && !machine.unreachable;
         for machine in self.machines.values().filter(there) {
             let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) else {
                 continue;
@@ -184,13 +186,13 @@
                 }
             }
         }
-        self.weights.copies = copies;
+        self.image_locality.copies = copies;
     }
 
     /// Idle machines that had better stay for the weights that lie on them: they go back last, and
     /// all together cost a small part of what the fleet does.
     pub(super) fn kept_for_weights(&self, types: &MachineTypes, settings: &Settings) -> HashSet<MachineId> {
-        if !settings.operator.weights {
+        if !settings.operator.image_locality {
             return HashSet::new();
         }
         let price = |machine: &Machine| {
@@ -206,8 +208,8 @@
         let mut names = Vec::new();
         let mut idle = Vec::new();
         for machine in self.machines.values() {
-            let live = |image: &str| self.weights.copies.is_live(image);
-            if machine.idle_since.is_none() || machine.returning || machine.notice_until.is_some() {
+            let live = |image: &str| self.image_locality.copies.is_live(image);
+            if machine.idle_since.is_none() || machine.releasing || machine.reclaim_notice_until.is_some() {
                 continue;
             }
             let images: Vec<Arc<str>> = machine
@@ -232,7 +234,7 @@
         }
         let all: f64 = self.machines.values().map(price).sum();
         let keep = self
-            .weights
+            .image_locality
             .copies
             .clone()
             .worth_keeping(&idle, all * IDLE_IMAGE_PRICE_SHARE);
@@ -244,7 +246,7 @@
     pub(super) fn look_at_sizes(&mut self, types: &MachineTypes, io: &mut Io) {
         for job in self.jobs.values().filter(|job| job.spec.shape == Shape::Service) {
             let image = &job.spec.image;
-            let told = self.weights.told.get(image);
+            let told = self.image_locality.told.get(image);
             if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
                 continue;
             }
@@ -258,7 +260,7 @@
             let Some(problem) = WeightsError::of(image, job.spec.image_gb, largest) else {
                 continue;
             };
-            self.weights.told.insert(image.clone(), io.now);
+            self.image_locality.told.insert(image.clone(), io.now);
             if problem.is_grave() {
                 io.effects
                     .push(Effect::Warning(format!("class={} {problem}", job.spec.class)));
@@ -267,9 +269,9 @@
             }
         }
         let jobs = self.jobs.as_map();
-        if self.weights.told.len() > MAX_WARNED_IMAGES {
+        if self.image_locality.told.len() > MAX_WARNED_IMAGES {
             let live: HashSet<&Arc<str>> = jobs.values().map(|job| &job.spec.image).collect();
-            self.weights.told.retain(|image, _| live.contains(image));
+            self.image_locality.told.retain(|image, _| live.contains(image));
         }
     }
 }
--- a/crates/controller/src/leader/job_table.rs
+++ b/crates/controller/src/leader/job_table.rs
@@ -3,7 +3,7 @@
 
 use crate::allocations::Machine;
 use crate::constants::TASK_COUNT_INTERVAL_MS;
-use crate::job_api::Counts;
+use crate::job_api::TaskCounts;
 use crate::model::{Job, JobId, Timestamp};
 use crate::protocol::TaskState;
 use std::borrow::Borrow;
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
-    counts: Counts,
+    counts: TaskCounts,
     counted_at: Timestamp,
     /// How many notices of jobs that ended elsewhere peers have sent in this term.
     end_notices: u64,
@@ -91,7 +91,7 @@
     }
 
     /// Tasks done and running of each job, as of the last count.
-    pub(super) fn counts(&self) -> &Counts {
+    pub(super) fn counts(&self) -> &TaskCounts {
         &self.counts
     }
 
@@ -107,8 +107,10 @@
                 .insert(job.spec.id.clone(), (job.done.len() as u32, 0));
         }
         for attempt in machines.flat_map(|machine| &machine.attempts) {
-            if matches!(attempt.seen, Some(TaskState::Running | TaskState::Saving))
-                && let Some((_, running)) = self.counts.get_mut(&attempt.task.job)
+            if matches!(
+                attempt.reported_state,
+                Some(TaskState::Running | TaskState::Saving)
+            ) && let Some((_, running)) = self.counts.get_mut(&attempt.task.job)
             {
                 *running += 1;
             }
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -1,8 +1,8 @@
-//! What the leading controller does in its term: it reads the records, fences
-//! former leaders, places tasks, sizes the fleet and writes everything down.
+//! The leader: recovers the recorded state, fences former leaders, schedules tasks, scales the fleet and
+//! persists every change.
 //!
-//! [`LeaderTerm`] composes the owners of the term's state, each in a module of its own, calls what is
-//! due and passes answers on.
+//! [`LeaderTerm`] composes the components that own the state of one term, each in its own module. It runs
+//! the work that is due and dispatches responses to the component that made the call.
 
 mod accounting;
 mod autoscaling;
@@ -31,8 +31,8 @@
 
 use crate::election::cancellation_watermark::CancellationWatermark;
 use crate::election::{Election, ElectionEvent};
-use crate::io::{CallId, Calls, Io, Outcome};
-use crate::job_api::Counts;
+use crate::io::{CallId, Io, Outcome, PendingCalls};
+use crate::job_api::TaskCounts;
 use crate::model::Timestamp;
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
@@ -55,38 +55,38 @@
 use recovery::Recovery;
 use scheduling_pass::Scheduler;
 use submit_clusters::Clusters;
-use zone_health::Zones;
+use zone_health::ZoneHealth;
 
 pub use image_locality::Weights;
 
-/// A worker has seen a newer leader, so this term is over.
+/// A worker has seen a newer fencing token, so this term is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a worker has seen a newer leader")]
 pub struct Superseded;
 
-/// What the leader knows of its peers: whether it is cut off itself.
+/// What the other controllers report. The leader uses it to tell whether it is partitioned itself.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeerView {
-    /// How many peers there are.
-    pub all: usize,
-    /// How many of them were heard lately.
-    pub fresh: usize,
-    /// Most workers that one of them hears.
-    pub hears: u32,
-    /// How long workers take, in ms, to find a peer when they lose the leader.
-    pub found_ms: u64,
+    /// Number of configured peers.
+    pub total: usize,
+    /// Number of peers that were heard recently.
+    pub recently_heard: usize,
+    /// Largest number of workers that any single peer hears.
+    pub max_workers_heard: u32,
+    /// How long workers take to find a peer after they lose the leader, in ms.
+    pub worker_failover_ms: u64,
 }
 
-/// One term of a leader, from its election to its end.
+/// The state of one leadership term, from election to step-down.
 #[derive(Debug)]
 pub struct LeaderTerm {
-    /// The fencing token with which the term began: renewals raise it.
+    /// The fencing token at the start of the term. Renewals raise the current token, not this one.
     first_token: u64,
     started: Timestamp,
     recovery: Recovery,
-    /// Which ends of jobs this leader knows, and so whose lease it may renew.
+    /// How recent the known cancellations are, which decides whether worker leases may be renewed.
     watermark: CancellationWatermark,
-    /// Heartbeats that came while the records were being read.
+    /// Heartbeats received during recovery.
     buffered_heartbeats: BufferedHeartbeats,
     watch: RecordWatch,
     jobs: JobTable,
@@ -94,23 +94,23 @@
     pub(crate) writer: BatchWriter,
     persistence: Persistence,
     commands: CommandQueue,
-    calls: Calls<TermCall>,
+    calls: PendingCalls<TermCall>,
     liveness: Liveness,
-    partition: PartitionDetector,
-    zones: Zones,
-    one_way_partition: OneWayPartition,
+    partition_detector: PartitionDetector,
+    zone_health: ZoneHealth,
+    one_way_partitions: OneWayPartition,
     scheduler: Scheduler,
     forecast: DemandForecast,
     autoscaler: Autoscaler,
-    counted: Counted,
-    shifts: Shifts,
-    clusters: Clusters,
-    weights: Weights,
-    books: TermBooks,
+    counted_resources: Counted,
+    protection_windows: Shifts,
+    submit_clusters: Clusters,
+    image_locality: Weights,
+    accounting: TermBooks,
 }
 
 impl LeaderTerm {
-    /// A term that begins now, with this fencing token.
+    /// Starts a term with this fencing token.
     pub fn new(token: u64, settings: &Settings, now: Timestamp) -> LeaderTerm {
         LeaderTerm {
             first_token: token,
@@ -124,51 +124,51 @@
             writer: BatchWriter::new(token, settings),
             persistence: Persistence::default(),
             commands: CommandQueue::default(),
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             liveness: Liveness::new(settings, now),
-            partition: PartitionDetector::default(),
-            zones: Zones::default(),
-            one_way_partition: OneWayPartition::default(),
+            partition_detector: PartitionDetector::default(),
+            zone_health: ZoneHealth::default(),
+            one_way_partitions: OneWayPartition::default(),
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
             autoscaler: Autoscaler::new(),
-            counted: Counted::new(&settings.operator.counts),
-            shifts: Shifts::new(settings),
-            clusters: Clusters::default(),
-            weights: Weights::default(),
-            books: TermBooks::new(settings),
+            counted_resources: Counted::new(&settings.operator.counts),
+            protection_windows: Shifts::new(settings),
+            submit_clusters: Clusters::default(),
+            image_locality: Weights::default(),
+            accounting: TermBooks::new(settings),
         }
     }
 
-    /// The fencing token of all that this leader sends now.
+    /// The current fencing token, sent with every command and write.
     pub fn token(&self) -> u64 {
         self.writer.token
     }
 
-    /// The term is over: whoever waits here must ask elsewhere.
+    /// Ends the term and rejects all buffered heartbeats, so that their workers ask another controller.
     pub fn end(mut self, io: &mut Io) {
-        while let Some((request, _)) = self.buffered_heartbeats.next() {
-            buffered_heartbeats::turn_away(request, io);
+        while let Some((request, _)) = self.buffered_heartbeats.pop() {
+            buffered_heartbeats::reject(request, io);
         }
     }
 
-    /// For how long, in ms, this leader has not learned which jobs are over.
+    /// Age of the cancellation watermark, in ms.
     pub fn watermark_age_ms(&self, now: Timestamp) -> u64 {
         self.watermark.age_ms(now)
     }
 
-    /// Whether the records have been read: before, this leader knows nothing.
-    pub fn has_read(&self) -> bool {
+    /// Whether recovery is complete. Before that, the leader has no state to answer from.
+    pub fn is_recovered(&self) -> bool {
         self.recovery.is_complete()
     }
 
-    /// Tasks done and running of each live job, for display.
-    pub fn counts(&self) -> &Counts {
+    /// Number of completed and running tasks of each live job, for display.
+    pub fn counts(&self) -> &TaskCounts {
         self.jobs.counts()
     }
 
-    /// Does what is due. Returns `Deposed` where leadership is given up.
-    pub fn settle(
+    /// Runs all work that is due. Returns an event if leadership ends.
+    pub fn run_due_work(
         &mut self,
         election: &mut Election,
         types: &MachineTypes,
@@ -177,21 +177,21 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         if self.watermark.is_expired(io.now) {
-            return give_up_expired(election, io);
+            return step_down_expired(election, io);
         }
         if !self.recovery.is_complete() {
-            self.poll_load(io);
-            self.buffered_heartbeats.give_up(io);
+            self.poll_recovery(io);
+            self.buffered_heartbeats.reject_expired(io);
             return None;
         }
-        if let Some(deposed) = self.answer_buffered(election, io) {
-            return Some(deposed);
+        if let Some(event) = self.answer_buffered_heartbeats(election, io) {
+            return Some(event);
         }
         self.poll_watch(io);
         self.look_at_shifts(types, settings, io);
-        let certain = election.certain(io.now);
-        if let Some(deposed) = self.check_fleet(election, types, settings, peers, io) {
-            return Some(deposed);
+        let certain = election.is_lease_live(io.now);
+        if let Some(event) = self.check_fleet(election, types, settings, peers, io) {
+            return Some(event);
         }
         self.poll_listing(io);
         self.poll_servers(&settings.operator.counts, io);
@@ -200,26 +200,27 @@
             self.store_types_once(types, io);
         }
         self.drop_cancelled_starts(io);
-        self.write(election, settings, io);
-        self.send_direct(certain, io);
+        self.send_due_write(election, settings, io);
+        self.send_due_commands(certain, io);
         if certain {
             self.look_at_books(settings, io);
         }
         None
     }
 
-    /// Answers the heartbeats that came while the records were being read.
-    fn answer_buffered(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
-        while let Some((request, heartbeat)) = self.buffered_heartbeats.next() {
-            if let Err(superseded) = self.report(request, &heartbeat, election.certain(io.now), io) {
-                buffered_heartbeats::turn_away(request, io);
-                return election.deposed(&superseded.to_string());
+    /// Answers the heartbeats that were buffered during recovery.
+    fn answer_buffered_heartbeats(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
+        while let Some((request, heartbeat)) = self.buffered_heartbeats.pop() {
+            if let Err(superseded) = self.handle_heartbeat(request, &heartbeat, election.is_lease_live(io.now), io)
+            {
+                buffered_heartbeats::reject(request, io);
+                return election.depose(&superseded.to_string());
             }
         }
         None
     }
 
-    /// Checks the machines, and gives back what is not needed, if that is due.
+    /// Checks the liveness of machines and scales in, if a check is due.
     fn check_fleet(
         &mut self,
         election: &mut Election,
@@ -233,18 +234,18 @@
         }
         self.machines.reindex_when_due(io.now);
         self.check_machines(settings, peers, io);
-        self.forget_requests(settings, io.now);
-        if let Some(deposed) = self.check_self(election, peers, io) {
-            return Some(deposed);
+        self.remove_listed_requests(settings, io.now);
+        if let Some(event) = self.check_own_partition(election, peers, io) {
+            return Some(event);
         }
         self.scale_in(types, settings, peers, io);
         None
     }
 
-    /// Places tasks, sizes the fleet and looks at what depends on both, each if it is due.
+    /// Runs a scheduling pass, scales out and updates what depends on both, each if it is due.
     fn schedule(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.stalled(io.now) {
-            self.pass(types, settings, io);
+        if self.scheduler.is_due(self.machines.len(), io.now) && !self.writer.is_stalled(io.now) {
+            self.run_pass(types, settings, io);
         }
         if self.autoscaler.take_sizing_due(io.now) {
             self.size_fleet(types, settings, io);
@@ -252,11 +253,12 @@
         self.forecast_when_due(types, settings, io);
         self.look_at_counts(&settings.operator.counts, io);
         self.look_at_clusters(settings, io);
-        self.send_rentals(io);
+        self.send_scale_out_requests(io);
     }
 
-    /// A call was answered. `None` if it was not made in this term, else what follows.
-    pub fn answered(
+    /// Handles the response to a call. Returns `None` if the call was not made in this term, otherwise the
+    /// leadership event that results, if any.
+    pub fn handle_response(
         &mut self,
         call: CallId,
         outcome: &Outcome,
@@ -264,11 +266,11 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<Option<ElectionEvent>> {
-        let kind = self.calls.settle(call)?;
-        Some(self.follow(kind, outcome, election, settings, io))
+        let kind = self.calls.complete(call)?;
+        Some(self.dispatch_response(kind, outcome, election, settings, io))
     }
 
-    fn follow(
+    fn dispatch_response(
         &mut self,
         kind: TermCall,
         outcome: &Outcome,
@@ -277,36 +279,41 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         match kind {
-            TermCall::Load { sent } => return self.loaded(sent, outcome, election, settings, io),
+            TermCall::RecordsPage { sent } => {
+                return self.handle_records_page(sent, outcome, election, settings, io);
+            }
             TermCall::Watch { sent } => return self.watched(sent, outcome, election, io),
-            TermCall::Write => return self.written(outcome, election, io),
+            TermCall::Transaction => return self.handle_transaction_response(outcome, election, io),
             TermCall::Reread { key, end_notices } => {
-                return self.reread(key, end_notices, outcome, election, io);
+                return self.handle_reread(key, end_notices, outcome, election, io);
+            }
+            TermCall::Direct(direct) => return self.handle_direct_response(direct, outcome, election, io),
+            TermCall::Probe { machine } => {
+                return self.handle_probe_response(&machine, outcome, election, io);
             }
-            TermCall::Direct(direct) => return self.direct_answered(direct, outcome, election, io),
-            TermCall::Inspect { machine } => return self.inspected(&machine, outcome, election, io),
-            TermCall::List => self.listed(outcome, io),
-            TermCall::Rent { request } => self.rented(&request, outcome, io),
-            TermCall::Return { machines, sent } => self.returned(machines, sent, outcome, io),
-            TermCall::Licences { server } => {
+            TermCall::ListMachines => self.handle_list_page(outcome, io),
+            TermCall::Launch { request } => self.handle_launch_response(&request, outcome, io),
+            TermCall::Release { machines, sent } => self.handle_release_response(machines, sent, outcome, io),
+            TermCall::LicenceUsage { server } => {
                 self.licences_told(server, outcome, &settings.operator.counts, io.now);
             }
-            // The watch tells.
-            TermCall::Cluster => (),
-            TermCall::Books(call) => self.books_answered(call, outcome, io.now),
-            TermCall::StoreTypes => self.types_stored(outcome),
+            // The record watch delivers the result.
+            TermCall::SubmitCluster => (),
+            TermCall::Accounting(call) => self.books_answered(call, outcome, io.now),
+            TermCall::StoreMachineTypes => self.handle_types_stored(outcome),
         }
         None
     }
 }
 
-/// Leadership ends, as nobody has told for too long which jobs are over.
-fn give_up_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
-    // Its own lease may live, but workers' do not with it: a peer may see more.
-    let why = "no word of which jobs are over";
-    if election.certain(io.now) {
-        election.hand_over(why, io)
+/// Gives up leadership because the cancellation watermark has expired.
+fn step_down_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
+    // The leader's own lease may still be valid, but worker leases can no longer be renewed here. A peer may
+    // be able to read newer cancellations.
+    let reason = "no word of which jobs are over";
+    if election.is_lease_live(io.now) {
+        election.hand_over(reason, io)
     } else {
-        election.deposed(why)
+        election.depose(reason)
     }
 }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -1,5 +1,5 @@
-//! What becomes of the transactions that the batch writer puts together, and when the leader renews
-//! its token to fence commands of its own.
+//! Persistence: sends the transactions that the batch writer assembles, handles their responses, and renews
+//! the fencing token when the leader must fence off its own delayed commands.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -12,25 +12,25 @@
 use crate::protocol::{self, StoredItem, paths};
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
-use crate::storage::batch_writer::Unit;
+use crate::storage::batch_writer::WriteUnit;
 use crate::storage::records::{self, Record};
 use indigopath_accounting::Team;
 use rand::RngExt;
 use std::sync::Arc;
 
-/// What is to be written beside the batches.
+/// Writes that are due outside the regular batches.
 #[derive(Debug, Default)]
 pub(super) struct Persistence {
-    /// A late command must be fenced off by a higher token.
+    /// Whether a delayed command must be fenced off with a higher token.
     fencing_needed: bool,
     token_renewed_at: Timestamp,
-    /// The machine types are on record, or on their way there.
+    /// Whether the machine types have been written in this term, or a write is in flight.
     types_stored: bool,
 }
 
 impl LeaderTerm {
-    /// Sends the next re-read, renewal or batch, if one is due.
-    pub(super) fn write(&mut self, election: &Election, settings: &Settings, io: &mut Io) {
+    /// Sends the next re-read, token renewal or batch, if one is due.
+    pub(super) fn send_due_write(&mut self, election: &Election, settings: &Settings, io: &mut Io) {
         if let Some(key) = self.writer.next_reread(io.now) {
             let path = paths::key(&key);
             let kind = TermCall::Reread {
@@ -40,23 +40,27 @@
             self.read_state(path, kind, io);
             return;
         }
-        if !self.writer.ready(io.now) {
+        if !self.writer.can_send(io.now) {
             return;
         }
         if self.persistence.fencing_needed
             && io.now >= self.persistence.token_renewed_at + STATE_TIMEOUT_MS
-            && let Some(renewal) = election.renewal()
+            && let Some(renewal) = election.key_renewal()
         {
             self.persistence.token_renewed_at = io.now;
             self.persistence.fencing_needed = false;
-            let body = self.writer.renewal(renewal);
-            self.transact(body, TermCall::Write, io);
+            let body = self.writer.begin_renewal(renewal);
+            self.transact(body, TermCall::Transaction, io);
             return;
         }
         self.queue_shifts(io.now);
-        let most = settings.deployment.state.txn_ops.min(io.writes.available(io.now));
-        let Some((body, ops)) = self.writer.batch(
-            most,
+        let max_ops = settings
+            .deployment
+            .state
+            .txn_ops
+            .min(io.write_budget.available(io.now));
+        let Some((body, ops)) = self.writer.begin_batch(
+            max_ops,
             settings,
             self.machines.as_map_mut(),
             self.jobs.as_map(),
@@ -65,31 +69,37 @@
         ) else {
             return;
         };
-        io.writes.force(ops as f64, io.now);
-        self.transact(body, TermCall::Write, io);
+        io.write_budget.force_take(ops as f64, io.now);
+        self.transact(body, TermCall::Transaction, io);
     }
 
-    /// Notes whether the token must be renewed.
+    /// Updates whether the token must be renewed.
     pub(super) fn update_fencing(&mut self, now: Timestamp) {
         self.persistence.fencing_needed = self.fencing_needed(now);
     }
 
-    /// A start that nobody answered may arrive minutes later, even for a job that
-    /// has been cancelled since. A higher token, once the worker has seen it,
-    /// refuses it; so the leader renews its own. Ended tasks whose start went by a direct
-    /// command wait for it as well, as a copy of that would run them again once they are
-    /// forgotten: these gather for a while, as a new token makes every worker report.
+    /// Whether the leader must renew its token to fence off its own delayed commands.
+    ///
+    /// A start command without a response may arrive minutes later, even after its job was cancelled. A
+    /// worker that has seen a higher token rejects it. Ended tasks that were started by a direct command
+    /// also need a higher token before the worker may forget them, as a duplicate of the command would run
+    /// them again. These are batched for [`FORGET_TOKEN_RENEWAL_MS`], because a new token makes every worker
+    /// report.
     fn fencing_needed(&self, now: Timestamp) -> bool {
         let token = self.writer.token;
-        let paced = now >= self.persistence.token_renewed_at.max(self.started) + FORGET_TOKEN_RENEWAL_MS;
+        let interval_passed =
+            now >= self.persistence.token_renewed_at.max(self.started) + FORGET_TOKEN_RENEWAL_MS;
         self.machines.values().any(|machine| {
-            let mut waiting = 0;
-            !machine.returning
+            let mut pending_forgets = 0;
+            !machine.releasing
                 && machine.attempts.iter().any(|attempt| {
-                    let waits = attempt.forget_waits(token);
-                    waiting += usize::from(waits);
-                    // Who waited in vain for its gang joins it again once it is forgotten.
-                    waits && (paced || waiting > MAX_PENDING_FORGETS || attempt.waited_in_vain())
+                    let awaits_renewal = attempt.forget_awaits_token(token);
+                    pending_forgets += usize::from(awaits_renewal);
+                    // A task that gave up waiting for its gang can rejoin only once it is forgotten.
+                    awaits_renewal
+                        && (interval_passed
+                            || pending_forgets > MAX_PENDING_FORGETS
+                            || attempt.gang_wait_timed_out())
                         || attempt
                             .unacknowledged
                             .is_some_and(|unacknowledged| unacknowledged.token == token)
@@ -98,40 +108,40 @@
         })
     }
 
-    /// Follows the answer to a transaction.
-    pub(super) fn written(
+    /// Handles the response to a transaction.
+    pub(super) fn handle_transaction_response(
         &mut self,
         outcome: &Outcome,
         election: &mut Election,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let units = self.writer.take_batch();
+        let units = self.writer.take_in_flight();
         if outcome.status() == Some(200)
-            && let Some(answer) = outcome.read::<protocol::TransactionResponse>(&[200])
+            && let Some(response) = outcome.read::<protocol::TransactionResponse>(&[200])
         {
             for unit in units {
-                self.unit_written(unit, answer.revision, election, io.now);
+                self.on_unit_committed(unit, response.revision, election, io.now);
             }
             return None;
         }
-        self.writer.failed(&units, io.now);
-        self.shifts.failed(&units);
+        self.writer.requeue(&units, io.now);
+        self.protection_windows.failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
-                let failed = outcome
+                let failed_keys = outcome
                     .read::<protocol::TransactionResponse>(&[409])
-                    .map(|answer| answer.failed)
+                    .map(|response| response.failed)
                     .unwrap_or_default();
-                // Its own renewal, given up by then, may have been carried out before this: then
-                // nobody else leads, as the key says when it is read again.
-                if failed.iter().any(|key| key == records::LEADER) && !self.writer.may_be_renewed() {
-                    return election.deposed("a transaction met a newer leader");
+                // An earlier renewal of this leader that was given up may have been executed before
+                // this transaction. Then there is no other leader, as re-reading the key shows.
+                if failed_keys.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed() {
+                    return election.depose("a transaction met a newer leader");
                 }
-                for key in failed {
-                    self.condition_failed(key, io.now);
+                for key in failed_keys {
+                    self.on_condition_failed(key, io.now);
                 }
             }
-            outcome if outcome.refused() => {
+            outcome if outcome.is_safe_to_retry() => {
                 self.writer.retry_at = io.now + WRITE_RETRY_MS + io.rng.random_range(0..WRITE_RETRY_MS)
             }
             Outcome::Answer { status, body } => {
@@ -142,12 +152,12 @@
                 self.writer.retry_at = io.now + SECOND_MS;
             }
             _ => {
-                if units.contains(&Unit::Renewal) {
-                    self.writer.renewal_unanswered();
+                if units.contains(&WriteUnit::Renewal) {
+                    self.writer.on_renewal_unanswered();
                 }
                 for unit in &units {
                     for key in unit.keys() {
-                        self.writer.reread(key);
+                        self.writer.queue_reread(key);
                     }
                 }
             }
@@ -155,31 +165,32 @@
         None
     }
 
-    /// A record did not have the version that a transaction needed.
-    fn condition_failed(&mut self, key: String, now: Timestamp) {
-        match key.strip_prefix(records::JOBS) {
-            // Cancelled by a node that served its user. Only a cluster's jobs
-            // change while they live: held, or released.
+    /// Handles a record that did not have the version required by a transaction.
+    fn on_condition_failed(&mut self, key: String, now: Timestamp) {
+        match key.strip_prefix(records::JOB_PREFIX) {
+            // Another controller cancelled the job. Only jobs of a submitted cluster can change before
+            // they end, when they are held or released.
             Some(job) if !self.may_change(job) => self.job_over(&JobId(Arc::from(job)), now),
-            _ => self.writer.reread(key),
+            _ => self.writer.queue_reread(key),
         }
     }
 
-    fn unit_written(&mut self, unit: Unit, revision: u64, election: &mut Election, now: Timestamp) {
+    /// Applies the effects of a committed unit of a transaction.
+    fn on_unit_committed(&mut self, unit: WriteUnit, revision: u64, election: &mut Election, now: Timestamp) {
         match unit {
-            Unit::Renewal => {
-                election.renewed(revision);
+            WriteUnit::Renewal => {
+                election.on_key_renewed(revision);
                 self.writer.token = revision;
             }
-            Unit::Shards {
-                numbers,
-                planned,
-                returns,
+            WriteUnit::Shards {
+                shards: numbers,
+                planned_starts: planned,
+                releases: returns,
             } => {
-                self.writer.shards_written(&numbers, revision);
+                self.writer.on_shards_written(&numbers, revision);
                 for id in returns {
                     if let Some(machine) = self.machines.get_mut(&id) {
-                        machine.return_recorded = machine.returning;
+                        machine.release_recorded = machine.releasing;
                     }
                 }
                 for start in planned {
@@ -190,44 +201,44 @@
                     {
                         attempt.durable = true;
                         if let Some(job) = self.jobs.get_mut(&start.task.job) {
-                            job.account.attempt();
+                            job.execution_stats.attempt();
                         }
                         self.commands.mark_due(start.machine);
                     }
                 }
             }
-            Unit::Done { number, tasks } => {
-                self.writer.done_version(number, revision);
+            WriteUnit::CompletedTasks { number, tasks } => {
+                self.writer.set_completed_tasks_version(number, revision);
                 for ((job, _), tasks) in tasks {
                     self.machines.for_each_attempt(&job, |_, attempt| {
                         if attempt.exited() && tasks.contains(&attempt.task.index) {
-                            attempt.closed = true;
+                            attempt.end_processed = true;
                         }
                     });
                 }
             }
-            Unit::Finish { job } => self.job_finished(job, now),
-            Unit::ScaleOutRequest { request } => {
+            WriteUnit::FinishJob { job } => self.on_job_finished(job, now),
+            WriteUnit::ScaleOutRequest { request } => {
                 self.autoscaler.request_recorded(&request);
             }
-            Unit::Shifts { number, deleted } => {
-                self.shifts
+            WriteUnit::ProtectionWindows { number, deleted } => {
+                self.protection_windows
                     .ledger
                     .written(number, if deleted { 0 } else { revision });
             }
-            Unit::Garbage { .. } => (),
+            WriteUnit::ObsoleteKey { .. } => (),
         }
     }
 
-    /// Records the machine types, once in a term.
+    /// Writes the machine types, once per term.
     pub(super) fn store_types_once(&mut self, types: &MachineTypes, io: &mut Io) {
         if !std::mem::replace(&mut self.persistence.types_stored, true) {
             self.store_types(types, io);
         }
     }
 
-    /// Follows the answer to the record of the machine types.
-    pub(super) fn types_stored(&mut self, outcome: &Outcome) {
+    /// Handles the response to the write of the machine types.
+    pub(super) fn handle_types_stored(&mut self, outcome: &Outcome) {
         self.persistence.types_stored = outcome.status() == Some(200);
     }
 
@@ -237,32 +248,32 @@
         };
         let body = protocol::Transaction {
             conditions: vec![protocol::Condition {
-                key: records::LEADER.to_owned(),
+                key: records::LEADER_KEY.to_owned(),
                 version: self.token(),
             }],
             changes: vec![protocol::Change::Put {
-                key: records::TYPES.to_owned(),
+                key: records::MACHINE_TYPES_KEY.to_owned(),
                 value: flavors.to_value(),
                 lease: None,
             }],
         };
-        self.transact(json(&body), TermCall::StoreTypes, io);
+        self.transact(json(&body), TermCall::StoreMachineTypes, io);
     }
 
-    /// The end of a job that is done is on record.
-    fn job_finished(&mut self, job: JobId, now: Timestamp) {
+    /// Handles a finished job whose end has been recorded.
+    fn on_job_finished(&mut self, job: JobId, now: Timestamp) {
         log::info!("job finished job={job}");
-        if let Some(over) = self.jobs.get(&job) {
-            self.forecast.finished(over, now);
+        if let Some(finished) = self.jobs.get(&job) {
+            self.forecast.finished(finished, now);
         }
         let team = self.jobs.get(&job).map_or("", |job| &job.spec.team);
         let team = Team::named(team);
         self.job_over(&job, now);
-        self.writer.finished.push((job, team));
+        self.writer.recently_finished.push((job, team));
     }
 
-    /// Follows a record whose version was uncertain.
-    pub(super) fn reread(
+    /// Handles the re-read of a record whose version was uncertain.
+    pub(super) fn handle_reread(
         &mut self,
         key: String,
         end_notices: u64,
@@ -275,19 +286,19 @@
             (Some(item), _) => item.version,
             (None, Some(404)) => 0,
             _ => {
-                self.writer.reread_failed(key, io.now);
+                self.writer.on_reread_failed(key, io.now);
                 return None;
             }
         };
-        self.writer.reread_done(&key);
-        if key == records::LEADER {
-            if election.is_mine(item.as_ref()) {
-                election.renewed(version);
+        self.writer.on_reread(&key);
+        if key == records::LEADER_KEY {
+            if election.is_own_key(item.as_ref()) {
+                election.on_key_renewed(version);
                 self.writer.token = version;
             } else {
-                return election.deposed("its key belongs to another");
+                return election.depose("its key belongs to another");
             }
-        } else if let Some(job) = key.strip_prefix(records::JOBS) {
+        } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
             match spec {
                 _ if version == 0 => self.job_over(&JobId(Arc::from(job)), io.now),
@@ -296,15 +307,15 @@
                     self.job_accepted(spec, version, io);
                     self.on_job_reread(&job, end_notices);
                 }
-                Some(Err(problem)) => log::error!("record ignored key={key}: {problem}"),
+                Some(Err(error)) => log::error!("record ignored key={key}: {error}"),
                 None => (),
             }
-        } else if let Some(number) = records::parse_number(records::SHARDS, &key) {
-            self.writer.shard_read(number, version);
-        } else if let Some(number) = records::parse_number(records::DONE, &key) {
-            self.writer.done_version(number, version);
-        } else if let Some(number) = records::parse_number(records::SHIFTS, &key) {
-            self.shifts.ledger.found(number, version);
+        } else if let Some(number) = records::parse_numbered_key(records::SHARD_PREFIX, &key) {
+            self.writer.on_shard_reread(number, version);
+        } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &key) {
+            self.writer.set_completed_tasks_version(number, version);
+        } else if let Some(number) = records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &key) {
+            self.protection_windows.ledger.found(number, version);
         }
         None
     }
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -31,7 +31,11 @@
             return None;
         }
         self.in_flight = true;
-        Some(paths::watch(records::JOBS, self.revision, JOB_WATCH_LONG_POLL_MS))
+        Some(paths::watch(
+            records::JOB_PREFIX,
+            self.revision,
+            JOB_WATCH_LONG_POLL_MS,
+        ))
     }
 
     /// Changes up to this revision were told.
@@ -66,7 +70,7 @@
         io: &mut Io,
     ) -> Option<ElectionEvent> {
         self.watch.in_flight = false;
-        let Some(changes) = outcome.read::<protocol::Changes>(&[200]) else {
+        let Some(changes) = outcome.read::<protocol::WatchResponse>(&[200]) else {
             if outcome.status() == Some(410) {
                 // Only a new reading tells which jobs are over, and only a new token fences off
                 // what this term has under way: read anew within it, the records would seem to
@@ -85,9 +89,9 @@
         None
     }
 
-    fn follow_event(&mut self, event: protocol::Event, io: &Io) {
+    fn follow_event(&mut self, event: protocol::WatchEvent, io: &Io) {
         match event {
-            protocol::Event::Put { key, value, version } => {
+            protocol::WatchEvent::Put { key, value, version } => {
                 let read = match condor::parse_open(&key) {
                     Some(cluster) => self.cluster_open(cluster, &value, version),
                     None => JobSpec::from_value(&value).map(|spec| self.job_accepted(spec, version, io)),
@@ -96,10 +100,10 @@
                     log::error!("record ignored key={key}: {problem}");
                 }
             }
-            protocol::Event::Delete { key } => {
+            protocol::WatchEvent::Delete { key } => {
                 if let Some(cluster) = condor::parse_open(&key) {
                     self.cluster_closed(cluster);
-                } else if let Some(job) = key.strip_prefix(records::JOBS) {
+                } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
                     self.job_over(&JobId(Arc::from(job)), io.now);
                 }
             }
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -20,7 +20,7 @@
     STARVED_MAX_CREDIT, STARVED_MAX_DEBT, STARVED_SHARE,
 };
 use crate::io::{Effect, Io};
-use crate::job_api::Counts;
+use crate::job_api::TaskCounts;
 use crate::model::{Job, JobId, JobSpec, Resources, Timestamp};
 use crate::protocol::Shape;
 use crate::settings::{Deployment, Team};
@@ -169,7 +169,7 @@
     /// Jobs that are not over.
     pub jobs: &'a BTreeMap<JobId, Job>,
     /// Their tasks done and running.
-    pub counts: &'a Counts,
+    pub counts: &'a TaskCounts,
     /// Jobs that wait for units of counts.
     pub short_of_units: BTreeSet<&'a JobId>,
     /// Teams and their limits.
@@ -356,7 +356,7 @@
 }
 
 /// Measures what the job has, by its shape.
-fn job_demand<'a>(job: &'a Job, counts: &Counts) -> JobDemand<'a> {
+fn job_demand<'a>(job: &'a Job, counts: &TaskCounts) -> JobDemand<'a> {
     let spec = &job.spec;
     let (done, running) = counts.get(&spec.id).copied().unwrap_or((0, 0));
     let (done, running) = match spec.shape {
@@ -385,8 +385,8 @@
     for job in live.jobs.values() {
         let demand = job_demand(job, live.counts);
         let spec = &job.spec;
-        *used.entry(spec.team.as_str()).or_default() += spec.needs.times(f64::from(demand.running));
-        if job.age_ms(now) >= least_age_ms && !job.parked && !job.to_blame() {
+        *used.entry(spec.team.as_str()).or_default() += spec.needs.scaled_by(f64::from(demand.running));
+        if job.age_ms(now) >= least_age_ms && !job.parked && !job.fails_on_many_machines() {
             asking.push(demand);
         }
     }
@@ -404,7 +404,7 @@
                 if most < demand.missing { 0 } else { most }
             }
         };
-        *used += spec.needs.times(f64::from(missing));
+        *used += spec.needs.scaled_by(f64::from(missing));
         let share = Share {
             asked: demand.served + missing,
             served: demand.served,
@@ -436,7 +436,7 @@
         memory_gb: f64::INFINITY,
     };
     // Saturates: no limit at all is a number larger than any.
-    (spec.needs.count_in(&free) as u32).min(most)
+    (spec.needs.instances_in(&free) as u32).min(most)
 }
 
 #[cfg(test)]
--- a/crates/controller/src/scheduling/gangs/tests.rs
+++ b/crates/controller/src/scheduling/gangs/tests.rs
@@ -4,7 +4,7 @@
 fn a_lost_task_is_replaced_only_before_the_start() {
     let mut gang = GangAttempt::new(7);
     gang.record_lost_task();
-    gang.record_ended_task(Cause::NoRoom, false);
+    gang.record_ended_task(TaskEndCause::NoRoom, false);
     assert!(gang.accepts_tasks());
     gang.started = true;
     assert!(!gang.accepts_tasks() && !gang.broken);
@@ -15,15 +15,20 @@
 #[test]
 fn who_waited_in_vain_joins_those_that_fetch_still() {
     let mut gang = GangAttempt::new(7);
-    gang.record_ended_task(Cause::Alone, true);
+    gang.record_ended_task(TaskEndCause::Alone, true);
     assert!(gang.accepts_tasks());
-    gang.record_ended_task(Cause::Alone, false);
+    gang.record_ended_task(TaskEndCause::Alone, false);
     assert!(gang.broken);
 }
 
 #[test]
 fn an_ended_task_breaks_the_attempt() {
-    for why in [Cause::Stopped, Cause::Peers, Cause::Alone, Cause::Error] {
+    for why in [
+        TaskEndCause::Stopped,
+        TaskEndCause::Peers,
+        TaskEndCause::Alone,
+        TaskEndCause::Error,
+    ] {
         let mut gang = GangAttempt::new(7);
         gang.record_ended_task(why, false);
         assert!(gang.broken, "{why:?}");
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -77,7 +77,7 @@
     if !attempt.holds_units() {
         return;
     }
-    let overrun_s = attempt.ran_s(now) - attempt.estimate_s;
+    let overrun_s = attempt.elapsed_s(now) - attempt.estimate_s;
     let remaining_s = if attempt.estimate_s <= 0.0 {
         f64::INFINITY
     } else if overrun_s <= 0.0 {
@@ -160,7 +160,7 @@
             let requester = self.requester(job);
             if self
                 .unit_ledger
-                .reserve_for_machines(&job.spec.counts, job.together(), &requester)
+                .reserve_for_machines(&job.spec.counts, job.gang_size(), &requester)
             {
                 self.plan.units_reserved_for.insert(job.spec.id.clone());
             }
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -32,7 +32,7 @@
         let attempts = machine
             .attempts
             .iter()
-            .filter(|attempt| attempt.task.job == *job && attempt.may_be_there());
+            .filter(|attempt| attempt.task.job == *job && attempt.may_be_running());
         let zone_index = zones.iter().position(|zone| *zone == machine.zone);
         counts[zone_index.unwrap_or(zones.len())] += attempts.count() as u32;
     }
@@ -41,7 +41,7 @@
 
 /// Whether the job should avoid spot machines, given the rate at which they are lost.
 pub fn avoids_spot(job: &Job, deployment: &Deployment, spot_loss_rate: f64, now: Timestamp) -> bool {
-    !job.spec.saves()
+    !job.spec.writes_checkpoints()
         && job.spec.estimate_s * spot_loss_rate > SPOT_MAX_LOSS_PROBABILITY
         && is_short_of_time(job, RERUN_MARGIN_RUNS, deployment, now)
 }
@@ -66,7 +66,7 @@
             rank_steps: steps.filter(RankSteps::has_preference),
             image: self.images.number(&job.spec.image),
             start_within_s: self.cluster.deployment.tightest_s("wait", &job.spec.class),
-            avoids_failed_machines: !job.avoids(self.cluster.now).is_empty(),
+            avoids_failed_machines: !job.avoided_machines(self.cluster.now).is_empty(),
             // Without the age limit, jobs whose class has no finishing objective left idle machines to a gang
             // that never found enough of them.
             is_deadline_critical: is_short_of_time(
@@ -102,7 +102,7 @@
 
     /// Returns which kinds are allowed by the job's own types, zone and spot setting.
     fn eligible_by_spec(&self, spec: &JobSpec) -> Vec<bool> {
-        self.each_kind(|machine_type, zone, spot| spec.eligible(machine_type, zone, spot))
+        self.each_kind(|machine_type, zone, spot| spec.is_eligible(machine_type, zone, spot))
     }
 
     /// Computes a value for each kind of machine, in the order of [`Self::kind_index`].
@@ -169,7 +169,7 @@
                     .iter()
                     .enumerate()
                     .all(|(other, count)| *count == 0 || other == zone);
-                (!spec.one_zone || no_other_zone_used) && tasks_by_zone[zone] < spec.zone_cap()
+                (!spec.one_zone || no_other_zone_used) && tasks_by_zone[zone] < spec.max_tasks_per_zone()
             })
             .collect()
     }
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -167,7 +167,7 @@
                 .then(right.has_image.cmp(&left.has_image))
                 .then(left.machine_index.cmp(&right.machine_index))
         });
-        let zone_cap = requirements.job.spec.zone_cap();
+        let zone_cap = requirements.job.spec.max_tasks_per_zone();
         let mut tasks_by_zone = tasks_by_zone.clone();
         slots.retain(|slot| {
             let Some((_, zone)) = self.capacities[slot.machine_index].type_and_zone else {
--- a/crates/controller/src/scheduling/placement/large_jobs.rs
+++ b/crates/controller/src/scheduling/placement/large_jobs.rs
@@ -17,7 +17,7 @@
 /// leader saw running and that was stopped since.
 fn has_not_started(job: &Job, task_locations: &TaskLocations) -> bool {
     match job.spec.shape {
-        Shape::Gang => !job.began && job.gang.is_none_or(|gang| gang.accepts_tasks()),
+        Shape::Gang => !job.has_started && job.gang.is_none_or(|gang| gang.accepts_tasks()),
         Shape::Array | Shape::Service => {
             job.done.is_empty()
                 && task_locations
@@ -48,7 +48,7 @@
     let is_waiting = |job: &&Job| {
         !job.waiting.is_empty()
             && !job.parked
-            && !job.to_blame()
+            && !job.fails_on_many_machines()
             && job.age_ms(now) >= min_age_ms
             && has_not_started(job, task_locations)
     };
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -9,7 +9,7 @@
 
 /// Returns the grace period, in s, that lets a task of the job save its state.
 pub fn grace_s(spec: &JobSpec) -> f64 {
-    if spec.saves() {
+    if spec.writes_checkpoints() {
         spec.save_s + STOP_GRACE_EXTRA_S
     } else {
         0.0
@@ -266,10 +266,10 @@
 
     /// Returns the seconds of work lost by a stop.
     pub(super) fn lost_work_s(&self, attempt: &Attempt, job: &Job) -> f64 {
-        if job.spec.saves() {
+        if job.spec.writes_checkpoints() {
             job.spec.save_s + 1.0
         } else {
-            attempt.ran_s(self.cluster.now) + 1.0
+            attempt.elapsed_s(self.cluster.now) + 1.0
         }
     }
 
@@ -279,7 +279,7 @@
     pub(super) fn drain_machines(&mut self) {
         let mut stops = Vec::new();
         for capacity in &self.capacities {
-            if capacity.machine.notice_until.is_none() && !is_faulty(capacity.machine) {
+            if capacity.machine.reclaim_notice_until.is_none() && !is_faulty(capacity.machine) {
                 continue;
             }
             for running in capacity
@@ -291,7 +291,7 @@
                     continue;
                 };
                 let is_movable = job.spec.shape == Shape::Service
-                    || job.spec.saves()
+                    || job.spec.writes_checkpoints()
                     || running.attempt.running_since.is_none();
                 if is_movable {
                     stops.push((running.attempt, capacity.machine.id.clone()));
