--- a/crates/condor/benches/pass.rs
+++ b/crates/condor/benches/pass.rs
@@ -9,7 +9,7 @@
 use indigopath_condor::KindSet;
 use indigopath_controller::allocations::{Attempt, Machine};
 use indigopath_controller::model::{Job, JobId, JobSpec, MachineId, TaskId, TaskLocations};
-use indigopath_controller::protocol::{Flavors, TaskState};
+use indigopath_controller::protocol::{MachineTypeList, TaskState};
 use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, MachineTypes, Units};
 use indigopath_controller::settings::Deployment;
 use indigopath_counted_resources::{Definitions, ReservationPolicy};
@@ -81,7 +81,7 @@
             })
         })
         .collect();
-    let flavors: Flavors = serde_json::from_value(json!({ "Rigs": types })).expect("machine types");
+    let flavors: MachineTypeList = serde_json::from_value(json!({ "Rigs": types })).expect("machine types");
     let mut jobs: BTreeMap<JobId, Job> = (0..JOBS)
         .map(|number| {
             let spec = spec(number, native, &sets);
--- a/crates/controller/src/allocations/reconciliation.rs
+++ b/crates/controller/src/allocations/reconciliation.rs
@@ -155,7 +155,7 @@
         self.needs_fencing_probe &= !is_fenced;
         self.addr = Some(report.addr.clone());
         self.notice_until = report
-            .notice_s
+            .reclaim_notice_s
             .filter(|left| left.is_finite())
             .map(|left| now + (left.max(0.0) * SECOND_MS as f64) as u64);
     }
--- a/crates/controller/src/allocations/tests.rs
+++ b/crates/controller/src/allocations/tests.rs
@@ -43,7 +43,7 @@
         agent_epoch,
         seq,
         token,
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: state
             .into_iter()
             .map(|state| TaskStatus {
--- a/crates/controller/src/autoscaling/scale_out_request.rs
+++ b/crates/controller/src/autoscaling/scale_out_request.rs
@@ -1,13 +1,13 @@
 //! Scale-out requests: machines that are being rented from the cloud.
 
 use crate::model::Timestamp;
-use crate::protocol::RentalRequest;
+use crate::protocol::LaunchRequest;
 
 /// A request for machines, from the decision until its machines are known.
 #[derive(Debug)]
 pub struct ScaleOutRequest {
     /// What the cloud is asked for.
-    pub request: RentalRequest,
+    pub request: LaunchRequest,
     /// Its record is persisted: only then it may be sent.
     pub recorded: bool,
     /// It may have been sent, by this leader or a former one.
@@ -25,7 +25,7 @@
 
 impl ScaleOutRequest {
     /// A request that is neither persisted nor sent yet.
-    pub fn new(request: RentalRequest) -> ScaleOutRequest {
+    pub fn new(request: LaunchRequest) -> ScaleOutRequest {
         ScaleOutRequest {
             request,
             recorded: false,
--- a/crates/controller/src/autoscaling/target_size/tests.rs
+++ b/crates/controller/src/autoscaling/target_size/tests.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn machines_on_their_way_take_what_they_may() {
-    let flavors: crate::protocol::Flavors =
+    let flavors: crate::protocol::MachineTypeList =
         serde_json::from_str(include_str!("../../../tests/support/flavors.json")).unwrap();
     let types: MachineTypes = flavors
         .types
--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -500,7 +500,7 @@
     let operator = &context.settings.operator;
     let deployment = &context.settings.deployment;
     let condor = operator.condor.clone().unwrap_or_default();
-    let site = site(deployment, context.types, &operator.counts, &condor);
+    let site = site(deployment, context.types, &operator.counted_resources, &condor);
     plan(bundle, cluster, &site, at_ms, deployment.state.value_kb)
 }
 
--- a/crates/controller/src/election/cancellation_watermark.rs
+++ b/crates/controller/src/election/cancellation_watermark.rs
@@ -11,7 +11,7 @@
 
 use crate::constants::{CANCEL_MARGIN_MS, LEADER_LEASE_MS, LEASE_MARGIN_MS, SECOND_MS};
 use crate::model::Timestamp;
-use crate::settings::Workers;
+use crate::settings::WorkerSettings;
 
 /// What a leader has seen of jobs' ends, in one term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 
 impl CancellationWatermark {
     /// Of a leader that has read nothing yet.
-    pub fn unread(workers: &Workers, now: Timestamp) -> CancellationWatermark {
+    pub fn unread(workers: &WorkerSettings, now: Timestamp) -> CancellationWatermark {
         CancellationWatermark {
             seen: now,
             unread: true,
@@ -63,7 +63,7 @@
 /// Where a lease lasts nearly as long as a cancellation may take, or longer, no answer could be
 /// proved harmless (see [`proves_cancellations`]): such a leader has no grace, and answers while its
 /// own lease lives.
-pub fn grace_ms(workers: &Workers) -> u64 {
+pub fn grace_ms(workers: &WorkerSettings) -> u64 {
     spare_ms(workers)
         .saturating_sub(CANCEL_MARGIN_MS)
         .max(LEADER_LEASE_MS)
@@ -71,12 +71,12 @@
 
 /// Whether these settings leave a leader time to prove that what it keeps alive is gone `cancel_s`
 /// after its cancellation.
-pub fn proves_cancellations(workers: &Workers) -> bool {
+pub fn proves_cancellations(workers: &WorkerSettings) -> bool {
     spare_ms(workers) >= LEADER_LEASE_MS + LEASE_MARGIN_MS
 }
 
 /// What a cancellation may take beyond a lease, in ms.
-fn spare_ms(workers: &Workers) -> u64 {
+fn spare_ms(workers: &WorkerSettings) -> u64 {
     // A negative difference becomes 0.
     ((workers.cancel_s - workers.lease_s) * SECOND_MS as f64) as u64
 }
--- a/crates/controller/src/election/cancellation_watermark/tests.rs
+++ b/crates/controller/src/election/cancellation_watermark/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn workers(lease_s: f64, cancel_s: f64) -> Workers {
-    Workers {
+fn workers(lease_s: f64, cancel_s: f64) -> WorkerSettings {
+    WorkerSettings {
         report_s: 5.0,
         lease_s,
         gang_wait_s: 30.0,
--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -108,7 +108,7 @@
 
     /// Reads the machine types from the cloud. Any node may call this, because it changes nothing.
     pub fn machine_types_call(&mut self) -> CallId {
-        let path = paths::FLAVORS.to_owned();
+        let path = paths::MACHINE_TYPES.to_owned();
         self.send(
             Destination::Cloud,
             Method::Get,
--- a/crates/controller/src/job_api/admission/tests.rs
+++ b/crates/controller/src/job_api/admission/tests.rs
@@ -9,7 +9,7 @@
 }
 
 fn types() -> Vec<MachineType> {
-    let flavors: crate::protocol::Flavors =
+    let flavors: crate::protocol::MachineTypeList =
         serde_json::from_str(include_str!("../../../tests/support/flavors.json")).unwrap();
     flavors.types
 }
--- a/crates/controller/src/job_api/tests.rs
+++ b/crates/controller/src/job_api/tests.rs
@@ -385,7 +385,7 @@
     });
     let (body, deployment) = (body.to_string(), settings().deployment);
     let flavors = include_str!("../../tests/support/flavors.json");
-    let types = serde_json::from_str::<crate::protocol::Flavors>(flavors)
+    let types = serde_json::from_str::<crate::protocol::MachineTypeList>(flavors)
         .unwrap()
         .types;
     let counts = Default::default();
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -9,7 +9,7 @@
 use crate::autoscaling::scale_out_request::ScaleOutRequest;
 use crate::constants::{AUTOSCALER_INTERVAL_MS, BOOT_SMOOTHING, DEFAULT_RELEASE_MS, SECOND_MS};
 use crate::model::{MachineKind, Timestamp};
-use crate::protocol::RentalRequest;
+use crate::protocol::LaunchRequest;
 use crate::scheduling::placement::MachineTypes;
 use crate::storage::records;
 use listing::CloudListing;
@@ -65,7 +65,7 @@
     }
 
     /// Takes over a former leader's request: it may have been sent.
-    pub(super) fn adopt_request(&mut self, request: RentalRequest) {
+    pub(super) fn adopt_request(&mut self, request: LaunchRequest) {
         let adopted = ScaleOutRequest {
             recorded: true,
             sent: true,
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -221,7 +221,7 @@
         let body = json(&MachineNames {
             machines: names.iter().map(|name| name.to_string()).collect(),
         });
-        let call = io.cloud_call(permit, Method::Post, paths::RENTAL_RETURNS.to_owned(), body);
+        let call = io.cloud_call(permit, Method::Post, paths::RELEASE_MACHINES.to_owned(), body);
         self.calls.insert(
             call,
             TermCall::Return {
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -9,7 +9,7 @@
 use crate::leader::LeaderTerm;
 use crate::leader::calls::TermCall;
 use crate::model::{Job, JobSpec, MachineId, MachineKind};
-use crate::protocol::{MachineNames, MachineType, RentalRequest, Shape, paths};
+use crate::protocol::{LaunchRequest, MachineNames, MachineType, Shape, paths};
 use crate::scheduling::placement::{self, MachineTypes, faulty};
 use crate::settings::Settings;
 use indigopath_fencing::GuardedOperation;
@@ -265,7 +265,7 @@
                 let count = left.min(MAX_MACHINES_PER_RENTAL);
                 left -= count;
                 self.autoscaler.request_count += 1;
-                let request = RentalRequest {
+                let request = LaunchRequest {
                     request: format!(
                         "{}{}",
                         request_prefix(self.first_token),
@@ -383,7 +383,7 @@
     }
 
     /// The cloud has too few machines of this kind: none are asked for during a while.
-    fn refuse(&mut self, request: &RentalRequest, io: &Io) {
+    fn refuse(&mut self, request: &LaunchRequest, io: &Io) {
         log::info!(
             "scale-out refused for want of capacity type={} zone={}{}",
             request.machine_type,
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -145,7 +145,7 @@
             )
         });
         let job = self.jobs.get(&**access.ok()?.job())?;
-        let definitions = &settings.operator.counts;
+        let definitions = &settings.operator.counted_resources;
         let units = self.units(definitions);
         let book = placement::book(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -132,7 +132,7 @@
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
             autoscaler: Autoscaler::new(),
-            counted: Counted::new(&settings.operator.counts),
+            counted: Counted::new(&settings.operator.counted_resources),
             shifts: Shifts::new(settings),
             clusters: Clusters::default(),
             weights: Weights::default(),
@@ -194,7 +194,7 @@
             return Some(deposed);
         }
         self.poll_listing(io);
-        self.poll_servers(&settings.operator.counts, io);
+        self.poll_servers(&settings.operator.counted_resources, io);
         if certain && !types.is_empty() {
             self.schedule(types, settings, io);
             self.store_types_once(types, io);
@@ -250,7 +250,7 @@
             self.size_fleet(types, settings, io);
         }
         self.forecast_when_due(types, settings, io);
-        self.look_at_counts(&settings.operator.counts, io);
+        self.look_at_counts(&settings.operator.counted_resources, io);
         self.look_at_clusters(settings, io);
         self.send_rentals(io);
     }
@@ -289,7 +289,7 @@
             TermCall::Rent { request } => self.rented(&request, outcome, io),
             TermCall::Return { machines, sent } => self.returned(machines, sent, outcome, io),
             TermCall::Licences { server } => {
-                self.licences_told(server, outcome, &settings.operator.counts, io.now);
+                self.licences_told(server, outcome, &settings.operator.counted_resources, io.now);
             }
             // The watch tells.
             TermCall::Cluster => (),
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -236,7 +236,7 @@
     }
 
     fn store_types(&mut self, types: &MachineTypes, io: &mut Io) {
-        let flavors = protocol::Flavors {
+        let flavors = protocol::MachineTypeList {
             types: types.values().cloned().collect(),
         };
         let body = protocol::Transaction {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -10,7 +10,7 @@
 use crate::election::{Election, ElectionEvent};
 use crate::io::{Io, Outcome};
 use crate::model::{Job, JobSpec, Timestamp};
-use crate::protocol::{RentalRequest, Shape, StoredItem, StoredPage, paths};
+use crate::protocol::{LaunchRequest, Shape, StoredItem, StoredPage, paths};
 use crate::scheduling::gangs::GangAttempt;
 use crate::settings::Settings;
 use crate::storage::records::{self, DoneRecord, Record, RecordError, ShardRecord};
@@ -219,7 +219,7 @@
             Ok(())
         } else if item.key.starts_with(records::RENTALS) {
             self.autoscaler
-                .adopt_request(RentalRequest::from_value(&item.value)?);
+                .adopt_request(LaunchRequest::from_value(&item.value)?);
             Ok(())
         } else {
             Ok(())
@@ -272,7 +272,7 @@
         io: &Io,
     ) -> Result<(), RecordError> {
         let shard = ShardRecord::from_value(&item.value)?;
-        let definitions = &settings.operator.counts;
+        let definitions = &settings.operator.counted_resources;
         let lingers = LingerSet::from_record(
             shard.lingers().iter().cloned(),
             io.now,
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -98,7 +98,7 @@
             machines: self.machines.as_map(),
             task_locations: self.machines.task_locations(),
             spot_loss: self.autoscaler.spot_losses().rate(),
-            units: self.units(&settings.operator.counts),
+            units: self.units(&settings.operator.counted_resources),
             starved: &self.forecast.satisfaction().starved,
             aging_credit: self.scheduler.aging_credit,
             image_statistics: &self.weights,
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -10,16 +10,16 @@
             jobs: self.jobs.len(),
             waiting: self.jobs.waiting_tasks(false),
             held: self.jobs.waiting_tasks(true),
-            rentals: self.autoscaler.open_requests().count(),
+            open_launch_requests: self.autoscaler.open_requests().count(),
             models: self.weights.by_spread(),
             replicas_placed: self.weights.placed(),
             ..MetricsSnapshot::default()
         };
         for machine in self.machines.values() {
             let state = if machine.returning {
-                &mut metrics_snapshot.returning
+                &mut metrics_snapshot.releasing
             } else if machine.inspect_failed {
-                &mut metrics_snapshot.silent
+                &mut metrics_snapshot.unreachable
             } else if !machine.has_been_up() {
                 &mut metrics_snapshot.booting
             } else if machine.is_empty() {
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -38,12 +38,12 @@
     /// Attempts that are, or may be, on a machine.
     pub placed: usize,
     /// Requests to the cloud whose machines are not known yet.
-    pub rentals: usize,
+    pub open_launch_requests: usize,
     pub booting: usize,
     pub idle: usize,
     pub busy: usize,
-    pub silent: usize,
-    pub returning: usize,
+    pub unreachable: usize,
+    pub releasing: usize,
     /// Live models that lie nowhere, on one machine, in one zone, in several.
     pub models: [usize; 4],
     /// Replicas that this leader placed beside their image, and elsewhere.
@@ -382,7 +382,7 @@
     }
 
     /// Counts what the node does.
-    pub fn note(&self, effect: &Effect) {
+    pub fn record_effect(&self, effect: &Effect) {
         match effect {
             Effect::Reply { status, .. } => {
                 self.answers
@@ -400,7 +400,7 @@
     }
 
     /// A task got units of a count when its job was so old.
-    pub fn waited(&self, count: &str, waited_s: f64) {
+    pub fn observe_count_wait(&self, count: &str, waited_s: f64) {
         let labels = CountLabels {
             count: count.to_owned(),
         };
@@ -419,7 +419,7 @@
         self.watermark_age.set(age_ms as f64 / SECOND_MS as f64);
         let metrics_snapshot = gauges.metrics_snapshot.unwrap_or_default();
         self.jobs.set(amount(metrics_snapshot.jobs));
-        self.rentals.set(amount(metrics_snapshot.rentals));
+        self.rentals.set(amount(metrics_snapshot.open_launch_requests));
         for (state, tasks) in [
             ("waiting", metrics_snapshot.waiting),
             ("held", metrics_snapshot.held),
@@ -433,8 +433,8 @@
             ("booting", metrics_snapshot.booting),
             ("idle", metrics_snapshot.idle),
             ("busy", metrics_snapshot.busy),
-            ("silent", metrics_snapshot.silent),
-            ("returning", metrics_snapshot.returning),
+            ("silent", metrics_snapshot.unreachable),
+            ("returning", metrics_snapshot.releasing),
         ] {
             self.machines
                 .get_or_create(&StateLabels { state })
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn what_is_gone_is_not_told_any_more() {
     let metrics = Metrics::new();
-    metrics.waited("seat", 4.0);
+    metrics.observe_count_wait("seat", 4.0);
     let seat = CountStatus {
         name: "seat".to_owned(),
         units: Some(4),
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -167,7 +167,7 @@
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let effects = std::mem::take(&mut self.io.effects);
         for effect in &effects {
-            self.metrics.note(effect);
+            self.metrics.record_effect(effect);
         }
         effects
     }
@@ -215,7 +215,7 @@
                 &mut self.io,
             );
             for (count, waited_s) in term.take_waits() {
-                self.metrics.waited(&count, waited_s);
+                self.metrics.observe_count_wait(&count, waited_s);
             }
             for (job, team) in std::mem::take(&mut term.writer.finished) {
                 let over = TerminalState {
@@ -339,7 +339,7 @@
         };
         let types = (!self.type_list.is_empty()).then_some(known);
         let deployment = &self.settings.deployment;
-        let definitions = &self.settings.operator.counts;
+        let definitions = &self.settings.operator.counted_resources;
         let accepted = admission::accept(body, deployment, definitions, types, self.io.wall_ms);
         let (job, request_kind) = match accepted {
             Ok(spec) => (spec.id.clone(), JobRequest::Submit(Box::new(spec))),
@@ -406,23 +406,23 @@
     /// This node is not entitled to answer; another may be.
     fn send_to_leader(&mut self, request: RequestId) {
         let redirect = Redirect {
-            report_to: self.leader(),
+            leader: self.leader(),
         };
         let body = crate::io::json(&redirect);
         self.io.reply_bytes(request, 421, ContentType::Json, body);
     }
 
     /// Every count at a glance, as whoever leads sees it once its records are read.
-    pub fn counts(&self) -> Option<Vec<CountStatus>> {
+    pub fn counted_resource_status(&self) -> Option<Vec<CountStatus>> {
         let term = self.term.as_ref().filter(|term| term.has_read())?;
-        Some(term.count_status(&self.settings.operator.counts, self.io.now))
+        Some(term.count_status(&self.settings.operator.counted_resources, self.io.now))
     }
 
     /// Only who leads, and surely still does, knows who holds what.
     fn tell_counts(&mut self, request: RequestId, route: Route) {
         let certain = self.election.certain(self.io.now);
         let operator = &self.settings.operator;
-        let (definitions, now) = (&operator.counts, self.io.now);
+        let (definitions, now) = (&operator.counted_resources, self.io.now);
         let Some(term) = self.term.as_ref().filter(|_| certain) else {
             return self.send_to_leader(request);
         };
@@ -454,7 +454,7 @@
 
     fn tell_metrics(&mut self, request: RequestId) {
         let now = self.io.now;
-        let definitions = &self.settings.operator.counts;
+        let definitions = &self.settings.operator.counted_resources;
         let counts = self.term.as_ref().map(|term| term.count_status(definitions, now));
         let metrics_snapshot = self.term.as_ref().map(LeaderTerm::metrics_snapshot);
         let standing = NodeGauges {
@@ -546,7 +546,7 @@
                 self.note_state(outcome);
                 let stored = outcome
                     .read::<StoredItem>(&[200])
-                    .and_then(|item| protocol::Flavors::from_value(&item.value).ok());
+                    .and_then(|item| protocol::MachineTypeList::from_value(&item.value).ok());
                 if let Some(flavors) = stored.filter(|_| self.type_list.is_empty()) {
                     self.learn_types(flavors);
                 }
@@ -562,7 +562,7 @@
 
     fn types_answered(&mut self, outcome: &Outcome) {
         self.types_busy = false;
-        if let Some(flavors) = outcome.read::<protocol::Flavors>(&[200]) {
+        if let Some(flavors) = outcome.read::<protocol::MachineTypeList>(&[200]) {
             self.types_at = self.io.now + MACHINE_TYPES_INTERVAL_MS;
             self.types_certain = true;
             self.learn_types(flavors);
@@ -632,7 +632,7 @@
         }
     }
 
-    fn learn_types(&mut self, flavors: protocol::Flavors) {
+    fn learn_types(&mut self, flavors: protocol::MachineTypeList) {
         let types: Vec<MachineType> = flavors.types.into_iter().filter(sane).collect();
         if types.is_empty() {
             log::error!("machine types rejected: the cloud names none that can be used");
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -24,7 +24,7 @@
 const ID_BYTES: usize = 24;
 
 /// Largest frame accepted, in bytes.
-pub const MAX_FRAME: usize = 256;
+pub const MAX_FRAME_BYTES: usize = 256;
 
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
@@ -184,7 +184,7 @@
             return Ok(None);
         };
         let length = usize::from(header.length.get());
-        if header.magic.get() != MAGIC || HEADER_BYTES + length > MAX_FRAME {
+        if header.magic.get() != MAGIC || HEADER_BYTES + length > MAX_FRAME_BYTES {
             return Err(MalformedFrame);
         }
         let Some(body) = rest.get(..length) else {
--- a/crates/controller/src/protocol.rs
+++ b/crates/controller/src/protocol.rs
@@ -230,7 +230,7 @@
     #[serde(rename = "Baton")]
     pub token: u64,
     #[serde(rename = "WarningS", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_notice_s: Option<f64>,
     #[serde(rename = "Picks", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -284,7 +284,7 @@
 #[derive(Debug, Serialize)]
 pub struct Redirect<'a> {
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<&'a str>,
+    pub leader: Option<&'a str>,
 }
 
 /// A machine type as the cloud offers it; also stored in the state service.
@@ -314,14 +314,14 @@
 
 /// All machine types that the cloud offers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Flavors {
+pub struct MachineTypeList {
     #[serde(rename = "Rigs")]
     pub types: Vec<MachineType>,
 }
 
 /// A request to the cloud for new machines of one kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentalRequest {
+pub struct LaunchRequest {
     #[serde(rename = "Hire")]
     pub request: String,
     #[serde(rename = "Rig")]
@@ -334,7 +334,7 @@
     pub count: u32,
 }
 
-impl RentalRequest {
+impl LaunchRequest {
     pub fn kind(&self) -> MachineKind {
         (self.machine_type.clone(), self.zone.clone(), self.spot)
     }
@@ -517,9 +517,9 @@
     pub const LICENCES: &str = "/lmstat";
     pub const DIRECT_COMMANDS: &str = "/do";
     pub const INSPECT: &str = "/inspect";
-    pub const FLAVORS: &str = "/flavors";
+    pub const MACHINE_TYPES: &str = "/flavors";
     pub const RENTALS: &str = "/rentals";
-    pub const RENTAL_RETURNS: &str = "/rentals/return";
+    pub const RELEASE_MACHINES: &str = "/rentals/return";
     pub const TRANSACTION: &str = "/multi";
     pub const LEASES: &str = "/holds";
 
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -64,7 +64,7 @@
             eligible,
             steps: steps.filter(RankSteps::has_preference),
             image: self.images.number(&job.spec.image),
-            start_within_s: self.cluster.deployment.tightest_s("wait", &job.spec.class),
+            start_within_s: self.cluster.deployment.shortest_s("wait", &job.spec.class),
             avoids_failed_machines: !job.avoids(self.cluster.now).is_empty(),
             // Without the bound, work of a class without an objective on its end left idle machines to a
             // gang for which there never were enough.
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -92,7 +92,7 @@
 /// the job's class expects to be done.
 pub(super) fn is_short_of_time(job: &Job, runs: f64, deployment: &Deployment, now: Timestamp) -> bool {
     let age_s = job.age_ms(now) as f64 / SECOND_MS as f64;
-    age_s + runs * job.spec.estimate_s > deployment.tightest_s("finished", &job.spec.class)
+    age_s + runs * job.spec.estimate_s > deployment.shortest_s("finished", &job.spec.class)
 }
 
 /// For how long, in ms, the job may still wait for a start without missing what its class's
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -23,7 +23,7 @@
     pub peer_listen: SocketAddrV4,
     #[serde(rename = "siblings", default)]
     pub peers: Vec<Peer>,
-    pub services: Services,
+    pub services: ServiceAddresses,
     pub deployment: Deployment,
     /// The operators' shifts, as checked.
     #[serde(skip)]
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Services {
+pub struct ServiceAddresses {
     pub cloud: SocketAddrV4,
     pub state: SocketAddrV4,
 }
@@ -52,7 +52,7 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     pub state: StateLimits,
     pub cloud: CloudLimits,
     #[serde(rename = "resources")]
@@ -89,7 +89,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerSettings {
     pub report_s: f64,
     pub lease_s: f64,
     pub gang_wait_s: f64,
@@ -146,7 +146,7 @@
     pub idle_return_s: f64,
     /// Counted resources, such as licence seats, by name.
     #[serde(rename = "count")]
-    pub counts: Definitions,
+    pub counted_resources: Definitions,
     /// Whether `GET /v1/counts/holders` names the tasks that hold units. It shows ids of
     /// all teams' jobs to whoever reaches the node.
     pub show_holders: bool,
@@ -168,7 +168,7 @@
         OperatorSettings {
             fleet_max: crate::constants::DEFAULT_FLEET_MAX,
             idle_return_s: crate::constants::IDLE_RELEASE_MS as f64 / crate::constants::SECOND_MS as f64,
-            counts: Definitions::new(),
+            counted_resources: Definitions::new(),
             show_holders: false,
             image_locality: true,
             protection_windows: indigopath_protection_windows::Definitions::new(),
@@ -267,7 +267,7 @@
     }
 
     /// The shortest of them; infinite if there is none.
-    pub fn tightest_s(&self, kind: &str, class: &str) -> f64 {
+    pub fn shortest_s(&self, kind: &str, class: &str) -> f64 {
         self.within_s(kind, class).fold(f64::INFINITY, f64::min)
     }
 }
@@ -335,7 +335,7 @@
         }
         let teams = &self.deployment.teams;
         let is_team = |name: &str| teams.iter().any(|team| team.name == name);
-        indigopath_counted_resources::check_definitions(&operator.counts, is_team)?;
+        indigopath_counted_resources::check_definitions(&operator.counted_resources, is_team)?;
         if let Some(condor) = &operator.condor {
             condor.check(is_team)?;
         }
--- a/crates/controller/src/storage/records.rs
+++ b/crates/controller/src/storage/records.rs
@@ -42,7 +42,7 @@
 pub use machine_shard::{MachineRecord, ReleasedMachine, ShardRecord, StartRecord};
 
 use crate::model::JobSpec;
-use crate::protocol::{Flavors, RentalRequest};
+use crate::protocol::{LaunchRequest, MachineTypeList};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -96,8 +96,8 @@
 impl Record for ShardRecord {}
 impl Record for DoneRecord {}
 impl Record for JobSpec {}
-impl Record for RentalRequest {}
-impl Record for Flavors {}
+impl Record for LaunchRequest {}
+impl Record for MachineTypeList {}
 
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/storage/records/tests.rs
+++ b/crates/controller/src/storage/records/tests.rs
@@ -187,8 +187,8 @@
         }
         let _ = EndedRecord::from_value(&value).map(|ended| ended.to_value());
         let _ = LeaderRecord::from_value(&value).is_ok();
-        let _ = RentalRequest::from_value(&value).is_ok();
-        let _ = Flavors::from_value(&value).is_ok();
+        let _ = LaunchRequest::from_value(&value).is_ok();
+        let _ = MachineTypeList::from_value(&value).is_ok();
         let _ = JobSpec::from_value(&value).map(|spec| (spec.zone_cap(), spec.to_value()));
     }
 }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -53,13 +53,13 @@
         let (prefix, rest) = stored.key.split_at(stored.key.find('/').map_or(0, |at| at + 1));
         match (prefix, rest) {
             ("", "leader") => same_record::<LeaderRecord>(&stored),
-            ("", "types") => same_record::<protocol::Flavors>(&stored),
+            ("", "types") => same_record::<protocol::MachineTypeList>(&stored),
             ("j/", rest) if rest.starts_with('~') => same_record::<OpenRecord>(&stored),
             ("j/", _) => same_record::<JobSpec>(&stored),
             ("e/", _) => same_record::<EndedRecord>(&stored),
             ("d/", _) => same_record::<DoneRecord>(&stored),
             ("s/", _) => same_record::<ShardRecord>(&stored),
-            ("h/", _) => same_record::<protocol::RentalRequest>(&stored),
+            ("h/", _) => same_record::<protocol::LaunchRequest>(&stored),
             ("n/", _) => same_record::<NumberRecord>(&stored),
             ("k/", _) => same_record::<KeyRecord>(&stored),
             ("c/", _) => same_record::<ClusterRecord>(&stored),
@@ -173,8 +173,8 @@
             "lease answer" => same_message::<protocol::LeaseResponse>(text),
             "listing" => same_message::<protocol::MachinePage>(text),
             "machine names" => same_message::<protocol::MachineNames>(text),
-            "flavors" => same_message::<protocol::Flavors>(text),
-            "rental request" => same_message::<protocol::RentalRequest>(text),
+            "flavors" => same_message::<protocol::MachineTypeList>(text),
+            "rental request" => same_message::<protocol::LaunchRequest>(text),
             "heartbeat" => same_message::<protocol::Heartbeat>(text),
             "heartbeat answer" => same_message::<protocol::HeartbeatResponse>(text),
             "direct orders" => same_message::<protocol::DirectCommands>(text),
@@ -272,7 +272,7 @@
     assert!(operator.show_holders);
     assert!(!operator.image_locality);
     assert_eq!(operator.request_weights["red"], 2);
-    let count = &operator.counts["seat"];
+    let count = &operator.counted_resources["seat"];
     assert_eq!((count.units, count.linger_s), (4, 20.0));
     assert_eq!(count.shares["red"], 2);
     assert_eq!(count.server.unwrap().to_string(), "127.0.0.1:7788");
--- a/crates/counted_resources/benches/pass.rs
+++ b/crates/counted_resources/benches/pass.rs
@@ -7,7 +7,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use indigopath_controller::allocations::{Attempt, Machine};
 use indigopath_controller::model::{Job, JobId, JobSpec, MachineId, TaskId, TaskLocations};
-use indigopath_controller::protocol::{Flavors, TaskState};
+use indigopath_controller::protocol::{MachineTypeList, TaskState};
 use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, MachineTypes, Units};
 use indigopath_controller::settings::Deployment;
 use indigopath_counted_resources::{
@@ -45,7 +45,7 @@
         "state": { "rps": 150.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 12 },
         "cloud": { "rps": 8.0, "list_lag_s": 3.0 }, "resources": {},
     });
-    let flavors: Flavors = serde_json::from_value(json!({ "Rigs": [{
+    let flavors: MachineTypeList = serde_json::from_value(json!({ "Rigs": [{
         "Label": "small", "Cpus": 16, "Gpus": 4, "MemGb": 64, "CacheGb": 40, "FetchGbPerS": 1.0,
         "Rate": 1.0, "LowPrice": 0.5, "StartupS": 10, "Yards": ["east", "west"]
     }] }))
--- a/crates/experiments/src/play.rs
+++ b/crates/experiments/src/play.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use indigopath_controller::allocations::{Attempt, Machine};
 use indigopath_controller::model::{Job, JobId, JobSpec, MachineId, TaskId, TaskLocations};
-use indigopath_controller::protocol::{Flavors, Shape, TaskState};
+use indigopath_controller::protocol::{MachineTypeList, Shape, TaskState};
 use indigopath_controller::scheduling::gangs::GangAttempt;
 use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, Decision, MachineTypes, Units};
 use indigopath_controller::settings::Deployment;
@@ -339,7 +339,7 @@
             "cloud": { "rps": 8.0, "list_lag_s": 3.0 },
             "resources": {},
         });
-        let flavors: Flavors = serde_json::from_value(json!({ "Rigs": [{
+        let flavors: MachineTypeList = serde_json::from_value(json!({ "Rigs": [{
             "Label": "big", "Cpus": 64, "Gpus": 0, "MemGb": 512, "CacheGb": 40, "FetchGbPerS": 1.0,
             "Rate": 1.0, "LowPrice": 0.5, "StartupS": 10, "Yards": ["east"]
         }] }))
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -10,7 +10,7 @@
     Accepted, Changed, History, QueueList, QueueRow, Refused, RowState, parse_target,
 };
 use indigopath_controller::constants::MAX_SUBMIT_BODY_BYTES;
-use indigopath_controller::protocol::{Flavors, paths};
+use indigopath_controller::protocol::{MachineTypeList, paths};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -480,7 +480,7 @@
 impl Explain {
     fn run(&self, format: Format) -> Result<ExitCode, CondorError> {
         let settings = load(&self.settings)?;
-        let flavors: Flavors =
+        let flavors: MachineTypeList =
             serde_json::from_str(&read(&self.machines)?).map_err(|error| CondorError::File {
                 path: self.machines.clone(),
                 why: error.to_string(),
@@ -502,7 +502,7 @@
         let site = indigopath_controller::condor::site(
             &settings.deployment,
             &flavors.types,
-            &settings.operator.counts,
+            &settings.operator.counted_resources,
             &condor,
         );
         let submission = indigopath_condor::read(&text, &self.file.display().to_string(), 1, now_s(), &Here)?;
--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -8,7 +8,7 @@
 use indigopath_controller::constants::{MAX_CLUSTER_OPERATIONS, MAX_PEER_BACKLOG_BYTES, RETRY_AFTER_S};
 use indigopath_controller::io::{CallId, ContentType, Destination, Effect, Outcome, RequestId};
 use indigopath_controller::node::{Command, Node};
-use indigopath_controller::peers::{Frame, MAX_FRAME};
+use indigopath_controller::peers::{Frame, MAX_FRAME_BYTES};
 use indigopath_controller::protocol::paths;
 use indigopath_controller::settings::Settings;
 use indigopath_fencing::Permit;
@@ -887,7 +887,7 @@
         };
         connection.input.drain(..at);
         connection.since = self.started.elapsed().as_millis() as u64;
-        if connection.input.len() > MAX_FRAME {
+        if connection.input.len() > MAX_FRAME_BYTES {
             Fate::Close
         } else {
             fate
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the cloud, by its published protocol.
 
 use indigopath_controller::protocol::{
-    ListedMachine, ListedStatus, MachineNames, MachinePage, MachineType, RentalRequest,
+    LaunchRequest, ListedMachine, ListedStatus, MachineNames, MachinePage, MachineType,
 };
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
             ("GET", "/flavors") => (200, json!({ "Rigs": self.types })),
             ("GET", "/rentals") => (200, self.list(now)),
             ("POST", "/rentals") => {
-                let request: RentalRequest = serde_json::from_slice(body).unwrap();
+                let request: LaunchRequest = serde_json::from_slice(body).unwrap();
                 assert!((1..=50).contains(&request.count));
                 if let Some(answer) = self.answers.get(&request.request) {
                     return (200, answer.clone());
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -3,7 +3,7 @@
 
 use crate::cloud::Cloud;
 use crate::loopback::Live;
-use indigopath_controller::protocol::Flavors;
+use indigopath_controller::protocol::MachineTypeList;
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -204,7 +204,7 @@
         "Label": "small", "Cpus": 32, "Gpus": 4, "MemGb": 128, "CacheGb": 40, "FetchGbPerS": 1.0,
         "Rate": 8.0, "LowPrice": 2.5, "StartupS": 0.6, "Yards": ["east", "west"]
     }] });
-    let flavors: Flavors = serde_json::from_value(types).expect("machine types");
+    let flavors: MachineTypeList = serde_json::from_value(types).expect("machine types");
     let mut cloud = Cloud::default();
     cloud.types = flavors.types;
     cloud.lag_ms = Some(300);
--- a/crates/simulator/src/count_checks.rs
+++ b/crates/simulator/src/count_checks.rs
@@ -39,7 +39,7 @@
     /// Operators gave some count another number of units than its licence server has.
     pub(crate) fn note_redefined_counts(&mut self) {
         for (name, feature) in &mut self.licences.features {
-            let definition = self.operator.counts.get(name.as_str());
+            let definition = self.operator.counted_resources.get(name.as_str());
             feature.was_changed |= definition.is_none_or(|definition| definition.units != feature.total);
         }
     }
@@ -50,7 +50,7 @@
         if self.now < controller.frozen_until.max(controller.stalls_until) {
             return None;
         }
-        controller.node.as_ref()?.counts()
+        controller.node.as_ref()?.counted_resource_status()
     }
 }
 
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -203,7 +203,7 @@
     if plain.contains(&"server") {
         definition.server = Some(SocketAddrV4::new([127, 0, 2, 1].into(), 7788));
     }
-    operator.counts.insert((*name).into(), definition);
+    operator.counted_resources.insert((*name).into(), definition);
     Ok(())
 }
 
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -19,7 +19,9 @@
 use indigopath_controller::io::{CallId, Destination, Effect, Outcome, RequestId};
 use indigopath_controller::node::{Command, Node};
 use indigopath_controller::peers::Frame;
-use indigopath_controller::protocol::{Change, Flavors, MachineNames, RentalRequest, TaskState, Transaction};
+use indigopath_controller::protocol::{
+    Change, LaunchRequest, MachineNames, MachineTypeList, TaskState, Transaction,
+};
 use indigopath_controller::settings::{OperatorSettings, Peer, Settings};
 use indigopath_controller::storage::records::{Record, ShardRecord};
 use serde_json::Value;
@@ -549,11 +551,11 @@
             fault_combinations: FaultCombinations::default(),
             effects: EffectDigest::default(),
         };
-        for (name, definition) in &simulation.operator.counts {
+        for (name, definition) in &simulation.operator.counted_resources {
             let feature = Feature::new(definition.units, (definition.linger_s * 1000.0) as u64);
             simulation.licences.features.insert(name.to_string(), feature);
         }
-        let flavors: Flavors =
+        let flavors: MachineTypeList =
             serde_json::from_str(include_str!("../../controller/tests/support/flavors.json")).unwrap();
         simulation.cloud.types = flavors.types;
         for index in 0..NODES {
@@ -1353,7 +1355,7 @@
                 names.filter(|id| there(id) && !known.contains(id)).collect()
             }
             "/rentals" => {
-                let request: RentalRequest = serde_json::from_slice(body).unwrap();
+                let request: LaunchRequest = serde_json::from_slice(body).unwrap();
                 let key = format!("h/{}", request.request);
                 let known = self.state.value(&key).is_some() || self.cloud.knows(&request.request);
                 if known { Vec::new() } else { vec![request.request] }
--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -297,7 +297,7 @@
     /// Whether there are seats for so many more tasks. Shares of teams are not judged.
     fn has_units(&self, facts: &ObservedJob, tasks: u32, held: &BTreeMap<&str, u32>) -> bool {
         facts.counts.iter().all(|(name, units)| {
-            let Some(definition) = self.operator.counts.get(name.as_str()) else {
+            let Some(definition) = self.operator.counted_resources.get(name.as_str()) else {
                 return false;
             };
             let feature = self.licences.features.get(name);
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -147,7 +147,7 @@
             agent_epoch: self.agent_epoch,
             seq: self.seq,
             token: self.token,
-            notice_s: self.notice_at.map(|at| at.saturating_sub(now) as f64 / 1000.0),
+            reclaim_notice_s: self.notice_at.map(|at| at.saturating_sub(now) as f64 / 1000.0),
             tasks: self
                 .tasks
                 .iter()
