--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -144,7 +144,7 @@
 
     /// Calls the state service and charges its budget.
     pub fn state_call(&mut self, method: Method, path: String, body: Vec<u8>, timeout_ms: u64) -> CallId {
-        self.state_budget.force(1.0, self.now);
+        self.state_budget.force_take(1.0, self.now);
         self.call(FencedDestination::State, method, path, body, timeout_ms)
     }
 
--- a/crates/controller/src/job_api/admission.rs
+++ b/crates/controller/src/job_api/admission.rs
@@ -192,7 +192,7 @@
     };
     // The team's limit must allow one task of an array, or all tasks of another shape.
     let concurrent = concurrent_tasks(spec);
-    if !team.allows(&spec.needs.times(concurrent as f64)) {
+    if !team.allows(&spec.needs.scaled_by(concurrent as f64)) {
         return Err(impossible("over the team's limit"));
     }
     // Likewise for counted resources: a job whose concurrent tasks need more units than exist never
@@ -230,7 +230,7 @@
     let is_offered = |zone: &&String| {
         let mut list = types.list.iter();
         // A type that the cloud does not offer in a zone is never rented there.
-        list.any(|known| known.zones.contains(*zone) && spec.eligible(known, zone, false))
+        list.any(|known| known.zones.contains(*zone) && spec.is_eligible(known, zone, false))
     };
     let zones: Vec<&String> = zones.into_iter().filter(is_offered).collect();
     if has_enough_zones(&zones, spec) {
--- a/crates/controller/src/job_api/pending.rs
+++ b/crates/controller/src/job_api/pending.rs
@@ -4,7 +4,7 @@
 use crate::io::RequestId;
 use crate::job_api::JobRequest;
 use crate::model::{JobId, Timestamp};
-use crate::storage::records::EndedRecord;
+use crate::storage::records::EndedJobRecord;
 use std::collections::HashMap;
 
 /// A user's request that is to be answered.
@@ -32,7 +32,7 @@
     /// When the live record was last requested, if it was absent.
     pub not_live_at: Option<Timestamp>,
     /// The end record that replaces the live record.
-    pub end: Option<EndedRecord>,
+    pub end: Option<EndedJobRecord>,
 }
 
 impl PendingRequest {
--- a/crates/controller/src/job_api/state_call.rs
+++ b/crates/controller/src/job_api/state_call.rs
@@ -63,7 +63,7 @@
         let job = &pending.job;
         let request = match call {
             StateCall::ReadLive => StateRequest::read(&records::job_key(&job.0)),
-            StateCall::ReadEnded => StateRequest::read(&records::ended_key(&job.0)),
+            StateCall::ReadEnded => StateRequest::read(&records::ended_job_key(&job.0)),
             StateCall::Create => {
                 let JobRequest::Submit(spec) = &pending.kind else {
                     return None;
@@ -97,7 +97,7 @@
 
     /// Sends a further call for a request, charged to the budget even if it is used up.
     pub(super) fn send_next_call(&mut self, request: RequestId, call: StateCall, io: &mut Io) {
-        io.state_budget.force(1.0, io.now);
+        io.state_budget.force_take(1.0, io.now);
         self.send_call(request, call, io);
     }
 
--- a/crates/controller/src/job_api/throttle.rs
+++ b/crates/controller/src/job_api/throttle.rs
@@ -153,22 +153,22 @@
         };
         // Requests of many teams may use all that the leader leaves; a flood of one team may not.
         let is_flood = self.writes.longest() > FLOOD_QUEUE_LENGTH;
-        if is_flood && !self.write_budget.has(1.0, reserve, io.now) {
+        if is_flood && !self.write_budget.has_available(1.0, reserve, io.now) {
             return None;
         }
-        if !io.state_budget.take(1.0, reserve, io.now) {
+        if !io.state_budget.try_take(1.0, reserve, io.now) {
             return None;
         }
         let (_, queued) = self.writes.pop()?;
         if is_flood {
-            self.write_budget.force(1.0, io.now);
+            self.write_budget.force_take(1.0, io.now);
         }
         Some(queued)
     }
 
     /// The next poll, if the budget allows one now.
     pub(super) fn next_read(&mut self, io: &mut Io) -> Option<QueuedRequest> {
-        if self.reads.is_empty() || !io.state_budget.take(1.0, USER_WRITE_RESERVE, io.now) {
+        if self.reads.is_empty() || !io.state_budget.try_take(1.0, USER_WRITE_RESERVE, io.now) {
             return None;
         }
         self.reads.pop().map(|(_, queued)| queued)
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -20,7 +20,7 @@
 use crate::model::{Job, JobId, TaskId, Timestamp};
 use crate::protocol::{self, Shape, paths};
 use crate::settings::Settings;
-use crate::storage::records::{self, EndedRecord, Record};
+use crate::storage::records::{self, EndedJobRecord, Record};
 use indigopath_accounting::{
     Entry, ExecutionStats, HEAD_KEY, JobAccounting, LossCause, Position, Queue, Rebuild, Team, WaitReason,
 };
@@ -89,12 +89,12 @@
 
 /// What the record of an ended job says for the books.
 fn end_of(key: &str, value: &serde_json::Value, version: u64) -> Option<(Position, Option<Entry>)> {
-    let job = key.strip_prefix(records::ENDED)?;
+    let job = key.strip_prefix(records::ENDED_JOB_PREFIX)?;
     let position = Position {
         revision: version,
         job: Arc::from(job),
     };
-    let ended = EndedRecord::from_value(value)
+    let ended = EndedJobRecord::from_value(value)
         .inspect_err(|problem| log::error!("accounting entry skipped key={key}: {problem}"));
     Some((position, ended.ok().and_then(|ended| ended.entry().cloned())))
 }
@@ -318,7 +318,7 @@
     /// Does what is due for the books, after all else: nobody waits for them.
     pub(super) fn look_at_books(&mut self, settings: &Settings, io: &mut Io) {
         let token = self.token();
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         if books.off || books.busy {
             return;
         }
@@ -341,14 +341,18 @@
             .as_ref()
             .filter(|scan| !scan.read_all && now >= books.scan_at)
         {
-            let path = paths::page(records::ENDED, scan.after.as_deref(), ACCOUNTING_SCAN_ITEMS);
+            let path = paths::page(
+                records::ENDED_JOB_PREFIX,
+                scan.after.as_deref(),
+                ACCOUNTING_SCAN_ITEMS,
+            );
             (Method::Get, path, Vec::new(), BookCall::Scan)
         } else if now >= books.follow_at
             && (books.ended || now >= books.follow_at + ACCOUNTING_IDLE_MS)
             && books.books.has_room()
             && !(behind && begins)
         {
-            let path = paths::watch(records::ENDED, books.from(), 0);
+            let path = paths::watch(records::ENDED_JOB_PREFIX, books.from(), 0);
             (Method::Get, path, Vec::new(), BookCall::Changes)
         } else if now >= books.write_at && !behind {
             let most = settings
@@ -360,7 +364,7 @@
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
-            io.write_budget.force(changes.len() as f64, now);
+            io.write_budget.force_take(changes.len() as f64, now);
             let changes = changes.into_iter().map(|(key, value)| match value {
                 Some(value) => protocol::Change::Put {
                     key,
@@ -375,7 +379,7 @@
             };
             let body = protocol::Transaction {
                 conditions: vec![
-                    condition(records::LEADER, token),
+                    condition(records::LEADER_KEY, token),
                     condition(HEAD_KEY, books.head_version),
                 ],
                 changes: changes.collect(),
@@ -385,13 +389,20 @@
         } else {
             return;
         };
-        self.books.busy = true;
-        self.state_call(method, path, body, STATE_TIMEOUT_MS, TermCall::Books(call), io);
+        self.accounting.busy = true;
+        self.state_call(
+            method,
+            path,
+            body,
+            STATE_TIMEOUT_MS,
+            TermCall::Accounting(call),
+            io,
+        );
     }
 
     /// Follows the answer to a call about accounts.
     pub(super) fn books_answered(&mut self, call: BookCall, outcome: &Outcome, now: Timestamp) {
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         books.busy = false;
         match call {
             BookCall::Load => books.loaded(outcome, now),
@@ -416,7 +427,7 @@
                             .map(|answer| answer.failed)
                             .unwrap_or_default();
                         // The leader's own renewal may have been between.
-                        if failed == [records::LEADER] {
+                        if failed == [records::LEADER_KEY] {
                             books.books.refused();
                         } else {
                             books.reload(now);
@@ -433,7 +444,12 @@
     /// Jobs that found no units, and no machine, in the last pass.
     pub(super) fn blocked(&self) -> Blocked<'_> {
         Blocked {
-            units: self.counted.short.iter().map(|short| &short.job).collect(),
+            units: self
+                .counted_resources
+                .short
+                .iter()
+                .map(|short| &short.job)
+                .collect(),
             machines: self
                 .scheduler
                 .unplaced()
@@ -459,7 +475,7 @@
             WaitReason::Recording
         } else if blocked.units.contains(id) {
             WaitReason::Units
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             WaitReason::Retry
         } else if blocked.machines.contains(id) {
             WaitReason::Machines
@@ -483,7 +499,7 @@
 
     /// How the books stand, for metrics.
     pub fn book_standing(&self, now: Timestamp) -> AccountingGauges {
-        let books = &self.books;
+        let books = &self.accounting;
         AccountingGauges {
             waiting: self.queues(now),
             ended: books
@@ -501,15 +517,15 @@
 
     /// An attempt runs.
     pub(super) fn note_run(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        if self.books.runs.len() < MAX_TRACKED_RUNS {
-            self.books.runs.insert((task.clone(), number), now);
+        if self.accounting.runs.len() < MAX_TRACKED_RUNS {
+            self.accounting.runs.insert((task.clone(), number), now);
         }
     }
 
     /// An attempt is over: what it ran counts for nothing where `why` says so. Of work that
     /// saves, what lies before the last save does; it is taken to be at regular intervals.
     pub(super) fn note_end(&mut self, task: &TaskId, number: u64, why: Option<LossCause>, now: Timestamp) {
-        let Some(since) = self.books.runs.remove(&(task.clone(), number)) else {
+        let Some(since) = self.accounting.runs.remove(&(task.clone(), number)) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -519,11 +535,11 @@
             return;
         };
         let ran_s = now.saturating_sub(since) as f64 / SECOND_MS as f64;
-        let lost_s = match (job.spec.saves(), why) {
+        let lost_s = match (job.spec.writes_checkpoints(), why) {
             (true, LossCause::Stopped) => 0.0,
             (true, _) => ran_s.min(job.spec.checkpoint_s),
             (false, _) => ran_s,
         };
-        job.account.lose(why, lost_s);
+        job.execution_stats.lose(why, lost_s);
     }
 }
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -11,27 +11,27 @@
 use crate::leader::{LeaderTerm, PeerView};
 use crate::model::{MachineId, MachineKind, Timestamp};
 use crate::protocol::{MachineNames, paths};
-use crate::scheduling::placement::{MachineTypes, faulty};
+use crate::scheduling::placement::{MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::{GuardedOperation, Permit};
 use std::collections::{HashMap, HashSet};
 
 /// Why a machine goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReturnReason {
-    NeverUp,
-    Silent,
-    Useless,
+enum ScaleInReason {
+    BootFailed,
+    Unreachable,
+    Unusable,
     Idle,
 }
 
-impl ReturnReason {
+impl ScaleInReason {
     fn text(self) -> &'static str {
         match self {
-            ReturnReason::NeverUp => "it never came up",
-            ReturnReason::Silent => "it is silent",
-            ReturnReason::Useless => "it fails or is about to be taken",
-            ReturnReason::Idle => "it is idle",
+            ScaleInReason::BootFailed => "it never came up",
+            ScaleInReason::Unreachable => "it is silent",
+            ScaleInReason::Unusable => "it fails or is about to be taken",
+            ScaleInReason::Idle => "it is idle",
         }
     }
 }
@@ -41,21 +41,21 @@
     now: Timestamp,
     idle_ms: u64,
     /// Machines that stay for the images that lie on them.
-    with_weights: HashSet<MachineId>,
+    image_holders: HashSet<MachineId>,
     wanted: &'a HashSet<MachineKind>,
     /// Idle machines of each kind that have not been chosen.
-    alike: HashMap<MachineKind, usize>,
+    idle_by_kind: HashMap<MachineKind, usize>,
 }
 
 impl IdleSurplus<'_> {
     /// Whether the machine has been idle for too long; where many of its kind are, sooner.
-    fn takes(&mut self, machine: &Machine) -> bool {
+    fn select(&mut self, machine: &Machine) -> bool {
         let Some(since) = machine.idle_since else {
             return false;
         };
         let kind = machine.kind();
         let alike = self
-            .alike
+            .idle_by_kind
             .get_mut(&kind)
             .filter(|alike| **alike > IDLE_KEPT_PER_KIND);
         let many = alike.is_some() && self.now >= since + self.idle_ms.min(EXCESS_IDLE_RELEASE_MS);
@@ -78,10 +78,10 @@
             .get(&machine.machine_type)
             .map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let boot_s = self
-            .boot_s
+            .observed_boot_s
             .get(&machine.machine_type)
             .map_or(nominal_s, |seen| seen.max(nominal_s));
-        let known_ms = machine.age_at_first_known + now.saturating_sub(machine.first_known);
+        let known_ms = machine.age_ms_at_first_known + now.saturating_sub(machine.first_known_at);
         known_ms as f64 > BOOT_TIMEOUT_FACTOR * boot_s * SECOND_MS as f64
     }
 }
@@ -101,55 +101,56 @@
         let Ok(permit) = io.permits.request(GuardedOperation::ReleaseMachines, io.now) else {
             return;
         };
-        for (name, why) in self.surplus(types, settings, peers, io.now) {
-            self.mark_returning(&name, why, settings);
+        for (name, why) in self.select_surplus(types, settings, peers, io.now) {
+            self.mark_for_release(&name, why, settings);
         }
-        self.send_returns(permit, io);
+        self.send_releases(permit, io);
     }
 
     /// Machines that are to go back, and why: no more than one call may name.
-    fn surplus(
+    fn select_surplus(
         &self,
         types: &MachineTypes,
         settings: &Settings,
         peers: PeerView,
         now: Timestamp,
-    ) -> Vec<(MachineId, ReturnReason)> {
-        let silence_is_proof = self.silence_is_proof(peers, now);
-        let kept = self.kept(&settings.deployment, now);
+    ) -> Vec<(MachineId, ScaleInReason)> {
+        let silence_is_proof = self.can_release_silent_machines(peers, now);
+        let kept = self.retained_machines(&settings.deployment, now);
         let mut idle = IdleSurplus {
             now,
             idle_ms: (settings.operator.idle_return_s * SECOND_MS as f64) as u64,
-            with_weights: self.kept_for_weights(types, settings),
+            image_holders: self.kept_for_weights(types, settings),
             wanted: &self.autoscaler.wanted,
-            alike: self.idle_by_kind(),
+            idle_by_kind: self.idle_by_kind(),
         };
         let mut surplus = Vec::new();
         for machine in self.machines.values() {
-            if machine.return_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
+            if machine.release_in_flight || surplus.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
             let never_up = self.autoscaler.boot_failed(machine, types, now);
-            let silent = machine.inspect_failed && silence_is_proof && !kept.contains(&machine.id);
+            let silent = machine.unreachable && silence_is_proof && !kept.contains(&machine.id);
             // Asked of every machine, as it counts those of each kind that go.
             let surplus_idle = machine.is_up()
                 && machine.synced
                 && machine.is_empty()
-                && !idle.with_weights.contains(&machine.id)
-                && !self.shifts.kept.contains_key(&machine.id)
-                && idle.takes(machine);
-            let useless =
-                machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
-            let why = if machine.returning {
+                && !idle.image_holders.contains(&machine.id)
+                && !self.protection_windows.kept.contains_key(&machine.id)
+                && idle.select(machine);
+            let useless = machine.is_up()
+                && machine.is_empty()
+                && (is_faulty(machine) || machine.reclaim_notice_until.is_some());
+            let why = if machine.releasing {
                 continue;
             } else if never_up {
-                ReturnReason::NeverUp
+                ScaleInReason::BootFailed
             } else if silent {
-                ReturnReason::Silent
+                ScaleInReason::Unreachable
             } else if useless {
-                ReturnReason::Useless
+                ScaleInReason::Unusable
             } else if surplus_idle {
-                ReturnReason::Idle
+                ScaleInReason::Idle
             } else {
                 continue;
             };
@@ -170,18 +171,18 @@
     }
 
     /// Has it recorded that the machine goes back.
-    fn mark_returning(&mut self, id: &MachineId, why: ReturnReason, settings: &Settings) {
+    fn mark_for_release(&mut self, id: &MachineId, why: ScaleInReason, settings: &Settings) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.returning = true;
-        machine.return_recorded = false;
-        self.writer.record(machine);
-        self.weights.goes(machine, settings);
-        if !std::mem::replace(&mut machine.return_told, true) {
+        machine.releasing = true;
+        machine.release_recorded = false;
+        self.writer.queue_machine(machine);
+        self.image_locality.goes(machine, settings);
+        if !std::mem::replace(&mut machine.release_logged, true) {
             log::info!("scale-in requested machine={id}: {}", why.text());
-            if why == ReturnReason::Silent {
-                self.weights.lost();
+            if why == ScaleInReason::Unreachable {
+                self.image_locality.lost();
             }
         }
     }
@@ -191,31 +192,31 @@
     /// The record comes first: nobody at the cloud compares tokens, and a leader that was
     /// replaced gave machines back on which its successor's tasks ran. A successor reads the
     /// record, places nothing there and finishes the return.
-    fn send_returns(&mut self, permit: Permit, io: &mut Io) {
+    fn send_releases(&mut self, permit: Permit, io: &mut Io) {
         let mut names: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.returning || machine.return_in_flight || names.len() >= MAX_MACHINES_PER_RELEASE {
+            if !machine.releasing || machine.release_in_flight || names.len() >= MAX_MACHINES_PER_RELEASE {
                 continue;
             }
             // It has answered since, with work on it, and nobody was asked to take it.
-            let back = !machine.inspect_failed && machine.is_up() && !machine.is_empty();
-            if back && !machine.return_unanswered {
+            let back = !machine.unreachable && machine.is_up() && !machine.is_empty();
+            if back && !machine.release_unanswered {
                 log::info!("scale-in cancelled machine={}: it answers again", machine.id);
-                machine.returning = false;
-                machine.return_recorded = false;
-                machine.return_told = false;
-                self.writer.record(machine);
+                machine.releasing = false;
+                machine.release_recorded = false;
+                machine.release_logged = false;
+                self.writer.queue_machine(machine);
                 self.scheduler.request_pass();
-            } else if machine.return_recorded {
+            } else if machine.release_recorded {
                 names.push(machine.id.clone());
             }
         }
-        if names.is_empty() || !io.cloud_budget.take(1.0, 0.0, io.now) {
+        if names.is_empty() || !io.cloud_budget.try_take(1.0, 0.0, io.now) {
             return;
         }
         for name in &names {
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.return_in_flight = true;
+                machine.release_in_flight = true;
             }
         }
         let body = json(&MachineNames {
@@ -224,7 +225,7 @@
         let call = io.cloud_call(permit, Method::Post, paths::RELEASE_MACHINES.to_owned(), body);
         self.calls.insert(
             call,
-            TermCall::Return {
+            TermCall::Release {
                 machines: names,
                 sent: io.now,
             },
@@ -232,7 +233,7 @@
     }
 
     /// Follows the answer to a return.
-    pub(in crate::leader) fn returned(
+    pub(in crate::leader) fn handle_release_response(
         &mut self,
         machines: Vec<MachineId>,
         sent: Timestamp,
@@ -244,20 +245,20 @@
             self.autoscaler.release_s += BOOT_SMOOTHING * (took_s - self.autoscaler.release_s);
             for id in machines {
                 // The cloud confirms it: the machine and all that was on it are gone.
-                let Some(mut machine) = self.machines.take_gone(&id, io.now) else {
+                let Some(mut machine) = self.machines.remove_released(&id, io.now) else {
                     continue;
                 };
-                let there = machine.tasks_there();
+                let there = machine.task_count();
                 if there > 0 {
                     log::info!("machine released machine={id} tasks_lost={there}");
                 }
-                let taken = machine.inspect_failed || machine.notice_until.is_some();
+                let taken = machine.unreachable || machine.reclaim_notice_until.is_some();
                 if machine.spot && machine.is_up() && taken {
-                    self.autoscaler.spot_losses.note_lost();
+                    self.autoscaler.spot_losses.record_loss();
                 }
-                self.writer.machine_gone(&machine);
+                self.writer.remove_machine(&machine);
                 let changes = machine.clear();
-                self.apply_from(&id, machine.shard, changes, io);
+                self.apply_changes_from_shard(&id, machine.shard, changes, io);
                 self.remember_clients(&machine);
                 self.scheduler.request_pass();
             }
@@ -268,15 +269,15 @@
             let Some(machine) = self.machines.get_mut(&id) else {
                 continue;
             };
-            machine.return_in_flight = false;
+            machine.release_in_flight = false;
             // An unanswered return may still be carried out: nothing is placed
             // there again, and it is asked for until the cloud confirms.
-            machine.return_unanswered |= !outcome.is_safe_to_retry();
-            machine.returning = machine.return_unanswered;
-            if !machine.returning {
+            machine.release_unanswered |= !outcome.is_safe_to_retry();
+            machine.releasing = machine.release_unanswered;
+            if !machine.releasing {
                 // What was refused may be used again, and a successor must not finish it.
-                machine.return_recorded = false;
-                self.writer.record(machine);
+                machine.release_recorded = false;
+                self.writer.queue_machine(machine);
             }
         }
     }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -10,7 +10,7 @@
 use crate::leader::calls::TermCall;
 use crate::model::{Job, JobSpec, MachineId, MachineKind};
 use crate::protocol::{LaunchRequest, MachineNames, MachineType, Shape, paths};
-use crate::scheduling::placement::{self, MachineTypes, faulty};
+use crate::scheduling::placement::{self, MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::GuardedOperation;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -25,9 +25,11 @@
         if io.now < self.autoscaler.cloud_retry_at || !self.autoscaler.listing.is_complete() {
             return;
         }
-        self.autoscaler.refused.retain(|_, until| *until > io.now);
+        self.autoscaler
+            .capacity_refused_until
+            .retain(|_, until| *until > io.now);
         self.autoscaler.wanted = self.wanted_kinds(types);
-        let mut coming = self.coming(types);
+        let mut coming = self.pending_capacity(types);
         // Work that may use spot machines does not count on ordinary ones that others
         // wait for. Spot machines stand first.
         let ordinary_short = self.scheduler.unplaced().iter().any(|unplaced| {
@@ -41,11 +43,16 @@
             *in_zone.entry(&machine.zone).or_default() += 1;
         }
         let mut queues: BTreeMap<(String, bool, Vec<String>), QueuedDemand> = BTreeMap::new();
-        for unplaced in self.scheduler.unplaced().iter().chain(&self.shifts.short) {
+        for unplaced in self
+            .scheduler
+            .unplaced()
+            .iter()
+            .chain(&self.protection_windows.short)
+        {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
-            let spec = self.spec_to_rent(job);
+            let spec = self.scale_out_spec(job);
             // Machines that are idle or coming take what they may, of whatever kind.
             let most = if ordinary_short && spec.spot {
                 spot_ones
@@ -55,7 +62,7 @@
             let tasks = target_size::uncovered_tasks(
                 &mut coming[..most],
                 &spec,
-                job.avoids(io.now),
+                job.avoided_machines(io.now),
                 &unplaced.zones,
                 unplaced.tasks,
                 types,
@@ -69,7 +76,7 @@
                 self.autoscaler.spot_losses().rate(),
                 io.now,
             );
-            let kind = self.kind_for(&spec, &unplaced.zones, avoids_spot, types);
+            let kind = self.cheapest_kind(&spec, &unplaced.zones, avoids_spot, types);
             let Some((machine_type, spot, mut zones)) = kind else {
                 continue;
             };
@@ -77,13 +84,13 @@
                 // Machines spread over zones would never take it whole.
                 zones = fullest_zone(zones, &in_zone);
             }
-            let waste_s = self.autoscaler.waste_s(types, &machine_type.name);
-            let per_machine = job.spec.needs.count_in(&machine_type.resources());
+            let waste_s = self.autoscaler.overhead_s(types, &machine_type.name);
+            let per_machine = job.spec.needs.instances_in(&machine_type.resources());
             let waiting = target_size::WaitingTasks {
                 tasks,
                 estimate_s: job.spec.estimate_s,
                 per_machine,
-                gang: job.spec.shape == Shape::Gang,
+                is_gang: job.spec.shape == Shape::Gang,
             };
             queues
                 .entry((machine_type.name.clone(), spot, zones))
@@ -100,19 +107,19 @@
             .fleet_max
             .saturating_sub(self.machines.len() as u32 + pending);
         for ((name, spot, zones), queue) in queues {
-            let target = target_size::target(&queue, self.autoscaler.waste_s(types, &name));
+            let target = target_size::target_machines(&queue, self.autoscaler.overhead_s(types, &name));
             let count = target.min(room);
             if count > 0 {
                 room -= count;
-                self.rent(&name, spot, &zones, count);
+                self.create_requests(&name, spot, &zones, count);
             }
         }
     }
 
     /// A job as machines are rented for it: what is protected, and may have any other, is kept off spot
     /// ones.
-    fn spec_to_rent<'j>(&self, job: &'j Job) -> std::borrow::Cow<'j, JobSpec> {
-        let protection = &self.shifts.protection;
+    fn scale_out_spec<'j>(&self, job: &'j Job) -> std::borrow::Cow<'j, JobSpec> {
+        let protection = &self.protection_windows.protection;
         if !protection.avoids_spot(&job.spec, &self.forecast.satisfaction().starved) {
             return std::borrow::Cow::Borrowed(&job.spec);
         }
@@ -126,18 +133,23 @@
     /// too few must not lose those that stand ready for it.
     fn wanted_kinds(&self, types: &MachineTypes) -> HashSet<MachineKind> {
         let mut wanted = HashSet::new();
-        for unplaced in self.scheduler.unplaced().iter().chain(&self.shifts.short) {
+        for unplaced in self
+            .scheduler
+            .unplaced()
+            .iter()
+            .chain(&self.protection_windows.short)
+        {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
-            let spec = self.spec_to_rent(job);
+            let spec = self.scale_out_spec(job);
             for machine_type in types.values() {
                 for (zone, spot) in unplaced
                     .zones
                     .iter()
                     .flat_map(|zone| [(zone, false), (zone, true)])
                 {
-                    if spec.eligible(machine_type, zone, spot) {
+                    if spec.is_eligible(machine_type, zone, spot) {
                         wanted.insert((machine_type.name.clone(), zone.clone(), spot));
                     }
                 }
@@ -147,11 +159,12 @@
     }
 
     /// Machines that are idle, booting or being rented.
-    fn coming(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
+    fn pending_capacity(&self, types: &MachineTypes) -> Vec<PendingCapacity> {
         let machines = self.machines.values().filter(|machine| {
             let coming = !machine.is_up() && machine.attempts.is_empty() || machine.idle_since.is_some();
-            let takes = machine.notice_until.is_none() && !machine.one_way_partition && !faulty(machine);
-            coming && !machine.returning && takes
+            let takes =
+                machine.reclaim_notice_until.is_none() && !machine.one_way_partition && !is_faulty(machine);
+            coming && !machine.releasing && takes
         });
         let machines = machines.map(|machine| {
             let kind = (&machine.machine_type, &machine.zone, machine.spot);
@@ -168,7 +181,7 @@
                 continue;
             };
             let mut free = known.resources();
-            if let Some(kept) = machine.and_then(|machine| self.shifts.kept.get(machine)) {
+            if let Some(kept) = machine.and_then(|machine| self.protection_windows.kept.get(machine)) {
                 free -= *kept;
             }
             for _ in 0..count {
@@ -190,7 +203,7 @@
 
     /// The cheapest kind of machine, per task, that the cloud may have; for a job that
     /// avoids spot machines, an ordinary one if there is any.
-    fn kind_for<'a>(
+    fn cheapest_kind<'a>(
         &self,
         spec: &JobSpec,
         zones: &[String],
@@ -204,11 +217,11 @@
                 let open: Vec<String> = zones
                     .iter()
                     .filter(|zone| {
-                        machine_type.zones.contains(zone) && spec.eligible(machine_type, zone, spot)
+                        machine_type.zones.contains(zone) && spec.is_eligible(machine_type, zone, spot)
                     })
-                    .filter(|zone| !self.is_cut(zone) && !self.is_one_way(zone))
+                    .filter(|zone| !self.is_zone_partitioned(zone) && !self.is_zone_one_way_partitioned(zone))
                     .filter(|zone| {
-                        !self.autoscaler.refused.contains_key(&(
+                        !self.autoscaler.capacity_refused_until.contains_key(&(
                             machine_type.name.clone(),
                             (*zone).clone(),
                             spot,
@@ -219,7 +232,7 @@
                 if open.is_empty() {
                     continue;
                 }
-                let per_machine = spec.needs.count_in(&machine_type.resources()).max(1.0);
+                let per_machine = spec.needs.instances_in(&machine_type.resources()).max(1.0);
                 let price = if spot {
                     machine_type.spot_price
                 } else {
@@ -236,7 +249,7 @@
     }
 
     /// Spreads `count` machines over the zones with the fewest of the site's.
-    fn rent(&mut self, name: &str, spot: bool, zones: &[String], count: u32) {
+    fn create_requests(&mut self, name: &str, spot: bool, zones: &[String], count: u32) {
         let mut have: BTreeMap<&String, u32> = zones.iter().map(|zone| (zone, 0)).collect();
         for machine in self.machines.values() {
             if let Some(count) = have.get_mut(&machine.zone) {
@@ -280,16 +293,16 @@
                 self.autoscaler
                     .requests
                     .insert(key.clone(), ScaleOutRequest::new(request));
-                self.writer.rentals.insert(key);
+                self.writer.rentals_to_record.insert(key);
             }
         }
     }
 
     /// Sends the requests that are on record, as far as the budget of calls goes.
-    pub(in crate::leader) fn send_rentals(&mut self, io: &mut Io) {
+    pub(in crate::leader) fn send_scale_out_requests(&mut self, io: &mut Io) {
         let now = io.now;
         let due = |rental: &ScaleOutRequest| {
-            rental.recorded && rental.is_open() && !rental.in_flight && now >= rental.retry_at
+            rental.persisted && rental.is_open() && !rental.in_flight && now >= rental.retry_at
         };
         if !self.autoscaler.requests.values().any(due) {
             return;
@@ -299,7 +312,7 @@
         };
         let mut sends = Vec::new();
         for rental in self.autoscaler.requests.values_mut() {
-            if due(rental) && io.cloud_budget.take(1.0, RELEASE_CALL_RESERVE, io.now) {
+            if due(rental) && io.cloud_budget.try_take(1.0, RELEASE_CALL_RESERVE, io.now) {
                 rental.sent = true;
                 rental.in_flight = true;
                 sends.push(rental.request.clone());
@@ -310,7 +323,7 @@
             let call = io.cloud_call(permit, Method::Post, paths::RENTALS.to_owned(), body);
             self.calls.insert(
                 call,
-                TermCall::Rent {
+                TermCall::Launch {
                     request: request.request,
                 },
             );
@@ -318,7 +331,7 @@
     }
 
     /// Follows the answer to a scale-out request.
-    pub(in crate::leader) fn rented(&mut self, key: &str, outcome: &Outcome, io: &mut Io) {
+    pub(in crate::leader) fn handle_launch_response(&mut self, key: &str, outcome: &Outcome, io: &mut Io) {
         let Some(rental) = self.autoscaler.requests.get_mut(key) else {
             return;
         };
@@ -326,10 +339,10 @@
         let request = rental.request.clone();
         let own = request.request.starts_with(&request_prefix(self.first_token));
         if let Some(names) = outcome.read::<MachineNames>(&[200]) {
-            rental.answered = Some(io.now);
+            rental.answered_at = Some(io.now);
             for name in &names.machines {
                 let id = MachineId(Arc::from(name.as_str()));
-                if !self.machines.is_gone(&id) {
+                if !self.machines.is_recently_released(&id) {
                     let machine = self.machines.get_or_adopt(&id, || {
                         let mut machine = Machine::new(
                             id.clone(),
@@ -342,11 +355,11 @@
                         machine.rented_at = own.then_some(io.now);
                         machine
                     });
-                    machine.hearsay = false;
+                    machine.unconfirmed = false;
                 }
             }
             if (names.machines.len() as u32) < request.count {
-                self.refuse(&request, io);
+                self.record_capacity_refusal(&request, io);
             }
         } else if outcome.status() == Some(503) {
             #[derive(serde::Deserialize)]
@@ -359,31 +372,31 @@
                 .map(|problem| problem.error)
                 .unwrap_or_default();
             if problem.contains("capacity") {
-                self.refuse(&request, io);
+                self.record_capacity_refusal(&request, io);
             } else {
                 self.autoscaler.cloud_retry_at = io.now + CLOUD_RETRY_MS;
             }
             match self.autoscaler.requests.get_mut(key) {
                 // An earlier call of it may still be carried out: its record stays, or nobody
                 // would know of the machines, and as many would be rented again.
-                Some(rental) if rental.doubtful && !problem.contains("capacity") => {
+                Some(rental) if rental.outcome_unknown && !problem.contains("capacity") => {
                     rental.retry_at = io.now + CLOUD_RETRY_MS;
                 }
                 // Nothing was rented, and the need may have changed: decide afresh.
-                _ => self.end_request(key),
+                _ => self.remove_request(key),
             }
         } else if outcome.status() == Some(400) {
             log::error!("scale-out rejected request={key}: the cloud calls it malformed");
-            self.end_request(key);
+            self.remove_request(key);
         } else {
             // Perhaps rented: the request is idempotent, so repeating it shows, and rents nothing twice.
-            rental.doubtful |= !outcome.is_safe_to_retry();
+            rental.outcome_unknown |= !outcome.is_safe_to_retry();
             rental.retry_at = io.now + CLOUD_RETRY_MS;
         }
     }
 
     /// The cloud has too few machines of this kind: none are asked for during a while.
-    fn refuse(&mut self, request: &LaunchRequest, io: &Io) {
+    fn record_capacity_refusal(&mut self, request: &LaunchRequest, io: &Io) {
         log::info!(
             "scale-out refused for want of capacity type={} zone={}{}",
             request.machine_type,
@@ -392,7 +405,7 @@
         );
         let kind = request.kind();
         self.autoscaler
-            .refused
+            .capacity_refused_until
             .insert(kind.clone(), io.now + CAPACITY_RETRY_MS);
         // What has not been sent of the same kind would be refused too, a call each.
         let in_vain: Vec<String> = self
@@ -403,7 +416,7 @@
             .map(|rental| rental.request.request.clone())
             .collect();
         for key in in_vain {
-            self.end_request(&key);
+            self.remove_request(&key);
         }
     }
 }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,6 +1,6 @@
-//! Recovery at the start of a term: the records are read prefix by prefix and page by page, and
-//! what they say of jobs, machines and scale-out requests is taken over. Before that is complete,
-//! the leader knows nothing and orders nothing.
+//! Recovery at the start of a term: the leader reads the records prefix by prefix and page by page, and
+//! restores jobs, machines and scale-out requests from them. Until recovery is complete, the leader sends
+//! no commands.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -13,55 +13,55 @@
 use crate::protocol::{LaunchRequest, Shape, StoredItem, StoredPage, paths};
 use crate::scheduling::gangs::GangAttempt;
 use crate::settings::Settings;
-use crate::storage::records::{self, DoneRecord, Record, RecordError, ShardRecord};
+use crate::storage::records::{self, CompletedTasksRecord, Record, RecordError, ShardRecord};
 use indigopath_counted_resources::{LingerEntry, LingerSet};
 use std::collections::BTreeSet;
 
-/// Prefixes in the order of their reading. The records of protection windows come last: they are
-/// read only where there are some.
+/// Key prefixes in the order in which they are read. The records of protection windows come last, as they
+/// are read only if windows are configured.
 const LOAD_ORDER: [&str; 5] = [
-    records::JOBS,
-    records::DONE,
-    records::SHARDS,
-    records::RENTALS,
-    records::SHIFTS,
+    records::JOB_PREFIX,
+    records::COMPLETED_TASKS_PREFIX,
+    records::SHARD_PREFIX,
+    records::RENTAL_PREFIX,
+    records::PROTECTION_WINDOWS_PREFIX,
 ];
 
-/// Whether the records have been read in this term, and else how far.
+/// Progress of the recovery.
 #[derive(Debug)]
 pub(super) struct Recovery {
-    /// `None` once all of them are read.
+    /// `None` once all records have been read.
     load: Option<Load>,
 }
 
-/// A reading of the records under way.
+/// An unfinished read of the records.
 #[derive(Debug, Default)]
 struct Load {
     /// Index into [`LOAD_ORDER`].
-    prefix: usize,
+    prefix_index: usize,
     after: Option<String>,
     in_flight: bool,
     retry_at: Timestamp,
     items: Vec<StoredItem>,
-    begun: Option<Beginning>,
+    first_page: Option<FirstPage>,
 }
 
-/// The first page of jobs.
+/// The state of the first page, at which the record watch and the cancellation watermark start.
 #[derive(Debug, Clone, Copy, Default)]
-struct Beginning {
+struct FirstPage {
     revision: u64,
-    /// When it was asked for: no job that ended before that is in it.
+    /// When the page was requested. It contains no job that ended before that.
     asked_at: Timestamp,
 }
 
-/// All that was read.
+/// All records, once they have been read.
 struct Loaded {
     items: Vec<StoredItem>,
-    begun: Beginning,
+    first_page: FirstPage,
 }
 
 impl Recovery {
-    /// Nothing is read yet.
+    /// Starts a recovery; nothing has been read yet.
     pub(super) fn new() -> Recovery {
         Recovery {
             load: Some(Load::default()),
@@ -73,7 +73,7 @@
         self.load.is_none()
     }
 
-    /// The path of the next page, if a call is due; it counts as sent.
+    /// Returns the path of the next page if a call is due, and marks the call as sent.
     fn next_call(&mut self, now: Timestamp) -> Option<String> {
         let load = self.load.as_mut()?;
         if load.in_flight || now < load.retry_at {
@@ -81,14 +81,14 @@
         }
         load.in_flight = true;
         Some(paths::page(
-            LOAD_ORDER[load.prefix],
+            LOAD_ORDER[load.prefix_index],
             load.after.as_deref(),
             STATE_PAGE_ITEMS,
         ))
     }
 
-    /// Takes in a page; returns all of them after the last of so many prefixes.
-    fn page_read(
+    /// Adds a page. Returns all records after the last page of the last of `prefixes` prefixes.
+    fn add_page(
         &mut self,
         page: Option<StoredPage>,
         asked_at: Timestamp,
@@ -101,7 +101,7 @@
             load.retry_at = now + WRITE_RETRY_MS;
             return None;
         };
-        load.begun.get_or_insert(Beginning {
+        load.first_page.get_or_insert(FirstPage {
             revision: page.revision,
             asked_at,
         });
@@ -110,29 +110,29 @@
         load.items.extend(page.items);
         if !more {
             load.after = None;
-            load.prefix += 1;
+            load.prefix_index += 1;
         }
-        if load.prefix != prefixes {
+        if load.prefix_index != prefixes {
             return None;
         }
         let load = self.load.take()?;
         Some(Loaded {
             items: load.items,
-            begun: load.begun.unwrap_or_default(),
+            first_page: load.first_page.unwrap_or_default(),
         })
     }
 }
 
 impl LeaderTerm {
-    /// Asks for the next page of records, if no call is under way.
-    pub(super) fn poll_load(&mut self, io: &mut Io) {
+    /// Requests the next page of records, unless a call is in flight.
+    pub(super) fn poll_recovery(&mut self, io: &mut Io) {
         if let Some(path) = self.recovery.next_call(io.now) {
-            self.read_state(path, TermCall::Load { sent: io.now }, io);
+            self.read_state(path, TermCall::RecordsPage { sent: io.now }, io);
         }
     }
 
-    /// Follows a page of records, and begins the work of the term after the last.
-    pub(super) fn loaded(
+    /// Handles a page of records, and restores the state after the last page.
+    pub(super) fn handle_records_page(
         &mut self,
         sent: Timestamp,
         outcome: &Outcome,
@@ -140,12 +140,12 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let prefixes = LOAD_ORDER.len() - usize::from(!self.shifts.on());
+        let prefixes = LOAD_ORDER.len() - usize::from(!self.protection_windows.on());
         let page = outcome.read::<StoredPage>(&[200]);
-        let loaded = self.recovery.page_read(page, sent, prefixes, io.now)?;
-        if let Err(problem) = self.adopt_records(loaded, settings, io) {
-            // Starts may stand there that nobody here can know of.
-            log::error!("leadership declined: {problem}");
+        let loaded = self.recovery.add_page(page, sent, prefixes, io.now)?;
+        if let Err(error) = self.adopt_records(loaded, settings, io) {
+            // The records may contain starts that this version cannot read.
+            log::error!("leadership declined: {error}");
             return election.hand_over("a later build's records", io);
         }
         log::info!(
@@ -157,39 +157,39 @@
     }
 
     fn adopt_records(&mut self, loaded: Loaded, settings: &Settings, io: &mut Io) -> Result<(), RecordError> {
-        self.watch.begin_at(loaded.begun.revision);
+        self.watch.begin_at(loaded.first_page.revision);
         for item in loaded.items {
             match self.adopt_record(&item, settings, io) {
                 Ok(()) => (),
-                Err(problem @ RecordError::Later(_)) => return Err(problem),
-                Err(problem) => log::error!("record ignored key={}: {problem}", item.key),
+                Err(error @ RecordError::NewerFormat(_)) => return Err(error),
+                Err(error) => log::error!("record ignored key={}: {error}", item.key),
             }
         }
         self.park_all();
         self.machines.reindex(io.now);
-        self.join_attempts_and_jobs(io.now);
-        self.watermark.advance(loaded.begun.asked_at);
+        self.link_attempts_to_jobs(io.now);
+        self.watermark.advance(loaded.first_page.asked_at);
         Ok(())
     }
 
-    /// Completes what the records of machines say of attempts by what their jobs say, and stops
-    /// attempts of jobs that are over.
-    fn join_attempts_and_jobs(&mut self, now: Timestamp) {
+    /// Completes attempts restored from machine records with the data of their jobs, and stops attempts of
+    /// jobs that have ended.
+    fn link_attempts_to_jobs(&mut self, now: Timestamp) {
         for machine in self.machines.values_mut() {
             for attempt in &mut machine.attempts {
                 let Some(job) = self.jobs.get_mut(&attempt.task.job) else {
-                    attempt.stop = Some(Stop::asked(0.0, now));
+                    attempt.stop = Some(Stop::requested(0.0, now));
                     continue;
                 };
-                job.account.attempt();
+                job.execution_stats.attempt();
                 job.waiting.remove(&attempt.task.index);
                 attempt.image = Some(job.spec.image.clone());
                 attempt.image_gb = job.spec.image_gb;
                 attempt.estimate_s = job.spec.estimate_s;
                 if job.spec.shape == Shape::Gang {
                     attempt.is_idempotent_restart = true;
-                    // Whether it has started is not recorded: the reports
-                    // tell, and until then nothing joins it.
+                    // Whether the gang has started is not recorded. It counts as started until its
+                    // workers report, so that no replacement joins it.
                     let gang = job.gang.get_or_insert(GangAttempt {
                         started: true,
                         ..GangAttempt::new(attempt.number)
@@ -200,6 +200,7 @@
         }
     }
 
+    /// Restores state from one record, by the prefix of its key.
     fn adopt_record(
         &mut self,
         item: &StoredItem,
@@ -208,16 +209,18 @@
     ) -> Result<(), RecordError> {
         if let Some(cluster) = condor::parse_open(&item.key) {
             self.cluster_open(cluster, &item.value, item.version)
-        } else if item.key.starts_with(records::JOBS) {
+        } else if item.key.starts_with(records::JOB_PREFIX) {
             self.adopt_job(item, io)
-        } else if let Some(number) = records::parse_number(records::DONE, &item.key) {
+        } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &item.key) {
             self.adopt_done(number, item)
-        } else if let Some(number) = records::parse_number(records::SHARDS, &item.key) {
+        } else if let Some(number) = records::parse_numbered_key(records::SHARD_PREFIX, &item.key) {
             self.adopt_shard(number, item, settings, io)
-        } else if let Some(number) = records::parse_number(records::SHIFTS, &item.key) {
+        } else if let Some(number) =
+            records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &item.key)
+        {
             self.adopt_shifts(number, item, io);
             Ok(())
-        } else if item.key.starts_with(records::RENTALS) {
+        } else if item.key.starts_with(records::RENTAL_PREFIX) {
             self.autoscaler
                 .adopt_request(LaunchRequest::from_value(&item.value)?);
             Ok(())
@@ -233,37 +236,37 @@
         Ok(())
     }
 
-    /// Takes over which tasks are done, as one record of several jobs' has it.
+    /// Restores which tasks are done, from a record shared by several jobs.
     fn adopt_done(&mut self, number: u32, item: &StoredItem) -> Result<(), RecordError> {
-        self.writer.done_read(number, item.version);
-        for (name, bitmap) in DoneRecord::from_value(&item.value)?.0 {
-            let Some((job, chunk)) = records::parse_chunk_name(&name) else {
+        self.writer.load_completed_tasks_version(number, item.version);
+        for (name, bitmap) in CompletedTasksRecord::from_value(&item.value)?.0 {
+            let Some((job, chunk)) = records::parse_chunk_key(&name) else {
                 continue;
             };
-            // Jobs that are over may stand there still.
+            // The record may still contain jobs that have ended.
             let Some(live) = self.jobs.get_mut(job) else {
                 continue;
             };
-            // Many jobs share a record: what one cannot read of itself costs no other its results.
+            // Many jobs share a record: an unreadable part must not cost the other jobs their results.
             let mut done = BTreeSet::new();
-            if let Err(problem) = records::decode_done(&bitmap, chunk, &mut done) {
-                log::error!("record part ignored part={name} key={}: {problem}", item.key);
+            if let Err(error) = records::decode_completed_tasks(&bitmap, chunk, &mut done) {
+                log::error!("record part ignored part={name} key={}: {error}", item.key);
                 continue;
             }
             live.done.append(&mut done);
             live.done.split_off(&live.spec.tasks);
             live.waiting.retain(|task| !live.done.contains(task));
             let id = live.spec.id.clone();
-            if live.complete() {
-                self.writer.finishing.insert(id.clone());
+            if live.is_complete() {
+                self.writer.jobs_to_finish.insert(id.clone());
             }
-            let bytes = records::chunk_bytes(live.spec.tasks);
-            self.writer.join_done((id, chunk), bytes, number);
+            let bytes = records::max_chunk_bytes(live.spec.tasks);
+            self.writer.assign_chunk((id, chunk), bytes, number);
         }
         Ok(())
     }
 
-    /// Takes over the machines of one shard, with the attempts on them and the units that linger.
+    /// Restores the machines of one shard, with their attempts, and the units that linger.
     fn adopt_shard(
         &mut self,
         number: u32,
@@ -290,7 +293,7 @@
             .sum();
         let left: u64 = lingers.iter().map(|linger| u64::from(linger.units)).sum();
         let spent = left < recorded;
-        self.writer.linger_read(number, item.version, lingers, spent);
+        self.writer.load_lingers(number, item.version, lingers, spent);
         let clock_off_ms = settings.deployment.clock_skew_ms as u64;
         for released in shard.released() {
             self.adopt_released(number, released, clock_off_ms, io);
@@ -300,7 +303,7 @@
             for attempt in &mut machine.attempts {
                 self.share_demand(&mut attempt.counts);
             }
-            self.writer.join(&mut machine, number, item.version);
+            self.writer.assign_shard(&mut machine, number, item.version);
             self.machines.insert(machine);
         }
         Ok(())
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -11,14 +11,14 @@
             waiting: self.jobs.waiting_tasks(false),
             held: self.jobs.waiting_tasks(true),
             open_launch_requests: self.autoscaler.open_requests().count(),
-            models: self.weights.by_spread(),
-            replicas_placed: self.weights.placed(),
+            models: self.image_locality.by_spread(),
+            replicas_placed: self.image_locality.placed(),
             ..MetricsSnapshot::default()
         };
         for machine in self.machines.values() {
-            let state = if machine.returning {
+            let state = if machine.releasing {
                 &mut metrics_snapshot.releasing
-            } else if machine.inspect_failed {
+            } else if machine.unreachable {
                 &mut metrics_snapshot.unreachable
             } else if !machine.has_been_up() {
                 &mut metrics_snapshot.booting
@@ -28,7 +28,7 @@
                 &mut metrics_snapshot.busy
             };
             *state += 1;
-            let there = machine.attempts.iter().filter(|attempt| attempt.may_be_there());
+            let there = machine.attempts.iter().filter(|attempt| attempt.may_be_running());
             metrics_snapshot.placed += there.count();
         }
         metrics_snapshot
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -12,7 +12,7 @@
 //!
 //! Operators are warned before a class or a team falls under [`SERVED_MIN_SHARE`], once, until it
 //! has recovered. What stays under [`STARVED_SHARE`] is *starved*, and placement gives
-//! it turns before others: see [`Starved`].
+//! it turns before others: see [`StarvedOwners`].
 
 use crate::constants::{
     SECOND_MS, SERVED_MIN_SHARE, SERVED_RECOVERED_MS, SERVED_RECOVERED_SHARE, SERVED_SHARE_AFTER_MS,
@@ -81,46 +81,46 @@
 /// Priority alone would leave a class with nothing for as long as more important work
 /// fills every machine, a whole day if need be.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Starved {
+pub struct StarvedOwners {
     /// With each, whether it has less than the least share now.
     classes: BTreeMap<String, bool>,
     teams: BTreeMap<String, bool>,
-    turns: f64,
+    credits: f64,
 }
 
-impl Starved {
+impl StarvedOwners {
     /// Whether the job is of a class or team that has not recovered yet: its work does not
     /// give way.
-    pub fn is(&self, spec: &JobSpec) -> bool {
+    pub fn is_starved(&self, spec: &JobSpec) -> bool {
         // Nearly always there is none.
         !self.classes.is_empty() && self.classes.contains_key(&spec.class)
             || !self.teams.is_empty() && self.teams.contains_key(&spec.team)
     }
 
     /// Whether the job's turn may come before all others': its class or team has less than the least share.
-    pub fn first(&self, spec: &JobSpec) -> bool {
+    pub fn goes_first(&self, spec: &JobSpec) -> bool {
         self.classes.get(&spec.class) == Some(&true) || self.teams.get(&spec.team) == Some(&true)
     }
 
     /// Tasks of starved work that come first in the next pass.
-    pub fn turns(&self) -> u32 {
+    pub fn credits(&self) -> u32 {
         if self.classes.is_empty() && self.teams.is_empty() {
             0
         } else {
             // Saturates: while more was placed than there were turns, there is none.
-            self.turns as u32
+            self.credits as u32
         }
     }
 
     /// Notes that a task of the job was placed: what is placed for others earns turns, what is
     /// placed for starved work uses them up.
-    pub fn placed(&mut self, spec: &JobSpec) {
-        let change = if self.is(spec) {
+    pub fn record_placement(&mut self, spec: &JobSpec) {
+        let change = if self.is_starved(spec) {
             -1.0
         } else {
             STARVED_CREDIT_PER_START
         };
-        self.turns = (self.turns + change).clamp(-STARVED_MAX_DEBT, STARVED_MAX_CREDIT);
+        self.credits = (self.credits + change).clamp(-STARVED_MAX_DEBT, STARVED_MAX_CREDIT);
     }
 
     /// Marks an owner as starved. `less`: whether it has less than the least share now; `None` once it has
@@ -191,7 +191,7 @@
     low: BTreeMap<ShareOwner, LowShare>,
     shares: BTreeMap<ShareOwner, Share>,
     /// What placement needs to know.
-    pub starved: Starved,
+    pub starved: StarvedOwners,
 }
 
 impl DemandSatisfaction {
@@ -201,7 +201,7 @@
     }
 
     /// Notes that a job was done.
-    pub fn finished(&mut self, spec: &JobSpec, now: Timestamp) {
+    pub fn record_finished(&mut self, spec: &JobSpec, now: Timestamp) {
         for owner in owners_of(spec) {
             let done = self.done.entry(owner).or_default();
             match done.back_mut().filter(|last| now < last.at + SECOND_MS) {
@@ -285,7 +285,7 @@
     owner: &ShareOwner,
     share: Share,
     old: Share,
-    starved: &mut Starved,
+    starved: &mut StarvedOwners,
     io: &mut Io,
 ) -> bool {
     let (part, now) = (share.part(), io.now);
@@ -385,8 +385,8 @@
     for job in live.jobs.values() {
         let demand = job_demand(job, live.counts);
         let spec = &job.spec;
-        *used.entry(spec.team.as_str()).or_default() += spec.needs.times(f64::from(demand.running));
-        if job.age_ms(now) >= least_age_ms && !job.parked && !job.to_blame() {
+        *used.entry(spec.team.as_str()).or_default() += spec.needs.scaled_by(f64::from(demand.running));
+        if job.age_ms(now) >= least_age_ms && !job.parked && !job.fails_on_many_machines() {
             asking.push(demand);
         }
     }
@@ -404,7 +404,7 @@
                 if most < demand.missing { 0 } else { most }
             }
         };
-        *used += spec.needs.times(f64::from(missing));
+        *used += spec.needs.scaled_by(f64::from(missing));
         let share = Share {
             asked: demand.served + missing,
             served: demand.served,
@@ -436,7 +436,7 @@
         memory_gb: f64::INFINITY,
     };
     // Saturates: no limit at all is a number larger than any.
-    (spec.needs.count_in(&free) as u32).min(most)
+    (spec.needs.instances_in(&free) as u32).min(most)
 }
 
 #[cfg(test)]
--- a/crates/controller/src/scheduling/fair_share/tests.rs
+++ b/crates/controller/src/scheduling/fair_share/tests.rs
@@ -79,7 +79,7 @@
 fn a_low_share_is_told_once_until_it_has_recovered() {
     let mut io = Io::new(&settings(), 1, 0, 0);
     let mut low = LowShare::default();
-    let mut starved = Starved::default();
+    let mut starved = StarvedOwners::default();
     let spec = job("wk-1", "sweep", 4, 90, "blue").spec;
     let (mut warned, mut over_at) = (0, None);
     for second in 0..400 {
@@ -101,30 +101,30 @@
             over_at = Some(second);
             break;
         }
-        assert!(starved.is(&spec));
-        assert_eq!(starved.first(&spec), served == 40, "at {second} s");
+        assert!(starved.is_starved(&spec));
+        assert_eq!(starved.goes_first(&spec), served == 40, "at {second} s");
     }
     assert_eq!(warned, 1);
     assert_eq!(over_at, Some(200 + SERVED_RECOVERED_MS / SECOND_MS));
-    assert!(!starved.is(&spec));
+    assert!(!starved.is_starved(&spec));
 }
 
 #[test]
 fn others_starts_earn_turns_and_its_own_use_them() {
-    let mut starved = Starved::default();
+    let mut starved = StarvedOwners::default();
     let own = job("wk-1", "sweep", 4, 90, "blue").spec;
     let other = job("wk-2", "gang", 4, 90, "blue").spec;
     starved.mark(&class("sweep"), Some(true));
     for _ in 0..9 {
-        starved.placed(&other);
+        starved.record_placement(&other);
     }
-    assert_eq!(starved.turns(), 2);
-    starved.placed(&own);
-    assert_eq!(starved.turns(), 1);
+    assert_eq!(starved.credits(), 2);
+    starved.record_placement(&own);
+    assert_eq!(starved.credits(), 1);
     for _ in 0..3 {
-        starved.placed(&own);
+        starved.record_placement(&own);
     }
-    assert_eq!(starved.turns(), 0, "a gang took more than there were");
+    assert_eq!(starved.credits(), 0, "a gang took more than there were");
     starved.mark(&class("sweep"), None);
-    assert_eq!(starved.turns(), 0);
+    assert_eq!(starved.credits(), 0);
 }
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -168,7 +168,7 @@
         entry.tasks += 1;
         entry.longest_s = entry
             .longest_s
-            .max((job.spec.estimate_s - attempt.ran_s(now)).max(0.0));
+            .max((job.spec.estimate_s - attempt.elapsed_s(now)).max(0.0));
     }
     placed
 }
@@ -211,7 +211,7 @@
         let completion = completion(job, placed, delay);
         // More machines would not help a job that waits for units.
         let reason = match unsatisfied.get(&job.spec.id) {
-            Some(demand) => Cow::Owned(format!("waiting for units of {}", demand.lack.count)),
+            Some(demand) => Cow::Owned(format!("waiting for units of {}", demand.shortage.count)),
             None => Cow::Borrowed(completion.reason),
         };
         let class = job.spec.class.as_str();
@@ -242,7 +242,7 @@
 
 impl Forecast {
     /// Notes that a job was done.
-    pub fn finished(&mut self, job: &Job, now: Timestamp) {
+    pub fn record_finished(&mut self, job: &Job, now: Timestamp) {
         let finished = self.finished.entry(job.spec.class.clone()).or_default();
         finished.push_back(FinishedJob {
             at: now,
@@ -268,7 +268,7 @@
     }
 
     /// Warns, by class, of larger jobs that are about to begin later than their users expect.
-    pub fn update_large(
+    pub fn update_large_jobs(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
         task_locations: &TaskLocations,
@@ -276,7 +276,7 @@
         io: &mut Io,
     ) {
         let mut late: BTreeMap<&str, (&Job, u32)> = BTreeMap::new();
-        for job in placement::large_not_begun(jobs, task_locations, LARGE_JOB_WARNING_AFTER_MS, io.now) {
+        for job in placement::large_unstarted_jobs(jobs, task_locations, LARGE_JOB_WARNING_AFTER_MS, io.now) {
             late.entry(&job.spec.class).or_insert((job, 0)).1 += 1;
         }
         self.not_begun
@@ -289,7 +289,7 @@
             self.not_begun.insert(class.to_owned(), io.now);
             let id = &oldest.spec.id;
             let why = match short.iter().find(|short| short.job == *id) {
-                Some(short) => format!("units of {}", short.lack.count),
+                Some(short) => format!("units of {}", short.shortage.count),
                 None => "machines".to_owned(),
             };
             io.effects.push(Effect::Warning(format!(
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -6,7 +6,7 @@
 use indigopath_controller::allocations::{Attempt, Change, Machine};
 use indigopath_controller::model::{JobId, MachineId, Resources, TaskId};
 use indigopath_controller::protocol::{DirectCommands, Heartbeat, HeartbeatResponse};
-use indigopath_controller::scheduling::placement::{self, Units};
+use indigopath_controller::scheduling::placement::{self, CountedUnits};
 use indigopath_controller::storage::records::{MachineRecord, Record, ShardRecord};
 use indigopath_counted_resources::{
     Definition, Definitions, Demand, Linger, LingerSet, Requester, ReservationPolicy,
@@ -158,15 +158,15 @@
     fn seats(&self, asked: impl Fn(&indigopath_counted_resources::UnitLedger<'_>) -> u32) -> u32 {
         let lingers: Vec<Linger> = self.lingers.iter().cloned().collect();
         let (feeds, gone, keepers) = (BTreeMap::new(), HashMap::new(), BTreeMap::new());
-        let units = Units {
+        let units = CountedUnits {
             definitions: &self.definitions,
             policy: ReservationPolicy::default(),
             reserved_since: &keepers,
             feeds: &feeds,
             lingers: &lingers,
-            gone: &gone,
+            recently_released: &gone,
         };
-        asked(&placement::book(&self.machines, &units, self.now))
+        asked(&placement::unit_ledger(&self.machines, &units, self.now))
     }
 
     fn changed(&mut self, changes: Vec<Change>) {
@@ -198,13 +198,16 @@
             .map(|machine| machine.record(|_| true))
             .collect();
         let lingers = self.lingers.to_record(self.now, WALL_MS + self.now);
-        self.recorded = (records.clone(), ShardRecord::of(&records, lingers).to_value());
+        self.recorded = (
+            records.clone(),
+            ShardRecord::from_machines(&records, lingers).to_value(),
+        );
     }
 
     fn absorb(&mut self, at: usize, body: &[u8]) -> Option<(u64, u64)> {
         let report: Heartbeat = serde_json::from_slice(body).unwrap();
         let (id, first, now) = (self.id(at), self.first_token, self.now);
-        let changes = self.machines.get_mut(&id)?.absorb(&report, first, now)?;
+        let changes = self.machines.get_mut(&id)?.apply_heartbeat(&report, first, now)?;
         self.changed(changes);
         Some((report.agent_epoch, report.seq))
     }
@@ -219,7 +222,7 @@
                 let (id, now) = (self.id(*at), self.now);
                 for attempt in &mut self.machines.get_mut(&id).unwrap().attempts {
                     if !attempt.exited() {
-                        attempt.stop = Some(indigopath_controller::allocations::Stop::asked(0.0, now));
+                        attempt.stop = Some(indigopath_controller::allocations::Stop::requested(0.0, now));
                     }
                 }
             }
@@ -335,7 +338,7 @@
         let (now, token) = (self.now, self.token);
         let machine = self.machines.get_mut(&id).unwrap();
         let orders = if machine.synced {
-            machine.orders(None, true, token, now)
+            machine.due_commands(None, true, token, now)
         } else {
             Vec::new()
         };
@@ -356,10 +359,10 @@
                     self.late.push((now + ms, at, body));
                 }
                 if !matches!(fortune, Fortune::Unanswered) {
-                    machine.direct_settled(status == 200, token, agent_epoch);
+                    machine.on_direct_command_settled(status == 200, token, agent_epoch);
                     self.absorb(at, &answer);
                 } else {
-                    machine.direct_unanswered(token, agent_epoch);
+                    machine.on_direct_command_unanswered(token, agent_epoch);
                 }
             }
             _ => {
@@ -369,7 +372,7 @@
                 self.machines
                     .get_mut(&id)
                     .unwrap()
-                    .direct_unanswered(token, agent_epoch);
+                    .on_direct_command_unanswered(token, agent_epoch);
             }
         }
     }
@@ -388,7 +391,7 @@
         let (id, token) = (self.id(at), self.token);
         let outcome = newest.filter(|_| answered).map(|newest| {
             let machine = self.machines.get_mut(&id).unwrap();
-            let orders = machine.orders(Some(newest), true, token, now);
+            let orders = machine.due_commands(Some(newest), true, token, now);
             (
                 200,
                 serde_json::to_vec(&HeartbeatResponse {
