--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -317,7 +317,8 @@
     }
 
     fn begin(&mut self, request: RequestId, work: Work, first: Step, context: &Context<'_>, io: &mut Io) {
-        if self.ops.len() >= MAX_CLUSTER_OPERATIONS || !io.state_budget.try_take(1.0, USER_WRITE_RESERVE, io.now)
+        if self.ops.len() >= MAX_CLUSTER_OPERATIONS
+            || !io.state_budget.try_take(1.0, USER_WRITE_RESERVE, io.now)
         {
             return io.reply_retry_later(request, RETRY_AFTER_S, "too many requests, come back later");
         }
@@ -500,7 +501,7 @@
     let operator = &context.settings.operator;
     let deployment = &context.settings.deployment;
     let condor = operator.condor.clone().unwrap_or_default();
-    let site = site(deployment, context.types, &operator.counts, &condor);
+    let site = site(deployment, context.types, &operator.counted_resources, &condor);
     plan(bundle, cluster, &site, at_ms, deployment.state.value_kb)
 }
 
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -228,7 +228,7 @@
                 .map(|machine_id| machine_id.to_string())
                 .collect(),
         });
-        let call = io.cloud_call(permit, Method::Post, paths::RENTAL_RETURNS.to_owned(), body);
+        let call = io.cloud_call(permit, Method::Post, paths::RELEASE_MACHINES.to_owned(), body);
         self.calls.insert(
             call,
             TermCall::Release {
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -9,7 +9,7 @@
 use crate::leader::LeaderTerm;
 use crate::leader::calls::TermCall;
 use crate::model::{Job, JobSpec, MachineId, MachineKind};
-use crate::protocol::{MachineNames, MachineType, RentalRequest, Shape, paths};
+use crate::protocol::{LaunchRequest, MachineNames, MachineType, Shape, paths};
 use crate::scheduling::placement::{self, MachineTypes, is_faulty};
 use crate::settings::Settings;
 use indigopath_fencing::GuardedOperation;
@@ -279,7 +279,7 @@
                 let count = remaining.min(MAX_MACHINES_PER_RENTAL);
                 remaining -= count;
                 self.autoscaler.request_count += 1;
-                let request = RentalRequest {
+                let request = LaunchRequest {
                     request: format!(
                         "{}{}",
                         request_prefix(self.first_token),
@@ -397,7 +397,7 @@
     }
 
     /// Records that the cloud lacks capacity for this kind of machine, and stops requesting it for a while.
-    fn record_capacity_refusal(&mut self, request: &RentalRequest, io: &Io) {
+    fn record_capacity_refusal(&mut self, request: &LaunchRequest, io: &Io) {
         log::info!(
             "scale-out refused for want of capacity type={} zone={}{}",
             request.machine_type,
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -134,7 +134,8 @@
                     .unwrap_or_default();
                 // An earlier renewal of this leader that was given up may have been executed before
                 // this transaction. Then there is no other leader, as re-reading the key shows.
-                if failed_keys.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed() {
+                if failed_keys.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed()
+                {
                     return election.depose("a transaction conflicted with a newer leader");
                 }
                 for key in failed_keys {
@@ -243,7 +244,7 @@
     }
 
     fn store_types(&mut self, types: &MachineTypes, io: &mut Io) {
-        let flavors = protocol::Flavors {
+        let flavors = protocol::MachineTypeList {
             types: types.values().cloned().collect(),
         };
         let body = protocol::Transaction {
