--- a/crates/counted_resources/benches/pass.rs
+++ b/crates/counted_resources/benches/pass.rs
@@ -1,8 +1,10 @@
-//! What counts cost a scheduling pass: 10,000 waiting tasks, 100 counts, 1,000 machines
-//! with 4,000 tasks, against the same without counts; and the book alone.
+//! Cost of counted resources in a scheduling pass with 10,000 waiting tasks, 100 counted resources
+//! and 1,000 machines running 4,000 tasks, compared with the same pass without counted resources;
+//! and the cost of the unit ledger alone.
 //!
-//! Before criterion's own figures, passes with and without counts are timed in turn, and
-//! the median of their ratios is printed: on a busy machine only a pair compares.
+//! In addition to criterion's measurements, passes with and without counted resources are timed
+//! alternately and the median of their ratios is printed, because on a busy machine only adjacent
+//! measurements are comparable.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use indigopath_controller::allocations::{Attempt, Machine};
@@ -22,11 +24,12 @@
 const JOBS: u32 = 10_000;
 const COUNTS: u32 = 100;
 const MACHINES: u32 = 1_000;
-/// Tasks on each machine, which fill it.
-const EACH: u32 = 4;
+/// Tasks on each machine, enough to fill it.
+const TASKS_PER_MACHINE: u32 = 4;
 const PAIRS: usize = 201;
 
-struct World {
+/// The state that a scheduling pass reads.
+struct PassInput {
     deployment: Deployment,
     types: MachineTypes,
     jobs: BTreeMap<JobId, Job>,
@@ -38,7 +41,7 @@
     Demand::new(&BTreeMap::from([(format!("c{}", number % COUNTS), 1)])).expect("a demand")
 }
 
-fn world(counted: bool, units: u32) -> World {
+fn pass_input(counted: bool, units: u32) -> PassInput {
     let deployment = json!({
         "zones": ["east", "west"], "teams": [{ "name": "red" }, { "name": "blue" }],
         "workers": { "report_s": 3.0, "lease_s": 30.0, "gang_wait_s": 30.0, "gang_peer_s": 5.0, "cancel_s": 50.0 },
@@ -50,7 +53,7 @@
         "Rate": 1.0, "LowPrice": 0.5, "StartupS": 10, "Yards": ["east", "west"]
     }] }))
     .expect("machine types");
-    // As the leader does.
+    // Demands are interned, as in the leader.
     let demands = std::cell::RefCell::new(DemandInterner::default());
     let spec = |number: u32| -> JobSpec {
         let value = json!({
@@ -79,8 +82,8 @@
         let mut machine = Machine::new(id.clone(), "small".into(), zone.into(), true, 0);
         machine.synced = true;
         machine.heard = Some(0);
-        for task in 0..EACH {
-            let holder = spec(JOBS + number * EACH + task);
+        for task in 0..TASKS_PER_MACHINE {
+            let holder = spec(JOBS + number * TASKS_PER_MACHINE + task);
             machine.attempts.push(Attempt {
                 counts: holder.counts.clone(),
                 estimate_s: holder.estimate_s,
@@ -111,7 +114,7 @@
         definition.shares = BTreeMap::from([("red".to_owned(), units / 4)]);
         (Arc::from(format!("c{number}")), definition)
     };
-    World {
+    PassInput {
         deployment: serde_json::from_value(deployment).expect("a deployment"),
         types: flavors
             .types
@@ -128,7 +131,7 @@
     }
 }
 
-impl World {
+impl PassInput {
     fn pass(&self) -> usize {
         let (feeds, gone, keepers, task_locations) = (
             BTreeMap::new(),
@@ -164,11 +167,11 @@
     }
 }
 
-/// The median of the ratios of passes timed in turn.
-fn paired(with: &World, without: &World) -> f64 {
-    let time = |world: &World| {
+/// Median ratio of the durations of passes timed alternately.
+fn median_ratio(with: &PassInput, without: &PassInput) -> f64 {
+    let time = |input: &PassInput| {
         let began = Instant::now();
-        black_box(world.pass());
+        black_box(input.pass());
         began.elapsed().as_secs_f64()
     };
     let mut ratios: Vec<f64> = (0..PAIRS).map(|_| time(with) / time(without)).collect();
@@ -177,15 +180,15 @@
 }
 
 fn passes(criterion: &mut Criterion) {
-    let without = world(false, 0);
-    // Units for all: every step of a pass is taken. Units for those that hold them only:
+    let without = pass_input(false, 0);
+    // With units for all, a pass takes every step; with units only for the tasks that hold them,
     // all others wait for units.
     for (name, units) in [("units for all", 1_000), ("no units left", 40)] {
-        let with = world(true, units);
+        let with = pass_input(true, units);
         assert!(with.pass() > 0 && without.pass() > 0);
         println!(
             "{name}: a pass with counts takes {:.3} of one without (paired, median)",
-            paired(&with, &without)
+            median_ratio(&with, &without)
         );
         criterion.bench_function(&format!("pass, 100 counts, {name}"), |bench| {
             bench.iter(|| black_box(with.pass()))
@@ -196,20 +199,20 @@
     });
 }
 
-fn book(criterion: &mut Criterion) {
-    let world = world(true, 1_000);
-    let asker = Requester {
+fn unit_ledger(criterion: &mut Criterion) {
+    let input = pass_input(true, 1_000);
+    let requester = Requester {
         age_s: 20.0,
         estimate_s: 30.0,
         reserved_s: 0.0,
     };
     let demands: Vec<Demand> = (0..JOBS).map(demand).collect();
-    criterion.bench_function("book: 10,000 questions for room", |bench| {
-        let book = UnitLedger::new(&world.definitions);
+    criterion.bench_function("unit ledger: 10,000 availability checks", |bench| {
+        let unit_ledger = UnitLedger::new(&input.definitions);
         bench.iter(|| {
             demands
                 .iter()
-                .map(|demand| book.startable_tasks(demand, 1, &asker))
+                .map(|demand| unit_ledger.startable_tasks(demand, 1, &requester))
                 .sum::<u32>()
         });
     });
@@ -218,6 +221,6 @@
 criterion_group! {
     name = benches;
     config = Criterion::default().sample_size(20);
-    targets = passes, book
+    targets = passes, unit_ledger
 }
 criterion_main!(benches);
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -383,29 +383,30 @@
             match feeds.get(pool.name).map(|feed| feed.state(now)) {
                 Some(FeedState::Fresh(usage)) => {
                     pool.units = pool.units.min(usage.total);
-                    let ours = pool.held.saturating_add(pool.lingering);
-                    pool.external = usage.external_seats(&is_ours, ours);
+                    let held = pool.held.saturating_add(pool.lingering);
+                    pool.external = usage.external_seats(&is_ours, held);
                 }
                 Some(FeedState::Silent) | None => pool.closed = Some(ClosedReason::Silent),
             }
         }
     }
 
+    /// Index of the pool of a counted resource, which is created if there is none.
     fn pool(&mut self, name: &'a str, definition: Option<&'a Definition>) -> usize {
         if let Some(index) = self.index.get(name) {
             return *index;
         }
-        /// The pools of all counted resources, whether defined or only held.
         self.pools.push(Pool::new(name, definition));
         self.index.insert(name, self.pools.len() - 1);
         self.pools.len() - 1
     }
-    /// The pool of one counted resource.
 
+    /// The pools of all counted resources, whether defined or only held.
     pub fn pools(&self) -> impl Iterator<Item = &Pool<'a>> {
         self.pools.iter()
     }
 
+    /// The pool of one counted resource.
     pub fn get(&self, count: &str) -> Option<&Pool<'a>> {
         self.index.get(count).map(|index| &self.pools[*index])
     }
--- a/crates/counted_resources/tests/loopback.rs
+++ b/crates/counted_resources/tests/loopback.rs
@@ -1,11 +1,9 @@
-//! Real controllers on loopback, with a licence server that refuses check-outs beyond its
-//! total, while tasks, machines, jobs and controllers are killed at random. Whatever is
-//! killed, no task that a controller started may be refused its seat, and every job that
-//! nobody withdrew is done in the end.
+//! Runs real controllers on loopback with a licence server that refuses check-outs beyond its
+//! total, while tasks, machines, jobs and controllers are killed at random. No task started by a
+//! controller may be refused its seat, and every job that was not cancelled must complete.
 //!
-//! The seed is printed; `INDIGOPATH_SEED=N` plays the same decisions again (what the
-//! processes make of them depends on the machine). Time is only an upper bound: nothing is
-//! judged by how long it took.
+//! The seed is printed; `INDIGOPATH_SEED=N` repeats the same random decisions, but their timing
+//! in the processes depends on the machine. Durations are only checked against an upper bound.
 
 use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, times};
 use indigopath_simulator::licence_server::{Feature, LicenceServer};
@@ -25,11 +23,12 @@
 const SEATS: u32 = 4;
 const TOKENS: u32 = 9;
 const LINGER_S: f64 = 0.8;
-/// No run may take longer, in s; one takes about two minutes.
-const LONGEST_S: u64 = 600;
-/// Longest wait for a controller's answer, in ms.
-const CALL_MS: u64 = 5_000;
+/// Time limit of a run, in s; one takes about two minutes.
+const TIME_LIMIT_S: u64 = 600;
+/// Timeout of a call to a controller, in ms.
+const CALL_TIMEOUT_MS: u64 = 5_000;
 
+/// Builds the program and returns its path.
 fn program() -> PathBuf {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -45,15 +44,15 @@
     target.join("debug/indigopath")
 }
 
-/// What a user knows of a job.
-struct User {
+/// A job as its user sees it.
+struct UserJob {
     body: Vec<u8>,
     accepted: bool,
-    withdrawn: bool,
-    told: Option<String>,
+    cancelled: bool,
+    status: Option<String>,
 }
 
-fn submit(number: u32, rng: &mut SmallRng, live: &Live) -> (String, User) {
+fn submit(number: u32, rng: &mut SmallRng, live: &Live) -> (String, UserJob) {
     let id = format!("wk-{number:06}");
     let mut counts: BTreeMap<String, u32> = BTreeMap::from([("seat".to_owned(), rng.random_range(1..=2))]);
     if rng.random_bool(0.4) {
@@ -61,14 +60,14 @@
     }
     let (tasks, run_s) = (rng.random_range(1..=4), rng.random_range(0.3..1.5));
     let team = if rng.random_bool(0.5) { "red" } else { "blue" };
-    let urgent = ["urgent", "standard", "low"][rng.random_range(0..3)];
+    let urgency = ["urgent", "standard", "low"][rng.random_range(0..3)];
     let body = json!({
-        "Id": id, "Lane": "slots", "Crew": team, "Shape": "sweep", "Urgency": urgent,
+        "Id": id, "Lane": "slots", "Crew": team, "Shape": "sweep", "Urgency": urgency,
         "Picks": tasks, "Cpus": 2.0, "Gpus": 1.0, "MemGb": 4.0, "Kit": "img", "PullGb": 0.05,
         "Rigs": null, "Yard": null, "OneZone": false, "Apart": false, "Loaners": true,
         "RuntimeS": run_s, "StashEveryS": 0.0, "StashS": 0.0, "DueS": null, "Counts": counts,
     });
-    let facts = ObservedJob {
+    let observed = ObservedJob {
         shape: "sweep".to_owned(),
         team: team.to_owned(),
         tasks,
@@ -78,30 +77,30 @@
         counts,
         ..ObservedJob::default()
     };
-    live.with(|models| models.jobs.insert(id.clone(), facts));
-    let user = User {
+    live.with(|models| models.jobs.insert(id.clone(), observed));
+    let job = UserJob {
         body: body.to_string().into_bytes(),
         accepted: false,
-        withdrawn: false,
-        told: None,
+        cancelled: false,
+        status: None,
     };
-    (id, user)
+    (id, job)
 }
 
-/// Submits, withdraws and polls, each job once.
-fn serve_users(
-    users: &mut BTreeMap<String, User>,
+/// Submits, cancels or polls each job once.
+fn call_for_users(
+    user_jobs: &mut BTreeMap<String, UserJob>,
     nodes: &[SocketAddrV4],
     client: &HttpClient,
     rng: &mut SmallRng,
 ) {
-    for (id, user) in users.iter_mut() {
-        if matches!(user.told.as_deref(), Some("done" | "cancelled")) {
+    for (id, job) in user_jobs.iter_mut() {
+        if matches!(job.status.as_deref(), Some("done" | "cancelled")) {
             continue;
         }
-        let (method, path, body) = if !user.accepted {
-            ("POST", "/v1/jobs".to_owned(), user.body.clone())
-        } else if user.withdrawn {
+        let (method, path, body) = if !job.accepted {
+            ("POST", "/v1/jobs".to_owned(), job.body.clone())
+        } else if job.cancelled {
             ("POST", format!("/v1/jobs/{id}/withdraw"), Vec::new())
         } else {
             ("GET", format!("/v1/jobs/{id}"), Vec::new())
@@ -112,9 +111,9 @@
         };
         match status {
             200 | 201 => {
-                user.accepted = true;
+                job.accepted = true;
                 let answer: Value = serde_json::from_slice(&body).unwrap();
-                user.told = answer["Status"].as_str().map(str::to_owned);
+                job.status = answer["Status"].as_str().map(str::to_owned);
             }
             429 | 503 => (),
             other => panic!(
@@ -125,10 +124,10 @@
     }
 }
 
-/// Kills something: what it was, if there was anything to kill.
+/// Kills a randomly chosen kind of thing. Returns its name, or `None` if there was none to kill.
 fn kill(
     controllers: &mut Controllers,
-    users: &mut BTreeMap<String, User>,
+    user_jobs: &mut BTreeMap<String, UserJob>,
     live: &Live,
     rng: &mut SmallRng,
 ) -> Option<&'static str> {
@@ -145,13 +144,13 @@
             Some("machine")
         }
         12 => {
-            let live_jobs: Vec<&String> = users
+            let live_jobs: Vec<&String> = user_jobs
                 .iter()
-                .filter(|(_, user)| user.accepted && !user.withdrawn && user.told.as_deref() != Some("done"))
+                .filter(|(_, job)| job.accepted && !job.cancelled && job.status.as_deref() != Some("done"))
                 .map(|(id, _)| id)
                 .collect();
             let id = (*live_jobs.get(rng.random_range(0..live_jobs.len().max(1)))?).clone();
-            users.get_mut(&id)?.withdrawn = true;
+            user_jobs.get_mut(&id)?.cancelled = true;
             Some("job")
         }
         13 => {
@@ -169,33 +168,33 @@
     }
 }
 
-/// The command line, against the controllers as they stand.
-fn ask_as_operators_do(controllers: &Controllers, nodes: &[SocketAddrV4]) {
-    let ask = |words: &[&str]| {
+/// Checks the `counts` commands and the metrics against the running controllers.
+fn check_operator_commands(controllers: &Controllers, nodes: &[SocketAddrV4]) {
+    let run = |args: &[&str]| {
         let mut command = Command::new(&controllers.program);
-        command.arg("counts").args(words);
+        command.arg("counts").args(args);
         for node in nodes {
             command.args(["--node", &node.to_string()]);
         }
         command.output().expect("the program runs")
     };
-    let table = ask(&[]);
+    let table = run(&[]);
     let text = String::from_utf8_lossy(&table.stdout).into_owned();
     assert!(table.status.success() && text.lines().count() == 3, "{text}");
     assert!(text.contains("seat") && text.contains("shares red 0/2"), "{text}");
-    let list: Value = serde_json::from_slice(&ask(&["--format", "json"]).stdout).unwrap();
+    let list: Value = serde_json::from_slice(&run(&["--format", "json"]).stdout).unwrap();
     assert_eq!(list["counts"][0]["server"]["total"], SEATS);
-    let holders = ask(&["holders"]);
+    let holders = run(&["holders"]);
     let refused = String::from_utf8_lossy(&holders.stderr).into_owned();
     assert!(
         !holders.status.success() && refused.contains("show_holders"),
         "{refused}"
     );
-    let unknown = ask(&["explain", "wk-999999"]);
+    let unknown = run(&["explain", "wk-999999"]);
     assert!(!unknown.status.success() && !unknown.stderr.is_empty());
     let metrics = nodes
         .iter()
-        .filter_map(|node| HttpClient::new(CALL_MS).call("GET", *node, "/metrics", &[]));
+        .filter_map(|node| HttpClient::new(CALL_TIMEOUT_MS).call("GET", *node, "/metrics", &[]));
     let metrics: String = metrics
         .map(|(_, body)| String::from_utf8_lossy(&body).into_owned())
         .collect();
@@ -206,12 +205,12 @@
 }
 
 #[test]
-fn no_seat_is_handed_out_twice_whatever_is_killed() {
+fn no_seat_is_allocated_twice_under_random_kills() {
     let seed = std::env::var("INDIGOPATH_SEED")
         .ok()
         .and_then(|seed| seed.parse().ok())
         .unwrap_or_else(|| rand::rng().random::<u32>().into());
-    println!("seed {seed} (INDIGOPATH_SEED={seed} plays its decisions again)");
+    println!("seed {seed} (INDIGOPATH_SEED={seed} repeats its decisions)");
     let mut rng = SmallRng::seed_from_u64(seed);
     let program = program();
 
@@ -238,32 +237,32 @@
     ]);
     let mut controllers = Controllers::new(program, "loopback", nodes.clone(), &live, &teams, &operator);
 
-    let client = HttpClient::new(CALL_MS);
+    let client = HttpClient::new(CALL_TIMEOUT_MS);
     let began = Instant::now();
-    let mut users: BTreeMap<String, User> = BTreeMap::new();
+    let mut user_jobs: BTreeMap<String, UserJob> = BTreeMap::new();
     let mut kills: BTreeMap<&'static str, u32> = BTreeMap::new();
     let mut submitted = 0;
     let mut kill_at = Instant::now() + Duration::from_secs(3);
     loop {
         controllers.keep_up();
         let killed: u32 = kills.values().sum();
-        let open = users
+        let open = user_jobs
             .values()
-            .filter(|user| !matches!(user.told.as_deref(), Some("done" | "cancelled")))
+            .filter(|job| !matches!(job.status.as_deref(), Some("done" | "cancelled")))
             .count();
-        // Work goes on for as long as anything is killed.
+        // Jobs are submitted for as long as anything is killed.
         if open < 12 && (submitted < JOBS || killed < KILLS) {
             submitted += 1;
-            let (id, user) = submit(submitted, &mut rng, &live);
-            users.insert(id, user);
+            let (id, job) = submit(submitted, &mut rng, &live);
+            user_jobs.insert(id, job);
         }
         if submitted >= JOBS && killed >= KILLS && open == 0 {
             break;
         }
-        serve_users(&mut users, &nodes, &client, &mut rng);
+        call_for_users(&mut user_jobs, &nodes, &client, &mut rng);
         if killed < KILLS && Instant::now() >= kill_at {
             kill_at = Instant::now() + Duration::from_millis(rng.random_range(100..900));
-            if let Some(what) = kill(&mut controllers, &mut users, &live, &mut rng) {
+            if let Some(what) = kill(&mut controllers, &mut user_jobs, &live, &mut rng) {
                 *kills.entry(what).or_default() += 1;
             }
         }
@@ -274,7 +273,7 @@
             controllers.problems()
         );
         assert!(
-            began.elapsed() < Duration::from_secs(LONGEST_S),
+            began.elapsed() < Duration::from_secs(TIME_LIMIT_S),
             "seed {seed}: {open} of {submitted} jobs are open after {killed} kills\n{}",
             controllers.problems()
         );
@@ -282,12 +281,12 @@
     }
 
     let killed: u32 = kills.values().sum();
-    let done: BTreeSet<&String> = users
+    let done: BTreeSet<&String> = user_jobs
         .iter()
-        .filter(|(_, user)| user.told.as_deref() == Some("done"))
+        .filter(|(_, job)| job.status.as_deref() == Some("done"))
         .map(|(id, _)| id)
         .collect();
-    let (refused, starts, most) = live.with(|models| {
+    let (refused, starts, max_taken) = live.with(|models| {
         let features = &models.licences.features;
         let refused: u32 = features.values().map(|feature| feature.refused).sum();
         (refused, models.starts, features["seat"].most)
@@ -295,22 +294,25 @@
     println!("oversubscribed {refused}");
     println!("kills {killed}: {kills:?}");
     println!(
-        "{} of {submitted} jobs done, {starts} starts, at most {most} of {SEATS} seats taken",
+        "{} of {submitted} jobs done, {starts} starts, at most {max_taken} of {SEATS} seats taken",
         done.len()
     );
     assert_eq!(refused, 0);
-    assert!(killed >= 50 && most == SEATS, "{killed} kills, {most} seats");
-    for (id, user) in &users {
+    assert!(
+        killed >= 50 && max_taken == SEATS,
+        "{killed} kills, {max_taken} seats"
+    );
+    for (id, job) in &user_jobs {
         let complete = live.with(|models| models.jobs[id].done.len() as u32 == models.jobs[id].tasks);
-        match user.told.as_deref() {
-            Some("done") => assert!(complete, "{id} is called done too soon"),
-            told => assert!(user.withdrawn, "{id} is {told:?}, and nobody withdrew it"),
+        match job.status.as_deref() {
+            Some("done") => assert!(complete, "{id} is reported done too soon"),
+            status => assert!(job.cancelled, "{id} is {status:?}, and was not cancelled"),
         }
     }
 
-    // Every unit comes back, by the leader's own word.
+    // The leader eventually reports every unit as free.
     let mut free = Value::Null;
-    while began.elapsed() < Duration::from_secs(LONGEST_S) {
+    while began.elapsed() < Duration::from_secs(TIME_LIMIT_S) {
         controllers.keep_up();
         let answers = nodes
             .iter()
@@ -323,14 +325,14 @@
                 .all(|count| count["free"] == count["units"] && count["waiting"] == 0);
             if all && counts.len() == 2 {
                 assert!(counts.iter().all(|count| count["oversubscribed"] == 0), "{free}");
-                ask_as_operators_do(&controllers, &nodes);
+                check_operator_commands(&controllers, &nodes);
                 return;
             }
         }
         std::thread::sleep(Duration::from_millis(100));
     }
     panic!(
-        "seed {seed}: units do not come back: {free}\n{}",
+        "seed {seed}: units are not all free again: {free}\n{}",
         controllers.problems()
     );
 }
