--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -123,10 +123,10 @@
             return most;
         }
         match entry.single_count {
-            Some(only) => self.book.startable_tasks_of(only, most, || self.asker(entry.job)),
+            Some(only) => self.book.available_of(only, most, || self.asker(entry.job)),
             None => {
                 let asker = self.asker(entry.job);
-                self.book.startable_tasks(&entry.job.spec.counts, most, &asker)
+                self.book.available(&entry.job.spec.counts, most, &asker)
             }
         }
     }
@@ -138,8 +138,8 @@
             return tasks;
         }
         match entry.single_count {
-            Some(only) => self.book.promise_of(only, tasks),
-            None => self.book.promise(&entry.job.spec.counts, tasks),
+            Some(only) => self.book.available_later_of(only, tasks),
+            None => self.book.available_later(&entry.job.spec.counts, tasks),
         }
     }
 
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -306,7 +306,7 @@
             estimate_s: 4.0,
             reserved_s: 0.0,
         };
-        if self.seats(|book| book.startable_tasks(&seat, 1, &asker)) == 0 {
+        if self.seats(|book| book.available(&seat, 1, &asker)) == 0 {
             return;
         }
         let task = TaskId {
--- a/crates/counted_resources/benches/pass.rs
+++ b/crates/counted_resources/benches/pass.rs
@@ -212,7 +212,7 @@
         bench.iter(|| {
             demands
                 .iter()
-                .map(|demand| unit_ledger.startable_tasks(demand, 1, &requester))
+                .map(|demand| unit_ledger.available(demand, 1, &requester))
                 .sum::<u32>()
         });
     });
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -459,7 +459,7 @@
     }
 
     /// As [`UnitLedger::startable_tasks`], for a demand of a single counted resource.
-    pub fn startable_tasks_of(
+    pub fn available_of(
         &self,
         single: SingleCount,
         max_tasks: u32,
@@ -481,7 +481,7 @@
     }
 
     /// As [`UnitLedger::promise`], for a demand of a single counted resource.
-    pub fn promise_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
+    pub fn available_later_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
         let pool = &mut self.pools[single.index as usize];
         let count = max_tasks.min(pool.unpromised() / single.units.max(1));
         pool.promised += single.units * count;
@@ -489,7 +489,7 @@
     }
 
     /// How many of at most `max_tasks` tasks can get their units now.
-    pub fn startable_tasks(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
+    pub fn available(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
         let mut room = max_tasks;
         for (name, units) in demand.iter() {
             let open = self.get(name).map_or(0, |pool| pool.available_to(|| *requester));
@@ -500,7 +500,7 @@
 
     /// How many of at most `max_tasks` tasks that lack machines would have units once machines are
     /// available. These units are not promised again in this pass.
-    pub fn promise(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
+    pub fn available_later(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
         let mut count = max_tasks;
         for (name, units) in demand.iter() {
             let open = self.get(name).map_or(0, Pool::unpromised);
--- a/crates/counted_resources/src/unit_ledger/tests.rs
+++ b/crates/counted_resources/src/unit_ledger/tests.rs
@@ -54,8 +54,8 @@
     unit_ledger.hold("red", &one, 5.0, false);
     unit_ledger.linger("red", "seat", 1, 3.0);
     unit_ledger.apply_server_usage(&says(5, "desk"), 0, is_ours);
-    assert_eq!(unit_ledger.startable_tasks(&one, 9, &FRESH), 2);
-    assert_eq!(unit_ledger.startable_tasks(&two, 9, &FRESH), 1);
+    assert_eq!(unit_ledger.available(&one, 9, &FRESH), 2);
+    assert_eq!(unit_ledger.available(&two, 9, &FRESH), 1);
     let shortage = unit_ledger.handle_shortage(&two, 2, &FRESH).0.unwrap();
     assert_eq!(shortage.reason, ShortageReason::External);
     // Oversubscribed: nothing starts, and no stop is requested.
@@ -64,7 +64,7 @@
     unit_ledger.apply_server_usage(&says(1, "m-1"), 0, is_ours);
     assert_eq!(
         (
-            unit_ledger.startable_tasks(&one, 9, &FRESH),
+            unit_ledger.available(&one, 9, &FRESH),
             unit_ledger.get("seat").unwrap().excess()
         ),
         (0, 1)
@@ -73,7 +73,7 @@
     // The usage of outside clients is unknown.
     let mut unit_ledger = UnitLedger::new(&definitions);
     unit_ledger.apply_server_usage(&BTreeMap::new(), 0, is_ours);
-    assert_eq!(unit_ledger.startable_tasks(&one, 9, &FRESH), 0);
+    assert_eq!(unit_ledger.available(&one, 9, &FRESH), 0);
     assert_eq!(
         unit_ledger.handle_shortage(&one, 1, &FRESH).0.unwrap().reason,
         ShortageReason::Silent
@@ -85,13 +85,13 @@
     let definitions = Definitions::new();
     let one = demand(&[("seat", 1)]);
     let mut unit_ledger = UnitLedger::new(&definitions);
-    assert_eq!(unit_ledger.startable_tasks(&one, 1, &FRESH), 0);
+    assert_eq!(unit_ledger.available(&one, 1, &FRESH), 0);
     assert_eq!(
         unit_ledger.handle_shortage(&one, 1, &FRESH).0.unwrap().reason,
         ShortageReason::Undefined
     );
     unit_ledger.hold("red", &one, 1.0, false);
-    assert_eq!(unit_ledger.startable_tasks(&one, 1, &FRESH), 0);
+    assert_eq!(unit_ledger.available(&one, 1, &FRESH), 0);
 }
 
 #[test]
@@ -102,13 +102,13 @@
     let startable_by_others = |age_s, reserved_s, estimate_s| {
         let mut unit_ledger = UnitLedger::new(&definitions);
         unit_ledger.hold("red", &held, 20.0, false);
-        assert_eq!(unit_ledger.startable_tasks(&four, 1, &FRESH), 0);
+        assert_eq!(unit_ledger.available(&four, 1, &FRESH), 0);
         let old = Requester {
             reserved_s,
             ..aged(age_s, 30.0)
         };
         unit_ledger.handle_shortage(&four, 1, &old);
-        unit_ledger.startable_tasks(&one, 9, &aged(0.0, estimate_s))
+        unit_ledger.available(&one, 9, &aged(0.0, estimate_s))
     };
     assert_eq!(
         startable_by_others(1.0, 0.0, 100.0),
@@ -174,7 +174,7 @@
         "one unit is free, one is being released"
     );
     unit_ledger.claim(&both, 1);
-    assert_eq!(unit_ledger.startable_tasks(&demand(&[("a", 1)]), 1, &FRESH), 0);
+    assert_eq!(unit_ledger.available(&demand(&[("a", 1)]), 1, &FRESH), 0);
     assert_eq!(unit_ledger.get("a").unwrap().reserved(), 1);
 }
 
@@ -207,7 +207,7 @@
     let definitions = definitions(r#"{ "seat": { "units": 3 } }"#);
     let one = demand(&[("seat", 1)]);
     let mut unit_ledger = UnitLedger::new(&definitions);
-    assert_eq!(unit_ledger.promise(&one, 2), 2);
-    assert_eq!(unit_ledger.promise(&one, 5), 1);
-    assert_eq!(unit_ledger.promise(&one, 5), 0);
+    assert_eq!(unit_ledger.available_later(&one, 2), 2);
+    assert_eq!(unit_ledger.available_later(&one, 5), 1);
+    assert_eq!(unit_ledger.available_later(&one, 5), 0);
 }
