--- a/crates/condor/benches/pass.rs
+++ b/crates/condor/benches/pass.rs
@@ -145,7 +145,7 @@
         );
         let definitions = Definitions::new();
         let starved = indigopath_controller::scheduling::fair_share::Starved::default();
-        let weights = indigopath_controller::leader::Weights::default();
+        let weights = indigopath_controller::leader::ImageLocality::default();
         let site = ClusterSnapshot {
             deployment: &self.deployment,
             types: &self.types,
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -29,7 +29,7 @@
 
 /// A call about books.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum BookCall {
+pub(super) enum AccountingCall {
     /// A page of the books' own records.
     Load,
     /// The ends since.
@@ -44,51 +44,55 @@
 /// Where a reading of all ended jobs stands.
 #[derive(Debug, Default)]
 struct Scan {
-    after: Option<String>,
+    after_key: Option<String>,
     /// `None` until its first page is answered.
     rebuild: Option<Rebuild>,
     read_all: bool,
     /// The books lack ends that nobody tells any more: they are replaced by the reading.
-    behind: bool,
+    replaces_accounts: bool,
 }
 
 /// Who waits for what, as the last pass left it.
-pub(super) struct Blocked<'a> {
-    units: HashSet<&'a JobId>,
-    machines: HashSet<&'a JobId>,
+pub(super) struct BlockedJobs<'a> {
+    lacking_units: HashSet<&'a JobId>,
+    lacking_machines: HashSet<&'a JobId>,
 }
 
 /// Teams' accounts, and how far they have been read, followed, checked and written.
 #[derive(Debug)]
-pub(super) struct TermBooks {
-    books: JobAccounting,
+pub(super) struct Accounting {
+    job_accounting: JobAccounting,
     page_bytes: usize,
     /// JobAccounting' records are still being read, after this key.
-    loading: Option<Option<String>>,
+    load_after: Option<Option<String>>,
     /// Some of them cannot be used.
-    broken: bool,
+    records_invalid: bool,
     /// A later build keeps them: this one leaves them alone.
-    off: bool,
-    busy: bool,
+    suspended: bool,
+    call_in_flight: bool,
     head_version: u64,
     /// Changes up to this revision were told.
-    followed: u64,
+    followed_revision: u64,
     /// Something ended since the changes were last asked for.
-    ended: bool,
+    has_new_ends: bool,
     follow_at: Timestamp,
     write_at: Timestamp,
     scan_at: Timestamp,
     scan: Option<Scan>,
-    checked: bool,
+    verified: bool,
     differences: u64,
     /// Since when attempts have been seen running.
-    runs: HashMap<(TaskId, u64), Timestamp>,
+    run_starts: HashMap<(TaskId, u64), Timestamp>,
     /// What this leader saw of jobs that were cancelled, until their ends are told.
-    accounts: HashMap<JobId, ExecutionStats>,
+    cancelled_job_stats: HashMap<JobId, ExecutionStats>,
 }
 
 /// What the record of an ended job says for the books.
-fn end_of(key: &str, value: &serde_json::Value, version: u64) -> Option<(Position, Option<Entry>)> {
+fn parse_ended_record(
+    key: &str,
+    value: &serde_json::Value,
+    version: u64,
+) -> Option<(Position, Option<Entry>)> {
     let job = key.strip_prefix(records::ENDED)?;
     let position = Position {
         revision: version,
@@ -99,60 +103,61 @@
     Some((position, ended.ok().and_then(|ended| ended.entry().cloned())))
 }
 
-impl TermBooks {
+impl Accounting {
     /// Nothing is read from the records yet.
-    pub(super) fn new(settings: &Settings) -> TermBooks {
+    pub(super) fn new(settings: &Settings) -> Accounting {
         let page_bytes = (settings.deployment.state.value_kb * 1024.0 * MAX_VALUE_SHARE) as usize;
-        TermBooks {
-            books: JobAccounting::new(page_bytes),
+        Accounting {
+            job_accounting: JobAccounting::new(page_bytes),
             page_bytes,
-            loading: Some(None),
-            broken: false,
-            off: false,
-            busy: false,
+            load_after: Some(None),
+            records_invalid: false,
+            suspended: false,
+            call_in_flight: false,
             head_version: 0,
-            followed: 0,
-            ended: true,
+            followed_revision: 0,
+            has_new_ends: true,
             follow_at: 0,
             write_at: 0,
             scan_at: 0,
             scan: None,
-            checked: false,
+            verified: false,
             differences: 0,
-            runs: HashMap::new(),
-            accounts: HashMap::new(),
+            run_starts: HashMap::new(),
+            cancelled_job_stats: HashMap::new(),
         }
     }
 
     /// Nobody knows what is on record: it is read again, and checked again.
     fn reload(&mut self, now: Timestamp) {
-        self.books = JobAccounting::new(self.page_bytes);
-        self.loading = Some(None);
-        self.broken = false;
+        self.job_accounting = JobAccounting::new(self.page_bytes);
+        self.load_after = Some(None);
+        self.records_invalid = false;
         self.head_version = 0;
         // What was told and not written is told again.
-        self.followed = 0;
+        self.followed_revision = 0;
         self.scan = None;
-        self.checked = false;
-        self.ended = true;
+        self.verified = false;
+        self.has_new_ends = true;
         self.follow_at = now + WRITE_RETRY_MS;
     }
 
     /// The account of a job that is over, for its end's entry.
-    pub(super) fn over(&mut self, id: &JobId, account: &ExecutionStats) {
-        self.ended = true;
-        if self.accounts.len() < MAX_CANCELLED_ACCOUNTS && *account != ExecutionStats::default() {
-            self.accounts.insert(id.clone(), account.clone());
+    pub(super) fn on_job_ended(&mut self, id: &JobId, account: &ExecutionStats) {
+        self.has_new_ends = true;
+        if self.cancelled_job_stats.len() < MAX_CANCELLED_ACCOUNTS && *account != ExecutionStats::default() {
+            self.cancelled_job_stats.insert(id.clone(), account.clone());
         }
     }
 
     /// Where the changes are asked for from: one revision may have several ends, of which some
     /// are written.
-    fn from(&self) -> u64 {
-        self.followed.max(self.books.at().revision.saturating_sub(1))
+    fn watch_revision(&self) -> u64 {
+        self.followed_revision
+            .max(self.job_accounting.at().revision.saturating_sub(1))
     }
 
-    fn loaded(&mut self, outcome: &Outcome, now: Timestamp) {
+    fn on_records_page(&mut self, outcome: &Outcome, now: Timestamp) {
         let Some(page) = outcome.read::<protocol::StoredPage>(&[200]) else {
             self.follow_at = now + SECOND_MS;
             return;
@@ -161,57 +166,60 @@
             if item.key == HEAD_KEY {
                 self.head_version = item.version;
             }
-            match self.books.read(&item.key, &item.value) {
+            match self.job_accounting.read(&item.key, &item.value) {
                 Ok(()) => (),
                 Err(problem @ indigopath_accounting::RecordError::Later(_)) => {
                     log::error!("accounting suspended key={}: {problem}", item.key);
-                    self.off = true;
+                    self.suspended = true;
                 }
                 Err(problem) => {
                     log::error!("accounting rebuild began key={}: {problem}", item.key);
-                    self.broken = true;
+                    self.records_invalid = true;
                 }
             }
         }
         let last = page.items.last().map(|item| item.key.clone());
-        self.loading = last.filter(|_| page.has_more).map(Some);
-        if self.loading.is_none() && self.head_version == 0 && self.books.totals().next().is_some() {
+        self.load_after = last.filter(|_| page.has_more).map(Some);
+        if self.load_after.is_none()
+            && self.head_version == 0
+            && self.job_accounting.totals().next().is_some()
+        {
             log::error!("accounting rebuild began: its position is missing");
-            self.broken = true;
+            self.records_invalid = true;
         }
-        if self.loading.is_none() && self.broken {
-            self.fall_behind();
+        if self.load_after.is_none() && self.records_invalid {
+            self.begin_rebuild();
         }
     }
 
     /// Ends are missing that no change tells any more.
-    fn fall_behind(&mut self) {
+    fn begin_rebuild(&mut self) {
         self.scan = Some(Scan {
-            behind: true,
+            replaces_accounts: true,
             ..Scan::default()
         });
     }
 
-    fn told(&mut self, outcome: &Outcome, now: Timestamp) {
+    fn on_changes(&mut self, outcome: &Outcome, now: Timestamp) {
         self.follow_at = now + ACCOUNTING_FOLLOW_MS;
         if outcome.status() == Some(410) {
             log::info!("accounting rebuild began: the changes since its position are compacted");
-            self.fall_behind();
+            self.begin_rebuild();
             return;
         }
         let Some(changes) = outcome.read::<protocol::WatchResponse>(&[200]) else {
             self.follow_at = now + SECOND_MS;
             return;
         };
-        self.ended = false;
+        self.has_new_ends = false;
         let mut ends: Vec<(Position, Option<Entry>)> = Vec::new();
         for event in changes.events {
             if let protocol::WatchEvent::Put { key, value, version } = event {
-                let Some((position, mut entry)) = end_of(&key, &value, version) else {
+                let Some((position, mut entry)) = parse_ended_record(&key, &value, version) else {
                     continue;
                 };
                 // Who cancelled it did not know what it had run.
-                if let Some(account) = self.accounts.remove(&*position.job)
+                if let Some(account) = self.cancelled_job_stats.remove(&*position.job)
                     && let Some(entry) = entry
                         .as_mut()
                         .filter(|entry| entry.stats == ExecutionStats::default())
@@ -224,43 +232,43 @@
         ends.sort_by(|(a, _), (b, _)| a.cmp(b));
         for (position, entry) in ends {
             let scan = self.scan.as_mut();
-            let behind = scan.as_ref().is_some_and(|scan| scan.behind);
+            let behind = scan.as_ref().is_some_and(|scan| scan.replaces_accounts);
             let rebuild = scan.and_then(|scan| scan.rebuild.as_mut());
             if behind {
-                if let Some(rebuild) = rebuild.filter(|_| position > *self.books.at()) {
+                if let Some(rebuild) = rebuild.filter(|_| position > *self.job_accounting.at()) {
                     rebuild.note(position.clone(), entry);
-                    self.books.skip_to(position);
+                    self.job_accounting.skip_to(position);
                 }
-            } else if self.books.append(position.clone(), entry.clone())
+            } else if self.job_accounting.append(position.clone(), entry.clone())
                 && let Some(rebuild) = rebuild
             {
                 rebuild.note(position, entry);
             }
         }
-        self.followed = self.followed.max(changes.revision);
-        if changes.revision >= self.books.at().revision + ACCOUNTING_QUIET_CHANGES {
-            self.books.quiet_until(changes.revision);
+        self.followed_revision = self.followed_revision.max(changes.revision);
+        if changes.revision >= self.job_accounting.at().revision + ACCOUNTING_QUIET_CHANGES {
+            self.job_accounting.quiet_until(changes.revision);
         }
-        if !self.checked && self.scan.is_none() {
+        if !self.verified && self.scan.is_none() {
             self.scan = Some(Scan::default());
         }
     }
 
-    fn scanned(&mut self, outcome: &Outcome, now: Timestamp) {
+    fn on_scan_page(&mut self, outcome: &Outcome, now: Timestamp) {
         self.scan_at = now + ACCOUNTING_SCAN_MS;
         let Some(mut scan) = self.scan.take() else { return };
         if let Some(page) = outcome.read::<protocol::StoredPage>(&[200]) {
             if scan.rebuild.is_none() {
                 scan.rebuild = Some(Rebuild::begin(page.revision));
-                if scan.behind {
-                    self.books.skip_to(Position::end_of(page.revision));
-                    self.followed = page.revision;
+                if scan.replaces_accounts {
+                    self.job_accounting.skip_to(Position::end_of(page.revision));
+                    self.followed_revision = page.revision;
                 }
             }
-            scan.after = page.items.last().map(|item| item.key.clone());
-            scan.read_all = !page.has_more || scan.after.is_none();
+            scan.after_key = page.items.last().map(|item| item.key.clone());
+            scan.read_all = !page.has_more || scan.after_key.is_none();
             for item in &page.items {
-                let end = end_of(&item.key, &item.value, item.version);
+                let end = parse_ended_record(&item.key, &item.value, item.version);
                 if let Some((position, entry)) = end
                     && let Some(rebuild) = &mut scan.rebuild
                 {
@@ -269,7 +277,7 @@
             }
             if scan.read_all {
                 // What ended until the reading began must have been told as well.
-                self.ended = true;
+                self.has_new_ends = true;
                 self.follow_at = now;
             }
         }
@@ -277,24 +285,24 @@
     }
 
     /// Compares, once all ended jobs are read and all changes until then are told.
-    fn compare(&mut self) {
+    fn verify_when_scanned(&mut self) {
         let done = self.scan.as_ref().is_some_and(|scan| {
             let upto = scan.rebuild.as_ref().map(Rebuild::upto);
-            scan.read_all && upto.is_some_and(|upto| self.followed >= upto)
+            scan.read_all && upto.is_some_and(|upto| self.followed_revision >= upto)
         });
-        if !done || self.books.writing() {
+        if !done || self.job_accounting.writing() {
             return;
         }
         let Some(scan) = self.scan.take() else { return };
         let Some(rebuild) = scan.rebuild else { return };
-        self.checked = true;
+        self.verified = true;
         let read = rebuild.read;
-        if scan.behind {
-            self.books.adopt(rebuild);
+        if scan.replaces_accounts {
+            self.job_accounting.adopt(rebuild);
             log::info!("accounting rebuilt ended_jobs={read}");
             return;
         }
-        let differences = self.books.repair(rebuild);
+        let differences = self.job_accounting.repair(rebuild);
         for one in &differences {
             log::error!(
                 "accounting repaired key={} day={} done={} cancelled={} recorded_done={} recorded_cancelled={}",
@@ -316,17 +324,17 @@
 
 impl LeaderTerm {
     /// Does what is due for the books, after all else: nobody waits for them.
-    pub(super) fn look_at_books(&mut self, settings: &Settings, io: &mut Io) {
+    pub(super) fn update_accounting(&mut self, settings: &Settings, io: &mut Io) {
         let token = self.token();
         let books = &mut self.books;
-        if books.off || books.busy {
+        if books.suspended || books.call_in_flight {
             return;
         }
-        books.compare();
+        books.verify_when_scanned();
         let now = io.now;
-        let behind = books.scan.as_ref().is_some_and(|scan| scan.behind);
+        let behind = books.scan.as_ref().is_some_and(|scan| scan.replaces_accounts);
         let begins = books.scan.as_ref().is_some_and(|scan| scan.rebuild.is_none());
-        let (method, path, body, call) = if let Some(after) = &books.loading {
+        let (method, path, body, call) = if let Some(after) = &books.load_after {
             if now < books.follow_at {
                 return;
             }
@@ -335,28 +343,28 @@
                 after.as_deref(),
                 ACCOUNTING_PAGE_ITEMS,
             );
-            (Method::Get, path, Vec::new(), BookCall::Load)
+            (Method::Get, path, Vec::new(), AccountingCall::Load)
         } else if let Some(scan) = books
             .scan
             .as_ref()
             .filter(|scan| !scan.read_all && now >= books.scan_at)
         {
-            let path = paths::page(records::ENDED, scan.after.as_deref(), ACCOUNTING_SCAN_ITEMS);
-            (Method::Get, path, Vec::new(), BookCall::Scan)
+            let path = paths::page(records::ENDED, scan.after_key.as_deref(), ACCOUNTING_SCAN_ITEMS);
+            (Method::Get, path, Vec::new(), AccountingCall::Scan)
         } else if now >= books.follow_at
-            && (books.ended || now >= books.follow_at + ACCOUNTING_IDLE_MS)
-            && books.books.has_room()
+            && (books.has_new_ends || now >= books.follow_at + ACCOUNTING_IDLE_MS)
+            && books.job_accounting.has_room()
             && !(behind && begins)
         {
-            let path = paths::watch(records::ENDED, books.from(), 0);
-            (Method::Get, path, Vec::new(), BookCall::Changes)
+            let path = paths::watch(records::ENDED, books.watch_revision(), 0);
+            (Method::Get, path, Vec::new(), AccountingCall::Changes)
         } else if now >= books.write_at && !behind {
             let most = settings
                 .deployment
                 .state
                 .txn_ops
                 .min(io.write_budget.available(now));
-            let Some(changes) = books.books.write(most, MAX_TXN_BYTES) else {
+            let Some(changes) = books.job_accounting.write(most, MAX_TXN_BYTES) else {
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
@@ -381,35 +389,40 @@
                 changes: changes.collect(),
             };
             let path = paths::TRANSACTION.to_owned();
-            (Method::Post, path, json(&body), BookCall::Write { head })
+            (Method::Post, path, json(&body), AccountingCall::Write { head })
         } else {
             return;
         };
-        self.books.busy = true;
+        self.books.call_in_flight = true;
         self.state_call(method, path, body, STATE_TIMEOUT_MS, TermCall::Books(call), io);
     }
 
     /// Follows the answer to a call about accounts.
-    pub(super) fn books_answered(&mut self, call: BookCall, outcome: &Outcome, now: Timestamp) {
+    pub(super) fn handle_accounting_response(
+        &mut self,
+        call: AccountingCall,
+        outcome: &Outcome,
+        now: Timestamp,
+    ) {
         let books = &mut self.books;
-        books.busy = false;
+        books.call_in_flight = false;
         match call {
-            BookCall::Load => books.loaded(outcome, now),
-            BookCall::Changes => books.told(outcome, now),
-            BookCall::Scan => books.scanned(outcome, now),
-            BookCall::Write { head } => {
+            AccountingCall::Load => books.on_records_page(outcome, now),
+            AccountingCall::Changes => books.on_changes(outcome, now),
+            AccountingCall::Scan => books.on_scan_page(outcome, now),
+            AccountingCall::Write { head } => {
                 // What waits for more than one write goes on at once.
-                let more = books.books.pending() > ACCOUNTING_BATCH;
+                let more = books.job_accounting.pending() > ACCOUNTING_BATCH;
                 books.write_at = now + if more { SECOND_MS } else { ACCOUNTING_WRITE_MS };
                 let answer = outcome.read::<protocol::TransactionResponse>(&[200]);
                 match (answer, outcome.status()) {
                     (Some(answer), _) => {
-                        books.books.written();
+                        books.job_accounting.written();
                         if head {
                             books.head_version = answer.revision;
                         }
                     }
-                    _ if outcome.is_safe_to_retry() => books.books.refused(),
+                    _ if outcome.is_safe_to_retry() => books.job_accounting.refused(),
                     (_, Some(409)) => {
                         let failed = outcome
                             .read::<protocol::TransactionResponse>(&[409])
@@ -417,7 +430,7 @@
                             .unwrap_or_default();
                         // The leader's own renewal may have been between.
                         if failed == [records::LEADER] {
-                            books.books.refused();
+                            books.job_accounting.refused();
                         } else {
                             books.reload(now);
                         }
@@ -431,10 +444,10 @@
     }
 
     /// Jobs that found no units, and no machine, in the last pass.
-    pub(super) fn blocked(&self) -> Blocked<'_> {
-        Blocked {
-            units: self.counted.short.iter().map(|short| &short.job).collect(),
-            machines: self
+    pub(super) fn blocked_jobs(&self) -> BlockedJobs<'_> {
+        BlockedJobs {
+            lacking_units: self.counted.unsatisfied.iter().map(|short| &short.job).collect(),
+            lacking_machines: self
                 .scheduler
                 .unplaced()
                 .iter()
@@ -444,7 +457,7 @@
     }
 
     /// What a live job waits for.
-    pub(super) fn waits_for(job: &Job, blocked: &Blocked<'_>, now: Timestamp) -> WaitReason {
+    pub(super) fn wait_reason(job: &Job, blocked: &BlockedJobs<'_>, now: Timestamp) -> WaitReason {
         let id = &job.spec.id;
         if job.waiting.is_empty() {
             WaitReason::Nothing
@@ -457,11 +470,11 @@
             WaitReason::Held
         } else if job.parked {
             WaitReason::Recording
-        } else if blocked.units.contains(id) {
+        } else if blocked.lacking_units.contains(id) {
             WaitReason::Units
         } else if now < job.held_until {
             WaitReason::Retry
-        } else if blocked.machines.contains(id) {
+        } else if blocked.lacking_machines.contains(id) {
             WaitReason::Machines
         } else {
             WaitReason::Turn
@@ -472,44 +485,50 @@
     pub fn queues(&self, now: Timestamp) -> BTreeMap<Team, Queue> {
         let mut jobs: Vec<&Job> = self.jobs.values().collect();
         jobs.sort_by_key(|job| (job.spec.submitted_ms, &job.spec.id));
-        let blocked = self.blocked();
+        let blocked = self.blocked_jobs();
         let mut queues: BTreeMap<Team, Queue> = BTreeMap::new();
         for job in jobs {
             let queue = queues.entry(Team::named(&job.spec.team)).or_default();
-            queue.push(job.spec.id.0.clone(), LeaderTerm::waits_for(job, &blocked, now));
+            queue.push(job.spec.id.0.clone(), LeaderTerm::wait_reason(job, &blocked, now));
         }
         queues
     }
 
     /// How the books stand, for metrics.
-    pub fn book_standing(&self, now: Timestamp) -> AccountingGauges {
+    pub fn accounting_gauges(&self, now: Timestamp) -> AccountingGauges {
         let books = &self.books;
         AccountingGauges {
             waiting: self.queues(now),
             ended: books
-                .books
+                .job_accounting
                 .totals()
                 .map(|(team, tally)| (team.clone(), tally))
                 .collect(),
-            pending: books.books.pending() as u64,
-            unowned: books.books.unowned(),
+            pending: books.job_accounting.pending() as u64,
+            unowned: books.job_accounting.unowned(),
             differences: books.differences,
-            checked: books.checked,
-            suspended: books.off,
+            checked: books.verified,
+            suspended: books.suspended,
         }
     }
 
     /// An attempt runs.
-    pub(super) fn note_run(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        if self.books.runs.len() < MAX_TRACKED_RUNS {
-            self.books.runs.insert((task.clone(), number), now);
+    pub(super) fn record_run_start(&mut self, task: &TaskId, number: u64, now: Timestamp) {
+        if self.books.run_starts.len() < MAX_TRACKED_RUNS {
+            self.books.run_starts.insert((task.clone(), number), now);
         }
     }
 
     /// An attempt is over: what it ran counts for nothing where `why` says so. Of work that
     /// saves, what lies before the last save does; it is taken to be at regular intervals.
-    pub(super) fn note_end(&mut self, task: &TaskId, number: u64, why: Option<LossCause>, now: Timestamp) {
-        let Some(since) = self.books.runs.remove(&(task.clone(), number)) else {
+    pub(super) fn record_run_end(
+        &mut self,
+        task: &TaskId,
+        number: u64,
+        why: Option<LossCause>,
+        now: Timestamp,
+    ) {
+        let Some(since) = self.books.run_starts.remove(&(task.clone(), number)) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -120,7 +120,7 @@
         let mut idle = IdleSurplus {
             now,
             idle_ms: (settings.operator.idle_return_s * SECOND_MS as f64) as u64,
-            with_weights: self.kept_for_weights(types, settings),
+            with_weights: self.machines_kept_for_images(types, settings),
             wanted: &self.autoscaler.wanted,
             alike: self.idle_by_kind(),
         };
@@ -136,7 +136,7 @@
                 && machine.synced
                 && machine.is_empty()
                 && !idle.with_weights.contains(&machine.id)
-                && !self.shifts.kept.contains_key(&machine.id)
+                && !self.shifts.reserved.contains_key(&machine.id)
                 && idle.takes(machine);
             let useless =
                 machine.is_up() && machine.is_empty() && (faulty(machine) || machine.notice_until.is_some());
@@ -177,11 +177,11 @@
         machine.returning = true;
         machine.return_recorded = false;
         self.writer.record(machine);
-        self.weights.goes(machine, settings);
+        self.weights.on_machine_releasing(machine, settings);
         if !std::mem::replace(&mut machine.return_told, true) {
             log::info!("scale-in requested machine={id}: {}", why.text());
             if why == ReturnReason::Silent {
-                self.weights.lost();
+                self.weights.on_machine_lost();
             }
         }
     }
@@ -258,7 +258,7 @@
                 self.writer.machine_gone(&machine);
                 let changes = machine.clear();
                 self.apply_from(&id, machine.shard, changes, io);
-                self.remember_clients(&machine);
+                self.remember_licence_clients(&machine);
                 self.scheduler.request_pass();
             }
             return;
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -41,7 +41,12 @@
             *in_zone.entry(&machine.zone).or_default() += 1;
         }
         let mut queues: BTreeMap<(String, bool, Vec<String>), QueuedDemand> = BTreeMap::new();
-        for unplaced in self.scheduler.unplaced().iter().chain(&self.shifts.short) {
+        for unplaced in self
+            .scheduler
+            .unplaced()
+            .iter()
+            .chain(&self.shifts.unplaced_spares)
+        {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
@@ -126,7 +131,12 @@
     /// too few must not lose those that stand ready for it.
     fn wanted_kinds(&self, types: &MachineTypes) -> HashSet<MachineKind> {
         let mut wanted = HashSet::new();
-        for unplaced in self.scheduler.unplaced().iter().chain(&self.shifts.short) {
+        for unplaced in self
+            .scheduler
+            .unplaced()
+            .iter()
+            .chain(&self.shifts.unplaced_spares)
+        {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
             };
@@ -168,7 +178,7 @@
                 continue;
             };
             let mut free = known.resources();
-            if let Some(kept) = machine.and_then(|machine| self.shifts.kept.get(machine)) {
+            if let Some(kept) = machine.and_then(|machine| self.shifts.reserved.get(machine)) {
                 free -= *kept;
             }
             for _ in 0..count {
--- a/crates/controller/src/leader/calls.rs
+++ b/crates/controller/src/leader/calls.rs
@@ -1,7 +1,7 @@
 //! The calls that a leader makes in its term. With the term, whoever waits for an answer is gone.
 
 use super::LeaderTerm;
-use super::accounting::BookCall;
+use super::accounting::AccountingCall;
 use super::direct_commands::DirectCall;
 use crate::constants::STATE_TIMEOUT_MS;
 use crate::io::{Io, Method};
@@ -44,7 +44,7 @@
     /// A change of a cluster's records; the watch tells what came of it.
     Cluster,
     /// Reading or writing of teams' accounts.
-    Books(BookCall),
+    Books(AccountingCall),
 }
 
 impl LeaderTerm {
--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -26,71 +26,71 @@
 
 /// What can be wrong with a count, for its warnings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Trouble {
+enum CountProblem {
     Silent,
-    Over,
+    Oversubscribed,
     Undefined,
-    TooFew,
+    Unsatisfiable,
 }
 
 /// Since when something is wrong, and when operators were last told.
 #[derive(Debug, Clone, Copy)]
-struct Lasting {
+struct OngoingProblem {
     since: Timestamp,
-    told: Option<Timestamp>,
+    warned_at: Option<Timestamp>,
 }
 
 /// What a term knows of counted resources beyond the attempts that hold them.
 #[derive(Debug, Default)]
-pub(super) struct Counted {
+pub(super) struct CountedResources {
     feeds: BTreeMap<Name, UsageFeed>,
     /// For how long units of each count linger.
     linger_ms: HashMap<Name, u64>,
     /// Demands of jobs and attempts, each once.
-    demands: DemandInterner,
+    demand_interner: DemandInterner,
     /// Units that linger, as at the last pass or look.
     lingers: Vec<Linger>,
     /// Who waited for units after the last pass, in the order of service.
-    pub(super) short: Vec<UnsatisfiedDemand>,
+    pub(super) unsatisfied: Vec<UnsatisfiedDemand>,
     /// Units that it kept for requests that have waited for long.
-    kept: BTreeMap<Name, u32>,
+    reserved: BTreeMap<Name, u32>,
     /// For which jobs, and since when: what a new leader does not know, it counts anew.
-    keepers: BTreeMap<JobId, Timestamp>,
+    reserved_since: BTreeMap<JobId, Timestamp>,
     /// How often more was held than there was.
-    oversubscribed: BTreeMap<Name, u64>,
-    over: BTreeSet<Name>,
-    troubles: BTreeMap<(Name, Trouble), Lasting>,
+    oversubscription_counts: BTreeMap<Name, u64>,
+    oversubscribed_now: BTreeSet<Name>,
+    problems: BTreeMap<(Name, CountProblem), OngoingProblem>,
     /// Starts with units since they were last taken: count, and the job's age in s.
-    waits: Vec<(Name, f64)>,
-    looked_at: Timestamp,
+    unit_waits: Vec<(Name, f64)>,
+    checked_at: Timestamp,
 }
 
-impl Counted {
+impl CountedResources {
     /// For the counts that operators have defined.
-    pub(super) fn new(definitions: &Definitions) -> Counted {
+    pub(super) fn new(definitions: &Definitions) -> CountedResources {
         let linger_ms = definitions
             .iter()
             .map(|(name, definition)| (name.clone(), definition.linger_ms()));
         let asked = definitions
             .iter()
             .filter(|(_, definition)| definition.server.is_some());
-        Counted {
+        CountedResources {
             feeds: asked
                 .map(|(name, _)| (name.clone(), UsageFeed::default()))
                 .collect(),
             linger_ms: linger_ms.collect(),
-            ..Counted::default()
+            ..CountedResources::default()
         }
     }
 }
 
 impl LeaderTerm {
     /// What a pass needs to know of counted resources.
-    pub(super) fn units<'a>(&'a self, definitions: &'a Definitions) -> Units<'a> {
+    pub(super) fn counted_units<'a>(&'a self, definitions: &'a Definitions) -> Units<'a> {
         Units {
             definitions,
             policy: ReservationPolicy::default(),
-            reserved_since: &self.counted.keepers,
+            reserved_since: &self.counted.reserved_since,
             feeds: &self.counted.feeds,
             lingers: &self.counted.lingers,
             gone: self.machines.gone(),
@@ -98,14 +98,14 @@
     }
 
     /// Shares a demand with its equals.
-    pub(super) fn share_demand(&mut self, demand: &mut Demand) {
+    pub(super) fn intern_demand(&mut self, demand: &mut Demand) {
         if !demand.is_empty() {
-            *demand = self.counted.demands.intern(std::mem::take(demand));
+            *demand = self.counted.demand_interner.intern(std::mem::take(demand));
         }
     }
 
     /// Brings what lingers up to date, before a pass or a look.
-    pub(super) fn settle_lingers(&mut self, now: Timestamp) {
+    pub(super) fn update_lingers(&mut self, now: Timestamp) {
         let before = self.counted.lingers.len();
         self.counted.lingers = self.writer.lingers(now);
         // Units that have come free are a reason to place.
@@ -114,25 +114,31 @@
     }
 
     /// Notes what a pass says of units.
-    pub(super) fn note_units(
+    pub(super) fn record_unit_reservations(
         &mut self,
         short: Vec<UnsatisfiedDemand>,
         kept: BTreeMap<Name, u32>,
         keepers: BTreeSet<JobId>,
         now: Timestamp,
     ) {
-        let before = std::mem::take(&mut self.counted.keepers);
+        let before = std::mem::take(&mut self.counted.reserved_since);
         let since = |job: JobId| {
             let since = before.get(&job).copied().unwrap_or(now);
             (job, since)
         };
-        self.counted.keepers = keepers.into_iter().map(since).collect();
-        self.counted.short = short;
-        self.counted.kept = kept;
+        self.counted.reserved_since = keepers.into_iter().map(since).collect();
+        self.counted.unsatisfied = short;
+        self.counted.reserved = kept;
     }
 
     /// An attempt holds its units no longer.
-    pub(super) fn freed(&mut self, shard: Option<u32>, team: &Arc<str>, counts: &Demand, now: Timestamp) {
+    pub(super) fn on_units_released(
+        &mut self,
+        shard: Option<u32>,
+        team: &Arc<str>,
+        counts: &Demand,
+        now: Timestamp,
+    ) {
         for (count, units) in counts.iter() {
             let linger_ms = self.counted.linger_ms.get(count).copied().unwrap_or(0);
             if linger_ms > 0 {
@@ -152,7 +158,7 @@
 
     /// A machine is gone. For as long as units linger that its attempts may have held, a licence server
     /// may name its clients, which are ours then, also to the next leader.
-    pub(super) fn remember_clients(&mut self, machine: &Machine) {
+    pub(super) fn remember_licence_clients(&mut self, machine: &Machine) {
         let named_until = machine
             .shard
             .and_then(|shard| self.writer.machine_released(shard, &machine.id));
@@ -164,7 +170,7 @@
     }
 
     /// A machine that is gone, as a former leader recorded it: its clients are ours.
-    pub(super) fn adopt_released(
+    pub(super) fn restore_released_machine(
         &mut self,
         shard: u32,
         released: &ReleasedMachine,
@@ -184,21 +190,21 @@
     }
 
     /// A task with units is placed: how long its job waited.
-    pub(super) fn note_wait(&mut self, counts: &Demand, age_ms: u64) {
+    pub(super) fn record_unit_wait(&mut self, counts: &Demand, age_ms: u64) {
         let age_s = age_ms as f64 / SECOND_MS as f64;
         let waits = counts.iter().map(|(count, _)| (count.clone(), age_s));
-        self.counted.waits.extend(waits);
+        self.counted.unit_waits.extend(waits);
     }
 
     /// Waits of tasks placed since this was last asked: count, and the job's age in s.
-    pub fn take_waits(&mut self) -> Vec<(Name, f64)> {
-        std::mem::take(&mut self.counted.waits)
+    pub fn take_unit_waits(&mut self) -> Vec<(Name, f64)> {
+        std::mem::take(&mut self.counted.unit_waits)
     }
 
     // ---- licence servers -----------------------------------------------------
 
     /// Asks the licence servers that are due for their usage.
-    pub(super) fn poll_servers(&mut self, definitions: &Definitions, io: &mut Io) {
+    pub(super) fn poll_licence_servers(&mut self, definitions: &Definitions, io: &mut Io) {
         let mut due: BTreeSet<SocketAddrV4> = BTreeSet::new();
         for (name, feed) in &mut self.counted.feeds {
             if feed.start_poll(io.now) {
@@ -218,7 +224,7 @@
     }
 
     /// Follows the answer of a licence server.
-    pub(super) fn licences_told(
+    pub(super) fn handle_licence_response(
         &mut self,
         server: SocketAddrV4,
         outcome: &Outcome,
@@ -252,23 +258,23 @@
     // ---- warnings ------------------------------------------------------------
 
     /// Looks at all counts for what operators should know.
-    pub(super) fn look_at_counts(&mut self, definitions: &Definitions, io: &mut Io) {
-        if io.now < self.counted.looked_at + FORECAST_INTERVAL_MS {
+    pub(super) fn update_count_warnings(&mut self, definitions: &Definitions, io: &mut Io) {
+        if io.now < self.counted.checked_at + FORECAST_INTERVAL_MS {
             return;
         }
-        self.counted.looked_at = io.now;
-        self.settle_lingers(io.now);
-        let units = self.units(definitions);
+        self.counted.checked_at = io.now;
+        self.update_lingers(io.now);
+        let units = self.counted_units(definitions);
         let book = placement::book(self.machines.as_map(), &units, io.now);
-        let mut found: Vec<(Name, Trouble, String)> = Vec::new();
+        let mut found: Vec<(Name, CountProblem, String)> = Vec::new();
         let mut over = BTreeSet::new();
         for pool in book.pools() {
             let name: Name = Arc::from(pool.name);
-            let waiting = waiting_for(pool.name, &self.counted.short);
+            let waiting = tasks_waiting_for(pool.name, &self.counted.unsatisfied);
             match pool.closed {
                 Some(ClosedReason::Undefined) => found.push((
                     name.clone(),
-                    Trouble::Undefined,
+                    CountProblem::Undefined,
                     format!(
                         "it is not defined any more, but {} of its units are held",
                         pool.held
@@ -278,7 +284,7 @@
                     let server = pool.definition.and_then(|definition| definition.server);
                     found.push((
                         name.clone(),
-                        Trouble::Silent,
+                        CountProblem::Silent,
                         format!(
                             "its licence server {} is silent: nothing new starts on it, and {waiting} tasks wait",
                             server.map_or_else(String::new, |server| server.to_string()),
@@ -287,7 +293,7 @@
                 }
                 None if pool.excess() > 0 => {
                     over.insert(name.clone());
-                    if !self.counted.over.contains(&name) {
+                    if !self.counted.oversubscribed_now.contains(&name) {
                         log::warn!(
                             "counted resource oversubscribed {}",
                             self.oversubscription(pool, io.now)
@@ -295,7 +301,7 @@
                     }
                     found.push((
                         name.clone(),
-                        Trouble::Over,
+                        CountProblem::Oversubscribed,
                         format!(
                             "{} units are held, {} linger and {} are others', of {}: nothing is stopped, and \
                              nothing starts on it until enough of them end; {waiting} tasks wait",
@@ -306,10 +312,10 @@
                 None => (),
             }
         }
-        for (name, wanted, job) in too_large(self.jobs.as_map(), definitions) {
+        for (name, wanted, job) in unsatisfiable_jobs(self.jobs.as_map(), definitions) {
             found.push((
                 name,
-                Trouble::TooFew,
+                CountProblem::Unsatisfiable,
                 format!(
                     "job={job} needs {wanted} of its units at once, and there are too few: it cannot start"
                 ),
@@ -317,12 +323,16 @@
         }
         drop(book);
         for name in &over {
-            if !self.counted.over.contains(name) {
-                *self.counted.oversubscribed.entry(name.clone()).or_default() += 1;
+            if !self.counted.oversubscribed_now.contains(name) {
+                *self
+                    .counted
+                    .oversubscription_counts
+                    .entry(name.clone())
+                    .or_default() += 1;
             }
         }
-        self.counted.over = over;
-        self.tell_troubles(found, io);
+        self.counted.oversubscribed_now = over;
+        self.emit_count_warnings(found, io);
     }
 
     /// Where the units of a pool come from of which more are taken than there are.
@@ -347,24 +357,24 @@
         Oversubscription::new(pool, attempts, lingers.collect(), server)
     }
 
-    fn tell_troubles(&mut self, found: Vec<(Name, Trouble, String)>, io: &mut Io) {
-        self.counted.troubles.retain(|(name, trouble), _| {
+    fn emit_count_warnings(&mut self, found: Vec<(Name, CountProblem, String)>, io: &mut Io) {
+        self.counted.problems.retain(|(name, trouble), _| {
             found
                 .iter()
                 .any(|(other, kind, _)| other == name && kind == trouble)
         });
         for (name, trouble, text) in found {
             let key = (name.clone(), trouble);
-            let lasting = self.counted.troubles.entry(key).or_insert(Lasting {
+            let lasting = self.counted.problems.entry(key).or_insert(OngoingProblem {
                 since: io.now,
-                told: None,
+                warned_at: None,
             });
-            let due = match lasting.told {
+            let due = match lasting.warned_at {
                 None => io.now >= lasting.since + COUNT_WARNING_AFTER_MS,
                 Some(at) => io.now >= at + WARNING_REPEAT_MS,
             };
             if due {
-                lasting.told = Some(io.now);
+                lasting.warned_at = Some(io.now);
                 io.effects.push(Effect::Warning(format!("count={name}: {text}")));
             }
         }
@@ -372,7 +382,7 @@
 }
 
 /// Tasks that wait for a count.
-fn waiting_for(count: &str, short: &[UnsatisfiedDemand]) -> u64 {
+fn tasks_waiting_for(count: &str, short: &[UnsatisfiedDemand]) -> u64 {
     short
         .iter()
         .filter(|short| &*short.lack.count == count)
@@ -382,7 +392,10 @@
 
 /// For each count, the live job that needs the most of its units at once, if that is more
 /// than there is: it was accepted when there were more.
-fn too_large<'a>(jobs: &'a BTreeMap<JobId, Job>, definitions: &Definitions) -> Vec<(Name, u64, &'a JobId)> {
+fn unsatisfiable_jobs<'a>(
+    jobs: &'a BTreeMap<JobId, Job>,
+    definitions: &Definitions,
+) -> Vec<(Name, u64, &'a JobId)> {
     let mut largest: BTreeMap<&Name, (u64, &JobId)> = BTreeMap::new();
     for job in jobs.values().filter(|job| !job.parked && !job.waiting.is_empty()) {
         for (count, units) in job.spec.counts.iter() {
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -17,12 +17,12 @@
 impl LeaderTerm {
     /// Every count at a glance.
     pub fn count_status(&self, definitions: &Definitions, now: Timestamp) -> Vec<CountStatus> {
-        let units = self.units(definitions);
+        let units = self.counted_units(definitions);
         let book = placement::book(self.machines.as_map(), &units, now);
-        book.pools().map(|pool| self.status_of(pool, now)).collect()
+        book.pools().map(|pool| self.pool_status(pool, now)).collect()
     }
 
-    fn status_of(&self, pool: &Pool<'_>, now: Timestamp) -> CountStatus {
+    fn pool_status(&self, pool: &Pool<'_>, now: Timestamp) -> CountStatus {
         let definition = pool.definition;
         let mut teams: Vec<TeamStatus> = pool
             .teams()
@@ -53,9 +53,14 @@
             lingering: pool.lingering,
             others: pool.external,
             free: pool.free(),
-            kept: self.counted.kept.get(pool.name).copied().unwrap_or(0),
-            waiting: self.units_wanted(pool.name, None),
-            oversubscribed: self.counted.oversubscribed.get(pool.name).copied().unwrap_or(0),
+            kept: self.counted.reserved.get(pool.name).copied().unwrap_or(0),
+            waiting: self.units_waited_for(pool.name, None),
+            oversubscribed: self
+                .counted
+                .oversubscription_counts
+                .get(pool.name)
+                .copied()
+                .unwrap_or(0),
             closed: pool.closed.map(|closed| {
                 let text = match closed {
                     ClosedReason::Undefined => "it is not defined any more",
@@ -70,9 +75,9 @@
 
     /// Units of a count that tasks wait for; with a job, only tasks before it in the
     /// order of service.
-    fn units_wanted(&self, count: &str, before: Option<&JobId>) -> u64 {
+    fn units_waited_for(&self, count: &str, before: Option<&JobId>) -> u64 {
         self.counted
-            .short
+            .unsatisfied
             .iter()
             .take_while(|short| before != Some(&short.job))
             .filter_map(|short| {
@@ -146,11 +151,11 @@
         });
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
-        let units = self.units(definitions);
+        let units = self.counted_units(definitions);
         let book = placement::book(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
             .counted
-            .short
+            .unsatisfied
             .iter()
             .filter(|short| short.job == *id)
             .collect();
@@ -158,11 +163,11 @@
             count: count.to_string(),
             needs: u64::from(units) * u64::from(job.together()),
             free: book.get(count).map_or(0, |pool| pool.free()),
-            kept: self.counted.kept.get(count).copied().unwrap_or(0),
+            kept: self.counted.reserved.get(count).copied().unwrap_or(0),
             ahead: if short.is_empty() {
                 0
             } else {
-                self.units_wanted(count, Some(id))
+                self.units_waited_for(count, Some(id))
             },
             why: short
                 .iter()
--- a/crates/controller/src/leader/demand_forecast.rs
+++ b/crates/controller/src/leader/demand_forecast.rs
@@ -38,7 +38,7 @@
 
 impl LeaderTerm {
     /// How much of what classes and teams ask for they have.
-    pub fn shares(&self) -> impl Iterator<Item = (&ShareOwner, Share)> {
+    pub fn demand_shares(&self) -> impl Iterator<Item = (&ShareOwner, Share)> {
         self.forecast.satisfaction.shares()
     }
 
@@ -51,7 +51,7 @@
         let input = ForecastInput {
             jobs: self.jobs.as_map(),
             machines: self.machines.as_map(),
-            unsatisfied: &self.counted.short,
+            unsatisfied: &self.counted.unsatisfied,
             types,
             settings,
             boot_s: self.autoscaler.boot_s(),
@@ -60,17 +60,17 @@
         self.forecast.objectives.update_large(
             self.jobs.as_map(),
             self.machines.task_locations(),
-            &self.counted.short,
+            &self.counted.unsatisfied,
             io,
         );
         let live = LiveDemand {
             jobs: self.jobs.as_map(),
             counts: self.jobs.counts(),
-            short_of_units: self.counted.short.iter().map(|short| &short.job).collect(),
+            short_of_units: self.counted.unsatisfied.iter().map(|short| &short.job).collect(),
             deployment: &settings.deployment,
         };
         let judged = io.now >= self.started + SERVED_MIN_TERM_MS;
         self.forecast.satisfaction.update(&live, judged, io);
-        self.look_at_sizes(types, io);
+        self.warn_about_image_sizes(types, io);
     }
 }
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -21,30 +21,30 @@
 /// What this term has seen. A successor begins anew: minutes are enough to learn it, and until
 /// then the cloud's figures and careful guesses serve.
 #[derive(Debug, Default)]
-pub struct Weights {
+pub struct ImageLocality {
     /// Whether places are chosen by the measure.
-    pub on: bool,
+    pub enabled: bool,
     pub rates: Rates,
     /// Replicas started with an image, per s, and when that was so.
-    starts: HashMap<Arc<str>, (f64, Timestamp)>,
-    now: Timestamp,
-    machine_s: f64,
-    lost: u32,
-    spot_loss: f64,
+    start_rates: HashMap<Arc<str>, (f64, Timestamp)>,
+    updated_at: Timestamp,
+    machine_uptime_s: f64,
+    machines_lost: u32,
+    spot_loss_rate: f64,
     /// Where live models lie, and when that was looked at.
-    copies: ImageReplicas,
-    copies_at: Timestamp,
+    image_replicas: ImageReplicas,
+    image_replicas_at: Timestamp,
     /// What the cloud says that a GB takes, by kind, in s.
-    s_per_gb: HashMap<String, f64>,
+    fetch_s_per_gb: HashMap<String, f64>,
     /// Images whose size operators were told of, and when.
-    told: HashMap<Arc<str>, Timestamp>,
+    size_warned_at: HashMap<Arc<str>, Timestamp>,
     /// Replicas placed beside their image, and elsewhere.
-    placed: [usize; 2],
+    replicas_placed: [usize; 2],
 }
 
-impl ImageStatistics for Weights {
+impl ImageStatistics for ImageLocality {
     fn is_enabled(&self) -> bool {
-        self.on
+        self.enabled
     }
 
     fn rates(&self) -> &Rates {
@@ -52,70 +52,71 @@
     }
 
     fn starts_per_s(&self, image: &str) -> f64 {
-        let (rate, at) = self.starts.get(image).copied().unwrap_or_default();
-        rate * faded(at, self.now)
+        let (rate, at) = self.start_rates.get(image).copied().unwrap_or_default();
+        rate * decay(at, self.updated_at)
     }
 
     fn loss(&self, spot: bool) -> f64 {
-        let own = (f64::from(self.lost) + MACHINE_LOSS_PRIOR_PER_S * MACHINE_LOSS_PRIOR_WEIGHT_S)
-            / (self.machine_s + MACHINE_LOSS_PRIOR_WEIGHT_S);
-        if spot { own.max(self.spot_loss) } else { own }
+        let own = (f64::from(self.machines_lost) + MACHINE_LOSS_PRIOR_PER_S * MACHINE_LOSS_PRIOR_WEIGHT_S)
+            / (self.machine_uptime_s + MACHINE_LOSS_PRIOR_WEIGHT_S);
+        if spot { own.max(self.spot_loss_rate) } else { own }
     }
 }
 
-impl Weights {
+impl ImageLocality {
     /// Live models by how widely they lie.
     pub fn by_spread(&self) -> [usize; 4] {
-        self.copies.by_spread()
+        self.image_replicas.by_spread()
     }
 
     /// Replicas that this leader placed beside their image, and elsewhere.
-    pub fn placed(&self) -> [usize; 2] {
-        self.placed
+    pub fn replicas_placed(&self) -> [usize; 2] {
+        self.replicas_placed
     }
 
     /// A replica was started with the image, which lay there or not.
-    pub fn started(&mut self, image: &Arc<str>, there: bool, now: Timestamp) {
-        self.placed[usize::from(!there)] += 1;
-        let (rate, at) = self.starts.entry(image.clone()).or_insert((0.0, now));
-        *rate = *rate * faded(*at, now) + 1.0 / IMAGE_STARTS_DECAY_S;
+    pub fn on_replica_started(&mut self, image: &Arc<str>, there: bool, now: Timestamp) {
+        self.replicas_placed[usize::from(!there)] += 1;
+        let (rate, at) = self.start_rates.entry(image.clone()).or_insert((0.0, now));
+        *rate = *rate * decay(*at, now) + 1.0 / IMAGE_STARTS_DECAY_S;
         *at = now;
     }
 
     /// So many machines have been up since the last call.
-    pub fn up(&mut self, machines: usize, spot_loss: f64, now: Timestamp) {
-        if self.now > 0 {
-            self.machine_s += machines as f64 * now.saturating_sub(self.now) as f64 / SECOND_MS as f64;
+    pub fn record_uptime(&mut self, machines: usize, spot_loss: f64, now: Timestamp) {
+        if self.updated_at > 0 {
+            self.machine_uptime_s +=
+                machines as f64 * now.saturating_sub(self.updated_at) as f64 / SECOND_MS as f64;
         }
-        self.now = now;
-        self.spot_loss = spot_loss;
+        self.updated_at = now;
+        self.spot_loss_rate = spot_loss;
     }
 
     /// A machine goes back: what lies there counts no more, or the other copy went a moment later.
-    pub fn goes(&mut self, machine: &Machine, settings: &Settings) {
+    pub fn on_machine_releasing(&mut self, machine: &Machine, settings: &Settings) {
         let zones = &settings.deployment.zones;
         if let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) {
             for held in machine.images.held() {
-                self.copies.remove(&held.image, zone);
+                self.image_replicas.remove(&held.image, zone);
             }
         }
     }
 
     /// A machine that had been up was found to be gone.
-    pub fn lost(&mut self) {
-        self.lost += 1;
+    pub fn on_machine_lost(&mut self) {
+        self.machines_lost += 1;
     }
 
     /// Images that no replica has started with for long are forgotten.
-    pub fn forget(&mut self) {
-        let now = self.now;
-        self.starts
-            .retain(|_, (rate, at)| *rate * faded(*at, now) > MIN_IMAGE_START_RATE);
+    pub fn forget_rare_images(&mut self) {
+        let now = self.updated_at;
+        self.start_rates
+            .retain(|_, (rate, at)| *rate * decay(*at, now) > MIN_IMAGE_START_RATE);
     }
 
     /// An image of so many GB came to be on a machine of this kind.
-    pub fn fetched(&mut self, kind: &str, gb: f64, took_ms: Timestamp, others: f64) {
-        let Some(s_per_gb) = self.s_per_gb.get(kind) else {
+    pub fn on_image_fetched(&mut self, kind: &str, gb: f64, took_ms: Timestamp, others: f64) {
+        let Some(s_per_gb) = self.fetch_s_per_gb.get(kind) else {
             return;
         };
         let nominal_s = gb * s_per_gb;
@@ -134,20 +135,25 @@
     }
 }
 
-fn faded(at: Timestamp, now: Timestamp) -> f64 {
+fn decay(at: Timestamp, now: Timestamp) -> f64 {
     let since_s = now.saturating_sub(at) as f64 / SECOND_MS as f64;
     (-since_s / IMAGE_STARTS_DECAY_S).exp()
 }
 
 impl LeaderTerm {
     /// Before a pass: what time alone changes of what is known.
-    pub(super) fn look_at_weights(&mut self, types: &MachineTypes, settings: &Settings, now: Timestamp) {
-        self.weights.on = settings.operator.image_locality;
-        if self.weights.s_per_gb.len() != types.len() {
+    pub(super) fn update_image_locality(
+        &mut self,
+        types: &MachineTypes,
+        settings: &Settings,
+        now: Timestamp,
+    ) {
+        self.weights.enabled = settings.operator.image_locality;
+        if self.weights.fetch_s_per_gb.len() != types.len() {
             let known = types
                 .iter()
                 .map(|(name, known)| (name.clone(), known.fetch_s(1.0)));
-            self.weights.s_per_gb = known.collect();
+            self.weights.fetch_s_per_gb = known.collect();
         }
         let mut up = 0;
         for machine in self.machines.values_mut() {
@@ -158,17 +164,19 @@
                 machine.images.sized(known.cache_gb);
             }
         }
-        if now >= self.weights.copies_at + IMAGE_COPIES_INTERVAL_MS || self.weights.copies_at == 0 {
-            self.weights.copies_at = now;
-            self.look_at_copies(settings);
+        if now >= self.weights.image_replicas_at + IMAGE_COPIES_INTERVAL_MS
+            || self.weights.image_replicas_at == 0
+        {
+            self.weights.image_replicas_at = now;
+            self.update_image_replicas(settings);
         }
         let spot_loss = self.autoscaler.spot_losses().rate();
-        self.weights.up(up, spot_loss, now);
-        self.weights.forget();
+        self.weights.record_uptime(up, spot_loss, now);
+        self.weights.forget_rare_images();
     }
 
     /// Where the images of live services lie.
-    fn look_at_copies(&mut self, settings: &Settings) {
+    fn update_image_replicas(&mut self, settings: &Settings) {
         let zones = &settings.deployment.zones;
         let live = self.jobs.values().filter(|job| job.spec.shape == Shape::Service);
         let live: HashSet<Arc<str>> = live.map(|job| job.spec.image.clone()).collect();
@@ -184,12 +192,16 @@
                 }
             }
         }
-        self.weights.copies = copies;
+        self.weights.image_replicas = copies;
     }
 
     /// Idle machines that had better stay for the weights that lie on them: they go back last, and
     /// all together cost a small part of what the fleet does.
-    pub(super) fn kept_for_weights(&self, types: &MachineTypes, settings: &Settings) -> HashSet<MachineId> {
+    pub(super) fn machines_kept_for_images(
+        &self,
+        types: &MachineTypes,
+        settings: &Settings,
+    ) -> HashSet<MachineId> {
         if !settings.operator.image_locality {
             return HashSet::new();
         }
@@ -206,7 +218,7 @@
         let mut names = Vec::new();
         let mut idle = Vec::new();
         for machine in self.machines.values() {
-            let live = |image: &str| self.weights.copies.is_live(image);
+            let live = |image: &str| self.weights.image_replicas.is_live(image);
             if machine.idle_since.is_none() || machine.returning || machine.notice_until.is_some() {
                 continue;
             }
@@ -233,7 +245,7 @@
         let all: f64 = self.machines.values().map(price).sum();
         let keep = self
             .weights
-            .copies
+            .image_replicas
             .clone()
             .worth_keeping(&idle, all * IDLE_IMAGE_PRICE_SHARE);
         let kept = names.into_iter().zip(keep).filter(|(_, keep)| *keep);
@@ -241,10 +253,10 @@
     }
 
     /// Tells operators of models that no machine can keep: they are tried all the same.
-    pub(super) fn look_at_sizes(&mut self, types: &MachineTypes, io: &mut Io) {
+    pub(super) fn warn_about_image_sizes(&mut self, types: &MachineTypes, io: &mut Io) {
         for job in self.jobs.values().filter(|job| job.spec.shape == Shape::Service) {
             let image = &job.spec.image;
-            let told = self.weights.told.get(image);
+            let told = self.weights.size_warned_at.get(image);
             if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
                 continue;
             }
@@ -258,7 +270,7 @@
             let Some(problem) = WeightsError::of(image, job.spec.image_gb, largest) else {
                 continue;
             };
-            self.weights.told.insert(image.clone(), io.now);
+            self.weights.size_warned_at.insert(image.clone(), io.now);
             if problem.is_grave() {
                 io.effects
                     .push(Effect::Warning(format!("class={} {problem}", job.spec.class)));
@@ -267,9 +279,11 @@
             }
         }
         let jobs = self.jobs.as_map();
-        if self.weights.told.len() > MAX_WARNED_IMAGES {
+        if self.weights.size_warned_at.len() > MAX_WARNED_IMAGES {
             let live: HashSet<&Arc<str>> = jobs.values().map(|job| &job.spec.image).collect();
-            self.weights.told.retain(|image, _| live.contains(image));
+            self.weights
+                .size_warned_at
+                .retain(|image, _| live.contains(image));
         }
     }
 }
--- a/crates/controller/src/leader/job_events.rs
+++ b/crates/controller/src/leader/job_events.rs
@@ -8,20 +8,20 @@
 
 impl LeaderTerm {
     /// A job was accepted, by this node or another.
-    pub fn job_accepted(&mut self, mut spec: JobSpec, version: u64, io: &Io) {
+    pub fn on_job_accepted(&mut self, mut spec: JobSpec, version: u64, io: &Io) {
         if !self.recovery.is_complete() || version <= self.writer.ended_at(&spec.id) {
             return;
         }
-        self.share(&mut spec);
+        self.intern_spec(&mut spec);
         if self.jobs.contains(&spec.id) {
-            self.job_changed(spec, version, io.now);
+            self.on_job_changed(spec, version, io.now);
             return;
         }
         let mut job = Job::new(spec, version, io.now, io.wall_ms);
-        job.parked = self.clusters.parks(&job.spec);
+        job.parked = self.clusters.is_parked(&job.spec);
         if job.spec.shape == Shape::Service {
             // It may be protected: that must be known before it is placed.
-            self.shifts.look_soon();
+            self.shifts.request_update();
         }
         self.jobs.insert(job);
         self.scheduler.request_pass();
@@ -30,7 +30,7 @@
     /// A peer is about to tell a user that this job is over, which the watch tells only later where the
     /// state service is slow or refuses this node. What may still start of it waits until its record has
     /// been read; what is recorded from now on needs that the job is live.
-    pub fn ended_elsewhere(&mut self, id: &JobId) {
+    pub fn on_job_ended_elsewhere(&mut self, id: &JobId) {
         if !self.jobs.contains(id) {
             return;
         }
@@ -66,9 +66,9 @@
     }
 
     /// A job is over: whatever of it may be anywhere is stopped.
-    pub fn job_over(&mut self, id: &JobId, now: Timestamp) {
+    pub fn on_job_ended(&mut self, id: &JobId, now: Timestamp) {
         let Some(job) = self.jobs.remove(id) else { return };
-        self.books.over(id, &job.account);
+        self.books.on_job_ended(id, &job.account);
         self.writer.job_over(id, &job);
         self.scheduler.request_pass();
         for machine in self.machines.values_mut() {
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -37,11 +37,11 @@
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
 use crate::storage::batch_writer::BatchWriter;
-use accounting::TermBooks;
+use accounting::Accounting;
 use autoscaling::Autoscaler;
 use buffered_heartbeats::BufferedHeartbeats;
 use calls::TermCall;
-use counted_resources::Counted;
+use counted_resources::CountedResources;
 use demand_forecast::DemandForecast;
 use direct_commands::CommandQueue;
 use job_table::JobTable;
@@ -50,14 +50,14 @@
 use one_way_partition::OneWayPartition;
 use partition_detection::PartitionDetector;
 use persistence::Persistence;
-use protection_windows::Shifts;
+use protection_windows::ProtectionWindows;
 use record_watch::RecordWatch;
 use recovery::Recovery;
 use scheduling_pass::Scheduler;
-use submit_clusters::Clusters;
+use submit_clusters::SubmitClusters;
 use zone_health::Zones;
 
-pub use image_locality::Weights;
+pub use image_locality::ImageLocality;
 
 /// A worker has seen a newer leader, so this term is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -102,11 +102,11 @@
     scheduler: Scheduler,
     forecast: DemandForecast,
     autoscaler: Autoscaler,
-    counted: Counted,
-    shifts: Shifts,
-    clusters: Clusters,
-    weights: Weights,
-    books: TermBooks,
+    counted: CountedResources,
+    shifts: ProtectionWindows,
+    clusters: SubmitClusters,
+    weights: ImageLocality,
+    books: Accounting,
 }
 
 impl LeaderTerm {
@@ -132,11 +132,11 @@
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
             autoscaler: Autoscaler::new(),
-            counted: Counted::new(&settings.operator.counts),
-            shifts: Shifts::new(settings),
-            clusters: Clusters::default(),
-            weights: Weights::default(),
-            books: TermBooks::new(settings),
+            counted: CountedResources::new(&settings.operator.counts),
+            shifts: ProtectionWindows::new(settings),
+            clusters: SubmitClusters::default(),
+            weights: ImageLocality::default(),
+            books: Accounting::new(settings),
         }
     }
 
@@ -188,13 +188,13 @@
             return Some(deposed);
         }
         self.poll_watch(io);
-        self.look_at_shifts(types, settings, io);
+        self.update_protection_windows(types, settings, io);
         let certain = election.certain(io.now);
         if let Some(deposed) = self.check_fleet(election, types, settings, peers, io) {
             return Some(deposed);
         }
         self.poll_listing(io);
-        self.poll_servers(&settings.operator.counts, io);
+        self.poll_licence_servers(&settings.operator.counts, io);
         if certain && !types.is_empty() {
             self.schedule(types, settings, io);
             self.store_types_once(types, io);
@@ -203,7 +203,7 @@
         self.write(election, settings, io);
         self.send_direct(certain, io);
         if certain {
-            self.look_at_books(settings, io);
+            self.update_accounting(settings, io);
         }
         None
     }
@@ -250,8 +250,8 @@
             self.size_fleet(types, settings, io);
         }
         self.forecast_when_due(types, settings, io);
-        self.look_at_counts(&settings.operator.counts, io);
-        self.look_at_clusters(settings, io);
+        self.update_count_warnings(&settings.operator.counts, io);
+        self.update_submit_clusters(settings, io);
         self.send_rentals(io);
     }
 
@@ -278,7 +278,7 @@
     ) -> Option<ElectionEvent> {
         match kind {
             TermCall::Load { sent } => return self.loaded(sent, outcome, election, settings, io),
-            TermCall::Watch { sent } => return self.watched(sent, outcome, election, io),
+            TermCall::Watch { sent } => return self.handle_watch_response(sent, outcome, election, io),
             TermCall::Write => return self.written(outcome, election, io),
             TermCall::Reread { key, end_notices } => {
                 return self.reread(key, end_notices, outcome, election, io);
@@ -289,11 +289,11 @@
             TermCall::Rent { request } => self.rented(&request, outcome, io),
             TermCall::Return { machines, sent } => self.returned(machines, sent, outcome, io),
             TermCall::Licences { server } => {
-                self.licences_told(server, outcome, &settings.operator.counts, io.now);
+                self.handle_licence_response(server, outcome, &settings.operator.counts, io.now);
             }
             // The watch tells.
             TermCall::Cluster => (),
-            TermCall::Books(call) => self.books_answered(call, outcome, io.now),
+            TermCall::Books(call) => self.handle_accounting_response(call, outcome, io.now),
             TermCall::StoreTypes => self.types_stored(outcome),
         }
         None
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -53,7 +53,7 @@
             self.transact(body, TermCall::Write, io);
             return;
         }
-        self.queue_shifts(io.now);
+        self.queue_protection_windows(io.now);
         let most = settings
             .deployment
             .state
@@ -119,7 +119,7 @@
             return None;
         }
         self.writer.failed(&units, io.now);
-        self.shifts.failed(&units);
+        self.shifts.on_write_failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
                 let failed = outcome
@@ -164,7 +164,7 @@
         match key.strip_prefix(records::JOBS) {
             // Cancelled by a node that served its user. Only a cluster's jobs
             // change while they live: held, or released.
-            Some(job) if !self.may_change(job) => self.job_over(&JobId(Arc::from(job)), now),
+            Some(job) if !self.job_record_may_change(job) => self.on_job_ended(&JobId(Arc::from(job)), now),
             _ => self.writer.reread(key),
         }
     }
@@ -216,7 +216,7 @@
             }
             Unit::Shifts { number, deleted } => {
                 self.shifts
-                    .ledger
+                    .window_state
                     .written(number, if deleted { 0 } else { revision });
             }
             Unit::Garbage { .. } => (),
@@ -261,7 +261,7 @@
         }
         let team = self.jobs.get(&job).map_or("", |job| &job.spec.team);
         let team = Team::named(team);
-        self.job_over(&job, now);
+        self.on_job_ended(&job, now);
         self.writer.finished.push((job, team));
     }
 
@@ -294,10 +294,10 @@
         } else if let Some(job) = key.strip_prefix(records::JOBS) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
             match spec {
-                _ if version == 0 => self.job_over(&JobId(Arc::from(job)), io.now),
+                _ if version == 0 => self.on_job_ended(&JobId(Arc::from(job)), io.now),
                 Some(Ok(spec)) => {
                     let job = spec.id.clone();
-                    self.job_accepted(spec, version, io);
+                    self.on_job_accepted(spec, version, io);
                     self.on_job_reread(&job, end_notices);
                 }
                 Some(Err(problem)) => log::error!("record ignored key={key}: {problem}"),
@@ -308,7 +308,7 @@
         } else if let Some(number) = records::parse_number(records::DONE, &key) {
             self.writer.done_version(number, version);
         } else if let Some(number) = records::parse_number(records::SHIFTS, &key) {
-            self.shifts.ledger.found(number, version);
+            self.shifts.window_state.found(number, version);
         }
         None
     }
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -1,4 +1,4 @@
-//! Shifts in a leader's term: which services are protected and in which order, the room that is
+//! ProtectionWindows in a leader's term: which services are protected and in which order, the room that is
 //! kept for them, the record of both, and plain warnings.
 
 use super::LeaderTerm;
@@ -18,63 +18,63 @@
 
 /// What a term knows of shifts.
 #[derive(Debug)]
-pub(super) struct Shifts {
-    pub(super) ledger: WindowState,
+pub(super) struct ProtectionWindows {
+    pub(super) window_state: WindowState,
     timetable: Timetable,
-    look_at: Timestamp,
+    next_update_at: Timestamp,
     /// As of the last look, for placement.
     pub(super) protection: Protection,
     /// Room that the last pass kept, by machine: it is neither idle nor free for others.
-    pub(super) kept: HashMap<MachineId, Resources>,
+    pub(super) reserved: HashMap<MachineId, Resources>,
     /// What of it found no room.
-    pub(super) short: Vec<Unplaced>,
+    pub(super) unplaced_spares: Vec<Unplaced>,
     /// Since when protected replicas have found no room, and whether operators know.
-    short_since: Option<Timestamp>,
-    told_short: bool,
-    told_large: bool,
+    replicas_unplaced_since: Option<Timestamp>,
+    warned_unplaced: bool,
+    warned_large: bool,
 }
 
-impl Shifts {
+impl ProtectionWindows {
     /// As the settings have them; nothing is read from the records yet.
-    pub(super) fn new(settings: &Settings) -> Shifts {
+    pub(super) fn new(settings: &Settings) -> ProtectionWindows {
         let deployment = &settings.deployment;
         // Each clock is off by so much at most, so that two differ by twice that.
         let bound_ms = (2.0 * deployment.clock_skew_ms).ceil() as u64;
         let value_bytes = (deployment.state.value_kb * 1024.0 * MAX_VALUE_SHARE) as usize;
-        Shifts {
-            ledger: WindowState::new(settings.protection_windows.clone(), bound_ms, value_bytes),
+        ProtectionWindows {
+            window_state: WindowState::new(settings.protection_windows.clone(), bound_ms, value_bytes),
             timetable: settings.protection_windows.clone(),
-            look_at: 0,
+            next_update_at: 0,
             protection: Protection::default(),
-            kept: HashMap::new(),
-            short: Vec::new(),
-            short_since: None,
-            told_short: false,
-            told_large: false,
+            reserved: HashMap::new(),
+            unplaced_spares: Vec::new(),
+            replicas_unplaced_since: None,
+            warned_unplaced: false,
+            warned_large: false,
         }
     }
 
     /// Whether the operators have any shift: else nothing of this is done.
-    pub(super) fn on(&self) -> bool {
+    pub(super) fn is_enabled(&self) -> bool {
         !self.timetable.is_empty()
     }
 
     /// Looks again before the next pass.
-    pub(super) fn look_soon(&mut self) {
-        self.look_at = 0;
+    pub(super) fn request_update(&mut self) {
+        self.next_update_at = 0;
     }
 
     /// What a pass kept, and what found no room.
-    pub(super) fn planned(&mut self, kept: HashMap<MachineId, Resources>, short: Vec<Unplaced>) {
-        self.kept = kept;
-        self.short = short;
+    pub(super) fn record_plan(&mut self, kept: HashMap<MachineId, Resources>, short: Vec<Unplaced>) {
+        self.reserved = kept;
+        self.unplaced_spares = short;
     }
 
     /// Units that were not, or may not have been, written.
-    pub(super) fn failed(&mut self, units: &[Unit]) {
+    pub(super) fn on_write_failed(&mut self, units: &[Unit]) {
         for unit in units {
             if let Unit::Shifts { number, .. } = unit {
-                self.ledger.failed(*number);
+                self.window_state.failed(*number);
             }
         }
     }
@@ -82,10 +82,10 @@
 
 impl LeaderTerm {
     /// Takes over a record of windows and standings.
-    pub(super) fn adopt_shifts(&mut self, number: u32, item: &StoredItem, io: &mut Io) {
+    pub(super) fn restore_protection_windows(&mut self, number: u32, item: &StoredItem, io: &mut Io) {
         let read = self
             .shifts
-            .ledger
+            .window_state
             .adopt(number, &item.value.to_string(), item.version);
         if let Err(problem) = read {
             let text = format!(
@@ -98,18 +98,23 @@
     }
 
     /// What is to be written of shifts goes with the next transaction.
-    pub(super) fn queue_shifts(&mut self, now: Timestamp) {
-        if self.shifts.on() && self.writer.shifts.is_empty() {
-            self.writer.shifts = self.shifts.ledger.due(now);
+    pub(super) fn queue_protection_windows(&mut self, now: Timestamp) {
+        if self.shifts.is_enabled() && self.writer.shifts.is_empty() {
+            self.writer.shifts = self.shifts.window_state.due(now);
         }
     }
 
     /// Compares the clock with the windows, and notes what is protected.
-    pub(super) fn look_at_shifts(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        if !self.shifts.on() || io.now < self.shifts.look_at {
+    pub(super) fn update_protection_windows(
+        &mut self,
+        types: &MachineTypes,
+        settings: &Settings,
+        io: &mut Io,
+    ) {
+        if !self.shifts.is_enabled() || io.now < self.shifts.next_update_at {
             return;
         }
-        self.shifts.look_at = io.now + PROTECTION_WINDOW_CHECK_MS;
+        self.shifts.next_update_at = io.now + PROTECTION_WINDOW_CHECK_MS;
         let jobs = self.jobs.values().filter(|job| {
             // Nothing is wanted of what is held.
             job.spec.shape == Shape::Service && !job.parked
@@ -120,14 +125,14 @@
             team: &job.spec.team,
             submitted_ms: job.spec.submitted_ms,
         });
-        let events = self.shifts.ledger.look(io.wall_ms, services);
+        let events = self.shifts.window_state.look(io.wall_ms, services);
         let standings: BTreeMap<JobId, Standing> = self
             .shifts
-            .ledger
+            .window_state
             .standings()
             .map(|(id, standing)| (JobId(id.clone()), standing))
             .collect();
-        let spares = self.shifts.ledger.spares();
+        let spares = self.shifts.window_state.spares();
         let part = |spec: &JobSpec| {
             let own = spares.iter().filter(|spare| {
                 let shift = self.shifts.timetable.get(&spare.shift);
@@ -138,7 +143,7 @@
         let spare = if spares.is_empty() {
             Vec::new()
         } else {
-            spare_rooms(jobs.map(|job| (job, part(&job.spec))))
+            spare_capacities(jobs.map(|job| (job, part(&job.spec))))
         };
         let protection = Protection { standings, spare };
         if protection != self.shifts.protection {
@@ -146,20 +151,20 @@
             self.scheduler.request_pass();
         }
         for event in events {
-            self.tell_shift(event, io);
+            self.report_window_event(event, io);
         }
-        self.watch_protected(types, settings, io);
+        self.warn_about_protected_replicas(types, settings, io);
     }
 
-    fn tell_shift(&mut self, event: Event, io: &mut Io) {
+    fn report_window_event(&mut self, event: Event, io: &mut Io) {
         let warning = match event {
             Event::Opened {
                 shift,
                 day,
                 closes_ms,
             } => {
-                self.shifts.told_large = false;
-                self.shifts.told_short = false;
+                self.shifts.warned_large = false;
+                self.shifts.warned_unplaced = false;
                 log::info!("protection window opened window={shift} day={day} until_ms={closes_ms}");
                 return;
             }
@@ -192,7 +197,7 @@
 
     /// Tells operators, once a window, that what is protected finds no room, or that it leaves too
     /// little to others.
-    fn watch_protected(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
+    fn warn_about_protected_replicas(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         let protection = &self.shifts.protection;
         let short: u32 = self
             .scheduler
@@ -202,13 +207,13 @@
             .map(|unplaced| unplaced.tasks)
             .sum();
         if short == 0 {
-            self.shifts.short_since = None;
+            self.shifts.replicas_unplaced_since = None;
         }
         let mut warning = None;
         if short > 0 {
-            let since = *self.shifts.short_since.get_or_insert(io.now);
+            let since = *self.shifts.replicas_unplaced_since.get_or_insert(io.now);
             if io.now >= since + PROTECTED_WAIT_WARNING_MS
-                && !std::mem::replace(&mut self.shifts.told_short, true)
+                && !std::mem::replace(&mut self.shifts.warned_unplaced, true)
             {
                 warning = Some(format!(
                     "shifts: {short} protected replicas find no room: the cloud has too few machines for them, \
@@ -218,7 +223,7 @@
         }
         let machines = self.shifts.protection.machines(self.jobs.as_map(), types);
         let fleet_max = settings.operator.fleet_max;
-        if machines > f64::from(fleet_max) / 2.0 && !std::mem::replace(&mut self.shifts.told_large, true) {
+        if machines > f64::from(fleet_max) / 2.0 && !std::mem::replace(&mut self.shifts.warned_large, true) {
             warning = Some(format!(
                 "shifts: what is protected fills {machines:.0} of at most {fleet_max} machines: while it lasts, \
                  other classes may have less than half of what they ask for"
@@ -230,25 +235,25 @@
     }
 
     /// How the shifts stand, for display.
-    pub fn shifts(&self, wall_ms: u64) -> Vec<ShiftStatus> {
-        if self.shifts.on() {
-            self.shifts.ledger.status(wall_ms)
+    pub fn protection_window_status(&self, wall_ms: u64) -> Vec<ShiftStatus> {
+        if self.shifts.is_enabled() {
+            self.shifts.window_state.status(wall_ms)
         } else {
             Vec::new()
         }
     }
 
     /// Replicas' worth of room that shifts want kept free, and that is.
-    pub fn spare(&self) -> (u32, u32) {
+    pub fn spare_replicas(&self) -> (u32, u32) {
         let wanted = self.shifts.protection.spare.iter().map(|spare| spare.tasks).sum();
-        let short: u32 = self.shifts.short.iter().map(|short| short.tasks).sum();
+        let short: u32 = self.shifts.unplaced_spares.iter().map(|short| short.tasks).sum();
         (wanted, wanted - short.min(wanted))
     }
 }
 
 /// Room to be kept, with jobs that ask for the same counted together: a part of each alone, rounded
 /// up, would be as much again as many of them have.
-fn spare_rooms<'a>(jobs: impl Iterator<Item = (&'a Job, f64)>) -> Vec<SpareCapacity> {
+fn spare_capacities<'a>(jobs: impl Iterator<Item = (&'a Job, f64)>) -> Vec<SpareCapacity> {
     let mut alike: Vec<(&Job, f64)> = Vec::new();
     for (job, part) in jobs.filter(|(_, part)| *part > 0.0) {
         let wanted = part * f64::from(job.spec.tasks);
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -154,20 +154,21 @@
                         task.job,
                         task.index
                     );
-                    self.note_end(&task, number, None, io.now);
+                    self.record_run_end(&task, number, None, io.now);
                     self.task_done(machine, &task, number, io.now);
                 }
                 Change::Exited {
                     task, number, why, ..
                 } => {
-                    self.note_end(&task, number, lost_by(why), io.now);
+                    self.record_run_end(&task, number, lost_by(why), io.now);
                     self.task_ended(machine, &task, number, why, io);
                 }
                 Change::Released(task) => self.requeue(&task, io.now),
                 Change::Stranger(task) => self.adopt_unrecorded(machine, task),
                 Change::Fetched { gb, took_ms, others } => {
                     if let Some(machine) = self.machines.get(machine) {
-                        self.weights.fetched(&machine.machine_type, gb, took_ms, others);
+                        self.weights
+                            .on_image_fetched(&machine.machine_type, gb, took_ms, others);
                     }
                 }
                 Change::Freed {
@@ -176,7 +177,7 @@
                     lingers,
                 } => {
                     if lingers {
-                        self.freed(shard, &team, &counts, io.now);
+                        self.on_units_released(shard, &team, &counts, io.now);
                     }
                     if let Some(shard) = shard {
                         self.writer.units_freed(shard);
@@ -194,7 +195,7 @@
             task.job,
             task.index
         );
-        self.note_run(task, number, now);
+        self.record_run_start(task, number, now);
         self.starts_well(machine);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
@@ -219,7 +220,7 @@
 
     /// An attempt is gone with its machine.
     fn task_vanished(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        self.note_end(task, number, Some(LossCause::Machine), now);
+        self.record_run_end(task, number, Some(LossCause::Machine), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -21,7 +21,7 @@
 
 impl RecordWatch {
     /// Begins where the reading of the records began.
-    pub(super) fn begin_at(&mut self, revision: u64) {
+    pub(super) fn start_at(&mut self, revision: u64) {
         self.revision = revision;
     }
 
@@ -35,13 +35,13 @@
     }
 
     /// Changes up to this revision were told.
-    fn advanced(&mut self, revision: u64, now: Timestamp) {
+    fn on_changes(&mut self, revision: u64, now: Timestamp) {
         self.next_at = now;
         self.revision = self.revision.max(revision);
     }
 
     /// The call failed: it is repeated after a while.
-    fn failed(&mut self, now: Timestamp) {
+    fn on_failure(&mut self, now: Timestamp) {
         self.next_at = now + WRITE_RETRY_MS;
     }
 }
@@ -58,7 +58,7 @@
     }
 
     /// Follows the changes that the watch has told.
-    pub(super) fn watched(
+    pub(super) fn handle_watch_response(
         &mut self,
         sent: Timestamp,
         outcome: &Outcome,
@@ -73,24 +73,24 @@
                 // disprove a start that is on its way.
                 return election.hand_over("it is too far behind", io);
             }
-            self.watch.failed(io.now);
+            self.watch.on_failure(io.now);
             return None;
         };
-        self.watch.advanced(changes.revision, io.now);
+        self.watch.on_changes(changes.revision, io.now);
         for event in changes.events {
-            self.follow_event(event, io);
+            self.apply_event(event, io);
         }
         // Not before all of it is followed.
         self.watermark.advance(sent);
         None
     }
 
-    fn follow_event(&mut self, event: protocol::WatchEvent, io: &Io) {
+    fn apply_event(&mut self, event: protocol::WatchEvent, io: &Io) {
         match event {
             protocol::WatchEvent::Put { key, value, version } => {
                 let read = match condor::parse_open(&key) {
-                    Some(cluster) => self.cluster_open(cluster, &value, version),
-                    None => JobSpec::from_value(&value).map(|spec| self.job_accepted(spec, version, io)),
+                    Some(cluster) => self.on_cluster_open(cluster, &value, version),
+                    None => JobSpec::from_value(&value).map(|spec| self.on_job_accepted(spec, version, io)),
                 };
                 if let Err(problem) = read {
                     log::error!("record ignored key={key}: {problem}");
@@ -98,9 +98,9 @@
             }
             protocol::WatchEvent::Delete { key } => {
                 if let Some(cluster) = condor::parse_open(&key) {
-                    self.cluster_closed(cluster);
+                    self.on_cluster_closed(cluster);
                 } else if let Some(job) = key.strip_prefix(records::JOBS) {
-                    self.job_over(&JobId(Arc::from(job)), io.now);
+                    self.on_job_ended(&JobId(Arc::from(job)), io.now);
                 }
             }
         }
--- a/crates/controller/src/leader/record_watch/tests.rs
+++ b/crates/controller/src/leader/record_watch/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn one_call_is_under_way_at_a_time_and_continues_the_last() {
     let mut watch = RecordWatch::default();
-    watch.begin_at(7);
+    watch.start_at(7);
     let first = watch.next_call(0);
     assert_eq!(
         first,
@@ -12,7 +12,7 @@
     );
     assert_eq!(watch.next_call(1), None);
     watch.in_flight = false;
-    watch.advanced(9, 1);
+    watch.on_changes(9, 1);
     let second = watch.next_call(1);
     assert_eq!(
         second,
@@ -24,8 +24,8 @@
 #[test]
 fn the_revision_never_goes_back() {
     let mut watch = RecordWatch::default();
-    watch.begin_at(7);
-    watch.advanced(5, 0);
+    watch.start_at(7);
+    watch.on_changes(5, 0);
     let path = watch.next_call(0);
     assert_eq!(path, Some(paths::watch(records::JOBS, 7, JOB_WATCH_LONG_POLL_MS)));
 }
@@ -35,7 +35,7 @@
     let mut watch = RecordWatch::default();
     assert!(watch.next_call(0).is_some());
     watch.in_flight = false;
-    watch.failed(10);
+    watch.on_failure(10);
     assert_eq!(watch.next_call(10 + WRITE_RETRY_MS - 1), None);
     assert!(watch.next_call(10 + WRITE_RETRY_MS).is_some());
 }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -140,7 +140,7 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let prefixes = LOAD_ORDER.len() - usize::from(!self.shifts.on());
+        let prefixes = LOAD_ORDER.len() - usize::from(!self.shifts.is_enabled());
         let page = outcome.read::<StoredPage>(&[200]);
         let loaded = self.recovery.page_read(page, sent, prefixes, io.now)?;
         if let Err(problem) = self.adopt_records(loaded, settings, io) {
@@ -157,7 +157,7 @@
     }
 
     fn adopt_records(&mut self, loaded: Loaded, settings: &Settings, io: &mut Io) -> Result<(), RecordError> {
-        self.watch.begin_at(loaded.begun.revision);
+        self.watch.start_at(loaded.begun.revision);
         for item in loaded.items {
             match self.adopt_record(&item, settings, io) {
                 Ok(()) => (),
@@ -165,7 +165,7 @@
                 Err(problem) => log::error!("record ignored key={}: {problem}", item.key),
             }
         }
-        self.park_all();
+        self.update_all_parked();
         self.machines.reindex(io.now);
         self.join_attempts_and_jobs(io.now);
         self.watermark.advance(loaded.begun.asked_at);
@@ -207,7 +207,7 @@
         io: &mut Io,
     ) -> Result<(), RecordError> {
         if let Some(cluster) = condor::parse_open(&item.key) {
-            self.cluster_open(cluster, &item.value, item.version)
+            self.on_cluster_open(cluster, &item.value, item.version)
         } else if item.key.starts_with(records::JOBS) {
             self.adopt_job(item, io)
         } else if let Some(number) = records::parse_number(records::DONE, &item.key) {
@@ -215,7 +215,7 @@
         } else if let Some(number) = records::parse_number(records::SHARDS, &item.key) {
             self.adopt_shard(number, item, settings, io)
         } else if let Some(number) = records::parse_number(records::SHIFTS, &item.key) {
-            self.adopt_shifts(number, item, io);
+            self.restore_protection_windows(number, item, io);
             Ok(())
         } else if item.key.starts_with(records::RENTALS) {
             self.autoscaler
@@ -228,7 +228,7 @@
 
     fn adopt_job(&mut self, item: &StoredItem, io: &Io) -> Result<(), RecordError> {
         let mut spec = JobSpec::from_value(&item.value)?;
-        self.share(&mut spec);
+        self.intern_spec(&mut spec);
         self.jobs.insert(Job::new(spec, item.version, io.now, io.wall_ms));
         Ok(())
     }
@@ -293,12 +293,12 @@
         self.writer.linger_read(number, item.version, lingers, spent);
         let clock_off_ms = settings.deployment.clock_skew_ms as u64;
         for released in shard.released() {
-            self.adopt_released(number, released, clock_off_ms, io);
+            self.restore_released_machine(number, released, clock_off_ms, io);
         }
         for record in shard.machines()? {
             let mut machine = Machine::from_record(&record, io.now);
             for attempt in &mut machine.attempts {
-                self.share_demand(&mut attempt.counts);
+                self.intern_demand(&mut attempt.counts);
             }
             self.writer.join(&mut machine, number, item.version);
             self.machines.insert(machine);
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -89,8 +89,8 @@
     /// Plans where waiting tasks start and what is stopped, and orders it.
     pub(super) fn pass(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         self.scheduler.begin_pass(io.now);
-        self.settle_lingers(io.now);
-        self.look_at_weights(types, settings, io.now);
+        self.update_lingers(io.now);
+        self.update_image_locality(types, settings, io.now);
         let site = ClusterSnapshot {
             deployment: &settings.deployment,
             types,
@@ -98,7 +98,7 @@
             machines: self.machines.as_map(),
             task_locations: self.machines.task_locations(),
             spot_loss: self.autoscaler.spot_losses().rate(),
-            units: self.units(&settings.operator.counts),
+            units: self.counted_units(&settings.operator.counts),
             starved: &self.forecast.satisfaction().starved,
             aging_credit: self.scheduler.aging_credit,
             image_statistics: &self.weights,
@@ -107,8 +107,8 @@
         };
         let plan = placement::plan(&site);
         self.scheduler.unplaced = plan.unplaced;
-        self.shifts.planned(plan.spare_capacity, plan.unplaced_spare);
-        self.note_units(
+        self.shifts.record_plan(plan.spare_capacity, plan.unplaced_spare);
+        self.record_unit_reservations(
             plan.unsatisfied,
             plan.reserved_units,
             plan.units_reserved_for,
@@ -174,7 +174,7 @@
         machine.images.sized(cache_gb);
         machine.images.asked(&job.spec.image, job.spec.image_gb);
         if job.spec.shape == Shape::Service {
-            self.weights.started(&job.spec.image, cached, now);
+            self.weights.on_replica_started(&job.spec.image, cached, now);
         }
         let job_id = task.job.clone();
         machine.attempts.push(Attempt {
@@ -194,7 +194,7 @@
         self.writer.record(machine);
         self.machines.add_location(job_id, id.clone());
         if !counts.is_empty() {
-            self.note_wait(&counts, age_ms);
+            self.record_unit_wait(&counts, age_ms);
         }
     }
 
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -12,7 +12,7 @@
             held: self.jobs.waiting_tasks(true),
             rentals: self.autoscaler.open_requests().count(),
             models: self.weights.by_spread(),
-            replicas_placed: self.weights.placed(),
+            replicas_placed: self.weights.replicas_placed(),
             ..MetricsSnapshot::default()
         };
         for machine in self.machines.values() {
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -1,4 +1,4 @@
-//! Clusters of submit files in a leader's term: nothing of one starts before it is accepted
+//! SubmitClusters of submit files in a leader's term: nothing of one starts before it is accepted
 //! whole, nor while it is held; what nobody finished is cleared away.
 
 use super::LeaderTerm;
@@ -19,19 +19,19 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Clusters that are not accepted yet, and what their jobs share.
+/// SubmitClusters that are not accepted yet, and what their jobs share.
 #[derive(Debug, Default)]
-pub(super) struct Clusters {
-    /// Clusters that are being recorded, with the versions of their records.
+pub(super) struct SubmitClusters {
+    /// SubmitClusters that are being recorded, with the versions of their records.
     open: BTreeMap<u64, (OpenRecord, u64)>,
     /// Equal sets of kinds as one: a pass works out each once.
     kind_sets: HashMap<Arc<KindSet>, ()>,
-    looked_at: Timestamp,
+    checked_at: Timestamp,
 }
 
-impl Clusters {
+impl SubmitClusters {
     /// Whether nothing of a job may start.
-    pub(super) fn parks(&self, spec: &JobSpec) -> bool {
+    pub(super) fn is_parked(&self, spec: &JobSpec) -> bool {
         let part = spec.condor.as_ref();
         part.is_some_and(|part| !part.holds.is_empty() || self.open.contains_key(&part.cluster))
     }
@@ -39,8 +39,8 @@
 
 impl LeaderTerm {
     /// What many jobs have alike stands in memory once.
-    pub(super) fn share(&mut self, spec: &mut JobSpec) {
-        self.share_demand(&mut spec.counts);
+    pub(super) fn intern_spec(&mut self, spec: &mut JobSpec) {
+        self.intern_demand(&mut spec.counts);
         let Some(kinds) = &mut spec.kinds else { return };
         let known = &mut self.clusters.kind_sets;
         if known.len() >= MAX_KIND_SETS {
@@ -56,12 +56,12 @@
     }
 
     /// Whether a live job's record may change: others may not, but for their end.
-    pub(super) fn may_change(&self, job: &str) -> bool {
+    pub(super) fn job_record_may_change(&self, job: &str) -> bool {
         self.jobs.get(job).is_some_and(|job| job.spec.condor.is_some())
     }
 
     /// A cluster is being recorded: its jobs wait until it is accepted.
-    pub(super) fn cluster_open(
+    pub(super) fn on_cluster_open(
         &mut self,
         cluster: u64,
         value: &serde_json::Value,
@@ -69,34 +69,34 @@
     ) -> Result<(), records::RecordError> {
         let record = OpenRecord::from_value(value)?;
         self.clusters.open.insert(cluster, (record, version));
-        self.park(cluster);
+        self.update_parked(cluster);
         Ok(())
     }
 
     /// A cluster was accepted, or given up and its jobs with it.
-    pub(super) fn cluster_closed(&mut self, cluster: u64) {
+    pub(super) fn on_cluster_closed(&mut self, cluster: u64) {
         self.clusters.open.remove(&cluster);
-        self.park(cluster);
+        self.update_parked(cluster);
     }
 
     /// Notes of every live job whether it is parked.
-    pub(super) fn park_all(&mut self) {
+    pub(super) fn update_all_parked(&mut self) {
         for job in self.jobs.values_mut() {
-            job.parked = self.clusters.parks(&job.spec);
+            job.parked = self.clusters.is_parked(&job.spec);
         }
     }
 
-    fn park(&mut self, cluster: u64) {
+    fn update_parked(&mut self, cluster: u64) {
         let first = condor::job_id(cluster, 0);
         let last = condor::job_id(cluster, u32::MAX);
         for (_, job) in self.jobs.range_mut(first..=last) {
-            job.parked = self.clusters.parks(&job.spec);
+            job.parked = self.clusters.is_parked(&job.spec);
         }
         self.scheduler.request_pass();
     }
 
     /// The record of a live job has another version: it was held, or released.
-    pub(super) fn job_changed(&mut self, spec: JobSpec, version: u64, now: Timestamp) {
+    pub(super) fn on_job_changed(&mut self, spec: JobSpec, version: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&spec.id) else {
             return;
         };
@@ -104,7 +104,7 @@
             return;
         }
         job.version = version;
-        job.parked = self.clusters.parks(&spec);
+        job.parked = self.clusters.is_parked(&spec);
         job.spec = spec;
         self.scheduler.request_pass();
         if !job.parked {
@@ -123,12 +123,12 @@
     }
 
     /// Clears away what was left open, and ends holds whose reason is gone.
-    pub(super) fn look_at_clusters(&mut self, settings: &Settings, io: &mut Io) {
-        if io.now < self.clusters.looked_at + CLUSTER_CHECK_MS {
+    pub(super) fn update_submit_clusters(&mut self, settings: &Settings, io: &mut Io) {
+        if io.now < self.clusters.checked_at + CLUSTER_CHECK_MS {
             return;
         }
-        self.clusters.looked_at = io.now;
-        self.give_up_clusters(io);
+        self.clusters.checked_at = io.now;
+        self.abandon_open_clusters(io);
         if let Some(condor) = &settings.operator.condor {
             let deployment = &settings.deployment;
             let default_team = condor.default_team.as_deref();
@@ -145,12 +145,12 @@
                     value: spec.to_value(),
                     lease: None,
                 };
-                self.change_cluster(key, version, change, io);
+                self.change_record(key, version, change, io);
             }
         }
     }
 
-    fn give_up_clusters(&mut self, io: &mut Io) {
+    fn abandon_open_clusters(&mut self, io: &mut Io) {
         let mut changes = Vec::new();
         for (cluster, (record, version)) in &self.clusters.open {
             let key = condor::open_key(*cluster);
@@ -180,12 +180,12 @@
                 value,
                 lease: None,
             };
-            self.change_cluster(key, version, change, io);
+            self.change_record(key, version, change, io);
         }
     }
 
     /// Changes one record, if it is as it was and this node leads still.
-    fn change_cluster(&mut self, key: String, version: u64, change: protocol::Change, io: &mut Io) {
+    fn change_record(&mut self, key: String, version: u64, change: protocol::Change, io: &mut Io) {
         let body = protocol::Transaction {
             conditions: vec![
                 protocol::Condition {
@@ -201,8 +201,8 @@
     }
 
     /// Jobs of clusters that were accepted and are the asking team's, in their order.
-    pub fn queue(&self, asks: &Team, settings: &Settings, now: Timestamp) -> Vec<QueueRow> {
-        let blocked = self.blocked();
+    pub fn submitted_queue(&self, asks: &Team, settings: &Settings, now: Timestamp) -> Vec<QueueRow> {
+        let blocked = self.blocked_jobs();
         let jobs = self.jobs.values().filter_map(|job| {
             let part = job.spec.condor.as_ref()?;
             if self.clusters.open.contains_key(&part.cluster) {
@@ -213,7 +213,7 @@
             let limit_holds = part.holds.iter().any(|hold| hold.why != Why::User);
             Some(QueueRow {
                 seen: Seen::with(&access),
-                waits: LeaderTerm::waits_for(job, &blocked, now).text().to_owned(),
+                waits: LeaderTerm::wait_reason(job, &blocked, now).text().to_owned(),
                 job: job.spec.id.to_string(),
                 cluster: part.cluster,
                 procs: part.procs.text(),
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -214,7 +214,7 @@
                 peers,
                 &mut self.io,
             );
-            for (count, waited_s) in term.take_waits() {
+            for (count, waited_s) in term.take_unit_waits() {
                 self.metrics.waited(&count, waited_s);
             }
             for (job, team) in std::mem::take(&mut term.writer.finished) {
@@ -322,7 +322,7 @@
                     .reply_retry_later(request, RETRY_AFTER_S, "the records are being read");
             }
             Some(term) => {
-                let jobs = term.queue(asks, &self.settings, self.io.now);
+                let jobs = term.submitted_queue(asks, &self.settings, self.io.now);
                 self.io.reply(request, 200, &condor::QueueList { jobs });
             }
         }
@@ -468,9 +468,9 @@
                 let put_off = self.job_api.throttled();
                 put_off.map(|(team, count)| (team.clone(), count)).collect()
             },
-            accounting: self.term.as_ref().map(|term| term.book_standing(now)),
+            accounting: self.term.as_ref().map(|term| term.accounting_gauges(now)),
             shares: self.term.as_ref().map_or_else(Vec::new, |term| {
-                let shares = term.shares();
+                let shares = term.demand_shares();
                 shares
                     .map(|(whose, share)| (whose.clone(), share.part()))
                     .collect()
@@ -478,8 +478,8 @@
             protection_windows: self
                 .term
                 .as_ref()
-                .map_or_else(Vec::new, |term| term.shifts(self.io.wall_ms)),
-            spare: self.term.as_ref().map_or((0, 0), LeaderTerm::spare),
+                .map_or_else(Vec::new, |term| term.protection_window_status(self.io.wall_ms)),
+            spare: self.term.as_ref().map_or((0, 0), LeaderTerm::spare_replicas),
         };
         match self.metrics.encode(&standing) {
             Ok(text) => self
@@ -585,12 +585,12 @@
                 // PeerView may be about to say that there is no such job.
                 self.send_all(&Frame::JobChanged { job: spec.id.clone() });
                 if let Some(term) = &mut self.term {
-                    term.job_accepted(*spec, version, &self.io);
+                    term.on_job_accepted(*spec, version, &self.io);
                 }
             }
             Some(RequestOutcome::Cancelled(job)) => {
                 if let Some(term) = &mut self.term {
-                    term.job_over(&job, self.io.now);
+                    term.on_job_ended(&job, self.io.now);
                 }
             }
             None => (),
@@ -744,7 +744,7 @@
             Frame::EndNotice { job, nonce, index } => {
                 // Before it is sent back: its user is told then, and from then on nothing of the job starts.
                 if let Some(term) = &mut self.term {
-                    term.ended_elsewhere(&job);
+                    term.on_job_ended_elsewhere(&job);
                 }
                 // Only what was noted is sent back.
                 if self.job_api.on_peer_notice(job.clone(), true, self.io.now)
--- a/crates/experiments/src/play.rs
+++ b/crates/experiments/src/play.rs
@@ -394,7 +394,7 @@
             _ => ReservationPolicy::default(),
         };
         let starved = indigopath_controller::scheduling::fair_share::Starved::default();
-        let weights = indigopath_controller::leader::Weights::default();
+        let weights = indigopath_controller::leader::ImageLocality::default();
         let site = ClusterSnapshot {
             deployment: &self.deployment,
             types: &self.types,
