--- a/crates/condor/benches/pass.rs
+++ b/crates/condor/benches/pass.rs
@@ -10,7 +10,7 @@
 use indigopath_controller::allocations::{Attempt, Machine};
 use indigopath_controller::model::{Job, JobId, JobSpec, MachineId, TaskId, TaskLocations};
 use indigopath_controller::protocol::{Flavors, TaskState};
-use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, MachineTypes, Units};
+use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, CountedUnits, MachineTypes};
 use indigopath_controller::settings::Deployment;
 use indigopath_counted_resources::{Definitions, ReservationPolicy};
 use serde_json::{Map, Value, json};
@@ -95,14 +95,14 @@
         let kind = format!("t{}", number % TYPES);
         let mut machine = Machine::new(id.clone(), kind, zone.into(), (number / 2).is_multiple_of(2), 0);
         machine.synced = true;
-        machine.heard = Some(0);
+        machine.last_heard_at = Some(0);
         let tasks = if number.is_multiple_of(10) { 3 } else { 4 };
         for task in 0..tasks {
             let holder = spec(JOBS + number * 4 + task, native, &sets);
             machine.attempts.push(Attempt {
                 estimate_s: holder.estimate_s,
                 durable: true,
-                seen: Some(TaskState::Running),
+                reported_state: Some(TaskState::Running),
                 running_since: Some(0),
                 ..Attempt::planned(
                     TaskId {
@@ -144,7 +144,7 @@
             TaskLocations::new(),
         );
         let definitions = Definitions::new();
-        let starved = indigopath_controller::scheduling::fair_share::Starved::default();
+        let starved = indigopath_controller::scheduling::fair_share::StarvedOwners::default();
         let weights = indigopath_controller::leader::ImageLocality::default();
         let site = ClusterSnapshot {
             deployment: &self.deployment,
@@ -152,18 +152,18 @@
             jobs: &self.jobs,
             machines: &self.machines,
             task_locations: &task_locations,
-            spot_loss: 0.0,
+            spot_loss_rate: 0.0,
             starved: &starved,
             aging_credit: placement::AgingCredit::default(),
             image_statistics: &weights,
             protection: &placement::Protection::default(),
-            units: Units {
+            units: CountedUnits {
                 definitions: &definitions,
                 policy: ReservationPolicy::default(),
                 reserved_since: &keepers,
                 feeds: &feeds,
                 lingers: &[],
-                gone: &gone,
+                recently_released: &gone,
             },
             now: 20_000,
         };
--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -144,7 +144,7 @@
 
     /// Calls the state service and charges its budget.
     pub fn state_call(&mut self, method: Method, path: String, body: Vec<u8>, timeout_ms: u64) -> CallId {
-        self.state_budget.force(1.0, self.now);
+        self.state_budget.force_take(1.0, self.now);
         self.call(FencedDestination::State, method, path, body, timeout_ms)
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Rejects a request. The problem may quote the request, so it is truncated to
-    /// [`MAX_ERROR_CHARS`].
+    /// [`MAX_ERROR_CHARS`] to stay within the length of a line.
     pub fn reply_error(&mut self, request: RequestId, status: u16, problem: &str) {
         let problem: String = problem.chars().take(MAX_ERROR_CHARS).collect();
         self.reply(request, status, &ErrorResponse { error: &problem });
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -20,7 +20,7 @@
 use crate::model::{Job, JobId, TaskId, Timestamp};
 use crate::protocol::{self, Shape, paths};
 use crate::settings::Settings;
-use crate::storage::records::{self, EndedRecord, Record};
+use crate::storage::records::{self, EndedJobRecord, Record};
 use indigopath_accounting::{
     Entry, ExecutionStats, HEAD_KEY, JobAccounting, LossCause, Position, Queue, Rebuild, Team, WaitReason,
 };
@@ -93,12 +93,12 @@
     value: &serde_json::Value,
     version: u64,
 ) -> Option<(Position, Option<Entry>)> {
-    let job = key.strip_prefix(records::ENDED)?;
+    let job = key.strip_prefix(records::ENDED_JOB_PREFIX)?;
     let position = Position {
         revision: version,
         job: Arc::from(job),
     };
-    let ended = EndedRecord::from_value(value)
+    let ended = EndedJobRecord::from_value(value)
         .inspect_err(|problem| log::error!("accounting entry skipped key={key}: {problem}"));
     Some((position, ended.ok().and_then(|ended| ended.entry().cloned())))
 }
@@ -326,7 +326,7 @@
     /// Does what is due for the books, after all else: nobody waits for them.
     pub(super) fn update_accounting(&mut self, settings: &Settings, io: &mut Io) {
         let token = self.token();
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         if books.suspended || books.call_in_flight {
             return;
         }
@@ -349,14 +349,18 @@
             .as_ref()
             .filter(|scan| !scan.read_all && now >= books.scan_at)
         {
-            let path = paths::page(records::ENDED, scan.after_key.as_deref(), ACCOUNTING_SCAN_ITEMS);
+            let path = paths::page(
+                records::ENDED_JOB_PREFIX,
+                scan.after_key.as_deref(),
+                ACCOUNTING_SCAN_ITEMS,
+            );
             (Method::Get, path, Vec::new(), AccountingCall::Scan)
         } else if now >= books.follow_at
             && (books.has_new_ends || now >= books.follow_at + ACCOUNTING_IDLE_MS)
             && books.job_accounting.has_room()
             && !(behind && begins)
         {
-            let path = paths::watch(records::ENDED, books.watch_revision(), 0);
+            let path = paths::watch(records::ENDED_JOB_PREFIX, books.watch_revision(), 0);
             (Method::Get, path, Vec::new(), AccountingCall::Changes)
         } else if now >= books.write_at && !behind {
             let most = settings
@@ -368,7 +372,7 @@
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
-            io.write_budget.force(changes.len() as f64, now);
+            io.write_budget.force_take(changes.len() as f64, now);
             let changes = changes.into_iter().map(|(key, value)| match value {
                 Some(value) => protocol::Change::Put {
                     key,
@@ -383,7 +387,7 @@
             };
             let body = protocol::Transaction {
                 conditions: vec![
-                    condition(records::LEADER, token),
+                    condition(records::LEADER_KEY, token),
                     condition(HEAD_KEY, books.head_version),
                 ],
                 changes: changes.collect(),
@@ -393,8 +397,15 @@
         } else {
             return;
         };
-        self.books.call_in_flight = true;
-        self.state_call(method, path, body, STATE_TIMEOUT_MS, TermCall::Books(call), io);
+        self.accounting.call_in_flight = true;
+        self.state_call(
+            method,
+            path,
+            body,
+            STATE_TIMEOUT_MS,
+            TermCall::Accounting(call),
+            io,
+        );
     }
 
     /// Follows the answer to a call about accounts.
@@ -404,7 +415,7 @@
         outcome: &Outcome,
         now: Timestamp,
     ) {
-        let books = &mut self.books;
+        let books = &mut self.accounting;
         books.call_in_flight = false;
         match call {
             AccountingCall::Load => books.on_records_page(outcome, now),
@@ -429,7 +440,7 @@
                             .map(|answer| answer.failed)
                             .unwrap_or_default();
                         // The leader's own renewal may have been between.
-                        if failed == [records::LEADER] {
+                        if failed == [records::LEADER_KEY] {
                             books.job_accounting.refused();
                         } else {
                             books.reload(now);
@@ -446,7 +457,12 @@
     /// Jobs that found no units, and no machine, in the last pass.
     pub(super) fn blocked_jobs(&self) -> BlockedJobs<'_> {
         BlockedJobs {
-            lacking_units: self.counted.unsatisfied.iter().map(|short| &short.job).collect(),
+            lacking_units: self
+                .counted_resources
+                .unsatisfied
+                .iter()
+                .map(|short| &short.job)
+                .collect(),
             lacking_machines: self
                 .scheduler
                 .unplaced()
@@ -472,7 +488,7 @@
             WaitReason::Recording
         } else if blocked.lacking_units.contains(id) {
             WaitReason::Units
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             WaitReason::Retry
         } else if blocked.lacking_machines.contains(id) {
             WaitReason::Machines
@@ -496,7 +512,7 @@
 
     /// How the books stand, for metrics.
     pub fn accounting_gauges(&self, now: Timestamp) -> AccountingGauges {
-        let books = &self.books;
+        let books = &self.accounting;
         AccountingGauges {
             waiting: self.queues(now),
             ended: books
@@ -514,8 +530,8 @@
 
     /// An attempt runs.
     pub(super) fn record_run_start(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        if self.books.run_starts.len() < MAX_TRACKED_RUNS {
-            self.books.run_starts.insert((task.clone(), number), now);
+        if self.accounting.run_starts.len() < MAX_TRACKED_RUNS {
+            self.accounting.run_starts.insert((task.clone(), number), now);
         }
     }
 
@@ -528,7 +544,7 @@
         why: Option<LossCause>,
         now: Timestamp,
     ) {
-        let Some(since) = self.books.run_starts.remove(&(task.clone(), number)) else {
+        let Some(since) = self.accounting.run_starts.remove(&(task.clone(), number)) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -538,11 +554,11 @@
             return;
         };
         let ran_s = now.saturating_sub(since) as f64 / SECOND_MS as f64;
-        let lost_s = match (job.spec.saves(), why) {
+        let lost_s = match (job.spec.writes_checkpoints(), why) {
             (true, LossCause::Stopped) => 0.0,
             (true, _) => ran_s.min(job.spec.checkpoint_s),
             (false, _) => ran_s,
         };
-        job.account.lose(why, lost_s);
+        job.execution_stats.lose(why, lost_s);
     }
 }
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -18,7 +18,7 @@
     /// Every count at a glance.
     pub fn count_status(&self, definitions: &Definitions, now: Timestamp) -> Vec<CountStatus> {
         let units = self.counted_units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         book.pools().map(|pool| self.pool_status(pool, now)).collect()
     }
 
@@ -34,7 +34,7 @@
             .collect();
         teams.sort_by(|a, b| a.team.cmp(&b.team));
         let server = definition.and_then(|definition| definition.server).map(|addr| {
-            let feed = self.counted.feeds.get(pool.name);
+            let feed = self.counted_resources.feeds.get(pool.name);
             let last = feed.and_then(|feed| feed.last_usage(now));
             ServerStatus {
                 addr: addr.to_string(),
@@ -53,10 +53,15 @@
             lingering: pool.lingering,
             others: pool.external,
             free: pool.free(),
-            kept: self.counted.reserved.get(pool.name).copied().unwrap_or(0),
+            kept: self
+                .counted_resources
+                .reserved
+                .get(pool.name)
+                .copied()
+                .unwrap_or(0),
             waiting: self.units_waited_for(pool.name, None),
             oversubscribed: self
-                .counted
+                .counted_resources
                 .oversubscription_counts
                 .get(pool.name)
                 .copied()
@@ -76,7 +81,7 @@
     /// Units of a count that tasks wait for; with a job, only tasks before it in the
     /// order of service.
     fn units_waited_for(&self, count: &str, before: Option<&JobId>) -> u64 {
-        self.counted
+        self.counted_resources
             .unsatisfied
             .iter()
             .take_while(|short| before != Some(&short.job))
@@ -114,7 +119,7 @@
                 }
             }
         }
-        let lingering = self.counted.lingers.iter().filter(|linger| {
+        let lingering = self.counted_resources.lingers.iter().filter(|linger| {
             now < linger.until
                 && asks.is_none_or(|asks| authorization::is_same_team(&linger.team, asks, settings))
         });
@@ -152,18 +157,18 @@
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
         let units = self.counted_units(definitions);
-        let book = placement::book(self.machines.as_map(), &units, now);
+        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
         let short: Vec<&UnsatisfiedDemand> = self
-            .counted
+            .counted_resources
             .unsatisfied
             .iter()
             .filter(|short| short.job == *id)
             .collect();
         let counts = job.spec.counts.iter().map(|(count, units)| RequestedCount {
             count: count.to_string(),
-            needs: u64::from(units) * u64::from(job.together()),
+            needs: u64::from(units) * u64::from(job.gang_size()),
             free: book.get(count).map_or(0, |pool| pool.free()),
-            kept: self.counted.reserved.get(count).copied().unwrap_or(0),
+            kept: self.counted_resources.reserved.get(count).copied().unwrap_or(0),
             ahead: if short.is_empty() {
                 0
             } else {
@@ -171,8 +176,8 @@
             },
             why: short
                 .iter()
-                .find(|short| short.lack.count == *count)
-                .map(|short| short.lack.reason.text().to_owned()),
+                .find(|short| short.shortage.count == *count)
+                .map(|short| short.shortage.reason.text().to_owned()),
         });
         let waiting = job.waiting.len() as u32;
         let rents = self
@@ -186,14 +191,14 @@
             let tasks: u32 = short.iter().map(|short| short.tasks).sum();
             format!(
                 "{tasks} of its tasks wait for units of {}: {}",
-                first.lack.count,
-                first.lack.reason.text()
+                first.shortage.count,
+                first.shortage.reason.text()
             )
         } else if let Some(why) = job.spec.condor.as_ref().and_then(|part| part.held()) {
             format!("it is held: {why}")
         } else if job.parked {
             "its cluster is not accepted yet".to_owned()
-        } else if now < job.held_until {
+        } else if now < job.backoff_until {
             "it failed on several machines and is tried again in a while".to_owned()
         } else if rents {
             "it has its units and waits for machines".to_owned()
@@ -213,10 +218,10 @@
 pub(super) fn holder_state(machine: &Machine, attempt: &Attempt) -> &'static str {
     if attempt.stop.is_some() {
         "stopping"
-    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.inspect_failed {
+    } else if attempt.from_previous_leader || attempt.unacknowledged.is_some() || machine.unreachable {
         "uncertain"
     } else {
-        match attempt.seen {
+        match attempt.reported_state {
             None if attempt.durable => "sent",
             None => "planned",
             Some(_) => "running",
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -56,7 +56,7 @@
         rate * decay(at, self.updated_at)
     }
 
-    fn loss(&self, spot: bool) -> f64 {
+    fn loss_rate(&self, spot: bool) -> f64 {
         let own = (f64::from(self.machines_lost) + MACHINE_LOSS_PRIOR_PER_S * MACHINE_LOSS_PRIOR_WEIGHT_S)
             / (self.machine_uptime_s + MACHINE_LOSS_PRIOR_WEIGHT_S);
         if spot { own.max(self.spot_loss_rate) } else { own }
@@ -148,12 +148,12 @@
         settings: &Settings,
         now: Timestamp,
     ) {
-        self.weights.enabled = settings.operator.image_locality;
-        if self.weights.fetch_s_per_gb.len() != types.len() {
+        self.image_locality.enabled = settings.operator.image_locality;
+        if self.image_locality.fetch_s_per_gb.len() != types.len() {
             let known = types
                 .iter()
                 .map(|(name, known)| (name.clone(), known.fetch_s(1.0)));
-            self.weights.fetch_s_per_gb = known.collect();
+            self.image_locality.fetch_s_per_gb = known.collect();
         }
         let mut up = 0;
         for machine in self.machines.values_mut() {
@@ -164,15 +164,15 @@
                 machine.images.sized(known.cache_gb);
             }
         }
-        if now >= self.weights.image_replicas_at + IMAGE_COPIES_INTERVAL_MS
-            || self.weights.image_replicas_at == 0
+        if now >= self.image_locality.image_replicas_at + IMAGE_COPIES_INTERVAL_MS
+            || self.image_locality.image_replicas_at == 0
         {
-            self.weights.image_replicas_at = now;
+            self.image_locality.image_replicas_at = now;
             self.update_image_replicas(settings);
         }
         let spot_loss = self.autoscaler.spot_losses().rate();
-        self.weights.record_uptime(up, spot_loss, now);
-        self.weights.forget_rare_images();
+        self.image_locality.record_uptime(up, spot_loss, now);
+        self.image_locality.forget_rare_images();
     }
 
     /// Where the images of live services lie.
@@ -181,7 +181,7 @@
         let live = self.jobs.values().filter(|job| job.spec.shape == Shape::Service);
         let live: HashSet<Arc<str>> = live.map(|job| job.spec.image.clone()).collect();
         let mut copies = ImageReplicas::of(live, zones.len());
-        let there = |machine: &&Machine| machine.is_up() && !machine.returning && !machine.inspect_failed;
+        let there = |machine: &&Machine| machine.is_up() && !machine.releasing && !machine.unreachable;
         for machine in self.machines.values().filter(there) {
             let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) else {
                 continue;
@@ -192,7 +192,7 @@
                 }
             }
         }
-        self.weights.image_replicas = copies;
+        self.image_locality.image_replicas = copies;
     }
 
     /// Idle machines that had better stay for the weights that lie on them: they go back last, and
@@ -218,8 +218,8 @@
         let mut names = Vec::new();
         let mut idle = Vec::new();
         for machine in self.machines.values() {
-            let live = |image: &str| self.weights.image_replicas.is_live(image);
-            if machine.idle_since.is_none() || machine.returning || machine.notice_until.is_some() {
+            let live = |image: &str| self.image_locality.image_replicas.is_live(image);
+            if machine.idle_since.is_none() || machine.releasing || machine.reclaim_notice_until.is_some() {
                 continue;
             }
             let images: Vec<Arc<str>> = machine
@@ -244,7 +244,7 @@
         }
         let all: f64 = self.machines.values().map(price).sum();
         let keep = self
-            .weights
+            .image_locality
             .image_replicas
             .clone()
             .worth_keeping(&idle, all * IDLE_IMAGE_PRICE_SHARE);
@@ -256,7 +256,7 @@
     pub(super) fn warn_about_image_sizes(&mut self, types: &MachineTypes, io: &mut Io) {
         for job in self.jobs.values().filter(|job| job.spec.shape == Shape::Service) {
             let image = &job.spec.image;
-            let told = self.weights.size_warned_at.get(image);
+            let told = self.image_locality.size_warned_at.get(image);
             if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
                 continue;
             }
@@ -270,7 +270,7 @@
             let Some(problem) = WeightsError::of(image, job.spec.image_gb, largest) else {
                 continue;
             };
-            self.weights.size_warned_at.insert(image.clone(), io.now);
+            self.image_locality.size_warned_at.insert(image.clone(), io.now);
             if problem.is_grave() {
                 io.effects
                     .push(Effect::Warning(format!("class={} {problem}", job.spec.class)));
@@ -279,9 +279,9 @@
             }
         }
         let jobs = self.jobs.as_map();
-        if self.weights.size_warned_at.len() > MAX_WARNED_IMAGES {
+        if self.image_locality.size_warned_at.len() > MAX_WARNED_IMAGES {
             let live: HashSet<&Arc<str>> = jobs.values().map(|job| &job.spec.image).collect();
-            self.weights
+            self.image_locality
                 .size_warned_at
                 .retain(|image, _| live.contains(image));
         }
--- a/crates/controller/src/leader/job_events.rs
+++ b/crates/controller/src/leader/job_events.rs
@@ -9,7 +9,7 @@
 impl LeaderTerm {
     /// A job was accepted, by this node or another.
     pub fn on_job_accepted(&mut self, mut spec: JobSpec, version: u64, io: &Io) {
-        if !self.recovery.is_complete() || version <= self.writer.ended_at(&spec.id) {
+        if !self.recovery.is_complete() || version <= self.writer.ended_version(&spec.id) {
             return;
         }
         self.intern_spec(&mut spec);
@@ -18,10 +18,10 @@
             return;
         }
         let mut job = Job::new(spec, version, io.now, io.wall_ms);
-        job.parked = self.clusters.is_parked(&job.spec);
+        job.parked = self.submit_clusters.is_parked(&job.spec);
         if job.spec.shape == Shape::Service {
             // It may be protected: that must be known before it is placed.
-            self.shifts.request_update();
+            self.protection_windows.request_update();
         }
         self.jobs.insert(job);
         self.scheduler.request_pass();
@@ -37,13 +37,13 @@
         let notice = self.jobs.next_end_notice();
         let mut awaiting_reread = false;
         self.machines.for_each_attempt(id, |_, attempt| {
-            if !attempt.from_previous_leader && attempt.seen.is_none() && attempt.stop.is_none() {
+            if !attempt.from_previous_leader && attempt.reported_state.is_none() && attempt.stop.is_none() {
                 attempt.awaiting_reread = Some(notice);
                 awaiting_reread = true;
             }
         });
         if awaiting_reread {
-            self.writer.reread(records::job_key(&id.0));
+            self.writer.queue_reread(records::job_key(&id.0));
         }
     }
 
@@ -61,22 +61,22 @@
             again |= attempt.awaiting_reread.is_some();
         });
         if again {
-            self.writer.reread(records::job_key(&id.0));
+            self.writer.queue_reread(records::job_key(&id.0));
         }
     }
 
     /// A job is over: whatever of it may be anywhere is stopped.
     pub fn on_job_ended(&mut self, id: &JobId, now: Timestamp) {
         let Some(job) = self.jobs.remove(id) else { return };
-        self.books.on_job_ended(id, &job.account);
-        self.writer.job_over(id, &job);
+        self.accounting.on_job_ended(id, &job.execution_stats);
+        self.writer.remove_job(id, &job);
         self.scheduler.request_pass();
         for machine in self.machines.values_mut() {
-            machine.errors.remove(id);
+            machine.failed_jobs.remove(id);
         }
         self.machines.for_each_attempt(id, |host, attempt| {
             if attempt.exited() {
-                attempt.closed = true;
+                attempt.end_processed = true;
             } else {
                 // Whatever grace an earlier stop had, nobody needs it now.
                 self.commands.request_stop(attempt, host, 0.0, now);
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -10,7 +10,7 @@
 use crate::protocol::{Shape, StoredItem};
 use crate::scheduling::placement::{MachineTypes, Protection, SpareCapacity, Unplaced};
 use crate::settings::Settings;
-use crate::storage::batch_writer::Unit;
+use crate::storage::batch_writer::WriteUnit;
 use indigopath_protection_windows::{
     CloseReason, Event, Service, ShiftStatus, Standing, Timetable, WindowState,
 };
@@ -71,9 +71,9 @@
     }
 
     /// Units that were not, or may not have been, written.
-    pub(super) fn on_write_failed(&mut self, units: &[Unit]) {
+    pub(super) fn on_write_failed(&mut self, units: &[WriteUnit]) {
         for unit in units {
-            if let Unit::Shifts { number, .. } = unit {
+            if let WriteUnit::ProtectionWindows { number, .. } = unit {
                 self.window_state.failed(*number);
             }
         }
@@ -84,7 +84,7 @@
     /// Takes over a record of windows and standings.
     pub(super) fn restore_protection_windows(&mut self, number: u32, item: &StoredItem, io: &mut Io) {
         let read = self
-            .shifts
+            .protection_windows
             .window_state
             .adopt(number, &item.value.to_string(), item.version);
         if let Err(problem) = read {
@@ -99,8 +99,8 @@
 
     /// What is to be written of shifts goes with the next transaction.
     pub(super) fn queue_protection_windows(&mut self, now: Timestamp) {
-        if self.shifts.is_enabled() && self.writer.shifts.is_empty() {
-            self.writer.shifts = self.shifts.window_state.due(now);
+        if self.protection_windows.is_enabled() && self.writer.protection_window_writes.is_empty() {
+            self.writer.protection_window_writes = self.protection_windows.window_state.due(now);
         }
     }
 
@@ -111,10 +111,10 @@
         settings: &Settings,
         io: &mut Io,
     ) {
-        if !self.shifts.is_enabled() || io.now < self.shifts.next_update_at {
+        if !self.protection_windows.is_enabled() || io.now < self.protection_windows.next_update_at {
             return;
         }
-        self.shifts.next_update_at = io.now + PROTECTION_WINDOW_CHECK_MS;
+        self.protection_windows.next_update_at = io.now + PROTECTION_WINDOW_CHECK_MS;
         let jobs = self.jobs.values().filter(|job| {
             // Nothing is wanted of what is held.
             job.spec.shape == Shape::Service && !job.parked
@@ -125,17 +125,17 @@
             team: &job.spec.team,
             submitted_ms: job.spec.submitted_ms,
         });
-        let events = self.shifts.window_state.look(io.wall_ms, services);
+        let events = self.protection_windows.window_state.look(io.wall_ms, services);
         let standings: BTreeMap<JobId, Standing> = self
-            .shifts
+            .protection_windows
             .window_state
             .standings()
             .map(|(id, standing)| (JobId(id.clone()), standing))
             .collect();
-        let spares = self.shifts.window_state.spares();
+        let spares = self.protection_windows.window_state.spares();
         let part = |spec: &JobSpec| {
             let own = spares.iter().filter(|spare| {
-                let shift = self.shifts.timetable.get(&spare.shift);
+                let shift = self.protection_windows.timetable.get(&spare.shift);
                 shift.is_some_and(|shift| shift.covers(&spec.class, &spec.team))
             });
             own.map(|spare| spare.part).fold(0.0, f64::max)
@@ -146,8 +146,8 @@
             spare_capacities(jobs.map(|job| (job, part(&job.spec))))
         };
         let protection = Protection { standings, spare };
-        if protection != self.shifts.protection {
-            self.shifts.protection = protection;
+        if protection != self.protection_windows.protection {
+            self.protection_windows.protection = protection;
             self.scheduler.request_pass();
         }
         for event in events {
@@ -163,8 +163,8 @@
                 day,
                 closes_ms,
             } => {
-                self.shifts.warned_large = false;
-                self.shifts.warned_unplaced = false;
+                self.protection_windows.warned_large = false;
+                self.protection_windows.warned_unplaced = false;
                 log::info!("protection window opened window={shift} day={day} until_ms={closes_ms}");
                 return;
             }
@@ -198,7 +198,7 @@
     /// Tells operators, once a window, that what is protected finds no room, or that it leaves too
     /// little to others.
     fn warn_about_protected_replicas(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
-        let protection = &self.shifts.protection;
+        let protection = &self.protection_windows.protection;
         let short: u32 = self
             .scheduler
             .unplaced()
@@ -207,13 +207,16 @@
             .map(|unplaced| unplaced.tasks)
             .sum();
         if short == 0 {
-            self.shifts.replicas_unplaced_since = None;
+            self.protection_windows.replicas_unplaced_since = None;
         }
         let mut warning = None;
         if short > 0 {
-            let since = *self.shifts.replicas_unplaced_since.get_or_insert(io.now);
+            let since = *self
+                .protection_windows
+                .replicas_unplaced_since
+                .get_or_insert(io.now);
             if io.now >= since + PROTECTED_WAIT_WARNING_MS
-                && !std::mem::replace(&mut self.shifts.warned_unplaced, true)
+                && !std::mem::replace(&mut self.protection_windows.warned_unplaced, true)
             {
                 warning = Some(format!(
                     "shifts: {short} protected replicas find no room: the cloud has too few machines for them, \
@@ -221,9 +224,14 @@
                 ));
             }
         }
-        let machines = self.shifts.protection.machines(self.jobs.as_map(), types);
+        let machines = self
+            .protection_windows
+            .protection
+            .machine_demand(self.jobs.as_map(), types);
         let fleet_max = settings.operator.fleet_max;
-        if machines > f64::from(fleet_max) / 2.0 && !std::mem::replace(&mut self.shifts.warned_large, true) {
+        if machines > f64::from(fleet_max) / 2.0
+            && !std::mem::replace(&mut self.protection_windows.warned_large, true)
+        {
             warning = Some(format!(
                 "shifts: what is protected fills {machines:.0} of at most {fleet_max} machines: while it lasts, \
                  other classes may have less than half of what they ask for"
@@ -236,8 +244,8 @@
 
     /// How the shifts stand, for display.
     pub fn protection_window_status(&self, wall_ms: u64) -> Vec<ShiftStatus> {
-        if self.shifts.is_enabled() {
-            self.shifts.window_state.status(wall_ms)
+        if self.protection_windows.is_enabled() {
+            self.protection_windows.window_state.status(wall_ms)
         } else {
             Vec::new()
         }
@@ -245,8 +253,19 @@
 
     /// Replicas' worth of room that shifts want kept free, and that is.
     pub fn spare_replicas(&self) -> (u32, u32) {
-        let wanted = self.shifts.protection.spare.iter().map(|spare| spare.tasks).sum();
-        let short: u32 = self.shifts.unplaced_spares.iter().map(|short| short.tasks).sum();
+        let wanted = self
+            .protection_windows
+            .protection
+            .spare
+            .iter()
+            .map(|spare| spare.tasks)
+            .sum();
+        let short: u32 = self
+            .protection_windows
+            .unplaced_spares
+            .iter()
+            .map(|short| short.tasks)
+            .sum();
         (wanted, wanted - short.min(wanted))
     }
 }
@@ -272,7 +291,7 @@
         let tasks = (wanted.ceil() as u32).min(left);
         left -= tasks;
         rooms.push(SpareCapacity {
-            like: job.spec.id.clone(),
+            template: job.spec.id.clone(),
             tasks,
         });
     }
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation: what machines say in heartbeats and answers, and what follows for jobs and tasks.
+//! Reconciliation of the state that workers report with the state of jobs and tasks.
 
 use super::{LeaderTerm, Superseded, buffered_heartbeats};
 use crate::allocations::{Change, Machine};
@@ -8,13 +8,13 @@
 use crate::io::{Io, RequestId};
 use crate::model::{MachineId, TaskId, Timestamp};
 use crate::protocol::{Heartbeat, HeartbeatResponse, Shape, TaskEndCause};
-use crate::scheduling::placement::{self, faulty};
+use crate::scheduling::placement::{self, is_faulty};
 use indigopath_accounting::LossCause;
 use std::sync::Arc;
 
-/// Why the work of an attempt is lost, by the cause of its end.
-fn lost_by(why: TaskEndCause) -> Option<LossCause> {
-    match why {
+/// The accounting cause of lost work, if an attempt that ended in this way loses its work.
+fn loss_cause(cause: TaskEndCause) -> Option<LossCause> {
+    match cause {
         TaskEndCause::Stopped => Some(LossCause::Stopped),
         TaskEndCause::Peers | TaskEndCause::Alone => Some(LossCause::Gang),
         TaskEndCause::Error | TaskEndCause::Other => Some(LossCause::Failed),
@@ -23,44 +23,53 @@
 }
 
 impl LeaderTerm {
-    /// A worker's heartbeat. `Err` if it has seen a newer leader.
-    pub fn report(
+    /// Handles a heartbeat and replies with commands.
+    ///
+    /// # Errors
+    ///
+    /// [`Superseded`] if the worker has seen a newer leader.
+    pub fn handle_heartbeat(
         &mut self,
         request: RequestId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         certain: bool,
         io: &mut Io,
     ) -> Result<(), Superseded> {
-        if report.token > self.token() {
+        if heartbeat.token > self.token() {
             return Err(Superseded);
         }
-        let id = MachineId(Arc::from(report.machine.as_str()));
-        if self.machines.is_gone(&id) {
-            // Sent before it went; nobody waits for the answer.
+        let id = MachineId(Arc::from(heartbeat.machine.as_str()));
+        if self.machines.is_recently_released(&id) {
+            // Sent before the release; no worker waits for the reply.
             io.reply_error(request, 503, "this machine is gone");
             return Ok(());
         }
         if !self.recovery.is_complete() {
-            self.buffered_heartbeats.keep(request, report, io);
+            self.buffered_heartbeats.push(request, heartbeat, io);
             return Ok(());
         }
         if !self.watermark.permits_lease_renewal(io.now) {
-            // A cancellation that another node confirmed may be unknown here: the worker's lease must
-            // run out in time. Without this, an outage of the state service after this leader alone
-            // was refused, or amid its reading, kept cancelled tasks alive beyond their bound.
-            buffered_heartbeats::turn_away(request, io);
+            // A cancellation that another controller has confirmed may be unknown here, so the worker's
+            // lease must expire in time. Otherwise cancelled tasks outlive their bound when the state
+            // service rejects this leader alone and then fails, or fails during recovery.
+            buffered_heartbeats::reject(request, io);
             return Ok(());
         }
-        let newest = self.absorb(report, io);
+        let is_newest = self.reconcile_heartbeat(heartbeat, io);
         let token = self.token();
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.note_answered(report, io.now);
-            // A heartbeat superseded by the answer to a direct command still renews
-            // the lease, so it carries stops; nothing may follow from what it says.
-            let orders = if newest {
-                machine.orders(Some((report.agent_epoch, report.seq)), certain, token, io.now)
+            machine.record_answered_report(heartbeat, io.now);
+            // A heartbeat that is older than the response to a direct command still renews the lease, so
+            // its reply carries stop commands. Its contents must have no other effect.
+            let orders = if is_newest {
+                machine.due_commands(
+                    Some((heartbeat.agent_epoch, heartbeat.seq)),
+                    certain,
+                    token,
+                    io.now,
+                )
             } else {
-                machine.stops(io.now)
+                machine.stop_commands(io.now)
             };
             io.reply(
                 request,
@@ -74,17 +83,19 @@
         Ok(())
     }
 
-    /// Reconciles a heartbeat with the records; false if it is not the newest.
-    pub(super) fn absorb(&mut self, report: &Heartbeat, io: &mut Io) -> bool {
-        self.take(report, Machine::absorb, io)
+    /// Reconciles a heartbeat. Returns false if newer state of the machine is known already.
+    pub(super) fn reconcile_heartbeat(&mut self, heartbeat: &Heartbeat, io: &mut Io) -> bool {
+        self.reconcile(heartbeat, Machine::apply_heartbeat, io)
     }
 
-    /// Takes what a machine answered to a command or a question.
-    pub(super) fn absorb_answer(&mut self, report: &Heartbeat, io: &mut Io) {
-        self.take(report, Machine::absorb_answer, io);
+    /// Reconciles the state in the response to a direct command or probe.
+    pub(super) fn reconcile_response(&mut self, report: &Heartbeat, io: &mut Io) {
+        self.reconcile(report, Machine::apply_response, io);
     }
 
-    fn take(
+    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false if
+    /// the report is outdated.
+    fn reconcile(
         &mut self,
         report: &Heartbeat,
         absorb: fn(&mut Machine, &Heartbeat, u64, Timestamp) -> Option<Vec<Change>>,
@@ -100,40 +111,40 @@
                 report.spot,
                 io.now,
             );
-            machine.hearsay = true;
+            machine.unconfirmed = true;
             machine
         });
-        let rented_at = machine.rented_at.filter(|_| machine.heard.is_none());
+        let rented_at = machine.rented_at.filter(|_| machine.last_heard_at.is_none());
         let before = machine.usability();
         let Some(changes) = absorb(machine, report, self.first_token, io.now) else {
             return false;
         };
-        // Most heartbeats say nothing new, and call for no pass.
+        // Most heartbeats bring no change and need no scheduling pass.
         self.scheduler
             .request_pass_if(!changes.is_empty() || machine.usability() != before);
         if let Some(rented_at) = rented_at {
             if machine.attempts.is_empty() {
                 machine.images = indigopath_image_locality::Cache::empty();
             }
-            // Only what this leader rented itself shows how long a boot takes:
-            // machines found running have no start to count from.
+            // Only machines that this leader launched show how long a boot takes: the start of the
+            // others is unknown.
             let took_s = (io.now - rented_at) as f64 / SECOND_MS as f64;
-            self.autoscaler.learn_boot(&machine.machine_type, took_s);
+            self.autoscaler.record_boot_time(&machine.machine_type, took_s);
             log::info!("machine ready machine={id} boot_s={took_s:.1}");
         }
-        self.apply(&id, changes, io);
+        self.apply_changes(&id, changes, io);
         self.commands.mark_due(id);
         true
     }
 
-    /// Follows the changes of attempts on a machine.
-    pub(super) fn apply(&mut self, machine: &MachineId, changes: Vec<Change>, io: &mut Io) {
-        let shard = self.machines.get(machine).and_then(|machine| machine.shard);
-        self.apply_from(machine, shard, changes, io);
+    /// Applies changes of attempts on a machine to their jobs.
+    pub(super) fn apply_changes(&mut self, machine_id: &MachineId, changes: Vec<Change>, io: &mut Io) {
+        let shard = self.machines.get(machine_id).and_then(|machine| machine.shard);
+        self.apply_changes_from_shard(machine_id, shard, changes, io);
     }
 
-    /// As `apply`, for a machine that may be gone: its record had this number.
-    pub(super) fn apply_from(
+    /// Like [`Self::apply_changes`], for a machine that may have been removed: `shard` held its record.
+    pub(super) fn apply_changes_from_shard(
         &mut self,
         machine: &MachineId,
         shard: Option<u32>,
@@ -142,12 +153,12 @@
     ) {
         for change in changes {
             match change {
-                Change::Running(task, number) => self.task_runs(machine, &task, number, io.now),
+                Change::Running(task, number) => self.on_task_running(machine, &task, number, io.now),
                 Change::Exited {
                     task,
                     number,
-                    why: TaskEndCause::Done,
-                    ran_s,
+                    cause: TaskEndCause::Done,
+                    elapsed_s: ran_s,
                 } => {
                     log::debug!(
                         "task done job={} machine={machine} task={} ran_s={ran_s:.1}",
@@ -155,19 +166,22 @@
                         task.index
                     );
                     self.record_run_end(&task, number, None, io.now);
-                    self.task_done(machine, &task, number, io.now);
+                    self.on_task_completed(machine, &task, number, io.now);
                 }
                 Change::Exited {
-                    task, number, why, ..
+                    task,
+                    number,
+                    cause: why,
+                    ..
                 } => {
-                    self.record_run_end(&task, number, lost_by(why), io.now);
-                    self.task_ended(machine, &task, number, why, io);
+                    self.record_run_end(&task, number, loss_cause(why), io.now);
+                    self.on_task_failed(machine, &task, number, why, io);
                 }
                 Change::Released(task) => self.requeue(&task, io.now),
-                Change::Stranger(task) => self.adopt_unrecorded(machine, task),
+                Change::Unrecorded(task) => self.adopt_unrecorded(machine, task),
                 Change::Fetched { gb, took_ms, others } => {
                     if let Some(machine) = self.machines.get(machine) {
-                        self.weights
+                        self.image_locality
                             .on_image_fetched(&machine.machine_type, gb, took_ms, others);
                     }
                 }
@@ -180,32 +194,32 @@
                         self.on_units_released(shard, &team, &counts, io.now);
                     }
                     if let Some(shard) = shard {
-                        self.writer.units_freed(shard);
+                        self.writer.on_units_freed(shard);
                     }
                 }
-                Change::Vanished { task, number } => self.task_vanished(&task, number, io.now),
+                Change::Lost { task, number } => self.on_task_lost(&task, number, io.now),
             }
         }
     }
 
-    /// An attempt has begun to run.
-    fn task_runs(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
+    /// Handles an attempt that has started to run.
+    fn on_task_running(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         log::debug!(
             "task running job={} machine={machine} task={}",
             task.job,
             task.index
         );
         self.record_run_start(task, number, now);
-        self.starts_well(machine);
+        self.clear_machine_errors(machine);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
             gang.started = true;
-            job.began = true;
+            job.has_started = true;
         }
     }
 
-    /// A machine runs an attempt that no record names: what it holds, its job may say.
+    /// Adopts an attempt that is not in the records: takes the counted resources it holds from its job.
     fn adopt_unrecorded(&mut self, machine_id: &MachineId, task: TaskId) {
         if let Some(job) = self.jobs.get(&task.job)
             && let Some(machine) = self.machines.get_mut(machine_id)
@@ -218,112 +232,121 @@
         self.machines.add_location(task.job, machine_id.clone());
     }
 
-    /// An attempt is gone with its machine.
-    fn task_vanished(&mut self, task: &TaskId, number: u64, now: Timestamp) {
+    /// Handles an attempt that was lost with its machine.
+    fn on_task_lost(&mut self, task: &TaskId, number: u64, now: Timestamp) {
         self.record_run_end(task, number, Some(LossCause::Machine), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
-            gang.lost();
+            gang.record_lost_task();
         }
         self.requeue(task, now);
     }
 
-    /// Work runs there: the machine is sound, and the jobs that failed on it are not.
-    fn starts_well(&mut self, id: &MachineId) {
+    /// Clears the failures counted against a machine, as a task has started on it, and marks the jobs that
+    /// failed there as failing on a good machine.
+    fn clear_machine_errors(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        for job in std::mem::take(&mut machine.errors) {
+        for job in std::mem::take(&mut machine.failed_jobs) {
             if let Some(job) = self.jobs.get_mut(&job) {
-                job.failed_on_good = true;
+                job.failed_on_healthy_machine = true;
             }
         }
     }
 
-    /// A task has completed: it is recorded as done.
-    fn task_done(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
+    /// Records a completed task as done.
+    fn on_task_completed(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            self.close(machine, task, number);
+            self.close_attempt(machine, task, number);
             return;
         };
-        job.failures = 0;
+        job.failure_rounds = 0;
         job.failed_on.clear();
-        job.failed_on_good = false;
-        let finished: Vec<u32> = match job.spec.shape {
+        job.failed_on_healthy_machine = false;
+        let completed: Vec<u32> = match job.spec.shape {
             // Tasks of a gang complete together.
             Shape::Gang => (0..job.spec.tasks).collect(),
             Shape::Array => vec![task.index],
             // A replica runs until it is cancelled; one that ends is replaced.
             Shape::Service => {
-                self.close(machine, task, number);
+                self.close_attempt(machine, task, number);
                 self.requeue(task, now);
                 return;
             }
         };
-        for index in finished {
+        for index in completed {
             job.waiting.remove(&index);
-            // One that was done before, as a former leader's record says, is recorded once more:
-            // only that lets its worker forget it. Else its machine was never empty, and could not
-            // go back while its job's other tasks ran.
-            if job.done.insert(index) || index == task.index && !job.complete() {
-                self.writer.done(job, index, now);
+            // A task that a former leader has recorded as done is recorded once more, as only a written
+            // record lets the worker forget the attempt. Otherwise the machine is never empty and cannot
+            // be released while other tasks of the job run.
+            if job.done.insert(index) || index == task.index && !job.is_complete() {
+                self.writer.add_completed_task(job, index, now);
             }
         }
-        if job.complete() {
-            self.writer.finishing.insert(task.job.clone());
+        if job.is_complete() {
+            self.writer.jobs_to_finish.insert(task.job.clone());
         }
     }
 
-    /// The end of an attempt needs no record: its worker may forget it.
-    fn close(&mut self, machine: &MachineId, task: &TaskId, number: u64) {
+    /// Marks an attempt as closed, so that its worker may forget it. Its end needs no record.
+    fn close_attempt(&mut self, machine: &MachineId, task: &TaskId, number: u64) {
         if let Some(attempt) = self
             .machines
             .get_mut(machine)
             .and_then(|machine| machine.attempt_mut(task, number))
         {
-            attempt.closed = true;
+            attempt.end_processed = true;
         }
     }
 
-    /// An attempt has ended without completing its task.
-    fn task_ended(&mut self, id: &MachineId, task: &TaskId, number: u64, why: TaskEndCause, io: &mut Io) {
-        self.close(id, task, number);
+    /// Handles an attempt that ended without completing its task.
+    fn on_task_failed(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        number: u64,
+        cause: TaskEndCause,
+        io: &mut Io,
+    ) {
+        self.close_attempt(id, task, number);
         let now = io.now;
         let mut fetching = false;
-        if why == TaskEndCause::Alone {
+        if cause == TaskEndCause::Alone {
             self.machines.for_each_attempt(&task.job, |_, attempt| {
-                fetching |= attempt.number == number && attempt.stop.is_none() && attempt.fetching();
+                fetching |= attempt.number == number && attempt.stop.is_none() && attempt.is_fetching();
             });
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number) {
-                gang.ended(why, fetching);
+                gang.record_ended_task(cause, fetching);
             }
-            match why {
+            match cause {
                 TaskEndCause::Error | TaskEndCause::Unknown | TaskEndCause::Other => {
                     log::info!(
-                        "task failed job={} machine={id} task={} cause={why:?}",
+                        "task failed job={} machine={id} task={} cause={cause:?}",
                         task.job,
                         task.index
                     );
                     job.failed_on.insert(id.clone());
                     job.failed_at = now;
-                    if job.to_blame() && now >= job.held_until {
-                        let wait = FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_MAX_DOUBLINGS);
-                        job.held_until = now + wait;
-                        job.failures += 1;
+                    if job.fails_on_many_machines() && now >= job.backoff_until {
+                        let backoff_ms =
+                            FAILING_JOB_BACKOFF_MS << job.failure_rounds.min(FAILING_JOB_MAX_DOUBLINGS);
+                        job.backoff_until = now + backoff_ms;
+                        job.failure_rounds += 1;
                     }
-                    // A job that fails on several machines speaks against them all the
-                    // same, until one of them starts other work: in a wave of faulty
-                    // machines each job meets several, and had it been blamed alone, none
-                    // of them would ever have been found.
-                    if why == TaskEndCause::Error
-                        && !job.failed_on_good
+                    // A failure counts against the machine even if the job has failed on several
+                    // machines, until another task starts on one of them. In a wave of faulty machines
+                    // each job fails on several; blaming only the job would leave all of them
+                    // undetected.
+                    if cause == TaskEndCause::Error
+                        && !job.failed_on_healthy_machine
                         && let Some(machine) = self.machines.get_mut(id)
                     {
-                        machine.errors.insert(task.job.clone());
-                        if faulty(machine) {
+                        machine.failed_jobs.insert(task.job.clone());
+                        if is_faulty(machine) {
                             log::info!("machine cordoned machine={id}: tasks of different jobs failed there");
                         }
                     }
@@ -339,26 +362,26 @@
         self.requeue(task, now);
     }
 
-    /// The task waits again, unless it is done or may still be somewhere.
+    /// Queues the task again, unless it is done or may still run somewhere. Stops the rest of a broken gang.
     pub(super) fn requeue(&mut self, task: &TaskId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let mut elsewhere = false;
-        let mut left = false;
+        let mut any_left = false;
         let broken = job.gang.is_some_and(|gang| gang.broken);
         let grace_s = placement::grace_s(&job.spec);
-        self.machines.for_each_attempt(&task.job, |host, attempt| {
-            left |= attempt.may_be_there();
-            elsewhere |= attempt.task.index == task.index && attempt.may_be_there();
+        self.machines.for_each_attempt(&task.job, |machine_id, attempt| {
+            any_left |= attempt.may_be_running();
+            elsewhere |= attempt.task.index == task.index && attempt.may_be_running();
             if broken && !attempt.exited() && attempt.stop.is_none() {
-                self.commands.request_stop(attempt, host, grace_s, now);
+                self.commands.request_stop(attempt, machine_id, grace_s, now);
             }
         });
         if !elsewhere && !job.done.contains(&task.index) && task.index < job.spec.tasks {
             job.waiting.insert(task.index);
         }
-        if !left {
+        if !any_left {
             job.gang = None;
         }
     }
--- a/crates/controller/src/scheduling/gangs/tests.rs
+++ b/crates/controller/src/scheduling/gangs/tests.rs
@@ -3,21 +3,21 @@
 #[test]
 fn a_lost_task_is_replaced_only_before_the_start() {
     let mut gang = GangAttempt::new(7);
-    gang.lost();
-    gang.ended(TaskEndCause::NoRoom, false);
-    assert!(gang.open());
+    gang.record_lost_task();
+    gang.record_ended_task(TaskEndCause::NoRoom, false);
+    assert!(gang.accepts_tasks());
     gang.started = true;
-    assert!(!gang.open() && !gang.broken);
-    gang.lost();
+    assert!(!gang.accepts_tasks() && !gang.broken);
+    gang.record_lost_task();
     assert!(gang.broken);
 }
 
 #[test]
 fn who_waited_in_vain_joins_those_that_fetch_still() {
     let mut gang = GangAttempt::new(7);
-    gang.ended(TaskEndCause::Alone, true);
-    assert!(gang.open());
-    gang.ended(TaskEndCause::Alone, false);
+    gang.record_ended_task(TaskEndCause::Alone, true);
+    assert!(gang.accepts_tasks());
+    gang.record_ended_task(TaskEndCause::Alone, false);
     assert!(gang.broken);
 }
 
@@ -30,7 +30,7 @@
         TaskEndCause::Error,
     ] {
         let mut gang = GangAttempt::new(7);
-        gang.ended(why, false);
+        gang.record_ended_task(why, false);
         assert!(gang.broken, "{why:?}");
     }
 }
--- a/crates/counted_resources/benches/pass.rs
+++ b/crates/counted_resources/benches/pass.rs
@@ -10,7 +10,7 @@
 use indigopath_controller::allocations::{Attempt, Machine};
 use indigopath_controller::model::{Job, JobId, JobSpec, MachineId, TaskId, TaskLocations};
 use indigopath_controller::protocol::{Flavors, TaskState};
-use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, MachineTypes, Units};
+use indigopath_controller::scheduling::placement::{self, ClusterSnapshot, CountedUnits, MachineTypes};
 use indigopath_controller::settings::Deployment;
 use indigopath_counted_resources::{
     Definition, Definitions, Demand, DemandInterner, Requester, ReservationPolicy, UnitLedger,
@@ -81,14 +81,14 @@
         let zone = if number.is_multiple_of(2) { "east" } else { "west" };
         let mut machine = Machine::new(id.clone(), "small".into(), zone.into(), true, 0);
         machine.synced = true;
-        machine.heard = Some(0);
+        machine.last_heard_at = Some(0);
         for task in 0..TASKS_PER_MACHINE {
             let holder = spec(JOBS + number * TASKS_PER_MACHINE + task);
             machine.attempts.push(Attempt {
                 counts: holder.counts.clone(),
                 estimate_s: holder.estimate_s,
                 durable: true,
-                seen: Some(TaskState::Running),
+                reported_state: Some(TaskState::Running),
                 running_since: Some(0),
                 ..Attempt::planned(
                     TaskId {
@@ -139,7 +139,7 @@
             BTreeMap::new(),
             TaskLocations::new(),
         );
-        let starved = indigopath_controller::scheduling::fair_share::Starved::default();
+        let starved = indigopath_controller::scheduling::fair_share::StarvedOwners::default();
         let weights = indigopath_controller::leader::ImageLocality::default();
         let site = ClusterSnapshot {
             deployment: &self.deployment,
@@ -147,18 +147,18 @@
             jobs: &self.jobs,
             machines: &self.machines,
             task_locations: &task_locations,
-            spot_loss: 0.0,
+            spot_loss_rate: 0.0,
             starved: &starved,
             aging_credit: placement::AgingCredit::default(),
             image_statistics: &weights,
             protection: &placement::Protection::default(),
-            units: Units {
+            units: CountedUnits {
                 definitions: &self.definitions,
                 policy: ReservationPolicy::default(),
                 reserved_since: &keepers,
                 feeds: &feeds,
                 lingers: &[],
-                gone: &gone,
+                recently_released: &gone,
             },
             now: 20_000,
         };
