--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -1,4 +1,5 @@
-//! Counted resources in a leader's term: units that linger, licence servers and plain warnings.
+//! The leader's view of counted resources: lingering units, licence servers, and warnings to
+//! operators.
 
 mod status;
 
@@ -24,7 +25,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// What can be wrong with a count, for its warnings.
+/// A problem with a counted resource of which operators are warned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum CountProblem {
     Silent,
@@ -33,49 +34,50 @@
     Unsatisfiable,
 }
 
-/// Since when something is wrong, and when operators were last told.
+/// Since when a problem has lasted, and when operators were last warned of it.
 #[derive(Debug, Clone, Copy)]
 struct OngoingProblem {
     since: Timestamp,
     warned_at: Option<Timestamp>,
 }
 
-/// What a term knows of counted resources beyond the attempts that hold them.
+/// The leader's state of counted resources, apart from the attempts that hold units.
 #[derive(Debug, Default)]
 pub(super) struct CountedResources {
     feeds: BTreeMap<Name, UsageFeed>,
-    /// For how long units of each count linger.
+    /// How long units of each counted resource linger.
     linger_ms: HashMap<Name, u64>,
-    /// Demands of jobs and attempts, each once.
+    /// Interned demands of jobs and attempts.
     demand_interner: DemandInterner,
-    /// Units that linger, as at the last pass or look.
+    /// Lingering units as of the last pass or check.
     lingers: Vec<Linger>,
-    /// Who waited for units after the last pass, in the order of service.
+    /// Demand that lacked units in the last pass, in queue order.
     pub(super) unsatisfied: Vec<UnsatisfiedDemand>,
-    /// Units that it kept for requests that have waited for long.
+    /// Units that the last pass reserved for requests that have waited for long.
     reserved: BTreeMap<Name, u32>,
-    /// For which jobs, and since when: what a new leader does not know, it counts anew.
+    /// The jobs with reserved units, and since when. A new leader does not know the start of a
+    /// reservation and counts from its own first pass.
     reserved_since: BTreeMap<JobId, Timestamp>,
-    /// How often more was held than there was.
+    /// How often each counted resource became oversubscribed.
     oversubscription_counts: BTreeMap<Name, u64>,
     oversubscribed_now: BTreeSet<Name>,
     problems: BTreeMap<(Name, CountProblem), OngoingProblem>,
-    /// Starts with units since they were last taken: count, and the job's age in s.
+    /// Job age in s at each start of a task with units, by counted resource, since last taken.
     unit_waits: Vec<(Name, f64)>,
     checked_at: Timestamp,
 }
 
 impl CountedResources {
-    /// For the counts that operators have defined.
+    /// Creates the state for the counted resources that the operators defined.
     pub(super) fn new(definitions: &Definitions) -> CountedResources {
         let linger_ms = definitions
             .iter()
             .map(|(name, definition)| (name.clone(), definition.linger_ms()));
-        let asked = definitions
+        let with_server = definitions
             .iter()
             .filter(|(_, definition)| definition.server.is_some());
         CountedResources {
-            feeds: asked
+            feeds: with_server
                 .map(|(name, _)| (name.clone(), UsageFeed::default()))
                 .collect(),
             linger_ms: linger_ms.collect(),
@@ -85,7 +87,7 @@
 }
 
 impl LeaderTerm {
-    /// What a pass needs to know of counted resources.
+    /// The counted resources as input of a scheduling pass.
     pub(super) fn counted_units<'a>(&'a self, definitions: &'a Definitions) -> CountedUnits<'a> {
         CountedUnits {
             definitions,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Shares a demand with its equals.
+    /// Replaces a demand by a shared copy of an equal one.
     pub(super) fn intern_demand(&mut self, demand: &mut Demand) {
         if !demand.is_empty() {
             *demand = self
@@ -107,34 +109,34 @@
         }
     }
 
-    /// Brings what lingers up to date, before a pass or a look.
+    /// Updates the lingering units before a pass or a check.
     pub(super) fn update_lingers(&mut self, now: Timestamp) {
         let before = self.counted_resources.lingers.len();
         self.counted_resources.lingers = self.writer.active_lingers(now);
-        // Units that have come free are a reason to place.
+        // Units that became free allow further placements.
         self.scheduler
             .request_pass_if(self.counted_resources.lingers.len() < before);
     }
 
-    /// Notes what a pass says of units.
+    /// Records the unsatisfied demand and the reservations of a pass.
     pub(super) fn record_unit_reservations(
         &mut self,
-        short: Vec<UnsatisfiedDemand>,
-        kept: BTreeMap<Name, u32>,
-        keepers: BTreeSet<JobId>,
+        unsatisfied: Vec<UnsatisfiedDemand>,
+        reserved: BTreeMap<Name, u32>,
+        reserved_for: BTreeSet<JobId>,
         now: Timestamp,
     ) {
-        let before = std::mem::take(&mut self.counted_resources.reserved_since);
+        let previous = std::mem::take(&mut self.counted_resources.reserved_since);
         let since = |job: JobId| {
-            let since = before.get(&job).copied().unwrap_or(now);
+            let since = previous.get(&job).copied().unwrap_or(now);
             (job, since)
         };
-        self.counted_resources.reserved_since = keepers.into_iter().map(since).collect();
-        self.counted_resources.unsatisfied = short;
-        self.counted_resources.reserved = kept;
+        self.counted_resources.reserved_since = reserved_for.into_iter().map(since).collect();
+        self.counted_resources.unsatisfied = unsatisfied;
+        self.counted_resources.reserved = reserved;
     }
 
-    /// An attempt holds its units no longer.
+    /// Starts the linger time of the units of an attempt that no longer holds them.
     pub(super) fn on_units_released(
         &mut self,
         shard: Option<u32>,
@@ -152,45 +154,47 @@
                     units,
                     until: now + linger_ms,
                 };
-                // What is said of the count before the next pass must not lack it.
+                // Status requests before the next pass must include these units.
                 self.counted_resources.lingers.push(linger.clone());
                 self.writer.add_linger(shard, linger);
             }
         }
     }
 
-    /// A machine is gone. For as long as units linger that its attempts may have held, a licence server
-    /// may name its clients, which are ours then, also to the next leader.
+    /// Remembers a machine that is gone for as long as units that its attempts may have held
+    /// linger. Until then a licence server may still list its clients, which count as the cluster's
+    /// own, also for the next leader.
     pub(super) fn remember_licence_clients(&mut self, machine: &Machine) {
-        let named_until = machine
+        let listed_until = machine
             .shard
             .and_then(|shard| self.writer.on_machine_released(shard, &machine.id));
-        if let Some(until) = named_until {
-            // A server that falls silent then is believed for a while.
+        if let Some(until) = listed_until {
+            // The last usage reported by an unresponsive server remains valid for this much longer.
             self.machines
                 .remember_released(&machine.id, until + SERVER_USAGE_VALID_MS);
         }
     }
 
-    /// A machine that is gone, as a former leader recorded it: its clients are ours.
+    /// Restores a machine that is gone from the record of an earlier leader. Its clients count as
+    /// the cluster's own.
     pub(super) fn restore_released_machine(
         &mut self,
         shard: u32,
         released: &ReleasedMachine,
-        clock_off_ms: u64,
+        clock_skew_ms: u64,
         io: &Io,
     ) {
-        // As with lingering units: this clock may be late, the other may have been early.
-        let named_until_ms = released.until_ms.saturating_add(2 * clock_off_ms);
-        let left_ms = named_until_ms.saturating_sub(io.wall_ms);
-        let longest_ms = self
+        // As for lingering units: this clock may be behind, and the writer's may have been ahead.
+        let listed_until_ms = released.until_ms.saturating_add(2 * clock_skew_ms);
+        let left_ms = listed_until_ms.saturating_sub(io.wall_ms);
+        let max_linger_ms = self
             .counted_resources
             .linger_ms
             .values()
             .max()
             .copied()
             .unwrap_or(0);
-        let until = io.now + left_ms.min(longest_ms);
+        let until = io.now + left_ms.min(max_linger_ms);
         if io.now < until {
             let id = MachineId(released.name.clone());
             self.machines
@@ -199,21 +203,21 @@
         }
     }
 
-    /// A task with units is placed: how long its job waited.
+    /// Records how long the job of a placed task with units has waited.
     pub(super) fn record_unit_wait(&mut self, counts: &Demand, age_ms: u64) {
         let age_s = age_ms as f64 / SECOND_MS as f64;
         let waits = counts.iter().map(|(count, _)| (count.clone(), age_s));
         self.counted_resources.unit_waits.extend(waits);
     }
 
-    /// Waits of tasks placed since this was last asked: count, and the job's age in s.
+    /// Returns and clears the recorded waits: counted resource, and the job's age in s.
     pub fn take_unit_waits(&mut self) -> Vec<(Name, f64)> {
         std::mem::take(&mut self.counted_resources.unit_waits)
     }
 
     // ---- licence servers -----------------------------------------------------
 
-    /// Asks the licence servers that are due for their usage.
+    /// Polls the licence servers that are due.
     pub(super) fn poll_licence_servers(&mut self, definitions: &Definitions, io: &mut Io) {
         let mut due: BTreeSet<SocketAddrV4> = BTreeSet::new();
         for (name, feed) in &mut self.counted_resources.feeds {
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Follows the answer of a licence server.
+    /// Handles the answer of a licence server.
     pub(super) fn handle_licence_response(
         &mut self,
         server: SocketAddrV4,
@@ -267,7 +271,7 @@
 
     // ---- warnings ------------------------------------------------------------
 
-    /// Looks at all counts for what operators should know.
+    /// Checks all counted resources for problems of which operators should know.
     pub(super) fn update_count_warnings(&mut self, definitions: &Definitions, io: &mut Io) {
         if io.now < self.counted_resources.checked_at + FORECAST_INTERVAL_MS {
             return;
@@ -275,14 +279,14 @@
         self.counted_resources.checked_at = io.now;
         self.update_lingers(io.now);
         let units = self.counted_units(definitions);
-        let book = placement::unit_ledger(self.machines.as_map(), &units, io.now);
-        let mut found: Vec<(Name, CountProblem, String)> = Vec::new();
+        let unit_ledger = placement::unit_ledger(self.machines.as_map(), &units, io.now);
+        let mut problems_found: Vec<(Name, CountProblem, String)> = Vec::new();
         let mut over = BTreeSet::new();
-        for pool in book.pools() {
+        for pool in unit_ledger.pools() {
             let name: Name = Arc::from(pool.name);
             let waiting = tasks_waiting_for(pool.name, &self.counted_resources.unsatisfied);
             match pool.closed {
-                Some(ClosedReason::Undefined) => found.push((
+                Some(ClosedReason::Undefined) => problems_found.push((
                     name.clone(),
                     CountProblem::Undefined,
                     format!(
@@ -292,7 +296,7 @@
                 )),
                 Some(ClosedReason::Silent) => {
                     let server = pool.definition.and_then(|definition| definition.server);
-                    found.push((
+                    problems_found.push((
                         name.clone(),
                         CountProblem::Silent,
                         format!(
@@ -309,7 +313,7 @@
                             self.oversubscription(pool, io.now)
                         );
                     }
-                    found.push((
+                    problems_found.push((
                         name.clone(),
                         CountProblem::Oversubscribed,
                         format!(
@@ -323,7 +327,7 @@
             }
         }
         for (name, wanted, job) in unsatisfiable_jobs(self.jobs.as_map(), definitions) {
-            found.push((
+            problems_found.push((
                 name,
                 CountProblem::Unsatisfiable,
                 format!(
@@ -331,7 +335,7 @@
                 ),
             ));
         }
-        drop(book);
+        drop(unit_ledger);
         for name in &over {
             if !self.counted_resources.oversubscribed_now.contains(name) {
                 *self
@@ -342,10 +346,10 @@
             }
         }
         self.counted_resources.oversubscribed_now = over;
-        self.emit_count_warnings(found, io);
+        self.emit_count_warnings(problems_found, io);
     }
 
-    /// Where the units of a pool come from of which more are taken than there are.
+    /// Details of an oversubscribed pool: the holders of its units.
     fn oversubscription(&self, pool: &Pool<'_>, now: Timestamp) -> Oversubscription {
         let mut attempts = Vec::new();
         for machine in self.machines.values() {
@@ -368,15 +372,15 @@
         Oversubscription::new(pool, attempts, lingers.collect(), server)
     }
 
-    fn emit_count_warnings(&mut self, found: Vec<(Name, CountProblem, String)>, io: &mut Io) {
-        self.counted_resources.problems.retain(|(name, trouble), _| {
-            found
+    fn emit_count_warnings(&mut self, problems_found: Vec<(Name, CountProblem, String)>, io: &mut Io) {
+        self.counted_resources.problems.retain(|(name, problem), _| {
+            problems_found
                 .iter()
-                .any(|(other, kind, _)| other == name && kind == trouble)
+                .any(|(found_name, found_problem, _)| found_name == name && found_problem == problem)
         });
-        for (name, trouble, text) in found {
-            let key = (name.clone(), trouble);
-            let lasting = self
+        for (name, problem, text) in problems_found {
+            let key = (name.clone(), problem);
+            let ongoing = self
                 .counted_resources
                 .problems
                 .entry(key)
@@ -384,29 +388,29 @@
                     since: io.now,
                     warned_at: None,
                 });
-            let due = match lasting.warned_at {
-                None => io.now >= lasting.since + COUNT_WARNING_AFTER_MS,
+            let due = match ongoing.warned_at {
+                None => io.now >= ongoing.since + COUNT_WARNING_AFTER_MS,
                 Some(at) => io.now >= at + WARNING_REPEAT_MS,
             };
             if due {
-                lasting.warned_at = Some(io.now);
+                ongoing.warned_at = Some(io.now);
                 io.effects.push(Effect::Warning(format!("count={name}: {text}")));
             }
         }
     }
 }
 
-/// Tasks that wait for a count.
-fn tasks_waiting_for(count: &str, short: &[UnsatisfiedDemand]) -> u64 {
-    short
+/// Number of tasks that wait for units of a counted resource.
+fn tasks_waiting_for(count: &str, unsatisfied: &[UnsatisfiedDemand]) -> u64 {
+    unsatisfied
         .iter()
-        .filter(|short| &*short.shortage.count == count)
-        .map(|short| u64::from(short.tasks))
+        .filter(|demand| &*demand.shortage.count == count)
+        .map(|demand| u64::from(demand.tasks))
         .sum()
 }
 
-/// For each count, the live job that needs the most of its units at once, if that is more
-/// than there is: it was accepted when there were more.
+/// For each counted resource, the live job that needs the most units at once, if it needs more than
+/// are defined. Such a job was accepted when more units were defined.
 fn unsatisfiable_jobs<'a>(
     jobs: &'a BTreeMap<JobId, Job>,
     definitions: &Definitions,
@@ -415,9 +419,9 @@
     for job in jobs.values().filter(|job| !job.parked && !job.waiting.is_empty()) {
         for (count, units) in job.spec.counts.iter() {
             let wanted = u64::from(units) * u64::from(job.gang_size());
-            let there = definitions.get(count).map_or(0, |definition| definition.units);
-            let known = largest.get(count).map_or(0, |(most, _)| *most);
-            if wanted > u64::from(there) && wanted > known {
+            let available = definitions.get(count).map_or(0, |definition| definition.units);
+            let known = largest.get(count).map_or(0, |(units, _)| *units);
+            if wanted > u64::from(available) && wanted > known {
                 largest.insert(count, (wanted, &job.spec.id));
             }
         }
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -1,5 +1,5 @@
-//! What people are told of counted resources: each count at a glance, who holds units, and why a job
-//! waits for some.
+//! Status of counted resources for users and operators: an overview, the holders of units, and why
+//! a job waits for units.
 
 use crate::allocations::{Attempt, Machine};
 use crate::constants::SECOND_MS;
@@ -15,32 +15,35 @@
 use indigopath_counted_resources::{ClosedReason, Definitions, Pool};
 
 impl LeaderTerm {
-    /// Every count at a glance.
+    /// Status of all counted resources.
     pub fn count_status(&self, definitions: &Definitions, now: Timestamp) -> Vec<CountStatus> {
         let units = self.counted_units(definitions);
-        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
-        book.pools().map(|pool| self.pool_status(pool, now)).collect()
+        let unit_ledger = placement::unit_ledger(self.machines.as_map(), &units, now);
+        unit_ledger
+            .pools()
+            .map(|pool| self.pool_status(pool, now))
+            .collect()
     }
 
     fn pool_status(&self, pool: &Pool<'_>, now: Timestamp) -> CountStatus {
         let definition = pool.definition;
         let mut teams: Vec<TeamStatus> = pool
             .teams()
-            .map(|of| TeamStatus {
-                team: of.team.to_owned(),
-                share: of.share,
-                used: of.used,
+            .map(|team_usage| TeamStatus {
+                team: team_usage.team.to_owned(),
+                share: team_usage.share,
+                used: team_usage.used,
             })
             .collect();
         teams.sort_by(|a, b| a.team.cmp(&b.team));
         let server = definition.and_then(|definition| definition.server).map(|addr| {
             let feed = self.counted_resources.feeds.get(pool.name);
-            let last = feed.and_then(|feed| feed.last_usage(now));
+            let last_usage = feed.and_then(|feed| feed.last_usage(now));
             ServerStatus {
                 addr: addr.to_string(),
-                heard_s: last.map(|(_, age_ms)| age_ms as f64 / SECOND_MS as f64),
-                total: last.map(|(usage, _)| usage.total),
-                in_use: last.map(|(usage, _)| usage.in_use),
+                heard_s: last_usage.map(|(_, age_ms)| age_ms as f64 / SECOND_MS as f64),
+                total: last_usage.map(|(usage, _)| usage.total),
+                in_use: last_usage.map(|(usage, _)| usage.in_use),
                 problem: feed.and_then(|feed| feed.problem.clone()),
             }
         });
@@ -78,29 +81,34 @@
         }
     }
 
-    /// Units of a count that tasks wait for; with a job, only tasks before it in the
-    /// order of service.
+    /// Units of a counted resource for which tasks wait; if a job is given, only tasks of jobs
+    /// before it in the queue.
     fn units_waited_for(&self, count: &str, before: Option<&JobId>) -> u64 {
         self.counted_resources
             .unsatisfied
             .iter()
-            .take_while(|short| before != Some(&short.job))
-            .filter_map(|short| {
-                let job = self.jobs.get(&short.job)?;
-                Some(u64::from(job.spec.counts.units(count)) * u64::from(short.tasks))
+            .take_while(|demand| before != Some(&demand.job))
+            .filter_map(|demand| {
+                let job = self.jobs.get(&demand.job)?;
+                Some(u64::from(job.spec.counts.units(count)) * u64::from(demand.tasks))
             })
             .sum()
     }
 
-    /// Every task that holds units, and what lingers: of all teams, as operators chose by `show_holders`, or of the one that
-    /// the request states.
-    pub fn holders(&self, asks: Option<&Team>, settings: &Settings, now: Timestamp) -> Vec<Holder> {
+    /// All tasks that hold units and all lingering units that the requester may see: those of the
+    /// stated team, or those of all teams if the operators set `show_holders`.
+    pub fn holders(
+        &self,
+        requesting_team: Option<&Team>,
+        settings: &Settings,
+        now: Timestamp,
+    ) -> Vec<Holder> {
         let mut holders = Vec::new();
         for machine in self.machines.values() {
             for attempt in machine.attempts.iter().filter(|attempt| attempt.holds_units()) {
                 let owner = Owner::on_record(&attempt.task.job.0, &attempt.team);
-                let access = match asks {
-                    Some(asks) => Access::stated(&owner, asks),
+                let access = match requesting_team {
+                    Some(team) => Access::stated(&owner, team),
                     None => Access::shown_to_all(&owner, settings.operator.show_holders),
                 };
                 if access.is_err() {
@@ -121,7 +129,7 @@
         }
         let lingering = self.counted_resources.lingers.iter().filter(|linger| {
             now < linger.until
-                && asks.is_none_or(|asks| authorization::is_same_team(&linger.team, asks, settings))
+                && requesting_team.is_none_or(|team| authorization::is_same_team(&linger.team, team, settings))
         });
         holders.extend(lingering.map(|linger| Holder {
             count: linger.count.to_string(),
@@ -136,8 +144,8 @@
         holders
     }
 
-    /// Why a job's tasks wait; `None` if it is not live.
-    /// Where the operators show holders to whoever asks, a request need not state a team.
+    /// Explains why a job's tasks wait; `None` if the job is not live or not accessible. Where the
+    /// operators set `show_holders`, a request need not state a team.
     pub fn explain(
         &self,
         id: &JobId,
@@ -157,50 +165,50 @@
         let job = self.jobs.get(&**access.ok()?.job())?;
         let definitions = &settings.operator.counts;
         let units = self.counted_units(definitions);
-        let book = placement::unit_ledger(self.machines.as_map(), &units, now);
-        let short: Vec<&UnsatisfiedDemand> = self
+        let unit_ledger = placement::unit_ledger(self.machines.as_map(), &units, now);
+        let unsatisfied_demand: Vec<&UnsatisfiedDemand> = self
             .counted_resources
             .unsatisfied
             .iter()
-            .filter(|short| short.job == *id)
+            .filter(|demand| demand.job == *id)
             .collect();
         let counts = job.spec.counts.iter().map(|(count, units)| RequestedCount {
             count: count.to_string(),
             needs: u64::from(units) * u64::from(job.gang_size()),
-            free: book.get(count).map_or(0, |pool| pool.free()),
+            free: unit_ledger.get(count).map_or(0, |pool| pool.free()),
             kept: self.counted_resources.reserved.get(count).copied().unwrap_or(0),
-            ahead: if short.is_empty() {
+            ahead: if unsatisfied_demand.is_empty() {
                 0
             } else {
                 self.units_waited_for(count, Some(id))
             },
-            why: short
+            why: unsatisfied_demand
                 .iter()
-                .find(|short| short.shortage.count == *count)
-                .map(|short| short.shortage.reason.text().to_owned()),
+                .find(|demand| demand.shortage.count == *count)
+                .map(|demand| demand.shortage.reason.text().to_owned()),
         });
         let waiting = job.waiting.len() as u32;
-        let rents = self
+        let needs_machines = self
             .scheduler
             .unplaced()
             .iter()
             .any(|unplaced| unplaced.job == *id);
         let verdict = if waiting == 0 {
             "all its tasks are done or on machines".to_owned()
-        } else if let Some(first) = short.first() {
-            let tasks: u32 = short.iter().map(|short| short.tasks).sum();
+        } else if let Some(first) = unsatisfied_demand.first() {
+            let tasks: u32 = unsatisfied_demand.iter().map(|demand| demand.tasks).sum();
             format!(
                 "{tasks} of its tasks wait for units of {}: {}",
                 first.shortage.count,
                 first.shortage.reason.text()
             )
-        } else if let Some(why) = job.spec.condor.as_ref().and_then(|part| part.held()) {
-            format!("it is held: {why}")
+        } else if let Some(reason) = job.spec.condor.as_ref().and_then(|part| part.held()) {
+            format!("it is held: {reason}")
         } else if job.parked {
             "its cluster is not accepted yet".to_owned()
         } else if now < job.backoff_until {
             "it failed on several machines and is tried again in a while".to_owned()
-        } else if rents {
+        } else if needs_machines {
             "it has its units and waits for machines".to_owned()
         } else {
             "it waits for its turn, or for its team's limit".to_owned()
@@ -214,7 +222,7 @@
     }
 }
 
-/// What is known of an attempt that holds units, in one word.
+/// State of an attempt that holds units, as one word.
 pub(super) fn holder_state(machine: &Machine, attempt: &Attempt) -> &'static str {
     if attempt.stop.is_some() {
         "stopping"
--- a/crates/controller/src/leader/oversubscription.rs
+++ b/crates/controller/src/leader/oversubscription.rs
@@ -1,5 +1,5 @@
-//! The log line that says why more units of a counted resource are taken than there are: which
-//! attempts hold some, which units linger, and which clients of the licence server are not ours.
+//! Details logged when more units of a counted resource are in use than exist: the attempts that
+//! hold units, lingering units, and clients of the licence server outside the cluster.
 
 use crate::allocations::Attempt;
 use crate::constants::OVERSUBSCRIPTION_PARTS_LOGGED;
@@ -8,25 +8,25 @@
 use indigopath_counted_resources::{Name, Pool, UsageFeed};
 use std::fmt::{self, Display, Formatter};
 
-/// Units of one attempt that may be on its machine.
+/// Units held by one attempt that may be on its machine.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct HeldUnits {
-    /// How many.
+    /// Number of units.
     pub(super) units: u32,
-    /// The attempt's task.
+    /// The task of the attempt.
     pub(super) task: TaskId,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub(super) number: u64,
-    /// Its machine.
+    /// The machine of the attempt.
     pub(super) machine: MachineId,
-    /// A former leader recorded it, and no report has spoken of it since.
+    /// Whether it was recorded by an earlier leader and no heartbeat has reported it since.
     pub(super) inherited: bool,
-    /// What is known of it.
+    /// State of the attempt, as one word.
     pub(super) state: &'static str,
 }
 
 impl HeldUnits {
-    /// Those of this count that an attempt holds, if it holds any.
+    /// The units of a counted resource that an attempt holds, if it holds any.
     pub(super) fn of(
         attempt: &Attempt,
         machine: &MachineId,
@@ -65,7 +65,7 @@
 }
 
 impl LingeringUnits {
-    /// One entry of a shard.
+    /// Converts an entry of a shard.
     pub(super) fn of(entry: &ShardLinger<'_>, now: Timestamp) -> LingeringUnits {
         LingeringUnits {
             units: entry.linger.units,
@@ -86,14 +86,14 @@
     }
 }
 
-/// Units that the licence server says a host has that is no machine of ours.
+/// Units that the licence server attributes to a host that is not a machine of the cluster.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct OutsideUnits {
+pub(super) struct ExternalUnits {
     host: String,
     units: u32,
 }
 
-impl Display for OutsideUnits {
+impl Display for ExternalUnits {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         let host = if self.host.is_empty() {
             "reservation"
@@ -104,28 +104,28 @@
     }
 }
 
-/// What a licence server last said of clients that are not ours.
+/// The last usage that a licence server reported, limited to clients outside the cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct UsageReport {
     age_ms: u64,
     in_use: u32,
-    outside: Vec<OutsideUnits>,
+    external: Vec<ExternalUnits>,
 }
 
 impl UsageReport {
-    /// The last one, if the server was ever heard.
+    /// The last report, if there was any.
     pub(super) fn of(
         feed: &UsageFeed,
         is_ours: impl Fn(&str) -> bool,
         now: Timestamp,
     ) -> Option<UsageReport> {
         let (usage, age_ms) = feed.last_usage(now)?;
-        let outside = usage.seats.iter().filter(|(host, _)| !is_ours(host));
+        let external = usage.seats.iter().filter(|(host, _)| !is_ours(host));
         Some(UsageReport {
             age_ms,
             in_use: usage.in_use,
-            outside: outside
-                .map(|(host, units)| OutsideUnits {
+            external: external
+                .map(|(host, units)| ExternalUnits {
                     host: host.clone(),
                     units: *units,
                 })
@@ -134,7 +134,7 @@
     }
 }
 
-/// A count of which more is taken than there is.
+/// A counted resource with more units in use than exist.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Oversubscription {
     count: Name,
@@ -148,7 +148,7 @@
 }
 
 impl Oversubscription {
-    /// The sums of a pool, and the parts that they are made of.
+    /// Combines the totals of a pool with the units they consist of.
     pub(super) fn new(
         pool: &Pool<'_>,
         attempts: Vec<HeldUnits>,
@@ -181,20 +181,20 @@
             return Ok(());
         };
         write!(out, " server_age_ms={} in_use={}", server.age_ms, server.in_use)?;
-        write_parts(out, "outside", &server.outside)
+        write_parts(out, "outside", &server.external)
     }
 }
 
-/// Writes the first parts of a sum, and how many more there are.
+/// Writes the first parts of a list, and the number of those omitted.
 fn write_parts(out: &mut Formatter<'_>, name: &str, parts: &[impl Display]) -> fmt::Result {
     write!(out, " {name}=[")?;
-    for (at, part) in parts.iter().take(OVERSUBSCRIPTION_PARTS_LOGGED).enumerate() {
-        let separator = if at > 0 { "; " } else { "" };
+    for (index, part) in parts.iter().take(OVERSUBSCRIPTION_PARTS_LOGGED).enumerate() {
+        let separator = if index > 0 { "; " } else { "" };
         write!(out, "{separator}{part}")?;
     }
-    let more = parts.len().saturating_sub(OVERSUBSCRIPTION_PARTS_LOGGED);
-    if more > 0 {
-        write!(out, "; {more} more")?;
+    let omitted = parts.len().saturating_sub(OVERSUBSCRIPTION_PARTS_LOGGED);
+    if omitted > 0 {
+        write!(out, "; {omitted} more")?;
     }
     write!(out, "]")
 }
--- a/crates/controller/src/leader/oversubscription/tests.rs
+++ b/crates/controller/src/leader/oversubscription/tests.rs
@@ -14,18 +14,19 @@
     }
 }
 
-/// Two seats are held of one, with these parts.
+/// Formats an oversubscription of a resource with one unit, of which two are held, with these
+/// details.
 fn report(attempts: Vec<HeldUnits>, lingers: Vec<LingeringUnits>, server: Option<UsageReport>) -> String {
     let definitions = Definitions::from([(Arc::from("seat"), Definition::with_units(1))]);
     let seats = Demand::new(&BTreeMap::from([("seat".to_owned(), 2)])).unwrap();
-    let mut book = UnitLedger::new(&definitions);
-    book.hold("red", &seats, 1.0, false);
-    let pool = book.get("seat").unwrap();
+    let mut unit_ledger = UnitLedger::new(&definitions);
+    unit_ledger.hold("red", &seats, 1.0, false);
+    let pool = unit_ledger.get("seat").unwrap();
     Oversubscription::new(pool, attempts, lingers, server).to_string()
 }
 
 #[test]
-fn a_count_that_is_over_names_where_each_unit_comes_from() {
+fn lists_every_holder_of_an_oversubscribed_count() {
     let linger = Linger {
         count: Arc::from("seat"),
         team: Arc::from("red"),
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_long_list_of_parts_is_cut_short_and_says_so() {
+fn long_lists_are_truncated_with_the_number_omitted() {
     let parts = OVERSUBSCRIPTION_PARTS_LOGGED as u64 + 3;
     let text = report((0..parts).map(held).collect(), Vec::new(), None);
     assert!(text.contains(&format!("attempt={}", OVERSUBSCRIPTION_PARTS_LOGGED - 1)));
