--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -163,7 +163,7 @@
             )
         });
         let job = self.jobs.get(&**access.ok()?.job())?;
-        let definitions = &settings.operator.counts;
+        let definitions = &settings.operator.counted_resources;
         let units = self.counted_units(definitions);
         let unit_ledger = placement::unit_ledger(self.machines.as_map(), &units, now);
         let unsatisfied_demand: Vec<&UnsatisfiedDemand> = self
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -132,7 +132,7 @@
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
             autoscaler: Autoscaler::new(),
-            counted_resources: CountedResources::new(&settings.operator.counts),
+            counted_resources: CountedResources::new(&settings.operator.counted_resources),
             protection_windows: ProtectionWindows::new(settings),
             submit_clusters: SubmitClusters::default(),
             image_locality: ImageLocality::default(),
@@ -194,7 +194,7 @@
             return Some(event);
         }
         self.poll_listing(io);
-        self.poll_licence_servers(&settings.operator.counts, io);
+        self.poll_licence_servers(&settings.operator.counted_resources, io);
         if certain && !types.is_empty() {
             self.schedule(types, settings, io);
             self.store_types_once(types, io);
@@ -252,7 +252,7 @@
             self.size_fleet(types, settings, io);
         }
         self.forecast_when_due(types, settings, io);
-        self.update_count_warnings(&settings.operator.counts, io);
+        self.update_count_warnings(&settings.operator.counted_resources, io);
         self.update_submit_clusters(settings, io);
         self.send_scale_out_requests(io);
     }
@@ -296,7 +296,7 @@
             TermCall::Launch { request } => self.handle_launch_response(&request, outcome, io),
             TermCall::Release { machines, sent } => self.handle_release_response(machines, sent, outcome, io),
             TermCall::LicenceUsage { server } => {
-                self.handle_licence_response(server, outcome, &settings.operator.counts, io.now);
+                self.handle_licence_response(server, outcome, &settings.operator.counted_resources, io.now);
             }
             // The record watch delivers the result.
             TermCall::SubmitCluster => (),
@@ -311,7 +311,7 @@
 fn step_down_expired(election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
     // The leader's own lease may still be valid, but worker leases can no longer be renewed here. A peer may
     // be able to read newer cancellations.
-    let reason = "no word of which jobs are over";
+    let reason = "the cancellation watermark has expired";
     if election.is_lease_live(io.now) {
         election.hand_over(reason, io)
     } else {
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -136,7 +136,7 @@
                 // this transaction. Then there is no other leader, as re-reading the key shows.
                 if failed_keys.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed()
                 {
-                    return election.depose("a transaction met a newer leader");
+                    return election.depose("a transaction conflicted with a newer leader");
                 }
                 for key in failed_keys {
                     self.on_condition_failed(key, io.now);
@@ -244,7 +244,7 @@
     }
 
     fn store_types(&mut self, types: &MachineTypes, io: &mut Io) {
-        let flavors = protocol::Flavors {
+        let flavors = protocol::MachineTypeList {
             types: types.values().cloned().collect(),
         };
         let body = protocol::Transaction {
@@ -297,7 +297,7 @@
                 election.on_key_renewed(version);
                 self.writer.token = version;
             } else {
-                return election.depose("its key belongs to another");
+                return election.depose("the leader key belongs to another node");
             }
         } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -86,7 +86,8 @@
 }
 
 impl LeaderTerm {
-    /// Runs a scheduling pass: plans which waiting tasks start and which running tasks stop, and requests both.
+    /// Runs a scheduling pass: plans which waiting tasks start and which running tasks stop, and requests
+    /// both.
     pub(super) fn run_pass(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         self.scheduler.begin_pass(io.now);
         self.update_lingers(io.now);
@@ -98,7 +99,7 @@
             machines: self.machines.as_map(),
             task_locations: self.machines.task_locations(),
             spot_loss_rate: self.autoscaler.spot_losses().rate(),
-            units: self.counted_units(&settings.operator.counts),
+            units: self.counted_units(&settings.operator.counted_resources),
             starved: &self.forecast.satisfaction().starved,
             aging_credit: self.scheduler.aging_credit,
             image_statistics: &self.image_locality,
