--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -1,11 +1,11 @@
-//! Teams' accounts in a leader's term. Every end carries its entry in its own record; the books are
-//! pages of these, many to a value, written behind the ends in the order of their revisions. They
-//! can lack what is not written yet, and never say what is not so: whoever leads next reads how
-//! far they go and the ends since. Once in a term they are compared with a reading of all ended
-//! jobs at a bounded pace.
+//! Accounting of ended jobs by team. The record of each ended job contains its accounting entry;
+//! the accounts are pages of these entries, many to a value, written after the records in the order
+//! of their revisions. The accounts may therefore be behind the records but never contradict them,
+//! and a new leader reads how far they go and follows the records since. Once per term the accounts
+//! are compared with a scan of all ended jobs, which runs at a bounded rate.
 //!
-//! One call at a time: what a page of a reading says, and what the changes say, then never
-//! overlap in a way that matters.
+//! Only one call is in flight at a time, so that pages of the scan and changes from the watch do
+//! not interleave in a way that could miss or duplicate entries.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -27,67 +27,69 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// A call about books.
+/// A call to the state service for accounting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AccountingCall {
-    /// A page of the books' own records.
+    /// A page of the accounting records.
     Load,
-    /// The ends since.
+    /// The changes of the records of ended jobs.
     Changes,
-    /// A page of ended jobs.
+    /// A page of the records of ended jobs.
     Scan,
     Write {
         head: bool,
     },
 }
 
-/// Where a reading of all ended jobs stands.
+/// Progress of a scan of all ended jobs.
 #[derive(Debug, Default)]
-struct Scan {
+struct EndedJobScan {
     after_key: Option<String>,
-    /// `None` until its first page is answered.
+    /// `None` until the first page is received.
     rebuild: Option<Rebuild>,
     read_all: bool,
-    /// The books lack ends that nobody tells any more: they are replaced by the reading.
+    /// The accounts lack entries that the watch no longer delivers, so the result of the scan
+    /// replaces them.
     replaces_accounts: bool,
 }
 
-/// Who waits for what, as the last pass left it.
+/// Jobs that lacked units or machines in the last pass.
 pub(super) struct BlockedJobs<'a> {
     lacking_units: HashSet<&'a JobId>,
     lacking_machines: HashSet<&'a JobId>,
 }
 
-/// Teams' accounts, and how far they have been read, followed, checked and written.
+/// The teams' accounts, and the state of reading, following, verifying and writing them.
 #[derive(Debug)]
 pub(super) struct Accounting {
     job_accounting: JobAccounting,
     page_bytes: usize,
-    /// JobAccounting' records are still being read, after this key.
+    /// Accounting records are still being loaded, from after this key.
     load_after: Option<Option<String>>,
-    /// Some of them cannot be used.
+    /// Some accounting records cannot be used.
     records_invalid: bool,
-    /// A later build keeps them: this one leaves them alone.
+    /// The accounting records are of a later version and are left unchanged.
     suspended: bool,
     call_in_flight: bool,
     head_version: u64,
-    /// Changes up to this revision were told.
+    /// All changes up to this revision have been received.
     followed_revision: u64,
-    /// Something ended since the changes were last asked for.
+    /// Jobs have ended since changes were last requested.
     has_new_ends: bool,
     follow_at: Timestamp,
     write_at: Timestamp,
     scan_at: Timestamp,
-    scan: Option<Scan>,
+    scan: Option<EndedJobScan>,
     verified: bool,
     differences: u64,
-    /// Since when attempts have been seen running.
+    /// Times at which attempts were first seen running.
     run_starts: HashMap<(TaskId, u64), Timestamp>,
-    /// What this leader saw of jobs that were cancelled, until their ends are told.
+    /// Statistics that this leader collected of cancelled jobs, until the watch delivers their
+    /// ends.
     cancelled_job_stats: HashMap<JobId, ExecutionStats>,
 }
 
-/// What the record of an ended job says for the books.
+/// Extracts the position and the accounting entry from the record of an ended job.
 fn parse_ended_record(
     key: &str,
     value: &serde_json::Value,
@@ -104,7 +106,7 @@
 }
 
 impl Accounting {
-    /// Nothing is read from the records yet.
+    /// Creates the state of a new leader, which has not loaded any records.
     pub(super) fn new(settings: &Settings) -> Accounting {
         let page_bytes = (settings.deployment.state.value_kb * 1024.0 * MAX_VALUE_SHARE) as usize;
         Accounting {
@@ -128,13 +130,14 @@
         }
     }
 
-    /// Nobody knows what is on record: it is read again, and checked again.
+    /// Discards everything, because the state of the records is unknown: they are loaded and
+    /// verified again.
     fn reload(&mut self, now: Timestamp) {
         self.job_accounting = JobAccounting::new(self.page_bytes);
         self.load_after = Some(None);
         self.records_invalid = false;
         self.head_version = 0;
-        // What was told and not written is told again.
+        // Changes that were received but not written are requested again.
         self.followed_revision = 0;
         self.scan = None;
         self.verified = false;
@@ -142,7 +145,7 @@
         self.follow_at = now + WRITE_RETRY_MS;
     }
 
-    /// The account of a job that is over, for its end's entry.
+    /// Keeps the statistics of a job that ended, for its accounting entry.
     pub(super) fn on_job_ended(&mut self, id: &JobId, account: &ExecutionStats) {
         self.has_new_ends = true;
         if self.cancelled_job_stats.len() < MAX_CANCELLED_ACCOUNTS && *account != ExecutionStats::default() {
@@ -150,13 +153,14 @@
         }
     }
 
-    /// Where the changes are asked for from: one revision may have several ends, of which some
-    /// are written.
+    /// The revision from which to request changes. One revision may contain several ends of which
+    /// only some are written, so the last written revision is included.
     fn watch_revision(&self) -> u64 {
         self.followed_revision
             .max(self.job_accounting.at().revision.saturating_sub(1))
     }
 
+    /// Handles a page of the accounting records.
     fn on_records_page(&mut self, outcome: &Outcome, now: Timestamp) {
         let Some(page) = outcome.read::<protocol::StoredPage>(&[200]) else {
             self.follow_at = now + SECOND_MS;
@@ -192,14 +196,16 @@
         }
     }
 
-    /// Ends are missing that no change tells any more.
+    /// Starts a scan that replaces the accounts, because the watch no longer delivers some of the
+    /// ends.
     fn begin_rebuild(&mut self) {
-        self.scan = Some(Scan {
+        self.scan = Some(EndedJobScan {
             replaces_accounts: true,
-            ..Scan::default()
+            ..EndedJobScan::default()
         });
     }
 
+    /// Handles changes of the records of ended jobs.
     fn on_changes(&mut self, outcome: &Outcome, now: Timestamp) {
         self.follow_at = now + ACCOUNTING_FOLLOW_MS;
         if outcome.status() == Some(410) {
@@ -218,7 +224,7 @@
                 let Some((position, mut entry)) = parse_ended_record(&key, &value, version) else {
                     continue;
                 };
-                // Who cancelled it did not know what it had run.
+                // The node that cancelled the job did not know its execution statistics.
                 if let Some(account) = self.cancelled_job_stats.remove(&*position.job)
                     && let Some(entry) = entry
                         .as_mut()
@@ -232,9 +238,9 @@
         ends.sort_by(|(a, _), (b, _)| a.cmp(b));
         for (position, entry) in ends {
             let scan = self.scan.as_mut();
-            let behind = scan.as_ref().is_some_and(|scan| scan.replaces_accounts);
+            let replaces_accounts = scan.as_ref().is_some_and(|scan| scan.replaces_accounts);
             let rebuild = scan.and_then(|scan| scan.rebuild.as_mut());
-            if behind {
+            if replaces_accounts {
                 if let Some(rebuild) = rebuild.filter(|_| position > *self.job_accounting.at()) {
                     rebuild.note(position.clone(), entry);
                     self.job_accounting.skip_to(position);
@@ -250,10 +256,11 @@
             self.job_accounting.quiet_until(changes.revision);
         }
         if !self.verified && self.scan.is_none() {
-            self.scan = Some(Scan::default());
+            self.scan = Some(EndedJobScan::default());
         }
     }
 
+    /// Handles a page of the scan of ended jobs.
     fn on_scan_page(&mut self, outcome: &Outcome, now: Timestamp) {
         self.scan_at = now + ACCOUNTING_SCAN_MS;
         let Some(mut scan) = self.scan.take() else { return };
@@ -276,7 +283,7 @@
                 }
             }
             if scan.read_all {
-                // What ended until the reading began must have been told as well.
+                // Ends up to the start of the scan must have been received from the watch as well.
                 self.has_new_ends = true;
                 self.follow_at = now;
             }
@@ -284,58 +291,66 @@
         self.scan = Some(scan);
     }
 
-    /// Compares, once all ended jobs are read and all changes until then are told.
+    /// Compares the accounts with the scan once the scan is complete and all changes up to its
+    /// revision have been received.
     fn verify_when_scanned(&mut self) {
-        let done = self.scan.as_ref().is_some_and(|scan| {
-            let upto = scan.rebuild.as_ref().map(Rebuild::upto);
-            scan.read_all && upto.is_some_and(|upto| self.followed_revision >= upto)
+        let complete = self.scan.as_ref().is_some_and(|scan| {
+            let scan_revision = scan.rebuild.as_ref().map(Rebuild::upto);
+            scan.read_all && scan_revision.is_some_and(|revision| self.followed_revision >= revision)
         });
-        if !done || self.job_accounting.writing() {
+        if !complete || self.job_accounting.writing() {
             return;
         }
         let Some(scan) = self.scan.take() else { return };
         let Some(rebuild) = scan.rebuild else { return };
         self.verified = true;
-        let read = rebuild.read;
+        let ended_jobs = rebuild.read;
         if scan.replaces_accounts {
             self.job_accounting.adopt(rebuild);
-            log::info!("accounting rebuilt ended_jobs={read}");
+            log::info!("accounting rebuilt ended_jobs={ended_jobs}");
             return;
         }
         let differences = self.job_accounting.repair(rebuild);
-        for one in &differences {
+        for difference in &differences {
             log::error!(
                 "accounting repaired key={} day={} done={} cancelled={} recorded_done={} recorded_cancelled={}",
-                one.key,
-                one.day,
-                one.account.done,
-                one.account.cancelled,
-                one.records.done,
-                one.records.cancelled
+                difference.key,
+                difference.day,
+                difference.account.done,
+                difference.account.cancelled,
+                difference.records.done,
+                difference.records.cancelled
             );
         }
         self.differences += differences.len() as u64;
         log::info!(
-            "accounting verified ended_jobs={read} differences={}",
+            "accounting verified ended_jobs={ended_jobs} differences={}",
             differences.len()
         );
     }
 }
 
 impl LeaderTerm {
-    /// Does what is due for the books, after all else: nobody waits for them.
+    /// Sends the next accounting call that is due. Runs after everything else, because nothing
+    /// waits for accounting.
     pub(super) fn update_accounting(&mut self, settings: &Settings, io: &mut Io) {
         let token = self.token();
-        let books = &mut self.accounting;
-        if books.suspended || books.call_in_flight {
+        let accounting = &mut self.accounting;
+        if accounting.suspended || accounting.call_in_flight {
             return;
         }
-        books.verify_when_scanned();
+        accounting.verify_when_scanned();
         let now = io.now;
-        let behind = books.scan.as_ref().is_some_and(|scan| scan.replaces_accounts);
-        let begins = books.scan.as_ref().is_some_and(|scan| scan.rebuild.is_none());
-        let (method, path, body, call) = if let Some(after) = &books.load_after {
-            if now < books.follow_at {
+        let replaces_accounts = accounting
+            .scan
+            .as_ref()
+            .is_some_and(|scan| scan.replaces_accounts);
+        let not_started = accounting
+            .scan
+            .as_ref()
+            .is_some_and(|scan| scan.rebuild.is_none());
+        let (method, path, body, call) = if let Some(after) = &accounting.load_after {
+            if now < accounting.follow_at {
                 return;
             }
             let path = paths::page(
@@ -344,10 +359,10 @@
                 ACCOUNTING_PAGE_ITEMS,
             );
             (Method::Get, path, Vec::new(), AccountingCall::Load)
-        } else if let Some(scan) = books
+        } else if let Some(scan) = accounting
             .scan
             .as_ref()
-            .filter(|scan| !scan.read_all && now >= books.scan_at)
+            .filter(|scan| !scan.read_all && now >= accounting.scan_at)
         {
             let path = paths::page(
                 records::ENDED_JOB_PREFIX,
@@ -355,20 +370,20 @@
                 ACCOUNTING_SCAN_ITEMS,
             );
             (Method::Get, path, Vec::new(), AccountingCall::Scan)
-        } else if now >= books.follow_at
-            && (books.has_new_ends || now >= books.follow_at + ACCOUNTING_IDLE_MS)
-            && books.job_accounting.has_room()
-            && !(behind && begins)
+        } else if now >= accounting.follow_at
+            && (accounting.has_new_ends || now >= accounting.follow_at + ACCOUNTING_IDLE_MS)
+            && accounting.job_accounting.has_room()
+            && !(replaces_accounts && not_started)
         {
-            let path = paths::watch(records::ENDED_JOB_PREFIX, books.watch_revision(), 0);
+            let path = paths::watch(records::ENDED_JOB_PREFIX, accounting.watch_revision(), 0);
             (Method::Get, path, Vec::new(), AccountingCall::Changes)
-        } else if now >= books.write_at && !behind {
-            let most = settings
+        } else if now >= accounting.write_at && !replaces_accounts {
+            let max_changes = settings
                 .deployment
                 .state
                 .txn_ops
                 .min(io.write_budget.available(now));
-            let Some(changes) = books.job_accounting.write(most, MAX_TXN_BYTES) else {
+            let Some(changes) = accounting.job_accounting.write(max_changes, MAX_TXN_BYTES) else {
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
@@ -388,7 +403,7 @@
             let body = protocol::Transaction {
                 conditions: vec![
                     condition(records::LEADER_KEY, token),
-                    condition(HEAD_KEY, books.head_version),
+                    condition(HEAD_KEY, accounting.head_version),
                 ],
                 changes: changes.collect(),
             };
@@ -408,60 +423,60 @@
         );
     }
 
-    /// Follows the answer to a call about accounts.
+    /// Handles the response to an accounting call.
     pub(super) fn handle_accounting_response(
         &mut self,
         call: AccountingCall,
         outcome: &Outcome,
         now: Timestamp,
     ) {
-        let books = &mut self.accounting;
-        books.call_in_flight = false;
+        let accounting = &mut self.accounting;
+        accounting.call_in_flight = false;
         match call {
-            AccountingCall::Load => books.on_records_page(outcome, now),
-            AccountingCall::Changes => books.on_changes(outcome, now),
-            AccountingCall::Scan => books.on_scan_page(outcome, now),
+            AccountingCall::Load => accounting.on_records_page(outcome, now),
+            AccountingCall::Changes => accounting.on_changes(outcome, now),
+            AccountingCall::Scan => accounting.on_scan_page(outcome, now),
             AccountingCall::Write { head } => {
-                // What waits for more than one write goes on at once.
-                let more = books.job_accounting.pending() > ACCOUNTING_BATCH;
-                books.write_at = now + if more { SECOND_MS } else { ACCOUNTING_WRITE_MS };
+                // If more entries are pending than fit into one write, the next write follows soon.
+                let more = accounting.job_accounting.pending() > ACCOUNTING_BATCH;
+                accounting.write_at = now + if more { SECOND_MS } else { ACCOUNTING_WRITE_MS };
                 let answer = outcome.read::<protocol::TransactionResponse>(&[200]);
                 match (answer, outcome.status()) {
                     (Some(answer), _) => {
-                        books.job_accounting.written();
+                        accounting.job_accounting.written();
                         if head {
-                            books.head_version = answer.revision;
+                            accounting.head_version = answer.revision;
                         }
                     }
-                    _ if outcome.is_safe_to_retry() => books.job_accounting.refused(),
+                    _ if outcome.is_safe_to_retry() => accounting.job_accounting.refused(),
                     (_, Some(409)) => {
                         let failed = outcome
                             .read::<protocol::TransactionResponse>(&[409])
                             .map(|answer| answer.failed)
                             .unwrap_or_default();
-                        // The leader's own renewal may have been between.
+                        // The leader may have renewed its own record in between.
                         if failed == [records::LEADER_KEY] {
-                            books.job_accounting.refused();
+                            accounting.job_accounting.refused();
                         } else {
-                            books.reload(now);
+                            accounting.reload(now);
                         }
                     }
-                    // It may have been carried out, or may still be: then its condition on the
-                    // head fails it, or the next one.
-                    _ => books.reload(now),
+                    // The write may have been applied or may still be: then the condition on the
+                    // head record makes it or the next write fail.
+                    _ => accounting.reload(now),
                 }
             }
         }
     }
 
-    /// Jobs that found no units, and no machine, in the last pass.
+    /// Jobs that lacked units or machines in the last pass.
     pub(super) fn blocked_jobs(&self) -> BlockedJobs<'_> {
         BlockedJobs {
             lacking_units: self
                 .counted_resources
                 .unsatisfied
                 .iter()
-                .map(|short| &short.job)
+                .map(|demand| &demand.job)
                 .collect(),
             lacking_machines: self
                 .scheduler
@@ -497,7 +512,7 @@
         }
     }
 
-    /// Each team's live jobs in the order of their acceptance, with what each waits for.
+    /// Each team's live jobs in the order of acceptance, with what each waits for.
     pub fn queues(&self, now: Timestamp) -> BTreeMap<Team, Queue> {
         let mut jobs: Vec<&Job> = self.jobs.values().collect();
         jobs.sort_by_key(|job| (job.spec.submitted_ms, &job.spec.id));
@@ -510,38 +525,39 @@
         queues
     }
 
-    /// How the books stand, for metrics.
+    /// State of accounting, for metrics.
     pub fn accounting_gauges(&self, now: Timestamp) -> AccountingGauges {
-        let books = &self.accounting;
+        let accounting = &self.accounting;
         AccountingGauges {
             waiting: self.queues(now),
-            ended: books
+            ended: accounting
                 .job_accounting
                 .totals()
-                .map(|(team, tally)| (team.clone(), tally))
+                .map(|(team, totals)| (team.clone(), totals))
                 .collect(),
-            pending: books.job_accounting.pending() as u64,
-            unowned: books.job_accounting.unowned(),
-            differences: books.differences,
-            checked: books.verified,
-            suspended: books.suspended,
+            pending: accounting.job_accounting.pending() as u64,
+            unowned: accounting.job_accounting.unowned(),
+            differences: accounting.differences,
+            checked: accounting.verified,
+            suspended: accounting.suspended,
         }
     }
 
-    /// An attempt runs.
+    /// Records that an attempt runs.
     pub(super) fn record_run_start(&mut self, task: &TaskId, number: u64, now: Timestamp) {
         if self.accounting.run_starts.len() < MAX_TRACKED_RUNS {
             self.accounting.run_starts.insert((task.clone(), number), now);
         }
     }
 
-    /// An attempt is over: what it ran counts for nothing where `why` says so. Of work that
-    /// saves, what lies before the last save does; it is taken to be at regular intervals.
+    /// Records the end of an attempt. `cause` says why its work is lost, if it is. Of a job that
+    /// saves checkpoints only the work since the last one is lost; saves are assumed to be at
+    /// regular intervals.
     pub(super) fn record_run_end(
         &mut self,
         task: &TaskId,
         number: u64,
-        why: Option<LossCause>,
+        cause: Option<LossCause>,
         now: Timestamp,
     ) {
         let Some(since) = self.accounting.run_starts.remove(&(task.clone(), number)) else {
@@ -550,15 +566,15 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(why) = why.filter(|_| job.spec.shape != Shape::Service) else {
+        let Some(cause) = cause.filter(|_| job.spec.shape != Shape::Service) else {
             return;
         };
         let ran_s = now.saturating_sub(since) as f64 / SECOND_MS as f64;
-        let lost_s = match (job.spec.writes_checkpoints(), why) {
+        let lost_s = match (job.spec.writes_checkpoints(), cause) {
             (true, LossCause::Stopped) => 0.0,
             (true, _) => ran_s.min(job.spec.checkpoint_s),
             (false, _) => ran_s,
         };
-        job.execution_stats.lose(why, lost_s);
+        job.execution_stats.lose(cause, lost_s);
     }
 }
