--- a/crates/controller/src/leader/demand_forecast.rs
+++ b/crates/controller/src/leader/demand_forecast.rs
@@ -1,5 +1,5 @@
-//! What is likely to miss its objective, and how much of their demand classes and teams have: looked
-//! at on a slow schedule, beside the scheduling passes.
+//! Forecasts of missed objectives, and the share of their demand that classes and teams have.
+//! Updated at intervals, independently of scheduling passes.
 
 use super::LeaderTerm;
 use crate::constants::{FORECAST_INTERVAL_MS, SERVED_MIN_TERM_MS};
@@ -19,17 +19,17 @@
 }
 
 impl DemandForecast {
-    /// How much of what classes and teams ask for they have.
+    /// The share of their demand that classes and teams have.
     pub(super) fn satisfaction(&self) -> &DemandSatisfaction {
         &self.satisfaction
     }
 
-    /// How much of what classes and teams ask for they have, to be updated by a placement.
+    /// The share of their demand that classes and teams have, to be updated by a placement.
     pub(super) fn satisfaction_mut(&mut self) -> &mut DemandSatisfaction {
         &mut self.satisfaction
     }
 
-    /// A job has finished.
+    /// Records a job that has finished.
     pub(super) fn finished(&mut self, job: &Job, now: Timestamp) {
         self.objectives.record_finished(job, now);
         self.satisfaction.record_finished(&job.spec, now);
@@ -37,12 +37,12 @@
 }
 
 impl LeaderTerm {
-    /// How much of what classes and teams ask for they have.
+    /// The share of its demand that each class and team has.
     pub fn demand_shares(&self) -> impl Iterator<Item = (&ShareOwner, Share)> {
         self.forecast.satisfaction.shares()
     }
 
-    /// Looks at objectives, demand and image sizes, if that is due.
+    /// Updates objective forecasts, demand satisfaction and image size warnings, if due.
     pub(super) fn forecast_when_due(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         if io.now < self.forecast.due_at {
             return;
@@ -70,12 +70,12 @@
                 .counted_resources
                 .unsatisfied
                 .iter()
-                .map(|short| &short.job)
+                .map(|demand| &demand.job)
                 .collect(),
             deployment: &settings.deployment,
         };
-        let judged = io.now >= self.started + SERVED_MIN_TERM_MS;
-        self.forecast.satisfaction.update(&live, judged, io);
+        let may_warn = io.now >= self.started + SERVED_MIN_TERM_MS;
+        self.forecast.satisfaction.update(&live, may_warn, io);
         self.warn_about_image_sizes(types, io);
     }
 }
--- a/crates/controller/src/leader/job_events.rs
+++ b/crates/controller/src/leader/job_events.rs
@@ -1,4 +1,5 @@
-//! Jobs that are accepted, change or end, as users' requests, peers and the watch tell.
+//! Handling of accepted, changed and ended jobs, as reported by users' requests, peers and the
+//! watch.
 
 use super::LeaderTerm;
 use crate::io::Io;
@@ -7,7 +8,7 @@
 use crate::storage::records;
 
 impl LeaderTerm {
-    /// A job was accepted, by this node or another.
+    /// Handles a job that was accepted by this node or another.
     pub fn on_job_accepted(&mut self, mut spec: JobSpec, version: u64, io: &Io) {
         if !self.recovery.is_complete() || version <= self.writer.ended_version(&spec.id) {
             return;
@@ -20,16 +21,17 @@
         let mut job = Job::new(spec, version, io.now, io.wall_ms);
         job.parked = self.submit_clusters.is_parked(&job.spec);
         if job.spec.shape == Shape::Service {
-            // It may be protected: that must be known before it is placed.
+            // The service may be protected, which must be known before it is placed.
             self.protection_windows.request_update();
         }
         self.jobs.insert(job);
         self.scheduler.request_pass();
     }
 
-    /// A peer is about to tell a user that this job is over, which the watch tells only later where the
-    /// state service is slow or refuses this node. What may still start of it waits until its record has
-    /// been read; what is recorded from now on needs that the job is live.
+    /// Handles a peer's notice that it is about to report the job as ended to a user. The watch may
+    /// report the end much later if the state service is slow or rejects this node's calls. Starts
+    /// of the job's tasks that no worker has confirmed yet are withheld until the job's record has
+    /// been read still_awaiting; later writes are conditional on the job being live.
     pub fn on_job_ended_elsewhere(&mut self, id: &JobId) {
         if !self.jobs.contains(id) {
             return;
@@ -47,9 +49,10 @@
         }
     }
 
-    /// The job's record was read, and asked for after so many notices of peers: it was live.
+    /// Handles a read of the job's record that found it live. Releases the starts withheld by
+    /// notices up to `end_notices`, the latest one when the read was sent.
     pub(super) fn on_job_reread(&mut self, id: &JobId, end_notices: u64) {
-        let mut again = false;
+        let mut still_awaiting = false;
         self.machines.for_each_attempt(id, |host, attempt| {
             if attempt
                 .awaiting_reread
@@ -58,14 +61,14 @@
             {
                 self.commands.mark_due(host.clone());
             }
-            again |= attempt.awaiting_reread.is_some();
+            still_awaiting |= attempt.awaiting_reread.is_some();
         });
-        if again {
+        if still_awaiting {
             self.writer.queue_reread(records::job_key(&id.0));
         }
     }
 
-    /// A job is over: whatever of it may be anywhere is stopped.
+    /// Handles the end of a job: stops all attempts of it that may be running.
     pub fn on_job_ended(&mut self, id: &JobId, now: Timestamp) {
         let Some(job) = self.jobs.remove(id) else { return };
         self.accounting.on_job_ended(id, &job.execution_stats);
@@ -78,7 +81,7 @@
             if attempt.exited() {
                 attempt.end_processed = true;
             } else {
-                // Whatever grace an earlier stop had, nobody needs it now.
+                // An earlier stop may have granted a grace period, which is of no use any more.
                 self.commands.request_stop(attempt, host, 0.0, now);
             }
         });
--- a/crates/controller/src/leader/job_table.rs
+++ b/crates/controller/src/leader/job_table.rs
@@ -1,5 +1,4 @@
-//! The live jobs, as this term knows them from the records and the watch, with the progress
-//! counts that are shown to users.
+//! The live jobs, as known from the records and the watch, and the progress counts shown to users.
 
 use crate::allocations::Machine;
 use crate::constants::TASK_COUNT_INTERVAL_MS;
@@ -10,18 +9,18 @@
 use std::collections::{BTreeMap, btree_map};
 use std::ops::RangeInclusive;
 
-/// Every live job by its id, and how many of its tasks are done and running.
+/// Live jobs by id, and the number of done and running tasks of each.
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
     counts: TaskCounts,
     counted_at: Timestamp,
-    /// How many notices of jobs that ended elsewhere peers have sent in this term.
+    /// Number of notices received from peers in this term that a job has ended.
     end_notices: u64,
 }
 
 impl JobTable {
-    /// All live jobs, for functions that only read them.
+    /// All live jobs, read-only.
     pub(super) fn as_map(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
@@ -34,7 +33,7 @@
         self.jobs.get(id)
     }
 
-    /// The live job with this id, to be changed.
+    /// The live job with this id, mutable.
     pub(super) fn get_mut<Q: Ord + ?Sized>(&mut self, id: &Q) -> Option<&mut Job>
     where
         JobId: Borrow<Q>,
@@ -57,17 +56,17 @@
         self.jobs.values()
     }
 
-    /// The live jobs in the order of their ids, to be changed.
+    /// The live jobs in the order of their ids, mutable.
     pub(super) fn values_mut(&mut self) -> btree_map::ValuesMut<'_, JobId, Job> {
         self.jobs.values_mut()
     }
 
-    /// The live jobs whose ids lie in a range: those of one cluster of submit files.
+    /// The live jobs with ids in a range, such as those of one submit cluster.
     pub(super) fn range(&self, ids: RangeInclusive<JobId>) -> btree_map::Range<'_, JobId, Job> {
         self.jobs.range(ids)
     }
 
-    /// As [`JobTable::range`], with the jobs to be changed.
+    /// As [`JobTable::range`], with mutable jobs.
     pub(super) fn range_mut(&mut self, ids: RangeInclusive<JobId>) -> btree_map::RangeMut<'_, JobId, Job> {
         self.jobs.range_mut(ids)
     }
@@ -84,18 +83,18 @@
         Some(job)
     }
 
-    /// Tasks that wait for a machine, of jobs that are parked or of those that are not.
+    /// Number of tasks that wait for a machine, of either parked or other jobs.
     pub(super) fn waiting_tasks(&self, parked: bool) -> usize {
         let jobs = self.jobs.values().filter(|job| job.parked == parked);
         jobs.map(|job| job.waiting.len()).sum()
     }
 
-    /// Tasks done and running of each job, as of the last count.
+    /// Done and running tasks of each job, as of the last count.
     pub(super) fn counts(&self) -> &TaskCounts {
         &self.counts
     }
 
-    /// Counts the tasks that are done and running, at bounded intervals.
+    /// Counts done and running tasks, at bounded intervals.
     pub(super) fn count_when_due<'m>(&mut self, machines: impl Iterator<Item = &'m Machine>, now: Timestamp) {
         if now < self.counted_at + TASK_COUNT_INTERVAL_MS {
             return;
@@ -117,13 +116,13 @@
         }
     }
 
-    /// Numbers one more notice of a peer that a job has ended.
+    /// Returns the number of a new notice that a job has ended.
     pub(super) fn next_end_notice(&mut self) -> u64 {
         self.end_notices += 1;
         self.end_notices
     }
 
-    /// The number of the latest notice of a peer that a job has ended.
+    /// Number of the latest notice that a job has ended.
     pub(super) fn end_notices(&self) -> u64 {
         self.end_notices
     }
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the records of live jobs and open clusters, after they have been read once.
+//! The watch on the records of live jobs and open clusters, which follows the initial read.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -11,7 +11,7 @@
 use crate::storage::records::{self, Record};
 use std::sync::Arc;
 
-/// How far the changes of the records have been followed.
+/// Progress of the watch.
 #[derive(Debug, Default)]
 pub(super) struct RecordWatch {
     in_flight: bool,
@@ -20,12 +20,12 @@
 }
 
 impl RecordWatch {
-    /// Begins where the reading of the records began.
+    /// Starts the watch at the revision at which the initial read began.
     pub(super) fn start_at(&mut self, revision: u64) {
         self.revision = revision;
     }
 
-    /// The path of the next call, if one is due; it counts as sent.
+    /// Path of the next call, if one is due; marks it as in flight.
     fn next_call(&mut self, now: Timestamp) -> Option<String> {
         if self.in_flight || now < self.next_at {
             return None;
@@ -38,20 +38,20 @@
         ))
     }
 
-    /// Changes up to this revision were told.
+    /// Records that all changes up to this revision have been received.
     fn on_changes(&mut self, revision: u64, now: Timestamp) {
         self.next_at = now;
         self.revision = self.revision.max(revision);
     }
 
-    /// The call failed: it is repeated after a while.
+    /// Schedules a retry of a failed call.
     fn on_failure(&mut self, now: Timestamp) {
         self.next_at = now + WRITE_RETRY_MS;
     }
 }
 
 impl LeaderTerm {
-    /// Asks for the next changes, if no call is under way.
+    /// Requests the next changes, if no call is in flight.
     pub(super) fn poll_watch(&mut self, io: &mut Io) {
         let Some(path) = self.watch.next_call(io.now) else {
             return;
@@ -61,7 +61,7 @@
         self.state_call(Method::Get, path, Vec::new(), timeout_ms, kind, io);
     }
 
-    /// Follows the changes that the watch has told.
+    /// Handles the changes received from the watch.
     pub(super) fn handle_watch_response(
         &mut self,
         sent: Timestamp,
@@ -72,9 +72,10 @@
         self.watch.in_flight = false;
         let Some(changes) = outcome.read::<protocol::WatchResponse>(&[200]) else {
             if outcome.status() == Some(410) {
-                // Only a new reading tells which jobs are over, and only a new token fences off
-                // what this term has under way: read anew within it, the records would seem to
-                // disprove a start that is on its way.
+                // The changes since the revision are compacted. Only reading all records again
+                // tells which jobs have ended, and only a new token fences off this term's
+                // operations in flight: reading within the same term could miss a start whose write
+                // is still under way and treat it as disproved.
                 return election.hand_over("it is too far behind", io);
             }
             self.watch.on_failure(io.now);
@@ -84,7 +85,7 @@
         for event in changes.events {
             self.apply_event(event, io);
         }
-        // Not before all of it is followed.
+        // Only after all changes have been applied.
         self.watermark.advance(sent);
         None
     }
--- a/crates/controller/src/leader/record_watch/tests.rs
+++ b/crates/controller/src/leader/record_watch/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-// One call at a time; the next one begins where the last one ended.
+// Only one call is in flight at a time, and the next one continues where the last one ended.
 #[test]
-fn one_call_is_under_way_at_a_time_and_continues_the_last() {
+fn one_call_is_in_flight_at_a_time_and_continues_the_last() {
     let mut watch = RecordWatch::default();
     watch.start_at(7);
     let first = watch.next_call(0);
@@ -20,7 +20,7 @@
     );
 }
 
-// An answer from a replica that lags behind must not turn the watch back.
+// A response from a lagging replica must not move the watch back.
 #[test]
 fn the_revision_never_goes_back() {
     let mut watch = RecordWatch::default();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_failed_call_is_repeated_after_a_while() {
+fn a_failed_call_is_retried_after_a_while() {
     let mut watch = RecordWatch::default();
     assert!(watch.next_call(0).is_some());
     watch.in_flight = false;
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -1,10 +1,10 @@
-//! What a leader's term tells metrics and peers of itself.
+//! Metrics of the leader's term.
 
 use super::LeaderTerm;
 use crate::metrics::MetricsSnapshot;
 
 impl LeaderTerm {
-    /// How much there is of everything.
+    /// A snapshot of the numbers of jobs, machines and placements.
     pub fn metrics_snapshot(&self) -> MetricsSnapshot {
         let mut metrics_snapshot = MetricsSnapshot {
             jobs: self.jobs.len(),
@@ -28,8 +28,8 @@
                 &mut metrics_snapshot.busy
             };
             *state += 1;
-            let there = machine.attempts.iter().filter(|attempt| attempt.may_be_running());
-            metrics_snapshot.placed += there.count();
+            let placed = machine.attempts.iter().filter(|attempt| attempt.may_be_running());
+            metrics_snapshot.placed += placed.count();
         }
         metrics_snapshot
     }
