--- a/crates/controller/src/leader/demand_forecast.rs
+++ b/crates/controller/src/leader/demand_forecast.rs
@@ -65,7 +65,7 @@
         );
         let live = LiveDemand {
             jobs: self.jobs.as_map(),
-            counts: self.jobs.counts(),
+            counts: self.jobs.task_counts(),
             short_of_units: self
                 .counted_resources
                 .unsatisfied
@@ -74,8 +74,8 @@
                 .collect(),
             deployment: &settings.deployment,
         };
-        let may_warn = io.now >= self.started + SERVED_MIN_TERM_MS;
-        self.forecast.satisfaction.update(&live, may_warn, io);
+        let is_reliable = io.now >= self.started + SERVED_MIN_TERM_MS;
+        self.forecast.satisfaction.update(&live, is_reliable, io);
         self.warn_about_image_sizes(types, io);
     }
 }
--- a/crates/controller/src/leader/job_events.rs
+++ b/crates/controller/src/leader/job_events.rs
@@ -31,7 +31,7 @@
     /// Handles a peer's notice that it is about to report the job as ended to a user. The watch may
     /// report the end much later if the state service is slow or rejects this node's calls. Starts
     /// of the job's tasks that no worker has confirmed yet are withheld until the job's record has
-    /// been read still_awaiting; later writes are conditional on the job being live.
+    /// been read again; later writes are conditional on the job being live.
     pub fn on_job_ended_elsewhere(&mut self, id: &JobId) {
         if !self.jobs.contains(id) {
             return;
--- a/crates/controller/src/leader/job_table.rs
+++ b/crates/controller/src/leader/job_table.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
-    counts: TaskCounts,
+    task_counts: TaskCounts,
     counted_at: Timestamp,
     /// Number of notices received from peers in this term that a job has ended.
     end_notices: u64,
@@ -79,7 +79,7 @@
     /// Removes a job that has ended, with its counts.
     pub(super) fn remove(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
-        self.counts.remove(id);
+        self.task_counts.remove(id);
         Some(job)
     }
 
@@ -90,26 +90,30 @@
     }
 
     /// Done and running tasks of each job, as of the last count.
-    pub(super) fn counts(&self) -> &TaskCounts {
-        &self.counts
+    pub(super) fn task_counts(&self) -> &TaskCounts {
+        &self.task_counts
     }
 
     /// Counts done and running tasks, at bounded intervals.
-    pub(super) fn count_when_due<'m>(&mut self, machines: impl Iterator<Item = &'m Machine>, now: Timestamp) {
+    pub(super) fn update_task_counts<'m>(
+        &mut self,
+        machines: impl Iterator<Item = &'m Machine>,
+        now: Timestamp,
+    ) {
         if now < self.counted_at + TASK_COUNT_INTERVAL_MS {
             return;
         }
         self.counted_at = now;
-        self.counts.clear();
+        self.task_counts.clear();
         for job in self.jobs.values() {
-            self.counts
+            self.task_counts
                 .insert(job.spec.id.clone(), (job.done.len() as u32, 0));
         }
         for attempt in machines.flat_map(|machine| &machine.attempts) {
             if matches!(
                 attempt.reported_state,
                 Some(TaskState::Running | TaskState::Saving)
-            ) && let Some((_, running)) = self.counts.get_mut(&attempt.task.job)
+            ) && let Some((_, running)) = self.task_counts.get_mut(&attempt.task.job)
             {
                 *running += 1;
             }
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -164,7 +164,7 @@
 
     /// Number of completed and running tasks of each live job, for display.
     pub fn counts(&self) -> &TaskCounts {
-        self.jobs.counts()
+        self.jobs.task_counts()
     }
 
     /// Runs all work that is due. Returns an event if leadership ends.
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -138,7 +138,7 @@
         if starts >= STARTS_PER_PASS {
             self.scheduler.request_pass();
         }
-        self.jobs.count_when_due(self.machines.values(), io.now);
+        self.jobs.update_task_counts(self.machines.values(), io.now);
         self.machines.update_idle_since(io.now);
     }
 
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -209,7 +209,12 @@
                 return None;
             }
             let access = authorization::access(&job.spec, asks, settings).ok()?;
-            let (done, running) = self.jobs.counts().get(&job.spec.id).copied().unwrap_or((0, 0));
+            let (done, running) = self
+                .jobs
+                .task_counts()
+                .get(&job.spec.id)
+                .copied()
+                .unwrap_or((0, 0));
             let limit_holds = part.holds.iter().any(|hold| hold.why != Why::User);
             Some(QueueRow {
                 seen: Seen::with(&access),
