--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -1,5 +1,5 @@
-//! ProtectionWindows in a leader's term: which services are protected and in which order, the room that is
-//! kept for them, the record of both, and plain warnings.
+//! Protection windows of services: which services are protected and in which order, the capacity
+//! kept free for them, the record of both, and warnings to operators.
 
 use super::LeaderTerm;
 use crate::constants::{
@@ -16,33 +16,37 @@
 };
 use std::collections::{BTreeMap, HashMap};
 
-/// What a term knows of shifts.
+/// The leader's state of protection windows.
 #[derive(Debug)]
 pub(super) struct ProtectionWindows {
     pub(super) window_state: WindowState,
     timetable: Timetable,
     next_update_at: Timestamp,
-    /// As of the last look, for placement.
+    /// Protected services as of the last update, for placement.
     pub(super) protection: Protection,
-    /// Room that the last pass kept, by machine: it is neither idle nor free for others.
+    /// Spare capacity reserved by the last pass, by machine. It counts as neither idle nor free.
     pub(super) reserved: HashMap<MachineId, Resources>,
-    /// What of it found no room.
+    /// Spare capacity that the last pass could not place.
     pub(super) unplaced_spares: Vec<Unplaced>,
-    /// Since when protected replicas have found no room, and whether operators know.
+    /// Since when protected replicas could not be placed, and whether operators were warned.
     replicas_unplaced_since: Option<Timestamp>,
     warned_unplaced: bool,
     warned_large: bool,
 }
 
 impl ProtectionWindows {
-    /// As the settings have them; nothing is read from the records yet.
+    /// Creates the state from the settings; nothing has been read from the records yet.
     pub(super) fn new(settings: &Settings) -> ProtectionWindows {
         let deployment = &settings.deployment;
-        // Each clock is off by so much at most, so that two differ by twice that.
-        let bound_ms = (2.0 * deployment.clock_skew_ms).ceil() as u64;
+        // Each clock deviates by at most this much, so two clocks differ by at most twice that.
+        let max_clock_difference_ms = (2.0 * deployment.clock_skew_ms).ceil() as u64;
         let value_bytes = (deployment.state.value_kb * 1024.0 * MAX_VALUE_SHARE) as usize;
         ProtectionWindows {
-            window_state: WindowState::new(settings.protection_windows.clone(), bound_ms, value_bytes),
+            window_state: WindowState::new(
+                settings.protection_windows.clone(),
+                max_clock_difference_ms,
+                value_bytes,
+            ),
             timetable: settings.protection_windows.clone(),
             next_update_at: 0,
             protection: Protection::default(),
@@ -54,23 +58,27 @@
         }
     }
 
-    /// Whether the operators have any shift: else nothing of this is done.
+    /// Whether the operators define any protection windows. If not, the module does nothing.
     pub(super) fn is_enabled(&self) -> bool {
         !self.timetable.is_empty()
     }
 
-    /// Looks again before the next pass.
+    /// Requests an update before the next pass.
     pub(super) fn request_update(&mut self) {
         self.next_update_at = 0;
     }
 
-    /// What a pass kept, and what found no room.
-    pub(super) fn record_plan(&mut self, kept: HashMap<MachineId, Resources>, short: Vec<Unplaced>) {
-        self.reserved = kept;
-        self.unplaced_spares = short;
+    /// Records the spare capacity that a pass reserved, and what it could not place.
+    pub(super) fn record_plan(
+        &mut self,
+        reserved: HashMap<MachineId, Resources>,
+        unplaced_spares: Vec<Unplaced>,
+    ) {
+        self.reserved = reserved;
+        self.unplaced_spares = unplaced_spares;
     }
 
-    /// Units that were not, or may not have been, written.
+    /// Marks records that were not written, or may not have been, as unwritten.
     pub(super) fn on_write_failed(&mut self, units: &[WriteUnit]) {
         for unit in units {
             if let WriteUnit::ProtectionWindows { number, .. } = unit {
@@ -81,7 +89,7 @@
 }
 
 impl LeaderTerm {
-    /// Takes over a record of windows and standings.
+    /// Restores a record of windows and standings.
     pub(super) fn restore_protection_windows(&mut self, number: u32, item: &StoredItem, io: &mut Io) {
         let read = self
             .protection_windows
@@ -97,14 +105,14 @@
         }
     }
 
-    /// What is to be written of shifts goes with the next transaction.
+    /// Queues changed records for the next transaction.
     pub(super) fn queue_protection_windows(&mut self, now: Timestamp) {
         if self.protection_windows.is_enabled() && self.writer.protection_window_writes.is_empty() {
             self.writer.protection_window_writes = self.protection_windows.window_state.due(now);
         }
     }
 
-    /// Compares the clock with the windows, and notes what is protected.
+    /// Compares the clock with the windows and updates the protected services.
     pub(super) fn update_protection_windows(
         &mut self,
         types: &MachineTypes,
@@ -116,7 +124,7 @@
         }
         self.protection_windows.next_update_at = io.now + PROTECTION_WINDOW_CHECK_MS;
         let jobs = self.jobs.values().filter(|job| {
-            // Nothing is wanted of what is held.
+            // Held jobs need no capacity.
             job.spec.shape == Shape::Service && !job.parked
         });
         let services = jobs.clone().map(|job| Service {
@@ -133,17 +141,17 @@
             .map(|(id, standing)| (JobId(id.clone()), standing))
             .collect();
         let spares = self.protection_windows.window_state.spares();
-        let part = |spec: &JobSpec| {
-            let own = spares.iter().filter(|spare| {
+        let spare_share = |spec: &JobSpec| {
+            let covering = spares.iter().filter(|spare| {
                 let shift = self.protection_windows.timetable.get(&spare.shift);
                 shift.is_some_and(|shift| shift.covers(&spec.class, &spec.team))
             });
-            own.map(|spare| spare.part).fold(0.0, f64::max)
+            covering.map(|spare| spare.part).fold(0.0, f64::max)
         };
         let spare = if spares.is_empty() {
             Vec::new()
         } else {
-            spare_capacities(jobs.map(|job| (job, part(&job.spec))))
+            spare_capacities(jobs.map(|job| (job, spare_share(&job.spec))))
         };
         let protection = Protection { standings, spare };
         if protection != self.protection_windows.protection {
@@ -195,22 +203,22 @@
         io.effects.push(Effect::Warning(warning));
     }
 
-    /// Tells operators, once a window, that what is protected finds no room, or that it leaves too
-    /// little to others.
+    /// Warns operators, once per window, if protected replicas cannot be placed, or if they leave
+    /// too little capacity to other classes.
     fn warn_about_protected_replicas(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         let protection = &self.protection_windows.protection;
-        let short: u32 = self
+        let unplaced_replicas: u32 = self
             .scheduler
             .unplaced()
             .iter()
             .filter(|unplaced| protection.standing(&unplaced.job).is_some())
             .map(|unplaced| unplaced.tasks)
             .sum();
-        if short == 0 {
+        if unplaced_replicas == 0 {
             self.protection_windows.replicas_unplaced_since = None;
         }
         let mut warning = None;
-        if short > 0 {
+        if unplaced_replicas > 0 {
             let since = *self
                 .protection_windows
                 .replicas_unplaced_since
@@ -219,7 +227,7 @@
                 && !std::mem::replace(&mut self.protection_windows.warned_unplaced, true)
             {
                 warning = Some(format!(
-                    "shifts: {short} protected replicas find no room: the cloud has too few machines for them, \
+                    "shifts: {unplaced_replicas} protected replicas find no room: the cloud has too few machines for them, \
                      or their teams may use no more"
                 ));
             }
@@ -242,7 +250,7 @@
         }
     }
 
-    /// How the shifts stand, for display.
+    /// Status of the protection windows.
     pub fn protection_window_status(&self, wall_ms: u64) -> Vec<ShiftStatus> {
         if self.protection_windows.is_enabled() {
             self.protection_windows.window_state.status(wall_ms)
@@ -251,7 +259,8 @@
         }
     }
 
-    /// Replicas' worth of room that shifts want kept free, and that is.
+    /// The numbers of spare replicas that protection windows require, and for which capacity is
+    /// reserved.
     pub fn spare_replicas(&self) -> (u32, u32) {
         let wanted = self
             .protection_windows
@@ -260,40 +269,40 @@
             .iter()
             .map(|spare| spare.tasks)
             .sum();
-        let short: u32 = self
+        let unplaced: u32 = self
             .protection_windows
             .unplaced_spares
             .iter()
-            .map(|short| short.tasks)
+            .map(|unplaced| unplaced.tasks)
             .sum();
-        (wanted, wanted - short.min(wanted))
+        (wanted, wanted - unplaced.min(wanted))
     }
 }
 
-/// Room to be kept, with jobs that ask for the same counted together: a part of each alone, rounded
-/// up, would be as much again as many of them have.
+/// Spare capacity per group of jobs with equal requirements. The share of each job alone would be
+/// rounded up to a whole replica, which for small jobs would double their size.
 fn spare_capacities<'a>(jobs: impl Iterator<Item = (&'a Job, f64)>) -> Vec<SpareCapacity> {
-    let mut alike: Vec<(&Job, f64)> = Vec::new();
-    for (job, part) in jobs.filter(|(_, part)| *part > 0.0) {
-        let wanted = part * f64::from(job.spec.tasks);
-        let same = |other: &JobSpec| {
+    let mut groups: Vec<(&Job, f64)> = Vec::new();
+    for (job, share) in jobs.filter(|(_, share)| *share > 0.0) {
+        let wanted = share * f64::from(job.spec.tasks);
+        let has_equal_needs = |other: &JobSpec| {
             (other.needs, &other.types, &other.zone) == (job.spec.needs, &job.spec.types, &job.spec.zone)
                 && other.kinds == job.spec.kinds
         };
-        match alike.iter_mut().find(|(other, _)| same(&other.spec)) {
+        match groups.iter_mut().find(|(other, _)| has_equal_needs(&other.spec)) {
             Some((_, sum)) => *sum += wanted,
-            None => alike.push((job, wanted)),
+            None => groups.push((job, wanted)),
         }
     }
-    let mut left = MAX_SPARE_REPLICAS;
-    let mut rooms = Vec::new();
-    for (job, wanted) in alike {
-        let tasks = (wanted.ceil() as u32).min(left);
-        left -= tasks;
-        rooms.push(SpareCapacity {
+    let mut remaining = MAX_SPARE_REPLICAS;
+    let mut capacities = Vec::new();
+    for (job, wanted) in groups {
+        let tasks = (wanted.ceil() as u32).min(remaining);
+        remaining -= tasks;
+        capacities.push(SpareCapacity {
             template: job.spec.id.clone(),
             tasks,
         });
     }
-    rooms
+    capacities
 }
