--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -1,5 +1,5 @@
-//! What a leader learns of models' weights: how long fetches take, which images replicas start
-//! with, how often machines are lost.
+//! Statistics on machine images: how long fetches take, with which images replicas start, and how
+//! often machines are lost.
 
 use super::LeaderTerm;
 use crate::allocations::Machine;
@@ -18,27 +18,27 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// What this term has seen. A successor begins anew: minutes are enough to learn it, and until
-/// then the cloud's figures and careful guesses serve.
+/// Statistics of this term. A new leader starts without any, because minutes are enough to collect
+/// them; until then the cloud's figures and conservative assumptions are used.
 #[derive(Debug, Default)]
 pub struct ImageLocality {
-    /// Whether places are chosen by the measure.
+    /// Whether placement takes the locality of images into account.
     pub enabled: bool,
     pub rates: Rates,
-    /// Replicas started with an image, per s, and when that was so.
+    /// Rate at which replicas start with an image, per s, and the time of its last update.
     start_rates: HashMap<Arc<str>, (f64, Timestamp)>,
     updated_at: Timestamp,
     machine_uptime_s: f64,
     machines_lost: u32,
     spot_loss_rate: f64,
-    /// Where live models lie, and when that was looked at.
+    /// Copies of the images of live models by zone, and when they were last counted.
     image_replicas: ImageReplicas,
     image_replicas_at: Timestamp,
-    /// What the cloud says that a GB takes, by kind, in s.
+    /// Fetch time of a GB by machine type, in s, according to the cloud.
     fetch_s_per_gb: HashMap<String, f64>,
-    /// Images whose size operators were told of, and when.
+    /// Images whose size operators were warned of, and when.
     size_warned_at: HashMap<Arc<str>, Timestamp>,
-    /// Replicas placed beside their image, and elsewhere.
+    /// Replicas placed on machines with and without their image.
     replicas_placed: [usize; 2],
 }
 
@@ -64,35 +64,38 @@
 }
 
 impl ImageLocality {
-    /// Live models by how widely they lie.
+    /// Live models by the spread of their image: on no machine, on one, in one zone, in several
+    /// zones.
     pub fn by_spread(&self) -> [usize; 4] {
         self.image_replicas.by_spread()
     }
 
-    /// Replicas that this leader placed beside their image, and elsewhere.
+    /// Replicas that this leader placed on machines with and without their image.
     pub fn replicas_placed(&self) -> [usize; 2] {
         self.replicas_placed
     }
 
-    /// A replica was started with the image, which lay there or not.
-    pub fn on_replica_started(&mut self, image: &Arc<str>, there: bool, now: Timestamp) {
-        self.replicas_placed[usize::from(!there)] += 1;
+    /// Records the start of a replica on a machine with (`cached`) or without its image.
+    pub fn on_replica_started(&mut self, image: &Arc<str>, cached: bool, now: Timestamp) {
+        self.replicas_placed[usize::from(!cached)] += 1;
         let (rate, at) = self.start_rates.entry(image.clone()).or_insert((0.0, now));
         *rate = *rate * decay(*at, now) + 1.0 / IMAGE_STARTS_DECAY_S;
         *at = now;
     }
 
-    /// So many machines have been up since the last call.
-    pub fn record_uptime(&mut self, machines: usize, spot_loss: f64, now: Timestamp) {
+    /// Records the number of machines up since the last call, and the current loss rate of spot
+    /// machines.
+    pub fn record_uptime(&mut self, machines: usize, spot_loss_rate: f64, now: Timestamp) {
         if self.updated_at > 0 {
             self.machine_uptime_s +=
                 machines as f64 * now.saturating_sub(self.updated_at) as f64 / SECOND_MS as f64;
         }
         self.updated_at = now;
-        self.spot_loss_rate = spot_loss;
+        self.spot_loss_rate = spot_loss_rate;
     }
 
-    /// A machine goes back: what lies there counts no more, or the other copy went a moment later.
+    /// Stops counting the images of a machine that is being released; otherwise the machine with
+    /// the other copy could be released a moment later.
     pub fn on_machine_releasing(&mut self, machine: &Machine, settings: &Settings) {
         let zones = &settings.deployment.zones;
         if let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) {
@@ -102,29 +105,31 @@
         }
     }
 
-    /// A machine that had been up was found to be gone.
+    /// Records the loss of a machine that had been up.
     pub fn on_machine_lost(&mut self) {
         self.machines_lost += 1;
     }
 
-    /// Images that no replica has started with for long are forgotten.
+    /// Forgets images with which no replica has started for a long time.
     pub fn forget_rare_images(&mut self) {
         let now = self.updated_at;
         self.start_rates
             .retain(|_, (rate, at)| *rate * decay(*at, now) > MIN_IMAGE_START_RATE);
     }
 
-    /// An image of so many GB came to be on a machine of this kind.
-    pub fn on_image_fetched(&mut self, kind: &str, gb: f64, took_ms: Timestamp, others: f64) {
-        let Some(s_per_gb) = self.fetch_s_per_gb.get(kind) else {
+    /// Records that a machine of this type fetched an image of `image_gb` GB while `others` other fetches
+    /// ran in parallel.
+    pub fn on_image_fetched(&mut self, machine_type: &str, image_gb: f64, took_ms: Timestamp, others: f64) {
+        let Some(s_per_gb) = self.fetch_s_per_gb.get(machine_type) else {
             return;
         };
-        let nominal_s = gb * s_per_gb;
-        // Of a short one, most is the way of the order and the report.
+        let nominal_s = image_gb * s_per_gb;
+        // The duration of a short fetch consists mostly of the delays of the command and the
+        // report.
         if nominal_s >= MIN_SAMPLED_FETCH_S {
             let took_s = took_ms as f64 / SECOND_MS as f64;
             self.rates.learn(
-                kind,
+                machine_type,
                 Fetched {
                     nominal_s,
                     took_s,
@@ -141,7 +146,7 @@
 }
 
 impl LeaderTerm {
-    /// Before a pass: what time alone changes of what is known.
+    /// Updates the statistics that depend on time, before a pass.
     pub(super) fn update_image_locality(
         &mut self,
         types: &MachineTypes,
@@ -150,18 +155,18 @@
     ) {
         self.image_locality.enabled = settings.operator.image_locality;
         if self.image_locality.fetch_s_per_gb.len() != types.len() {
-            let known = types
+            let fetch_times = types
                 .iter()
-                .map(|(name, known)| (name.clone(), known.fetch_s(1.0)));
-            self.image_locality.fetch_s_per_gb = known.collect();
+                .map(|(name, machine_type)| (name.clone(), machine_type.fetch_s(1.0)));
+            self.image_locality.fetch_s_per_gb = fetch_times.collect();
         }
-        let mut up = 0;
+        let mut machines_up = 0;
         for machine in self.machines.values_mut() {
-            up += usize::from(machine.is_up());
+            machines_up += usize::from(machine.is_up());
             if machine.images.cache_gb() == f64::INFINITY
-                && let Some(known) = types.get(&machine.machine_type)
+                && let Some(machine_type) = types.get(&machine.machine_type)
             {
-                machine.images.sized(known.cache_gb);
+                machine.images.sized(machine_type.cache_gb);
             }
         }
         if now >= self.image_locality.image_replicas_at + IMAGE_COPIES_INTERVAL_MS
@@ -170,33 +175,34 @@
             self.image_locality.image_replicas_at = now;
             self.update_image_replicas(settings);
         }
-        let spot_loss = self.autoscaler.spot_losses().rate();
-        self.image_locality.record_uptime(up, spot_loss, now);
+        let spot_loss_rate = self.autoscaler.spot_losses().rate();
+        self.image_locality
+            .record_uptime(machines_up, spot_loss_rate, now);
         self.image_locality.forget_rare_images();
     }
 
-    /// Where the images of live services lie.
+    /// Counts the copies of the images of live services by zone.
     fn update_image_replicas(&mut self, settings: &Settings) {
         let zones = &settings.deployment.zones;
         let live = self.jobs.values().filter(|job| job.spec.shape == Shape::Service);
         let live: HashSet<Arc<str>> = live.map(|job| job.spec.image.clone()).collect();
-        let mut copies = ImageReplicas::of(live, zones.len());
-        let there = |machine: &&Machine| machine.is_up() && !machine.releasing && !machine.unreachable;
-        for machine in self.machines.values().filter(there) {
+        let mut image_replicas = ImageReplicas::of(live, zones.len());
+        let is_usable = |machine: &&Machine| machine.is_up() && !machine.releasing && !machine.unreachable;
+        for machine in self.machines.values().filter(is_usable) {
             let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) else {
                 continue;
             };
             for held in machine.images.held() {
                 if machine.has_image(&held.image) {
-                    copies.add(&held.image, zone);
+                    image_replicas.add(&held.image, zone);
                 }
             }
         }
-        self.image_locality.image_replicas = copies;
+        self.image_locality.image_replicas = image_replicas;
     }
 
-    /// Idle machines that had better stay for the weights that lie on them: they go back last, and
-    /// all together cost a small part of what the fleet does.
+    /// Idle machines worth keeping for the images on them. They are released last, and together
+    /// cost only a small share of the whole fleet's price.
     pub(super) fn machines_kept_for_images(
         &self,
         types: &MachineTypes,
@@ -206,11 +212,11 @@
             return HashSet::new();
         }
         let price = |machine: &Machine| {
-            types.get(&machine.machine_type).map_or(0.0, |known| {
+            types.get(&machine.machine_type).map_or(0.0, |machine_type| {
                 if machine.spot {
-                    known.spot_price
+                    machine_type.spot_price
                 } else {
-                    known.price
+                    machine_type.price
                 }
             })
         };
@@ -242,31 +248,34 @@
         if idle.is_empty() {
             return HashSet::new();
         }
-        let all: f64 = self.machines.values().map(price).sum();
+        let fleet_price: f64 = self.machines.values().map(price).sum();
         let keep = self
             .image_locality
             .image_replicas
             .clone()
-            .worth_keeping(&idle, all * IDLE_IMAGE_PRICE_SHARE);
+            .worth_keeping(&idle, fleet_price * IDLE_IMAGE_PRICE_SHARE);
         let kept = names.into_iter().zip(keep).filter(|(_, keep)| *keep);
         kept.map(|(name, _)| name).collect()
     }
 
-    /// Tells operators of models that no machine can keep: they are tried all the same.
+    /// Warns operators of models too large for the cache of any machine. They are placed
+    /// nevertheless.
     pub(super) fn warn_about_image_sizes(&mut self, types: &MachineTypes, io: &mut Io) {
         for job in self.jobs.values().filter(|job| job.spec.shape == Shape::Service) {
             let image = &job.spec.image;
-            let told = self.image_locality.size_warned_at.get(image);
-            if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
+            let warned_at = self.image_locality.size_warned_at.get(image);
+            if warned_at.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
                 continue;
             }
-            let allowed = types.values().filter(|known| {
+            let allowed = types.values().filter(|machine_type| {
                 job.spec
                     .types
                     .as_ref()
-                    .is_none_or(|types| types.contains(&known.name))
+                    .is_none_or(|types| types.contains(&machine_type.name))
             });
-            let largest = allowed.map(|known| known.cache_gb).fold(0.0, f64::max);
+            let largest = allowed
+                .map(|machine_type| machine_type.cache_gb)
+                .fold(0.0, f64::max);
             let Some(problem) = WeightsError::of(image, job.spec.image_gb, largest) else {
                 continue;
             };
