--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -1,5 +1,6 @@
-//! SubmitClusters of submit files in a leader's term: nothing of one starts before it is accepted
-//! whole, nor while it is held; what nobody finished is cleared away.
+//! Submit clusters, which are sets of jobs from submit files. No job of a cluster starts before the
+//! whole cluster is accepted, or while it is held. Clusters whose submission was not completed are
+//! removed.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -19,18 +20,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// SubmitClusters that are not accepted yet, and what their jobs share.
+/// Clusters that are not accepted yet, and data shared among jobs.
 #[derive(Debug, Default)]
 pub(super) struct SubmitClusters {
-    /// SubmitClusters that are being recorded, with the versions of their records.
+    /// Clusters being recorded, with the versions of their records.
     open: BTreeMap<u64, (OpenRecord, u64)>,
-    /// Equal sets of kinds as one: a pass works out each once.
+    /// Interned sets of machine kinds, so that a pass evaluates each set once.
     kind_sets: HashMap<Arc<KindSet>, ()>,
     checked_at: Timestamp,
 }
 
 impl SubmitClusters {
-    /// Whether nothing of a job may start.
+    /// Whether no task of the job may start.
     pub(super) fn is_parked(&self, spec: &JobSpec) -> bool {
         let part = spec.condor.as_ref();
         part.is_some_and(|part| !part.holds.is_empty() || self.open.contains_key(&part.cluster))
@@ -38,16 +39,16 @@
 }
 
 impl LeaderTerm {
-    /// What many jobs have alike stands in memory once.
+    /// Replaces parts that many jobs have in common by shared copies.
     pub(super) fn intern_spec(&mut self, spec: &mut JobSpec) {
         self.intern_demand(&mut spec.counts);
         let Some(kinds) = &mut spec.kinds else { return };
-        let known = &mut self.submit_clusters.kind_sets;
-        if known.len() >= MAX_KIND_SETS {
-            // They live on with their jobs.
-            known.clear();
+        let kind_sets = &mut self.submit_clusters.kind_sets;
+        if kind_sets.len() >= MAX_KIND_SETS {
+            // Jobs keep references to the sets that are dropped here.
+            kind_sets.clear();
         }
-        match known.entry(kinds.clone()) {
+        match kind_sets.entry(kinds.clone()) {
             Entry::Occupied(entry) => *kinds = entry.key().clone(),
             Entry::Vacant(entry) => {
                 entry.insert(());
@@ -55,12 +56,12 @@
         }
     }
 
-    /// Whether a live job's record may change: others may not, but for their end.
+    /// Whether the record of a live job may change. Other records change only when their job ends.
     pub(super) fn job_record_may_change(&self, job: &str) -> bool {
         self.jobs.get(job).is_some_and(|job| job.spec.condor.is_some())
     }
 
-    /// A cluster is being recorded: its jobs wait until it is accepted.
+    /// Handles the record of a cluster that is being recorded: its jobs wait until it is accepted.
     pub(super) fn on_cluster_open(
         &mut self,
         cluster: u64,
@@ -73,19 +74,21 @@
         Ok(())
     }
 
-    /// A cluster was accepted, or given up and its jobs with it.
+    /// Handles the end of a cluster's open record: the cluster was accepted, or abandoned and its
+    /// jobs removed.
     pub(super) fn on_cluster_closed(&mut self, cluster: u64) {
         self.submit_clusters.open.remove(&cluster);
         self.update_parked(cluster);
     }
 
-    /// Notes of every live job whether it is parked.
+    /// Updates the parked state of all live jobs.
     pub(super) fn update_all_parked(&mut self) {
         for job in self.jobs.values_mut() {
             job.parked = self.submit_clusters.is_parked(&job.spec);
         }
     }
 
+    /// Updates the parked state of the jobs of one cluster.
     fn update_parked(&mut self, cluster: u64) {
         let first = condor::job_id(cluster, 0);
         let last = condor::job_id(cluster, u32::MAX);
@@ -95,7 +98,7 @@
         self.scheduler.request_pass();
     }
 
-    /// The record of a live job has another version: it was held, or released.
+    /// Handles a new version of a live job's record: the job was held or released.
     pub(super) fn on_job_changed(&mut self, spec: JobSpec, version: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&spec.id) else {
             return;
@@ -110,7 +113,7 @@
         if !job.parked {
             return;
         }
-        // Whatever of it runs saves what it can and makes room.
+        // Its running tasks save their state if they can, and are stopped.
         let grace_s = placement::grace_s(&job.spec);
         let id = job.spec.id.clone();
         let mut running = Vec::new();
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Clears away what was left open, and ends holds whose reason is gone.
+    /// Removes clusters that were left open, and releases holds whose reason no longer applies.
     pub(super) fn update_submit_clusters(&mut self, settings: &Settings, io: &mut Io) {
         if io.now < self.submit_clusters.checked_at + CLUSTER_CHECK_MS {
             return;
@@ -136,7 +139,7 @@
                 let spec = condor::released(&job.spec, deployment, default_team)?;
                 Some((spec, job.version))
             });
-            // One at a time: these are rare, and starts come first.
+            // Only one per update: such releases are rare, and starts have priority.
             if let Some((spec, version)) = released {
                 log::info!("hold released job={}: its team's limit allows it now", spec.id);
                 let key = records::job_key(&spec.id.0);
@@ -150,6 +153,7 @@
         }
     }
 
+    /// Marks clusters as abandoned that were left open for too long, and removes abandoned ones.
     fn abandon_open_clusters(&mut self, io: &mut Io) {
         let mut changes = Vec::new();
         for (cluster, (record, version)) in &self.submit_clusters.open {
@@ -158,7 +162,8 @@
                 let first = condor::job_id(*cluster, 0);
                 let last = condor::job_id(*cluster, u32::MAX);
                 let mut jobs = self.jobs.range(first..=last).peekable();
-                // Its own record goes last: whoever reads it knows that the jobs are none.
+                // The cluster's own record is removed last, so that its absence implies that no
+                // jobs of it are left.
                 if jobs.peek().is_none() {
                     self.writer.obsolete_keys.insert(key);
                 } else {
@@ -184,7 +189,7 @@
         }
     }
 
-    /// Changes one record, if it is as it was and this node leads still.
+    /// Changes one record, on condition that it is unchanged and this node still leads.
     fn change_record(&mut self, key: String, version: u64, change: protocol::Change, io: &mut Io) {
         let body = protocol::Transaction {
             conditions: vec![
@@ -200,22 +205,27 @@
         self.transact(json(&body), TermCall::SubmitCluster, io);
     }
 
-    /// Jobs of clusters that were accepted and are the asking team's, in their order.
-    pub fn submitted_queue(&self, asks: &Team, settings: &Settings, now: Timestamp) -> Vec<QueueRow> {
+    /// Jobs of accepted clusters that belong to the requesting team, in the order of their ids.
+    pub fn submitted_queue(
+        &self,
+        requesting_team: &Team,
+        settings: &Settings,
+        now: Timestamp,
+    ) -> Vec<QueueRow> {
         let blocked = self.blocked_jobs();
         let jobs = self.jobs.values().filter_map(|job| {
             let part = job.spec.condor.as_ref()?;
             if self.submit_clusters.open.contains_key(&part.cluster) {
                 return None;
             }
-            let access = authorization::access(&job.spec, asks, settings).ok()?;
+            let access = authorization::access(&job.spec, requesting_team, settings).ok()?;
             let (done, running) = self
                 .jobs
                 .task_counts()
                 .get(&job.spec.id)
                 .copied()
                 .unwrap_or((0, 0));
-            let limit_holds = part.holds.iter().any(|hold| hold.why != Why::User);
+            let held_by_limit = part.holds.iter().any(|hold| hold.why != Why::User);
             Some(QueueRow {
                 seen: Seen::with(&access),
                 waits: LeaderTerm::wait_reason(job, &blocked, now).text().to_owned(),
@@ -239,7 +249,7 @@
                 memory_gb: job.spec.needs.memory_gb,
                 cmd: part.cmd.clone(),
                 hold: part.held(),
-                releasable: !part.holds.is_empty() && !limit_holds,
+                releasable: !part.holds.is_empty() && !held_by_limit,
             })
         });
         jobs.collect()
