--- a/crates/controller/src/allocations/attempt.rs
+++ b/crates/controller/src/allocations/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a task, as far as it may be on a machine.
+//! One attempt at a task on a machine.
 
 use super::{Change, ReportNumber};
 use crate::constants::SECOND_MS;
@@ -7,8 +7,8 @@
 use indigopath_counted_resources::Demand;
 use std::sync::Arc;
 
-/// A direct command that may be carried out minutes later, while agent epoch and token
-/// still match: nobody answered it, or a copy of it is under way.
+/// A direct command that may still be executed minutes later, while agent epoch and token match: it
+/// was never answered, or a duplicate of it may be in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnacknowledgedCommand {
     /// Agent epoch that it was sent to.
@@ -18,16 +18,16 @@
 }
 
 impl UnacknowledgedCommand {
-    /// A later agent epoch or a higher token refuses the old command.
+    /// Whether the worker refuses the command: it has a later agent epoch or a higher token.
     pub(super) fn refused_by(self, agent_epoch: u64, token: u64) -> bool {
         agent_epoch > self.agent_epoch || token > self.token
     }
 }
 
-/// An attempt is to be stopped.
+/// A requested stop of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stop {
-    /// Seconds that the task has to write a checkpoint.
+    /// Seconds that the task is given to write a checkpoint.
     pub grace_s: f64,
     /// When the leader decided it.
     pub requested_at: Timestamp,
@@ -36,7 +36,7 @@
 }
 
 impl Stop {
-    /// A stop that no command has carried yet.
+    /// A stop of which no command has been sent yet.
     pub fn requested(grace_s: f64, now: Timestamp) -> Stop {
         Stop {
             grace_s,
@@ -46,43 +46,44 @@
     }
 }
 
-/// One attempt at a task, as far as it may be on this machine.
+/// One attempt at a task, from its placement until it is provably gone from its machine.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub task: TaskId,
-    /// Tells it from other attempts at the task.
+    /// Distinguishes the attempts at one task.
     pub number: u64,
     pub team: Arc<str>,
-    /// What it takes of its machine.
+    /// Resources of its machine that it takes.
     pub needs: Resources,
-    /// Units of counts that it holds for as long as it may be on its machine.
+    /// Units of counted resources that it holds for as long as it may be running.
     pub counts: Demand,
     pub image: Option<Arc<str>>,
-    /// Its size, in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Its owner's estimate of its run time; 0 for none.
+    /// The owner's estimate of its run time, in s; 0 for none.
     pub estimate_s: f64,
-    /// Its start is recorded in the state service; only then is it sent.
+    /// Its start is recorded in the state service. It is not sent before.
     pub durable: bool,
-    /// Read from a former leader's record: it may have been sent by that one.
+    /// Loaded from the record of a previous leader, which may have sent it.
     pub from_previous_leader: bool,
-    /// No record names it, and only a report without this leader's token speaks of it: that may be older
-    /// than the records, from which a start goes only once it is provably gone. It holds no units.
+    /// No record lists it, only a report without this leader's token. That report may be older than
+    /// the records, from which a start is removed only when it is provably gone. It holds no units.
     pub unconfirmed: bool,
-    /// The report in whose answer the start was sent.
+    /// The report in whose response the start was sent.
     pub sent_in_reply_to: Option<ReportNumber>,
-    /// A task of a gang from a former leader's record: who waited in vain joins the same attempt
-    /// again, so that an end under this number may be older than the record.
+    /// A task of a gang from a previous leader's record. After a timeout of its gang it rejoins
+    /// under the same attempt number, so a reported end of this number may be older than the
+    /// record.
     pub is_idempotent_restart: bool,
-    /// A direct command with its start is under way.
+    /// A direct command with its start is in flight.
     pub start_in_flight: bool,
-    /// A peer notified this leader that its job may be over, so that its start is not sent: the number
-    /// of that end notice. A reading of the job's record that was asked for later settles it.
+    /// A peer reported that its job may have ended, so its start is not sent: the number of that
+    /// notice. A read of the job's record requested later resolves it.
     pub awaiting_reread: Option<u64>,
-    /// A direct command with its start that nobody answered.
+    /// A direct command with its start that was never answered.
     pub unacknowledged: Option<UnacknowledgedCommand>,
-    /// The last direct command that carried its start and was carried out: a copy of it may
-    /// still arrive, and does nothing only while the worker knows the attempt.
+    /// The last direct command with its start that was executed. A duplicate may still arrive, and
+    /// has no effect only while the worker knows the attempt.
     pub last_delivered: Option<UnacknowledgedCommand>,
     /// Its state in the newest report that lists it.
     pub reported_state: Option<TaskState>,
@@ -92,18 +93,18 @@
     pub running_since: Option<Timestamp>,
     /// When it was placed.
     pub planned_at: Timestamp,
-    /// When it was placed, its machine did not have its image yet.
+    /// Its image was not on its machine when it was placed.
     pub needs_image_fetch: bool,
-    /// It is to be stopped.
+    /// The stop requested for it, if any.
     pub stop: Option<Stop>,
-    /// Its end is dealt with (a result durably), so the worker may forget it.
+    /// Its end has been processed and a result recorded, so that the worker may forget it.
     pub end_processed: bool,
 }
 
-/// How far the start of an attempt has got.
+/// Delivery state of an attempt's start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartDelivery {
-    /// No message that could start it has ever left.
+    /// No message that could start it was ever sent.
     NeverSent,
     /// It was sent.
     Sent,
@@ -111,7 +112,7 @@
     MayRepeat,
 }
 
-/// Whether only a task with its image can have ended so.
+/// Whether a task can only have ended this way after its image was fetched.
 pub(super) fn proves_image(why: Option<TaskEndCause>) -> bool {
     matches!(
         why,
@@ -120,7 +121,7 @@
 }
 
 impl Attempt {
-    /// An attempt that is placed now, and neither recorded nor sent.
+    /// An attempt that was just placed, and neither recorded nor sent.
     pub fn planned(
         task: TaskId,
         number: u64,
@@ -157,23 +158,23 @@
         }
     }
 
-    /// It has ended.
+    /// Whether it is reported as ended.
     pub fn exited(&self) -> bool {
         self.reported_state == Some(TaskState::Exited)
     }
 
-    /// It may be on the machine, now or by a command still under way.
+    /// Whether it may be running on the machine, now or through a command that is still in flight.
     pub fn may_be_running(&self) -> bool {
         !self.exited() || self.unacknowledged.is_some()
     }
 
-    /// It is done, and no record says so yet: until one does, the record of its start is all that a
-    /// new leader knows of it.
+    /// Whether it is done and its result is not recorded yet. Until then the record of its start is
+    /// all that a new leader knows of it.
     pub(super) fn has_unrecorded_result(&self) -> bool {
         self.exited() && self.exit_cause == Some(TaskEndCause::Done) && !self.end_processed
     }
 
-    /// It waits for its image, as far as is known.
+    /// Whether it is waiting for its image, as far as known.
     pub fn is_fetching(&self) -> bool {
         match self.reported_state {
             Some(TaskState::Fetching) => true,
@@ -182,23 +183,23 @@
         }
     }
 
-    /// The image that it waits for.
+    /// The image that it is waiting for.
     pub(super) fn fetched_image(&self) -> Option<Arc<str>> {
         self.image.clone().filter(|_| self.is_fetching())
     }
 
-    /// It has units of counts, which nobody else may have.
+    /// Whether it holds units of counted resources exclusively.
     pub fn holds_units(&self) -> bool {
         !self.counts.is_empty() && self.may_be_running() && !self.unconfirmed
     }
 
-    /// It has ended in a way that only a task with its image can.
+    /// Whether it ended in a way that proves that its image was fetched.
     pub(super) fn had_image(&self) -> bool {
         proves_image(self.exit_cause)
     }
 
-    /// The images of its gang's other tasks were not there in time. It may join them again once its
-    /// worker has forgotten this end.
+    /// Whether the other tasks of its gang did not have their images in time. It may rejoin them
+    /// once its worker has forgotten this end.
     pub fn gang_wait_timed_out(&self) -> bool {
         self.exited() && self.exit_cause == Some(TaskEndCause::Alone)
     }
@@ -209,7 +210,7 @@
             .map_or(0.0, |since| now.saturating_sub(since) as f64 / SECOND_MS as f64)
     }
 
-    /// No message that could start it has ever left.
+    /// Whether no message that could start it was ever sent.
     pub fn never_sent(&self) -> bool {
         !self.from_previous_leader
             && self.sent_in_reply_to.is_none()
@@ -218,10 +219,10 @@
             && self.reported_state.is_none()
     }
 
-    /// What becomes of its units, now that it is no longer on its machine. Only a task
-    /// that says it is done, or that was never let in, has surely given them back; what
-    /// was stopped or lost may have left them with their server for a while, and so may
-    /// a late start of a task that had ended.
+    /// What happens to its units when it is no longer on its machine. Only a task that reports
+    /// itself done, or was never admitted, has surely returned them. A task that was stopped or
+    /// lost may have left them checked out at their licence server for a while, and so may a late
+    /// start of a task that had ended.
     pub(super) fn units_freed(&self, start: StartDelivery) -> Change {
         let by_itself = matches!(
             self.exit_cause,
@@ -238,7 +239,7 @@
         }
     }
 
-    /// How far its start has got.
+    /// How far the delivery of its start has got.
     pub(super) fn start_delivery(&self) -> StartDelivery {
         if self.never_sent() {
             StartDelivery::NeverSent
@@ -249,8 +250,9 @@
         }
     }
 
-    /// Its start may have reached an earlier agent epoch than this, which ended with all that
-    /// was on the machine: nobody saw it, but its units may be with their server still.
+    /// Whether its start may have reached an earlier agent epoch, which ended with everything that
+    /// ran on the machine. Nobody saw it run, but its units may still be checked out at their
+    /// server.
     pub(super) fn may_have_run_in_earlier_epoch(&self, agent_epoch: u64) -> bool {
         !self.exited()
             && self.reported_state.is_none()
@@ -260,6 +262,7 @@
                 || self.sent_in_reply_to.is_some_and(|(sent, _)| sent < agent_epoch))
     }
 
+    /// Whether this is the given attempt at the given task.
     pub(super) fn matches(&self, task: &TaskId, number: u64) -> bool {
         self.number == number && self.task == *task
     }
--- a/crates/controller/src/allocations/commands.rs
+++ b/crates/controller/src/allocations/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that a machine's worker is sent: in answers to its reports, and directly.
+//! Commands for a worker, sent in responses to its reports and directly.
 
 use super::{Attempt, Machine, ReportNumber, Stop, UnacknowledgedCommand};
 use crate::constants::{SECOND_MS, STOP_RETRY_MS};
@@ -6,14 +6,14 @@
 use crate::protocol::{CommandKind, TaskState, WorkerCommand};
 
 impl Stop {
-    /// It was not sent yet, or so long ago that it is repeated.
+    /// Whether it was never sent, or so long ago that it is sent again.
     fn is_due(&self, now: Timestamp) -> bool {
         self.last_sent_at.is_none_or(|at| now >= at + STOP_RETRY_MS)
     }
 }
 
 impl Attempt {
-    /// Its start is recorded, nobody has sent it, and nothing stands against sending it.
+    /// Whether its start is recorded, not sent yet, and nothing prevents sending it.
     fn start_is_due(&self) -> bool {
         self.durable
             && self.reported_state.is_none()
@@ -23,9 +23,9 @@
             && self.sent_in_reply_to.is_none()
     }
 
-    /// Its worker may forget it, but for a copy of its start that this token would let in
-    /// again. Attempts of former leaders have none: whatever those sent carries a lower token
-    /// than any answer of this one.
+    /// Whether its worker could forget it, except that a duplicate of its start would still be
+    /// accepted under this token. Attempts of previous leaders never wait: whatever those leaders
+    /// sent has a lower token than any response of this one.
     pub fn forget_awaits_token(&self, token: u64) -> bool {
         self.is_forgettable()
             && self
@@ -33,11 +33,12 @@
                 .is_some_and(|last_delivered| last_delivered.token >= token)
     }
 
-    /// Its end is dealt with, and nothing of its start is under way without an answer.
+    /// Whether its end is processed and no unanswered start of it is in flight.
     fn is_forgettable(&self) -> bool {
         self.exited() && self.end_processed && self.unacknowledged.is_none() && !self.start_in_flight
     }
 
+    /// A command to the worker about this attempt.
     fn command(&self, verb: CommandKind, grace_s: Option<f64>) -> WorkerCommand {
         WorkerCommand {
             kind: verb,
@@ -47,22 +48,23 @@
         }
     }
 
-    /// Its stop, if it is to be sent now: directly at intervals, and with every answer to a report,
-    /// as each renews the lease of all that is there. Were one left out because a direct command has
-    /// just carried it, a machine to which those are lost would never get it.
-    fn stop_command(&mut self, answers: bool, now: Timestamp) -> Option<WorkerCommand> {
+    /// The command to stop it, if it is to be sent now: directly at intervals, and in every
+    /// response to a report, because each response renews the lease of everything on the machine.
+    /// If it were omitted because a direct command has just carried it, a machine that no direct
+    /// command reaches would never get it.
+    fn stop_command(&mut self, is_response: bool, now: Timestamp) -> Option<WorkerCommand> {
         let state = self.reported_state.filter(|state| *state != TaskState::Exited)?;
         let stop = self.stop.as_mut()?;
-        // A checkpoint that takes longer than was granted is ended.
+        // A checkpoint that takes longer than granted is aborted.
         let overdue = now >= stop.requested_at + (stop.grace_s * SECOND_MS as f64) as u64 + STOP_RETRY_MS;
         let grace_s = if stop.last_sent_at.is_some() && overdue {
             0.0
         } else {
             stop.grace_s
         };
-        // A task that writes its checkpoint has received it.
+        // A task that is writing its checkpoint has received the stop.
         let received = state == TaskState::Saving && grace_s > 0.0;
-        if !stop.is_due(now) && (!answers || received) {
+        if !stop.is_due(now) && (!is_response || received) {
             return None;
         }
         stop.last_sent_at = Some(now);
@@ -71,12 +73,13 @@
 }
 
 impl Machine {
-    /// Commands that follow from the allocations, under this token. `answering` is the report
-    /// that they answer; `None` for a direct command, which carries no `forget`, so that
-    /// nothing late can make a worker forget what a late start would then repeat.
+    /// Commands that follow from the allocations under this token. `answering` is the report that
+    /// they respond to. It is `None` for a direct command, which never contains `forget`: a late
+    /// one could make a worker forget an attempt that a late start would then run again.
     ///
-    /// A worker takes in an answer's token before its commands: a `forget` under a higher
-    /// token than that of the start's direct command leaves nothing that could start it.
+    /// A worker takes the token of a response into account before its commands: after a `forget`
+    /// under a higher token than that of the direct command with the start, nothing can start the
+    /// attempt any more.
     pub fn due_commands(
         &mut self,
         answering: Option<ReportNumber>,
@@ -103,8 +106,8 @@
         commands
     }
 
-    /// The stops that go with every answer to a report, also to one that a newer message has
-    /// overtaken: nothing else may follow from what that one says, but its answer renews the lease.
+    /// The stops that go into every response to a report, even to one that was overtaken by a newer
+    /// message. Nothing else may be derived from such a report, but the response renews the lease.
     pub fn stop_commands(&mut self, now: Timestamp) -> Vec<WorkerCommand> {
         let stopped = self.attempts.iter_mut();
         stopped
@@ -112,17 +115,17 @@
             .collect()
     }
 
-    /// Whether a direct command is due and could be carried out.
+    /// Whether a direct command is due and could be executed.
     pub fn is_direct_command_due(&self, starts: bool, now: Timestamp) -> bool {
         self.accepts_commands() && self.synced && self.wants_direct_command(starts, now)
     }
 
-    /// Whether a direct command could reach it now.
+    /// Whether a direct command could reach the machine now.
     pub fn accepts_commands(&self) -> bool {
         self.addr.is_some() && !self.direct_command_in_flight && !self.unreachable && !self.release_in_flight
     }
 
-    /// Whether a direct command is worth sending.
+    /// Whether a direct command would contain anything.
     pub fn wants_direct_command(&self, starts: bool, now: Timestamp) -> bool {
         self.attempts.iter().any(|attempt| match &attempt.stop {
             Some(stop) => !attempt.exited() && attempt.reported_state.is_some() && stop.is_due(now),
@@ -130,10 +133,10 @@
         })
     }
 
-    /// The direct command got an answer, or failed in a way that says it was not
-    /// carried out, now or ever; its starts are no longer under way.
+    /// The direct command was answered, or failed in a way that rules out its execution; its starts
+    /// are no longer in flight.
     pub fn on_direct_command_settled(&mut self, executed: bool, token: u64, agent_epoch: u64) {
-        // A later agent epoch may have reported meanwhile, and lacks what this one started.
+        // A later agent epoch may have reported in the meantime, without what this one started.
         let at = if agent_epoch == self.agent_epoch {
             (self.agent_epoch, self.seq)
         } else {
@@ -150,7 +153,7 @@
         }
     }
 
-    /// The direct command got no answer: what it starts may be carried out late.
+    /// The direct command timed out; what it starts may still be executed later.
     pub fn on_direct_command_unanswered(&mut self, token: u64, agent_epoch: u64) {
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.start_in_flight) {
             attempt.start_in_flight = false;
--- a/crates/controller/src/allocations/image_fetches.rs
+++ b/crates/controller/src/allocations/image_fetches.rs
@@ -8,7 +8,7 @@
 use indigopath_image_locality::{Cache, CacheState};
 use std::sync::Arc;
 
-/// A fetch that ended: its image has come to be on the machine.
+/// A completed fetch of an image.
 pub(super) struct CompletedFetch {
     pub(super) image: Arc<str>,
     pub(super) gb: f64,
@@ -17,9 +17,9 @@
 }
 
 impl Machine {
-    /// It is thought to hold the image, and not to be fetching it still. That one of its tasks
-    /// runs with it proves nothing: what is used longest ago is pushed out of the cache all the
-    /// same, and the next start fetches it again.
+    /// Whether it presumably holds the image and is not still fetching it. A running task with the
+    /// image is no proof: the least recently used image is evicted even so, and the next start
+    /// fetches it again.
     pub fn has_image(&self, image: &Arc<str>) -> bool {
         if self.images.cache_state(image) < CacheState::Likely {
             return false;
@@ -32,7 +32,7 @@
         own.peek().is_none() || own.any(|attempt| !attempt.is_fetching())
     }
 
-    /// What the end of a fetch shows about the machine's speed; `None` if it took no time.
+    /// What a completed fetch shows about the machine's speed; `None` if it took no time.
     pub(super) fn on_fetch_completed(&mut self, fetch: &CompletedFetch, now: Timestamp) -> Option<Change> {
         let CompletedFetch { image, gb, since } = fetch;
         let since = *since;
@@ -54,7 +54,8 @@
         })
     }
 
-    /// For how long other fetches that are still going on overlap with one since then, in ms.
+    /// Sum of the times, in ms, for which fetches that are still in progress overlap with one since
+    /// `since`.
     fn ongoing_overlap_ms(&self, image: &Arc<str>, since: Timestamp, now: Timestamp) -> Timestamp {
         let mut others: Vec<&Arc<str>> = Vec::new();
         let mut overlap_ms = 0;
@@ -69,7 +70,7 @@
         overlap_ms
     }
 
-    /// A worker gives a fetch up when no task waits for it any more.
+    /// A worker aborts a fetch when no task waits for it any more.
     pub(super) fn on_fetch_abandoned(&mut self, image: &Arc<str>) {
         let wanted = |attempt: &Attempt| !attempt.exited() && attempt.image.as_ref() == Some(image);
         if !self.attempts.iter().any(wanted) {
@@ -79,8 +80,8 @@
 }
 
 impl Attempt {
-    /// What a report of it shows about the cache; before it is observed. Returns whether its image
-    /// came to be there since the last one.
+    /// Updates the cache from the status of the attempt, before the status is applied. Returns
+    /// whether its image has arrived since the last report.
     pub(super) fn observe_image(
         &mut self,
         reported: &TaskStatus,
@@ -88,9 +89,9 @@
         now: Timestamp,
     ) -> bool {
         let Some(image) = &self.image else { return false };
-        let has_it = match reported.state {
+        let has_image = match reported.state {
             TaskState::Fetching => {
-                // The answer to its start may name it so, whatever lies there.
+                // The response to its start may report it as fetching even if the image is cached.
                 if !self.needs_image_fetch && now >= self.planned_at + IMAGE_MISS_AFTER_MS {
                     self.needs_image_fetch = true;
                     images.missed();
@@ -101,13 +102,13 @@
             _ => true,
         };
         match self.reported_state {
-            Some(TaskState::Fetching) if has_it => {
+            Some(TaskState::Fetching) if has_image => {
                 images.seen(image, self.image_gb);
                 return self.needs_image_fetch && !self.from_previous_leader;
             }
-            // One that a former leader started may have had it for long.
-            None if has_it && self.from_previous_leader => images.settle(),
-            None if has_it => images.seen(image, self.image_gb),
+            // A task started by a previous leader may have had it for a long time.
+            None if has_image && self.from_previous_leader => images.settle(),
+            None if has_image => images.seen(image, self.image_gb),
             _ => (),
         }
         false
--- a/crates/controller/src/allocations/machine.rs
+++ b/crates/controller/src/allocations/machine.rs
@@ -1,4 +1,4 @@
-//! A machine: what the leader knows of it, its record, and what may be on it.
+//! A machine: the leader's state of it, its record, and the attempts on it.
 
 use super::{Attempt, ReportNumber};
 use crate::model::{JobId, MachineId, MachineKind, Resources, TaskId, Timestamp};
@@ -8,87 +8,89 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A machine, and what may be on it.
+/// A machine and the attempts that are or may be running on it.
 #[derive(Debug)]
 pub struct Machine {
     pub id: MachineId,
-    /// Its worker's address, once known.
+    /// Address of its worker, once known.
     pub addr: Option<String>,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    /// Attempts that are or may be there, and ends that are not dealt with yet.
+    /// Attempts that are or may be running on it, and ended ones that are not processed yet.
     pub attempts: Vec<Attempt>,
     /// Agent epoch of the newest report.
     pub agent_epoch: u64,
-    /// Sequence number of the newest report in its agent epoch.
+    /// Sequence number of the newest report within its agent epoch.
     pub seq: u64,
     /// Highest token that it is known to have seen.
     pub token_seen: u64,
     /// It has reported under a token of this term.
     pub synced: bool,
-    /// Last message from it.
+    /// When its last message arrived.
     pub last_heard_at: Option<Timestamp>,
-    /// Nothing but a report under an older token names it, which may be a copy: it may be long gone.
+    /// Only a report under an older token lists it, which may be a duplicate: the machine may be
+    /// long gone.
     pub unconfirmed: bool,
-    /// It has sent a report of its own in this term, and when it last did; before, when it was first heard.
+    /// It has sent a report of its own in this term.
     pub has_own_report: bool,
+    /// When it last sent a report of its own; before the first, when it was first heard of.
     pub(super) last_own_report_at: Option<Timestamp>,
-    /// It answers, but its reports reach nobody: what runs there is killed when its lease is over.
+    /// It responds, but its reports reach no node: its tasks are killed when its lease expires.
     pub one_way_partition: bool,
-    /// Last 200 that may have renewed its lease.
+    /// Last response with 200 that may have renewed its lease.
     pub last_answered_at: Option<Timestamp>,
-    /// The newest report of its own that was answered.
+    /// The newest of its own reports that was answered.
     pub(super) last_answered_report: ReportNumber,
-    /// When this leader first knew of it.
+    /// When this leader first learned of it.
     pub first_known_at: Timestamp,
-    /// How long before `first_known` it had been rented, in ms.
+    /// How long before `first_known_at` it had been launched, in ms.
     pub age_ms_at_first_known: u64,
-    /// When this leader rented it, which shows how long its boot takes.
+    /// When this leader launched it, from which its boot time is measured.
     pub rented_at: Option<Timestamp>,
-    /// When the cloud takes this spot instance back, once it has given notice.
+    /// When the cloud reclaims this spot instance, once it has given notice.
     pub reclaim_notice_until: Option<Timestamp>,
-    /// The record that it shares with other machines, once it had work.
+    /// Number of the record that it shares with other machines, once it had work.
     pub shard: Option<u32>,
     /// A direct command is in flight.
     pub direct_command_in_flight: bool,
-    /// The next direct command is sent even without commands in it: it fences former
-    /// leaders and brings a report.
+    /// The next direct command is sent even if it has no commands: it fences previous leaders and
+    /// its response contains a report.
     pub needs_fencing_probe: bool,
     /// When such a command was last sent.
     pub fencing_probe_at: Option<Timestamp>,
-    /// A question for its report is in flight.
+    /// A probe is in flight.
     pub probe_in_flight: bool,
-    /// The last such question failed, and no report has come since.
+    /// The last probe failed, and no report has arrived since.
     pub unreachable: bool,
-    /// When it last failed to answer.
+    /// When a probe of it last failed.
     pub last_unreachable_at: Timestamp,
-    /// It is to be given back, or the request has been sent and may be carried out.
+    /// It is to be released, or the release request was sent and may be executed.
     pub releasing: bool,
-    /// The request to return it is in flight.
+    /// The release request is in flight.
     pub release_in_flight: bool,
-    /// Its return stands in the records: only then is it asked for, so that a new leader knows of
-    /// whatever the cloud carries out late.
+    /// Its release is recorded. It is not requested before, so that a new leader knows of a request
+    /// that the cloud executes late.
     pub release_recorded: bool,
-    /// A return went unanswered, or a former leader may have asked for it: it may be carried out at
-    /// any time.
+    /// A release request went unanswered, or a previous leader may have sent one: it may be
+    /// executed at any time.
     pub release_unanswered: bool,
-    /// Its return is in the log already; a cloud that fails is asked many times.
+    /// Its release has been logged. The request is repeated many times if the cloud fails.
     pub release_logged: bool,
-    /// Since when nothing is or may be there.
+    /// Since when nothing is or may be running on it.
     pub idle_since: Option<Timestamp>,
-    /// Jobs whose tasks failed there, since one last ran well.
+    /// Jobs whose tasks failed on it since a task last ran well.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Nothing is placed there before then, as it refused a task for want of room.
+    /// Nothing is placed on it before this time, because it refused a task for lack of capacity.
     pub full_until: Timestamp,
-    /// Images it is thought to hold, the latest used last.
+    /// Images that it presumably holds, the most recently used last.
     pub images: Cache,
-    /// When an image last came to be there.
+    /// When an image was last fetched.
     pub last_image_arrival_at: Timestamp,
 }
 
 impl Machine {
-    /// A machine of which nothing has been heard.
+    /// A machine from which nothing has been heard.
     pub fn new(id: MachineId, machine_type: String, zone: String, spot: bool, now: Timestamp) -> Machine {
         Machine {
             id,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// A machine as a former leader recorded it. What stands there may have been sent.
+    /// A machine from the record of a previous leader. The starts in it may have been sent.
     pub fn from_record(record: &MachineRecord, now: Timestamp) -> Machine {
         let mut machine = Machine::new(
             MachineId(record.name.clone()),
@@ -144,7 +146,7 @@
         machine.addr = record.addr.clone();
         machine.releasing = record.releasing;
         machine.release_recorded = record.releasing;
-        // A former leader's return is finished, not reconsidered.
+        // A release begun by a previous leader is completed, not reconsidered.
         machine.release_unanswered = record.releasing;
         machine.images = Cache::from_record(record.images.iter().cloned());
         machine.needs_fencing_probe = true;
@@ -156,10 +158,10 @@
         machine
     }
 
-    /// The record: everything that may be there, of planned starts those that are
-    /// `included`; and what is done without a record of that. If another start's record left
-    /// those out, and the leader ended before the results were recorded, the next one would not know
-    /// them: it would have their workers forget them, and run the tasks again.
+    /// The machine's record: all attempts that may be running, of planned starts only those that
+    /// are `included`, and results that are not recorded yet. If a record written for another start
+    /// omitted those, and the leader ended before the results were recorded, its successor would
+    /// not know them: it would have their workers forget them, and run the tasks again.
     pub fn record(&self, mut included: impl FnMut(&Attempt) -> bool) -> MachineRecord {
         MachineRecord {
             name: self.id.0.clone(),
@@ -183,23 +185,22 @@
         }
     }
 
-    /// It has reported at least once, to this leader or (by its record's
-    /// attempts) to a former one.
+    /// Whether this leader has heard from it.
     pub fn is_up(&self) -> bool {
         self.last_heard_at.is_some()
     }
 
-    /// It answers, but has sent no report of its own for so long.
+    /// Whether it responds, but has sent no report of its own for `late_ms`.
     pub fn is_own_report_late(&self, late_ms: u64, now: Timestamp) -> bool {
         !self.unreachable && self.last_own_report_at.is_some_and(|at| now > at + late_ms)
     }
 
-    /// It has been up, as far as this leader knows: heard of, or recorded with work.
+    /// Whether it has been up, as far as this leader knows: heard from, or recorded with work.
     pub fn has_been_up(&self) -> bool {
         self.is_up() || !self.attempts.is_empty()
     }
 
-    /// What a report may change of a machine's use, apart from its tasks.
+    /// What a report may change about the machine's use, apart from its tasks.
     pub fn usability(&self) -> Usability {
         Usability {
             is_up: self.is_up(),
@@ -209,12 +210,12 @@
         }
     }
 
-    /// What it is to the cloud.
+    /// Its type, zone, and whether it is a spot instance.
     pub fn kind(&self) -> MachineKind {
         (self.machine_type.clone(), self.zone.clone(), self.spot)
     }
 
-    /// What the attempts that are or may be there take.
+    /// Resources of the attempts that are or may be running on it.
     pub fn used(&self) -> Resources {
         let mut used = Resources::default();
         for attempt in self.attempts.iter().filter(|attempt| attempt.may_be_running()) {
@@ -223,7 +224,7 @@
         used
     }
 
-    /// Attempts that are or may be there.
+    /// Number of attempts that are or may be running on it.
     pub fn task_count(&self) -> usize {
         self.attempts
             .iter()
@@ -231,14 +232,14 @@
             .count()
     }
 
-    /// Nothing is or may be there, and no result waits to be recorded.
+    /// Whether nothing is or may be running on it, and no result waits to be recorded.
     pub fn is_empty(&self) -> bool {
         self.attempts
             .iter()
             .all(|attempt| attempt.exited() && attempt.end_processed && attempt.unacknowledged.is_none())
     }
 
-    /// The attempt of this number at this task.
+    /// The attempt with this number at this task.
     pub fn attempt_mut(&mut self, task: &TaskId, number: u64) -> Option<&mut Attempt> {
         self.attempts
             .iter_mut()
@@ -246,20 +247,20 @@
     }
 }
 
-/// What a report may change of a machine's use, apart from its tasks.
+/// What a report may change about a machine's use, apart from its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usability {
-    /// It has reported.
+    /// This leader has heard from it.
     pub is_up: bool,
     /// It has reported under a token of this term.
     pub synced: bool,
-    /// It did not answer the last question for its report.
+    /// The last probe failed.
     pub unreachable: bool,
-    /// The cloud takes it back soon.
+    /// The cloud reclaims it soon.
     pub has_reclaim_notice: bool,
 }
 
-/// An attempt as a former leader recorded its start.
+/// An attempt whose start a previous leader recorded.
 fn recorded_attempt(start: &StartRecord, now: Timestamp) -> Attempt {
     let task = TaskId {
         job: start.job.clone(),
@@ -281,8 +282,8 @@
     }
 }
 
-/// An attempt that stands in the record for its result alone holds no units any more: others may have
-/// been given them by the same transaction.
+/// The record of an attempt's start. One that is recorded only for its result holds no units any
+/// more: the same transaction may give them to others.
 fn start_record(attempt: &Attempt) -> StartRecord {
     let counts = if attempt.holds_units() {
         attempt.counts.clone()
--- a/crates/controller/src/allocations/reconciliation.rs
+++ b/crates/controller/src/allocations/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation: what a worker's report, or the proof that a machine is gone, changes of what may be
-//! on the machine.
+//! Reconciliation: what a worker's report, or the proof that a machine is gone, changes about the
+//! attempts on the machine.
 
 use super::attempt::StartDelivery;
 use super::image_fetches::CompletedFetch;
@@ -11,7 +11,7 @@
 use indigopath_image_locality::Cache;
 use std::sync::Arc;
 
-/// What a report changed.
+/// A change that a report causes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     /// This attempt at the task was first seen running.
@@ -27,33 +27,35 @@
         /// For how long it was seen running.
         elapsed_s: f64,
     },
-    /// It is there, but no record names it.
+    /// It is on the machine, but no record lists it.
     Unrecorded(TaskId),
-    /// It ended before, or was lost before anybody saw it, and nothing late can start it any more.
+    /// It ended earlier, or was lost before anybody saw it, and no late message can start it any
+    /// more.
     Released(TaskId),
-    /// No longer there, and not exited: lost with an agent epoch, or never arrived.
+    /// It is no longer on the machine without having exited: lost with an agent epoch, or its
+    /// start never arrived.
     Lost {
         /// Its task.
         task: TaskId,
         /// Its number.
         number: u64,
     },
-    /// An image came to be there for which tasks had waited.
+    /// An image that tasks waited for was fetched.
     Fetched {
-        /// The image's size.
+        /// Size of the image, in GB.
         gb: f64,
-        /// How long the fetch took.
+        /// Duration of the fetch, in ms.
         took_ms: Timestamp,
-        /// Other fetches there meanwhile, on average.
+        /// Average number of other fetches on the machine in that time.
         others: f64,
     },
-    /// An attempt holds its units of counts no longer.
+    /// An attempt no longer holds its units of counted resources.
     Freed {
-        /// Whose units they are.
+        /// The team that held them.
         team: Arc<str>,
         /// The units.
         counts: Demand,
-        /// A licence server may not have them back yet.
+        /// The licence server may not have them back yet.
         lingers: bool,
     },
 }
@@ -63,14 +65,15 @@
 enum ReportSource {
     /// The worker sent it by itself.
     Worker,
-    /// It answers a direct command or a question of the leader.
+    /// It is the response to a direct command or a probe of the leader.
     Answer,
 }
 
 impl Machine {
-    /// A report of its own is answered with 200. A worker has one under way at a time: the answer to
-    /// one that is no newer than another which was answered reaches nobody. So copies of a dead
-    /// machine's reports do not put off the proof that its lease is over.
+    /// Records that one of its own reports was answered with 200. A worker has one report in flight
+    /// at a time, so the response to one that is no newer than the last answered one reaches
+    /// nobody. Therefore duplicates of a dead machine's reports do not delay the proof that its
+    /// lease has expired.
     pub fn record_answered_report(&mut self, report: &Heartbeat, now: Timestamp) {
         let number = (report.agent_epoch, report.seq);
         if number > self.last_answered_report {
@@ -79,9 +82,9 @@
         }
     }
 
-    /// Takes a worker's report, unless an earlier or the same one. `first_token`
-    /// is the first token of this leader's term: from it on, the worker drops
-    /// whatever a former leader still has under way to it.
+    /// Applies a worker's report, unless it is no newer than the last. `first_token` is the first
+    /// token of this leader's term: a worker that has seen it drops whatever a previous leader
+    /// still has in flight to it.
     pub fn apply_heartbeat(
         &mut self,
         report: &Heartbeat,
@@ -91,8 +94,9 @@
         self.reconcile(report, ReportSource::Worker, first_token, now)
     }
 
-    /// Takes a report that answers a direct command or a question. Unlike those that the worker
-    /// sends by itself, it proves nothing about an answer to its last one that is in flight still.
+    /// Applies a report that responds to a direct command or a probe. Unlike a report that the
+    /// worker sends by itself, it proves nothing about a response to the worker's last report that
+    /// is still in flight.
     pub fn apply_response(
         &mut self,
         report: &Heartbeat,
@@ -102,7 +106,7 @@
         self.reconcile(report, ReportSource::Answer, first_token, now)
     }
 
-    /// Takes a report, unless an earlier or the same one. `None` if it is no newer than the last.
+    /// Applies a report. `None` if it is no newer than the last.
     fn reconcile(
         &mut self,
         report: &Heartbeat,
@@ -118,7 +122,7 @@
         let mut reconciliation = Reconciliation::new(report, source, is_fenced, now);
         let images = &mut self.images;
         self.attempts
-            .retain_mut(|attempt| reconciliation.attempt(attempt, images));
+            .retain_mut(|attempt| reconciliation.reconcile_attempt(attempt, images));
         let Reconciliation {
             unmatched,
             abandoned_fetches,
@@ -141,7 +145,7 @@
         Some(changes)
     }
 
-    /// What a report shows about the machine itself.
+    /// Updates the state of the machine itself.
     fn observe_report(&mut self, report: &Heartbeat, source: ReportSource, is_fenced: bool, now: Timestamp) {
         self.agent_epoch = report.agent_epoch;
         self.seq = report.seq;
@@ -156,7 +160,7 @@
         self.unreachable = false;
         self.synced |= is_fenced;
         self.unconfirmed &= source == ReportSource::Worker && !is_fenced;
-        // Its own report has brought all that a fencing probe would.
+        // Its own report contains all that a fencing probe would bring.
         self.needs_fencing_probe &= !is_fenced;
         self.addr = Some(report.addr.clone());
         self.reclaim_notice_until = report
@@ -165,7 +169,7 @@
             .map(|left| now + (left.max(0.0) * SECOND_MS as f64) as u64);
     }
 
-    /// The machine, or all that was on it, is provably gone.
+    /// The machine, or everything on it, is provably gone.
     pub fn clear(&mut self) -> Vec<Change> {
         let attempts = std::mem::take(&mut self.attempts);
         for image in attempts.iter().filter_map(Attempt::fetched_image) {
@@ -187,36 +191,36 @@
     }
 }
 
-/// A report that is being compared with the attempts of its machine.
+/// A comparison of a report with the attempts on its machine.
 struct Reconciliation<'report> {
     report: &'report Heartbeat,
     source: ReportSource,
     /// The worker has seen a token of this leader's term.
     is_fenced: bool,
     now: Timestamp,
-    /// Reported tasks that belong to none of the attempts met so far.
+    /// Reported tasks that match none of the attempts compared so far.
     unmatched: Vec<(TaskId, &'report TaskStatus)>,
-    /// Images for which an attempt waits no longer, without having got them.
+    /// Images that an attempt no longer waits for, without having got them.
     abandoned_fetches: Vec<Arc<str>>,
     completed_fetches: Vec<CompletedFetch>,
     changes: Vec<Change>,
 }
 
-/// Whose units an attempt holds before a report is observed.
+/// Whether an attempt held units before a report was applied.
 struct HeldUnits {
-    /// It holds some.
+    /// It held some.
     held: bool,
-    /// Its start may have reached an earlier agent epoch, where nobody saw it.
+    /// Its start may have reached an earlier agent epoch, where nobody saw it run.
     held_in_earlier_epoch: bool,
     start: StartDelivery,
 }
 
 impl HeldUnits {
-    fn of(attempt: &Attempt, agent_epoch: u64) -> HeldUnits {
+    fn before_report(attempt: &Attempt, agent_epoch: u64) -> HeldUnits {
         let held = attempt.holds_units();
         HeldUnits {
             held,
-            // The outcome of a direct command to that epoch, if one is due, shows the same.
+            // The pending outcome of a direct command to that epoch shows the same.
             held_in_earlier_epoch: held
                 && !attempt.start_in_flight
                 && attempt.may_have_run_in_earlier_epoch(agent_epoch),
@@ -224,9 +228,9 @@
         }
     }
 
-    /// Whether they are free once the report is observed.
-    fn are_freed(&self, attempt: &Attempt, stays: bool) -> bool {
-        self.held_in_earlier_epoch || self.held && (!stays || !attempt.may_be_running())
+    /// Whether they are free once the report is applied.
+    fn are_freed(&self, attempt: &Attempt, is_kept: bool) -> bool {
+        self.held_in_earlier_epoch || self.held && (!is_kept || !attempt.may_be_running())
     }
 }
 
@@ -252,15 +256,15 @@
         }
     }
 
-    /// Compares one attempt with the report. Returns whether it stays.
-    fn attempt(&mut self, attempt: &mut Attempt, images: &mut Cache) -> bool {
-        self.drop_refused_copy(attempt);
+    /// Compares one attempt with the report. Returns whether the attempt is kept.
+    fn reconcile_attempt(&mut self, attempt: &mut Attempt, images: &mut Cache) -> bool {
+        self.drop_refused_duplicate(attempt);
         let fetched = attempt.fetched_image();
-        // Before the unanswered command is dropped, which is the only trace of a start that nobody
-        // answered.
-        let units = HeldUnits::of(attempt, self.report.agent_epoch);
+        // Determined before the unanswered command is dropped, which may be the only trace of the
+        // start.
+        let units = HeldUnits::before_report(attempt, self.report.agent_epoch);
         self.drop_refused_command(attempt);
-        let stays = match self.take_status(attempt) {
+        let is_kept = match self.take_status(attempt) {
             Some(status) if self.may_have_restarted(attempt, status) => return true,
             Some(status) => {
                 attempt.unconfirmed &= !self.is_fenced;
@@ -273,22 +277,24 @@
                     && !self.release_lost_start(attempt, &units)
             }
         };
-        if units.are_freed(attempt, stays) {
+        if units.are_freed(attempt, is_kept) {
             self.changes.push(attempt.units_freed(units.start));
-            if stays && attempt.exited() {
-                // It has ended. A direct start whose answer is still due starts nothing that its worker
-                // knows, and would have it hold them again beside those that linger.
+            if is_kept && attempt.exited() {
+                // It has ended. A direct start that is still unanswered starts nothing that its
+                // worker knows; without this its units would be held again next to those that
+                // linger.
                 attempt.counts = Demand::default();
             }
         }
-        if !stays || attempt.exited() && !attempt.had_image() {
+        if !is_kept || attempt.exited() && !attempt.had_image() {
             self.abandoned_fetches.extend(fetched);
         }
-        stays
+        is_kept
     }
 
-    /// A start that may have run in an earlier agent epoch may have left its units with a licence server.
-    /// It is not sent again but released, so that its task is placed anew once there are units for it.
+    /// A start that may have run in an earlier agent epoch may have left its units checked out at a
+    /// licence server. It is not sent again but released, so that its task is placed anew when
+    /// units are available.
     fn release_lost_start(&mut self, attempt: &Attempt, units: &HeldUnits) -> bool {
         if units.held_in_earlier_epoch {
             self.changes.push(Change::Released(attempt.task.clone()));
@@ -296,8 +302,8 @@
         units.held_in_earlier_epoch
     }
 
-    /// Drops the last delivered command, once a copy of it would be refused.
-    fn drop_refused_copy(&self, attempt: &mut Attempt) {
+    /// Drops the last delivered command once a duplicate of it would be refused.
+    fn drop_refused_duplicate(&self, attempt: &mut Attempt) {
         let Heartbeat {
             agent_epoch, token, ..
         } = *self.report;
@@ -309,7 +315,7 @@
         }
     }
 
-    /// Drops the unanswered command, once it would be refused.
+    /// Drops the unanswered command once it would be refused.
     fn drop_refused_command(&mut self, attempt: &mut Attempt) {
         let Heartbeat {
             agent_epoch, token, ..
@@ -319,14 +325,14 @@
             .is_some_and(|command| command.refused_by(agent_epoch, token))
         {
             attempt.unacknowledged = None;
-            // Its end, known already, counts from now on.
+            // Its end, which is known already, takes effect now.
             if attempt.exited() {
                 self.changes.push(Change::Released(attempt.task.clone()));
             }
         }
     }
 
-    /// What the report says of an attempt.
+    /// What the report says about an attempt.
     fn take_status(&mut self, attempt: &Attempt) -> Option<&'report TaskStatus> {
         let position = self
             .unmatched
@@ -336,13 +342,14 @@
         Some(status)
     }
 
-    /// The reported end may be older than the record of an attempt that was to start again: it may run
-    /// there by now.
+    /// Whether a reported end may be older than the record of an attempt that was to start again,
+    /// so that it may be running now.
     fn may_have_restarted(&self, attempt: &Attempt, status: &TaskStatus) -> bool {
         let ended = status.state == TaskState::Exited && status.cause != Some(TaskEndCause::Done);
         ended && attempt.is_idempotent_restart && !self.is_fenced
     }
 
+    /// Applies the reported status of an attempt.
     fn observe(&mut self, attempt: &mut Attempt, status: &TaskStatus, images: &mut Cache) {
         let image_came = attempt.observe_image(status, images, self.now);
         if image_came && let Some(image) = &attempt.image {
@@ -351,7 +358,7 @@
         attempt.observe(status, self.now, &mut self.changes);
     }
 
-    /// A fetch counts once, from when the first of its tasks was placed.
+    /// Records a completed fetch once, measured from when the first of its tasks was placed.
     fn note_completed_fetch(&mut self, image: &Arc<str>, attempt: &Attempt) {
         match self
             .completed_fetches
@@ -368,8 +375,8 @@
     }
 }
 
-/// A task that no record names: this leader never had its start, so it can only be stopped. It counts
-/// until it is gone.
+/// A task that no record lists. This leader does not know its start, so it can only be stopped. It
+/// counts until it is gone.
 fn unrecorded_attempt(task: TaskId, status: &TaskStatus, now: Timestamp) -> Attempt {
     let mut attempt = Attempt::planned(
         task,
@@ -388,7 +395,7 @@
 }
 
 impl Attempt {
-    /// What a report that lists it shows about it.
+    /// Applies the status in a report that lists it.
     fn observe(&mut self, reported: &TaskStatus, now: Timestamp, changes: &mut Vec<Change>) {
         self.sent_in_reply_to = None;
         self.from_previous_leader = false;
@@ -412,8 +419,8 @@
         }
     }
 
-    /// A newer report lacks this attempt: may it still be there? Returns whether
-    /// it stays among the machine's attempts.
+    /// Applies a newer report that does not list the attempt. Returns whether the attempt may still
+    /// be on the machine and is kept.
     fn on_missing(
         &mut self,
         report: ReportNumber,
@@ -439,8 +446,8 @@
                 return true;
             }
         }
-        // It was carried out, and is gone without an end: no worker does that. All the same, it
-        // leaves only once no copy of its start can run it here.
+        // It was started and is gone without an end, which no worker does. Even so, it is removed
+        // only once no duplicate of its start can run it.
         if let Some(last_delivered) = self.last_delivered.take() {
             self.unacknowledged = Some(last_delivered);
             self.stop.get_or_insert(Stop::requested(0.0, 0));
@@ -453,10 +460,10 @@
         false
     }
 }
-/// Whether a start that was sent in the answer to the report `sent` never got there, as a later
-/// report lacks it: the worker is done with that answer, as it sent another report or began an agent
-/// epoch. If the answer to a question counted, a stopped task would be gone here and start from the
-/// delayed answer to the report.
+/// Whether a start that was sent in response to the report `sent` never arrived, given a later
+/// report that does not list it. The worker is done with that response if it sent another report of
+/// its own or began an agent epoch. If the response to a probe counted, a stopped task would be
+/// considered gone and then be started by the delayed response to the report.
 fn never_arrived(sent: ReportNumber, report: ReportNumber, source: ReportSource) -> bool {
     let (sent_epoch, _) = sent;
     let (epoch, _) = report;
--- a/crates/controller/src/allocations/tests.rs
+++ b/crates/controller/src/allocations/tests.rs
@@ -57,26 +57,26 @@
     }
 }
 
-fn verbs(machine: &mut Machine, answering: Option<(u64, u64)>) -> Vec<CommandKind> {
+fn command_kinds(machine: &mut Machine, answering: Option<(u64, u64)>) -> Vec<CommandKind> {
     machine
         .due_commands(answering, true, TOKEN, 0)
         .into_iter()
-        .map(|order| order.kind)
+        .map(|command| command.kind)
         .collect()
 }
 
 #[test]
-fn a_start_is_sent_only_once_it_is_recorded() {
+fn start_is_sent_only_after_it_is_recorded() {
     let mut machine = machine(|attempt| attempt.durable = false);
     assert!(!machine.wants_direct_command(true, 0));
-    assert_eq!(verbs(&mut machine, Some((1, 1))), []);
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), []);
     machine.attempts[0].durable = true;
     assert!(machine.wants_direct_command(true, 0));
-    assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Start]);
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), [CommandKind::Start]);
 }
 
 #[test]
-fn an_older_report_changes_nothing() {
+fn older_report_changes_nothing() {
     let mut machine = machine(|_| ());
     assert!(
         machine
@@ -93,10 +93,10 @@
     assert_eq!(machine.attempts.len(), 1);
 }
 
-// A former leader may still have the start under way: only a worker that has
-// seen this term's token drops it.
+// A previous leader's start may still be in flight. Only a worker that has seen the token of this
+// term drops it.
 #[test]
-fn only_a_fenced_worker_disproves_an_inherited_start() {
+fn inherited_start_is_removed_only_by_a_report_of_a_fenced_worker() {
     let mut machine = machine(|attempt| attempt.from_previous_leader = true);
     machine.apply_heartbeat(&report(1, 1, TOKEN - 1, None), TOKEN, 0);
     assert_eq!(machine.attempts.len(), 1);
@@ -106,10 +106,10 @@
     assert!(machine.attempts.is_empty());
 }
 
-// An unanswered direct command may be carried out minutes later.
+// An unanswered direct command may be executed minutes later.
 #[test]
-fn an_unanswered_start_stays_until_session_or_token_refuse_it() {
-    for (agent_epoch, token, stays) in [(1, TOKEN, true), (2, TOKEN, false), (1, TOKEN + 1, false)] {
+fn unanswered_start_is_kept_until_agent_epoch_or_token_refuses_it() {
+    for (agent_epoch, token, is_kept) in [(1, TOKEN, true), (2, TOKEN, false), (1, TOKEN + 1, false)] {
         let mut machine = machine(|attempt| {
             attempt.start_in_flight = true;
             attempt.reported_state = Some(TaskState::Running);
@@ -118,15 +118,15 @@
         machine.apply_heartbeat(&report(agent_epoch, 7, token, None), TOKEN, 0);
         assert_eq!(
             machine.attempts.len(),
-            usize::from(stays),
-            "session {agent_epoch}, token {token}"
+            usize::from(is_kept),
+            "agent epoch {agent_epoch}, token {token}"
         );
     }
 }
 
-// A stop that is wanted says nothing of a start that is still on its way.
+// A requested stop does not prove that a start in flight was lost.
 #[test]
-fn a_start_on_its_way_stays_although_its_stop_is_wanted() {
+fn start_in_flight_is_kept_when_its_stop_is_requested() {
     let mut machine = machine(|attempt| {
         attempt.start_in_flight = true;
         attempt.stop = Some(Stop::requested(0.0, 0));
@@ -135,29 +135,29 @@
     assert_eq!(machine.attempts.len(), 1);
 }
 
-// After a `forget`, the late start would run the task once more.
+// After a `forget`, the late start would run the task again.
 #[test]
-fn what_may_still_arrive_is_not_forgotten() {
+fn attempt_with_an_unanswered_start_is_not_forgotten() {
     let mut machine = machine(|attempt| attempt.start_in_flight = true);
     machine.on_direct_command_unanswered(TOKEN, 1);
     machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
     machine.attempts[0].end_processed = true;
-    assert_eq!(verbs(&mut machine, Some((1, 1))), []);
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), []);
     assert!(!machine.is_empty());
     machine.apply_heartbeat(&report(1, 2, TOKEN + 1, Some(TaskState::Exited)), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, Some((1, 2))), [CommandKind::Forget]);
+    assert_eq!(command_kinds(&mut machine, Some((1, 2))), [CommandKind::Forget]);
 }
 
-// A copy of the command would run it once more. Its machine may go back all the same.
+// A duplicate of the command would run the task again. Its machine may be released even so.
 #[test]
-fn an_answered_direct_start_is_forgotten_only_under_a_higher_token() {
+fn answered_direct_start_is_forgotten_only_under_a_higher_token() {
     let mut machine = machine(|_| ());
     machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, None), [CommandKind::Start]);
+    assert_eq!(command_kinds(&mut machine, None), [CommandKind::Start]);
     machine.apply_heartbeat(&report(1, 2, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
     machine.attempts[0].end_processed = true;
     let forgets = |machine: &mut Machine, token| machine.due_commands(Some((1, 2)), true, token, 0).len();
-    assert_eq!(forgets(&mut machine, TOKEN + 1), 0, "its answer is under way");
+    assert_eq!(forgets(&mut machine, TOKEN + 1), 0, "its answer is in flight");
     machine.on_direct_command_settled(true, TOKEN, 1);
     assert!(machine.attempts[0].forget_awaits_token(TOKEN));
     assert!(machine.is_empty());
@@ -167,51 +167,52 @@
     assert_eq!(forgets(&mut machine, TOKEN + 1), 1, "seen already");
 }
 
-// No worker loses a task within a agent epoch; should one, a copy may still run it there.
+// No worker loses a task within an agent epoch. If one did, a duplicate of the command could still run
+// the task.
 #[test]
-fn what_is_lost_after_an_answered_direct_start_stays_until_no_copy_can_run_it() {
-    for (agent_epoch, token, stays) in [(1, TOKEN, true), (2, TOKEN, false), (1, TOKEN + 1, false)] {
+fn lost_task_is_kept_until_no_duplicate_of_its_direct_start_can_run_it() {
+    for (agent_epoch, token, is_kept) in [(1, TOKEN, true), (2, TOKEN, false), (1, TOKEN + 1, false)] {
         let mut machine = machine(|attempt| attempt.start_in_flight = true);
         machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
         machine.on_direct_command_settled(true, TOKEN, 1);
         machine.apply_heartbeat(&report(agent_epoch, 2, token, None), TOKEN, 0);
         assert_eq!(
             machine.task_count(),
-            usize::from(stays),
-            "session {agent_epoch}, token {token}"
+            usize::from(is_kept),
+            "agent epoch {agent_epoch}, token {token}"
         );
         machine.apply_heartbeat(&report(agent_epoch, 3, TOKEN + 1, None), TOKEN, 0);
         assert_eq!(machine.task_count(), 0);
     }
 }
 
-// The result would be lost with a leader that has not recorded it.
+// The result would be lost with a leader that fails before recording it.
 #[test]
-fn a_result_is_not_forgotten_before_it_is_recorded() {
+fn result_is_not_forgotten_before_it_is_recorded() {
     let mut machine = machine(|_| ());
     machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Exited)), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, Some((1, 1))), []);
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), []);
     machine.attempts[0].end_processed = true;
-    assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Forget]);
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), [CommandKind::Forget]);
     assert_eq!(
-        verbs(&mut machine, None),
+        command_kinds(&mut machine, None),
         [],
-        "never by a direct command, which may be late"
+        "never in a direct command, which may arrive late"
     );
 }
 
 #[test]
-fn a_start_that_never_arrived_is_sent_again() {
+fn start_that_never_arrived_is_sent_again() {
     let mut machine = machine(|_| ());
     machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Start]);
-    assert_eq!(verbs(&mut machine, None), [], "it is on its way");
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), [CommandKind::Start]);
+    assert_eq!(command_kinds(&mut machine, None), [], "it is in flight");
     machine.apply_heartbeat(&report(1, 2, TOKEN, None), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, Some((1, 2))), [CommandKind::Start]);
+    assert_eq!(command_kinds(&mut machine, Some((1, 2))), [CommandKind::Start]);
 }
 
 #[test]
-fn the_record_names_all_that_may_be_there() {
+fn record_lists_all_attempts_that_may_be_running() {
     let mut machine = machine(|attempt| attempt.durable = false);
     assert_eq!(machine.record(|_| true).starts.len(), 1);
     machine.attempts[0].reported_state = Some(TaskState::Exited);
@@ -224,52 +225,58 @@
 }
 
 #[test]
-fn strangers_are_stopped() {
+fn unrecorded_task_is_stopped() {
     let mut machine = machine(|_| ());
     machine.attempts.clear();
     machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Stop]);
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), [CommandKind::Stop]);
 }
 
-// Each answer renews the lease of what it leaves running.
+// Each answer renews the lease of all tasks that it does not stop.
 #[test]
-fn a_stop_is_in_every_answer_until_the_task_has_heard_it() {
+fn stop_is_in_every_answer_until_the_task_has_received_it() {
     let mut machine = machine(|attempt| attempt.stop = Some(Stop::requested(4.0, 0)));
     let stops = |machine: &mut Machine, answering, now| -> Vec<f64> {
-        let orders = machine.due_commands(answering, true, TOKEN, now);
-        let stops = orders.into_iter().filter(|order| order.kind == CommandKind::Stop);
-        stops.filter_map(|order| order.grace_s).collect()
+        let commands = machine.due_commands(answering, true, TOKEN, now);
+        let stops = commands
+            .into_iter()
+            .filter(|command| command.kind == CommandKind::Stop);
+        stops.filter_map(|command| command.grace_s).collect()
     };
     machine.apply_heartbeat(&report(1, 1, TOKEN, Some(TaskState::Running)), TOKEN, 0);
     assert_eq!(stops(&mut machine, None, 0), [4.0]);
     assert_eq!(
         stops(&mut machine, None, 10),
         [0.0; 0],
-        "directly at intervals only"
+        "in direct commands at intervals only"
     );
     assert_eq!(stops(&mut machine, Some((1, 1)), 20), [4.0]);
     machine.apply_heartbeat(&report(1, 2, TOKEN, Some(TaskState::Running)), TOKEN, 0);
     assert_eq!(stops(&mut machine, Some((1, 2)), 30), [4.0]);
     machine.apply_heartbeat(&report(1, 3, TOKEN, Some(TaskState::Saving)), TOKEN, 0);
-    assert_eq!(stops(&mut machine, Some((1, 3)), 40), [0.0; 0], "it saves");
-    // Its job is over: what it saves is of no use.
+    assert_eq!(
+        stops(&mut machine, Some((1, 3)), 40),
+        [0.0; 0],
+        "it is writing its checkpoint"
+    );
+    // Its job has ended, so the checkpoint is of no use.
     machine.attempts[0].stop = Some(Stop::requested(0.0, 50));
     assert_eq!(stops(&mut machine, Some((1, 3)), 50), [0.0]);
     assert_eq!(stops(&mut machine, Some((1, 3)), 60), [0.0]);
     assert_eq!(
         machine.stop_commands(70).len(),
         1,
-        "also to a report that was overtaken"
+        "also in the answer to an overtaken report"
     );
 }
 
-// The answer to its last report may still be under way when it answers a question: the start in it,
-// thought gone, would run while the task runs elsewhere.
+// The answer to a worker's last report may still be in flight when the worker responds to a probe. If
+// the start in that answer were considered lost, the task could run twice.
 #[test]
-fn only_its_own_next_report_disproves_a_start_that_answered_one() {
+fn start_in_an_answer_is_removed_only_by_the_workers_next_own_report() {
     let mut machine = machine(|_| ());
     machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, Some((1, 1))), [CommandKind::Start]);
+    assert_eq!(command_kinds(&mut machine, Some((1, 1))), [CommandKind::Start]);
     machine.attempts[0].stop = Some(Stop::requested(0.0, 0));
     machine.apply_response(&report(1, 2, TOKEN, None), TOKEN, 0);
     assert_eq!(machine.task_count(), 1);
@@ -278,9 +285,10 @@
     assert_eq!(machine.task_count(), 0);
 }
 
-// A copy of a report from before it joined its attempt again is the first that a new leader hears.
+// The first report that a new leader receives may be a duplicate from before the task rejoined its gang
+// under the same attempt number.
 #[test]
-fn an_old_end_of_a_repeated_attempt_proves_nothing() {
+fn old_end_of_a_restarted_attempt_is_ignored() {
     let mut machine = machine(|attempt| {
         attempt.from_previous_leader = true;
         attempt.is_idempotent_restart = true;
@@ -299,9 +307,9 @@
     assert_eq!(machine.task_count(), 0);
 }
 
-// Copies of a dead machine's reports must not put off the proof that its lease is over.
+// Duplicates of a dead machine's reports must not delay the proof that its lease has expired.
 #[test]
-fn a_copy_of_an_answered_report_renews_no_lease() {
+fn duplicate_of_an_answered_report_renews_no_lease() {
     let mut machine = machine(|_| ());
     let at = |seq| report(1, seq, TOKEN, None);
     machine.record_answered_report(&at(7), 100);
@@ -316,7 +324,7 @@
     Demand::new(&[("seat".to_owned(), 1)].into()).unwrap()
 }
 
-/// What became of units in these changes: whether each linger.
+/// Whether the units linger, for each change that frees some.
 fn freed(changes: Vec<Change>) -> Vec<bool> {
     let freed = changes.into_iter().filter_map(|change| match change {
         Change::Freed { lingers, .. } => Some(lingers),
@@ -326,7 +334,7 @@
 }
 
 #[test]
-fn units_come_back_at_once_only_from_what_says_it_is_done() {
+fn units_are_free_at_once_only_after_a_task_reports_its_end() {
     let done = |why| {
         let mut machine = machine(|attempt| attempt.counts = seat());
         machine.due_commands(Some((1, 0)), true, TOKEN, 0);
@@ -335,7 +343,7 @@
         freed(machine.apply_heartbeat(&exit, TOKEN, 0).unwrap())
     };
     assert_eq!(done(TaskEndCause::Done), [false]);
-    assert_eq!(done(TaskEndCause::NoRoom), [false], "it was never let in");
+    assert_eq!(done(TaskEndCause::NoRoom), [false], "it was never admitted");
     for why in [
         TaskEndCause::Stopped,
         TaskEndCause::Error,
@@ -351,33 +359,38 @@
         attempt.counts = seat();
         attempt.from_previous_leader = true;
     });
-    assert_eq!(freed(machine.clear()), [true], "a former leader may have sent it");
+    assert_eq!(
+        freed(machine.clear()),
+        [true],
+        "a previous leader may have sent it"
+    );
 }
 
-// Nobody saw it run: its start went unanswered, and the agent epoch in which it may have
-// run ended. Its pin was gone by the time the ledger asked whether it had been sent. Its task asks for
-// units like any other start: sent again at once, it could be one too many (see `counts_oracle`).
+// The start went unanswered, and the agent epoch in which it may have run has ended, so nobody saw it
+// run. The unanswered command was dropped before the units were released, so they did not linger. Sent
+// again at once, the task could exceed the count (see `counts_oracle`): it must request units like any
+// other start.
 #[test]
-fn units_of_a_start_that_may_have_run_in_a_session_before_linger() {
+fn units_of_a_start_that_may_have_run_in_an_earlier_epoch_linger() {
     let released = |changes: &[Change]| {
         let released = |change: &&Change| matches!(change, Change::Released(_));
         changes.iter().filter(released).count()
     };
     let mut machine = machine(|attempt| attempt.counts = seat());
     machine.apply_heartbeat(&report(1, 1, TOKEN, None), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, None), [CommandKind::Start]);
+    assert_eq!(command_kinds(&mut machine, None), [CommandKind::Start]);
     machine.on_direct_command_unanswered(TOKEN, 1);
     let changes = machine
         .apply_heartbeat(&report(2, 1, TOKEN, None), TOKEN, 0)
         .unwrap();
     assert_eq!(released(&changes), 1);
     assert_eq!(freed(changes), [true]);
-    assert_eq!(verbs(&mut machine, None), [], "and it is not sent again");
+    assert_eq!(command_kinds(&mut machine, None), [], "and it is not sent again");
     assert!(machine.attempts.is_empty());
     // The answer of an earlier agent epoch arrives after a report of a later one.
     let mut machine = self::machine(|attempt| attempt.counts = seat());
     machine.apply_heartbeat(&report(2, 1, TOKEN, None), TOKEN, 0);
-    assert_eq!(verbs(&mut machine, None), [CommandKind::Start]);
+    assert_eq!(command_kinds(&mut machine, None), [CommandKind::Start]);
     machine.apply_heartbeat(&report(3, 1, TOKEN, None), TOKEN, 0);
     machine.on_direct_command_settled(true, TOKEN, 2);
     let changes = machine
--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -1,4 +1,4 @@
-//! Jobs, tasks, teams and machines in the field's usual terms.
+//! Data model of the scheduler: jobs, tasks, teams, machines and their resources.
 
 use crate::constants::FAILED_MACHINE_AVOIDANCE_MS;
 use crate::protocol::{MachineType, Priority, Shape};
@@ -13,9 +13,10 @@
 use std::ops::{AddAssign, SubAssign};
 use std::sync::Arc;
 
-/// Steady time in milliseconds, from any fixed start.
+/// Monotonic time in milliseconds, from an arbitrary start.
 pub type Timestamp = u64;
 
+/// Identifier of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobId(pub Arc<str>);
@@ -32,6 +33,7 @@
     }
 }
 
+/// Identifier of a machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MachineId(pub Arc<str>);
@@ -48,17 +50,17 @@
     }
 }
 
-/// Machines on which something of a job is or may have been: never fewer than the
-/// ledger says, so that whoever asks after a job need not look at the whole fleet.
+/// Machines on which tasks of each job are or may be running. It may contain too many machines but
+/// never too few, so that the whole fleet need not be searched for a job.
 pub type TaskLocations = HashMap<JobId, BTreeSet<MachineId>>;
 
 /// Machine types that the cloud offers, by name.
 pub type MachineTypes = BTreeMap<String, MachineType>;
 
-/// What a machine is to the cloud: its type, its zone, and whether it is a spot one.
+/// What distinguishes machines to the cloud: type, zone, and whether it is a spot instance.
 pub type MachineKind = (String, String, bool);
 
-/// One task of a job.
+/// Identifies one task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     pub job: JobId,
@@ -72,6 +74,7 @@
 }
 
 impl TaskId {
+    /// Parses `<job>/<index>`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId {
@@ -81,7 +84,7 @@
     }
 }
 
-/// Amounts that a task takes or a machine has.
+/// Resources that a task requires or a machine provides.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
     pub cpus: f64,
@@ -89,40 +92,42 @@
     pub memory_gb: f64,
 }
 
-/// Tolerance for sums of decimal amounts.
+/// Tolerance for rounding errors in sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
 impl Resources {
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPSILON
-            && self.gpus <= room.gpus + EPSILON
-            && self.memory_gb <= room.memory_gb + EPSILON
+    /// Whether no amount exceeds that of `available`.
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + EPSILON
+            && self.gpus <= available.gpus + EPSILON
+            && self.memory_gb <= available.memory_gb + EPSILON
     }
 
-    pub fn scaled_by(&self, n: f64) -> Resources {
+    /// These amounts multiplied by `factor`.
+    pub fn scaled_by(&self, factor: f64) -> Resources {
         Resources {
-            cpus: self.cpus * n,
-            gpus: self.gpus * n,
-            memory_gb: self.memory_gb * n,
+            cpus: self.cpus * factor,
+            gpus: self.gpus * factor,
+            memory_gb: self.memory_gb * factor,
         }
     }
 
-    /// How many such tasks an empty `room` takes.
-    pub fn instances_in(&self, room: &Resources) -> f64 {
-        let per = |need: f64, have: f64| {
-            if need > 0.0 {
-                (have + EPSILON) / need
+    /// How many tasks of this size fit into an empty `capacity`.
+    pub fn instances_in(&self, capacity: &Resources) -> f64 {
+        let instances = |required: f64, available: f64| {
+            if required > 0.0 {
+                (available + EPSILON) / required
             } else {
                 f64::INFINITY
             }
         };
-        per(self.cpus, room.cpus)
-            .min(per(self.gpus, room.gpus))
-            .min(per(self.memory_gb, room.memory_gb))
+        instances(self.cpus, capacity.cpus)
+            .min(instances(self.gpus, capacity.gpus))
+            .min(instances(self.memory_gb, capacity.memory_gb))
             .floor()
     }
 
-    /// The largest share that this takes of any of `whole`'s amounts.
+    /// The largest share of any resource of `whole` that these amounts are.
     pub fn share_of(&self, whole: &Resources) -> f64 {
         let share = |part: f64, whole: f64| if part > 0.0 { part / whole } else { 0.0 };
         share(self.cpus, whole.cpus)
@@ -130,7 +135,7 @@
             .max(share(self.memory_gb, whole.memory_gb))
     }
 
-    /// The smallest share that is left of any of `whole`'s amounts.
+    /// The smallest free share of any resource of `whole`, of which these amounts are free.
     pub fn free_share_of(&self, whole: &Resources) -> f64 {
         let share = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 1.0 };
         share(self.cpus, whole.cpus)
@@ -156,6 +161,7 @@
 }
 
 impl MachineType {
+    /// Resources of a machine of this type.
     pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -164,7 +170,7 @@
         }
     }
 
-    /// Seconds that an image of this size takes to fetch, alone.
+    /// Seconds to fetch an image of this size when nothing else is fetched.
     pub fn fetch_s(&self, image_gb: f64) -> f64 {
         image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE)
     }
@@ -177,8 +183,8 @@
             && (self.gpus_max == 0.0 || used.gpus <= self.gpus_max + EPSILON)
     }
 
-    /// Whether `used` stays within the team's guarantee. A team without any has
-    /// none; where only one amount is guaranteed, the other does not count.
+    /// Whether `used` stays within the team's guarantee. A team without any amounts has no
+    /// guarantee; where only one resource is guaranteed, the other does not count.
     pub fn guarantees(&self, used: &Resources) -> bool {
         (self.cpus > 0.0 || self.gpus > 0.0)
             && (self.cpus == 0.0 || used.cpus <= self.cpus + EPSILON)
@@ -186,7 +192,7 @@
     }
 }
 
-/// A job as accepted. This is also its record in the state service.
+/// An accepted job. This is also its record in the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     pub id: JobId,
@@ -208,27 +214,27 @@
     pub checkpoint_s: f64,
     pub save_s: f64,
     pub deadline_s: Option<f64>,
-    /// Units of counts that each task takes. Not in records of earlier builds.
+    /// Units of counted resources that each task takes. Not in records of earlier builds.
     #[serde(default, skip_serializing_if = "Demand::is_empty")]
     pub counts: Demand,
-    /// Kinds of machines that an expression allows, where there was one.
+    /// Machine kinds that the requirements expression of the job allows, if it had one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kinds: Option<Arc<KindSet>>,
-    /// What a job of a submit file keeps of it.
+    /// The job's part of its cluster, if it came from a submit file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub condor: Option<Arc<Part>>,
-    /// Time of day of the submission at the accepting node, in ms since 1970.
+    /// Wall-clock time of the submission at the accepting node, in ms since 1970.
     pub submitted_ms: u64,
 }
 
 impl JobSpec {
-    /// Whether a task of this job may be on such a machine at all, whatever else
-    /// is there. The one predicate behind intake, placement and renting.
+    /// Whether a task of this job may run on such a machine when it is empty. Admission, placement
+    /// and autoscaling all use this predicate.
     pub fn is_eligible(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
         self.allows(&machine_type.name, zone, spot) && self.needs.fits_in(&machine_type.resources())
     }
 
-    /// Whether the submission allows the type, the zone and the kind of machine.
+    /// Whether the submission allows the type, the zone and spot instances.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (!spot || self.spot)
             && self.zone.as_deref().is_none_or(|only| only == zone)
@@ -242,12 +248,12 @@
                 .is_none_or(|kinds| kinds.step(machine_type, zone, spot).is_some())
     }
 
-    /// The cluster of whose jobs it is one.
+    /// The cluster of a submit file that the job belongs to.
     pub fn cluster(&self) -> Option<u64> {
         self.condor.as_ref().map(|part| part.cluster)
     }
 
-    /// Most tasks that may be in one zone.
+    /// Maximum number of its tasks in one zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -256,45 +262,50 @@
         }
     }
 
+    /// Whether its tasks write checkpoints.
     pub fn writes_checkpoints(&self) -> bool {
         self.checkpoint_s > 0.0
     }
 }
 
-/// Work on a live job, as its leader knows it.
+/// A live job and the leader's state of it.
 #[derive(Debug)]
 pub struct Job {
     pub spec: JobSpec,
-    /// Version of the job's record: a start is recorded only while it holds.
+    /// Version of the job's record. A start is recorded only on condition that it is unchanged.
     pub version: u64,
+    /// Indexes of completed tasks.
     pub done: BTreeSet<u32>,
-    /// Tasks neither done nor possibly on a machine.
+    /// Tasks that are neither done nor possibly on a machine.
     pub waiting: BTreeSet<u32>,
-    /// Machines on which tasks of this job failed, since one last ran well.
+    /// Machines on which tasks of this job failed since a task of it last ran well.
     pub failed_on: BTreeSet<MachineId>,
     /// When the last of them failed.
     pub failed_at: Timestamp,
-    /// It failed on a machine that started other work well afterwards.
+    /// It failed on a machine that later started other work without problems.
     pub failed_on_healthy_machine: bool,
-    /// Rounds of failures on several machines; many tasks failing at once are one.
+    /// Number of rounds of failures on several machines; tasks that fail at the same time count as
+    /// one.
     pub failure_rounds: u32,
-    /// Not placed before then.
+    /// Not placed before this time.
     pub backoff_until: Timestamp,
-    /// Not placed, nor counted as waiting, whatever the time: it is held, or its cluster is
+    /// Neither placed nor counted as waiting at any time, because it is on hold or its cluster is
     /// not accepted yet.
     pub parked: bool,
-    /// Attempt of the gang that is being placed or runs.
+    /// Current attempt of the gang, being placed or running.
     pub gang: Option<crate::scheduling::gangs::GangAttempt>,
-    /// The gang was seen to run, in this term: it waits for no first start.
+    /// The gang was seen running in this term, so it no longer waits for its first start.
     pub has_started: bool,
-    /// What this leader saw of it, for its team's book.
+    /// What this leader observed of it, for the accounts of its team.
     pub execution_stats: ExecutionStats,
-    /// When this leader learnt of the job, for its order among equals.
+    /// Age of the job when this leader loaded it, in ms.
     pub age_ms_at_load: u64,
+    /// When this leader loaded the job.
     pub loaded_at: Timestamp,
 }
 
 impl Job {
+    /// A job of which nothing has been placed yet.
     pub fn new(spec: JobSpec, version: u64, now: Timestamp, wall_ms: u64) -> Job {
         let waiting = (0..spec.tasks).collect();
         let age_ms_at_load = wall_ms.saturating_sub(spec.submitted_ms);
@@ -322,14 +333,14 @@
         self.age_ms_at_load + now.saturating_sub(self.loaded_at)
     }
 
-    /// Its tasks fail on different machines: the job is to blame, not they.
+    /// Its tasks fail on different machines, so the cause is the job rather than they.
     pub fn fails_on_many_machines(&self) -> bool {
         self.failed_on.len() >= crate::constants::FAILING_JOB_MACHINES
     }
 
-    /// Machines on which none of its tasks is tried for a while. A job that fails everywhere avoids none;
-    /// nor does one for ever: on the only machine that there was, sound but for one task's end, it waited for
-    /// good.
+    /// Machines on which none of its tasks is placed for a while. A job that fails everywhere
+    /// avoids none. The avoidance ends after [`FAILED_MACHINE_AVOIDANCE_MS`]: otherwise a job
+    /// waited forever after one failure when the only machine was healthy.
     pub fn avoided_machines(&self, now: Timestamp) -> &BTreeSet<MachineId> {
         static NONE: BTreeSet<MachineId> = BTreeSet::new();
         if self.fails_on_many_machines() || now >= self.failed_at + FAILED_MACHINE_AVOIDANCE_MS {
@@ -339,7 +350,7 @@
         }
     }
 
-    /// Tasks of it that start together or not at all.
+    /// Number of its tasks that must start together.
     pub fn gang_size(&self) -> u32 {
         match self.spec.shape {
             Shape::Gang => self.spec.tasks,
@@ -347,6 +358,7 @@
         }
     }
 
+    /// Whether all its tasks are done. A service never completes.
     pub fn is_complete(&self) -> bool {
         self.spec.shape != Shape::Service && self.done.len() as u32 == self.spec.tasks
     }
