--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -207,7 +207,7 @@
         self.desk.settle(&context, &mut self.io);
         let peers = self.hearing();
         if let Some(term) = &mut self.term {
-            let news = term.settle(
+            let news = term.run_due_work(
                 &mut self.election,
                 &self.types,
                 &self.settings,
@@ -282,7 +282,9 @@
             Route::Health => self.health(request),
             Route::Report => self.report(request, body),
             Route::Submit => self.submit(request, body),
-            Route::Poll(job) => self.job_api.begin(request, job, JobRequest::Poll, &mut self.io),
+            Route::Poll(job) => self
+                .job_api
+                .handle_request(request, job, JobRequest::Poll, &mut self.io),
             Route::Counts | Route::Holders(_) | Route::Explain(..) => self.tell_counts(request, route),
             Route::Metrics => self.tell_metrics(request),
             Route::Condor(..) if self.settings.operator.condor.is_none() => {
@@ -293,7 +295,9 @@
                 let asks = authorization::requesting_team(team.as_deref(), &self.settings);
                 self.condor(request, route, asks, body);
             }
-            Route::Cancel(job) => self.job_api.begin(request, job, JobRequest::Cancel, &mut self.io),
+            Route::Cancel(job) => self
+                .job_api
+                .handle_request(request, job, JobRequest::Cancel, &mut self.io),
         }
     }
 
@@ -317,7 +321,7 @@
         let certain = self.election.is_lease_live(self.io.now);
         match self.term.as_ref().filter(|_| certain) {
             None => self.send_to_leader(request),
-            Some(term) if !term.has_read() => {
+            Some(term) if !term.is_recovered() => {
                 self.io
                     .reply_retry_later(request, RETRY_AFTER_S, "the records are being read");
             }
@@ -350,7 +354,8 @@
         } else {
             request_kind
         };
-        self.job_api.begin(request, job, request_kind, &mut self.io);
+        self.job_api
+            .handle_request(request, job, request_kind, &mut self.io);
     }
 
     /// Not healthy while the state service fails this node but not its peers: they can serve
@@ -386,7 +391,7 @@
         let may_renew = self.election.may_renew_worker_leases(self.io.now);
         if let Some(term) = self.term.as_mut().filter(|_| may_renew) {
             let certain = self.election.is_lease_live(self.io.now);
-            match term.report(request, &report, certain, &mut self.io) {
+            match term.handle_heartbeat(request, &report, certain, &mut self.io) {
                 Ok(()) => return,
                 Err(superseded) => {
                     if let Some(news) = self.election.depose(&superseded.to_string()) {
@@ -409,7 +414,7 @@
 
     /// Every count at a glance, as whoever leads sees it once its records are read.
     pub fn counts(&self) -> Option<Vec<CountStatus>> {
-        let term = self.term.as_ref().filter(|term| term.has_read())?;
+        let term = self.term.as_ref().filter(|term| term.is_recovered())?;
         Some(term.count_status(&self.settings.operator.counts, self.io.now))
     }
 
@@ -421,7 +426,7 @@
         let Some(term) = self.term.as_ref().filter(|_| certain) else {
             return self.send_to_leader(request);
         };
-        if !term.has_read() {
+        if !term.is_recovered() {
             self.io
                 .reply_retry_later(request, RETRY_AFTER_S, "the records are being read");
             return;
@@ -515,7 +520,8 @@
             return;
         }
         if let Some(term) = &mut self.term
-            && let Some(news) = term.answered(call, outcome, &mut self.election, &self.settings, &mut self.io)
+            && let Some(news) =
+                term.handle_response(call, outcome, &mut self.election, &self.settings, &mut self.io)
         {
             self.follow(news);
             return;
@@ -658,10 +664,10 @@
 
     fn hearing(&self) -> PeerView {
         PeerView {
-            all: self.peers.len(),
-            fresh: self.fresh().count(),
-            hears: self.fresh().map(|beat| beat.workers_heard).max().unwrap_or(0),
-            found_ms: self.found_ms(),
+            total: self.peers.len(),
+            recently_heard: self.fresh().count(),
+            max_workers_heard: self.fresh().map(|beat| beat.workers_heard).max().unwrap_or(0),
+            worker_failover_ms: self.found_ms(),
         }
     }
 
--- a/crates/controller/src/scheduling/placement/consolidation.rs
+++ b/crates/controller/src/scheduling/placement/consolidation.rs
@@ -29,21 +29,27 @@
         if !CONSOLIDATE_REPLICAS || busy {
             return;
         }
-        let most = REPLICA_MOVES_PER_PASS.max((REPLICA_MOVES_SHARE * self.capacities.len() as f64) as usize);
+        let max_moves =
+            REPLICA_MOVES_PER_PASS.max((REPLICA_MOVES_SHARE * self.capacities.len() as f64) as usize);
         let used_share = |capacity: &MachineCapacity<'_>| match capacity.machine_type {
             Some(machine_type) => 1.0 - capacity.free.free_share_of(&machine_type.resources()),
             None => 1.0,
         };
         let mut emptiest: Vec<(f64, usize)> = (0..self.capacities.len())
-            .filter(|at| self.capacities[*at].usable && !self.capacities[*at].running.is_empty())
-            .map(|at| (used_share(&self.capacities[at]), at))
+            .filter(|machine_index| {
+                self.capacities[*machine_index].usable && !self.capacities[*machine_index].running.is_empty()
+            })
+            .map(|machine_index| (used_share(&self.capacities[machine_index]), machine_index))
             .collect();
         emptiest.sort_by(|(left, _), (right, _)| left.total_cmp(right));
         let mut free: Vec<Resources> = self.capacities.iter().map(|capacity| capacity.free).collect();
         let mut targets = HashSet::new();
-        let mut left = most;
-        for (share, from) in emptiest.into_iter().take(CONSOLIDATION_TRIES_PER_PASS * most) {
-            if share > CONSOLIDATE_BELOW_SHARE || left == 0 {
+        let mut remaining = max_moves;
+        for (share, from) in emptiest
+            .into_iter()
+            .take(CONSOLIDATION_TRIES_PER_PASS * max_moves)
+        {
+            if share > CONSOLIDATE_BELOW_SHARE || remaining == 0 {
                 return;
             }
             // What others are moving to stays.
@@ -56,9 +62,9 @@
             let machine = self.capacities[from].machine.id.clone();
             // It takes nothing itself any more.
             free[from] = Resources::default();
-            for replica in moves.into_iter().take(left) {
+            for replica in moves.into_iter().take(remaining) {
                 targets.insert(replica.to);
-                left -= 1;
+                remaining -= 1;
                 self.stop(replica.attempt, machine.clone());
             }
         }
@@ -125,7 +131,7 @@
         (0..self.capacities.len()).find(|to| {
             *to != from
                 && job.spec.needs.fits_in(&free[*to])
-                && self.allowed(&requirements, *to, &zones)
+                && self.is_allowed(&requirements, *to, &zones)
                 && self.has_image(&requirements, *to)
                 && self.capacities[*to].free.gpus.max(0.0) <= source.free.gpus
                 && self.capacities[*to].free.cpus <= source.free.cpus
@@ -134,18 +140,18 @@
 
     /// Zones to which a replica may move.
     fn move_zones(&self, job: &Job, source: &MachineCapacity<'_>) -> OpenZones {
-        match (job.spec.spread && job.spec.tasks > 1, source.place) {
+        match (job.spec.spread && job.spec.tasks > 1, source.type_and_zone) {
             // Where one zone holds too many already, the spread decides, not this.
-            (true, Some((_, own))) => (0..self.cluster.deployment.zones.len())
-                .map(|zone| zone == own)
+            (true, Some((_, own_zone))) => (0..self.cluster.deployment.zones.len())
+                .map(|zone| zone == own_zone)
                 .collect(),
             // What moves leaves its own zone, and makes place there: counted still, it
             // closed the zone to itself, and where there is no other zone nothing
             // ever moved.
-            (_, place) => {
-                let mut tasks_by_zone = self.zones_of(&job.spec.id);
-                if let Some((_, own)) = place {
-                    tasks_by_zone[own] = tasks_by_zone[own].saturating_sub(1);
+            (_, type_and_zone) => {
+                let mut tasks_by_zone = self.job_tasks_by_zone(&job.spec.id);
+                if let Some((_, own_zone)) = type_and_zone {
+                    tasks_by_zone[own_zone] = tasks_by_zone[own_zone].saturating_sub(1);
                 }
                 self.open_zones(&job.spec, &tasks_by_zone)
             }
