--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -1,8 +1,9 @@
-//! The leader's writes: gathered in batches, one transaction in flight at a time,
-//! each guarded by the leader's key and by the versions of what it replaces, so
-//! that a late one is refused. Machines share records ("shards"), and so do completed
-//! tasks: the state service counts changed keys, and a fleet starts dozens of tasks
-//! a second on as many machines.
+//! The leader's writes, collected in batches with one transaction in flight at a time.
+//!
+//! Each transaction is conditional on the leader's key and on the versions of the records that it
+//! replaces, so that a late one is refused. Machines share records ("shards"), and so do completed
+//! tasks: the state service counts changed keys, and a fleet starts dozens of tasks a second on as
+//! many machines.
 
 mod completed_tasks;
 mod machine_shards;
@@ -32,41 +33,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use transaction::{FinishedTransaction, TransactionBuilder, WrittenShard, put, put_text};
 
-/// The number after all those that are taken.
+/// The number after the highest one taken.
 fn next_number<T>(taken: &BTreeMap<u32, T>) -> u32 {
     taken.last_key_value().map_or(0, |(number, _)| number + 1)
 }
 
-/// What a leader has to write, and the transaction that is in flight.
+/// The leader's pending writes, and the transaction in flight.
 #[derive(Debug)]
 pub struct BatchWriter {
     /// The fencing token: the version of the leader's key.
     pub token: u64,
-    /// A renewal under this token went unanswered: it may be carried out at any time.
+    /// The token under which a renewal went unanswered. That renewal may still be executed.
     unanswered_renewal: Option<u64>,
     /// Units of the transaction in flight.
     in_flight: Option<Vec<WriteUnit>>,
-    /// No transaction is sent before then.
+    /// No transaction is sent before this time.
     pub retry_at: Timestamp,
     rereads: Rereads,
-    /// Jobs all of whose tasks are done.
+    /// Completed jobs to be moved to the ended ones.
     pub jobs_to_finish: BTreeSet<JobId>,
-    /// Rentals to be recorded.
+    /// Launch requests to be recorded.
     pub rentals_to_record: BTreeSet<String>,
     /// Values of protection windows to be written.
     pub protection_window_writes: Vec<indigopath_protection_windows::Write>,
-    /// Keys that nobody needs any more.
+    /// Keys to be deleted.
     pub obsolete_keys: BTreeSet<String>,
-    /// Jobs recorded as done since this was last emptied, and whose they were.
+    /// Jobs recorded as done since this was last emptied, with their teams.
     pub recently_finished: Vec<(JobId, Team)>,
-    /// Jobs that ended here, with their records' versions.
+    /// Jobs that ended under this leader, with the versions of their records.
     ended_jobs: ExpiringCache<u64>,
     machine_shards: MachineShards,
     completed_tasks: CompletedTasks,
 }
 
 impl BatchWriter {
-    /// A writer that knows no record yet.
+    /// A writer that knows no records yet.
     pub fn new(token: u64, settings: &Settings) -> BatchWriter {
         let max_value_bytes = (settings.deployment.state.value_kb * BYTES_PER_KB * MAX_VALUE_SHARE) as usize;
         BatchWriter {
@@ -88,117 +89,120 @@
 
     // ---- shards of machines --------------------------------------------------
 
-    /// Something about this machine is to be recorded before anything is sent.
+    /// The machine's record must be written before anything depending on it is sent.
     pub fn queue_machine(&mut self, machine: &mut Machine) {
         self.machine_shards.queue_machine(machine);
     }
 
-    /// A machine's place, as read from the records.
+    /// Assigns a machine to the shard that a record lists it in.
     pub fn assign_shard(&mut self, machine: &mut Machine, number: u32, version: u64) {
         self.machine_shards.assign_shard(machine, number, version);
     }
 
-    /// Units of an attempt that is gone linger. They are recorded where it stood, with
-    /// the next record that lacks it.
+    /// Units of a removed attempt linger. They are recorded in the attempt's shard, with the next
+    /// record that omits the attempt.
     pub fn add_linger(&mut self, number: Option<u32>, linger: Linger) {
         self.machine_shards.add_linger(number, linger);
     }
 
-    /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub fn load_lingers(&mut self, number: u32, version: u64, lingers: LingerSet, spent: bool) {
-        self.machine_shards.load_lingers(number, version, lingers, spent);
+    /// Loads lingering units from a record. `lists_freed_units` says whether it lists others that no longer
+    /// linger.
+    pub fn load_lingers(&mut self, number: u32, version: u64, lingers: LingerSet, lists_freed_units: bool) {
+        self.machine_shards
+            .load_lingers(number, version, lingers, lists_freed_units);
     }
 
-    /// The machine is gone. While units linger that stood in its shard, a licence server may name its
-    /// clients: until when, if at all.
+    /// The machine is gone. While units of its shard linger, a licence server may list its clients:
+    /// returns until when, if at all.
     pub fn on_machine_released(&mut self, shard: u32, machine: &MachineId) -> Option<Timestamp> {
         self.machine_shards.on_machine_released(shard, machine)
     }
 
-    /// A machine that is gone, as read from a record.
+    /// Loads a released machine from a record.
     pub fn load_released_machine(&mut self, shard: u32, machine: MachineId, until: Timestamp) {
         self.machine_shards.load_released_machine(shard, machine, until);
     }
 
-    /// Units that this shard's record may name are free: it is written before any start that could get
-    /// them.
+    /// Units that this shard's record may list are free. It is written before any start that could
+    /// get them.
     pub fn on_units_freed(&mut self, shard: u32) {
         self.machine_shards.on_units_freed(shard);
     }
 
-    /// All units that linger still.
+    /// All units that still linger.
     pub fn active_lingers(&mut self, now: Timestamp) -> Vec<Linger> {
         self.machine_shards.active_lingers(now)
     }
 
-    /// Every entry of lingering units, by shard.
+    /// All lingering units, by shard.
     pub fn shard_lingers(&self) -> impl Iterator<Item = ShardLinger<'_>> {
         self.machine_shards.shard_lingers()
     }
 
-    /// A machine is gone; its shard is written without it when there is room.
+    /// A machine is gone; its shard is written without it when a transaction has room.
     pub fn remove_machine(&mut self, machine: &Machine) {
         self.machine_shards.remove(machine);
     }
 
-    /// Shards were written under this revision.
+    /// Shards were written at this revision.
     pub fn on_shards_written(&mut self, written: &[WrittenShard], version: u64) {
         self.machine_shards.on_written(written, version);
     }
 
-    /// The version of a shard that was read again; it is written again.
+    /// The version of a shard was read again; the shard is written again.
     pub fn on_shard_reread(&mut self, number: u32, version: u64) {
         self.machine_shards.on_reread(number, version);
     }
 
     // ---- completed tasks -----------------------------------------------------
 
-    /// A task is done and must be recorded before its worker forgets it.
+    /// A task is done, and must be recorded before its worker forgets it.
     pub fn add_completed_task(&mut self, job: &Job, task: u32, now: Timestamp) {
         self.completed_tasks.add(job, task, now);
     }
 
-    /// The place of a chunk of a job's tasks, as read from the records.
+    /// Assigns a chunk of a job's tasks to the record that lists it.
     pub fn assign_chunk(&mut self, chunk: (JobId, u32), bytes: usize, number: u32) {
         self.completed_tasks.assign_chunk(chunk, bytes, number);
     }
 
-    /// A record of completed tasks was read, whatever stands in it.
+    /// A record of completed tasks was read, whatever it contains.
     pub fn load_completed_tasks_version(&mut self, number: u32, version: u64) {
         self.completed_tasks.load_version(number, version);
     }
 
-    /// The version of a record of completed tasks that was written, or read again.
+    /// Version of a record of completed tasks that was written or read again.
     pub fn set_completed_tasks_version(&mut self, number: u32, version: u64) {
         self.completed_tasks.set_version(number, version);
     }
 
     // ---- jobs ----------------------------------------------------------------
 
-    /// A job is over; nothing of it will be written any more. What a record still
-    /// says of it goes when the record is next written.
+    /// A job has ended, and nothing of it is written any more. What a record still contains of it
+    /// is removed when the record is next written.
     pub fn remove_job(&mut self, id: &JobId, job: &Job) {
-        // A term may last for weeks and end four jobs a second: all of them kept were a megabyte an
-        // hour. A late notice comes within seconds, and a flood ends so many in half a minute.
+        // A term may last for weeks with four ends of jobs a second: keeping all of them would take
+        // a megabyte an hour. A late notice arrives within seconds, and a flood ends as many as are
+        // kept in half a minute.
         self.ended_jobs.insert(id.clone(), job.version);
         self.jobs_to_finish.remove(id);
         self.completed_tasks.remove_job(id, job.spec.tasks);
     }
 
-    /// Version of a job's record when it ended here, so that a late notice of its
-    /// acceptance does not bring it back.
+    /// Version of a job's record when it ended under this leader, so that a late notice of its
+    /// acceptance does not restore it.
     pub fn ended_version(&self, id: &JobId) -> u64 {
         self.ended_jobs.get(id).copied().unwrap_or(0)
     }
 
     // ---- transactions --------------------------------------------------------
 
-    /// A transaction may be sent.
+    /// Whether a transaction may be sent.
     pub fn can_send(&self, now: Timestamp) -> bool {
         self.in_flight.is_none() && !self.is_stalled(now)
     }
 
-    /// Writes fail: planning more starts would only pile them up.
+    /// Whether writes are failing, so that planning more starts would only pile them up.
     pub fn is_stalled(&self, now: Timestamp) -> bool {
         now < self.retry_at || !self.rereads.is_empty()
     }
@@ -210,7 +214,7 @@
         }
     }
 
-    /// A transaction that only renews the leader's key; it counts as in flight.
+    /// Builds a transaction that only renews the leader's key, and marks it as in flight.
     pub fn begin_renewal(&mut self, renewal: Change) -> Vec<u8> {
         self.in_flight = Some(vec![WriteUnit::Renewal]);
         json(&Transaction {
@@ -219,9 +223,9 @@
         })
     }
 
-    /// Puts the next transaction together, with at most `max_changes`, and counts it as in flight.
-    /// What others wait for comes first; starts take what is left, which is most of it. Returns its
-    /// body and how many changes it has.
+    /// Builds the next transaction with at most `max_changes`, and marks it as in flight. Writes
+    /// that others wait for come first; starts use the rest, which is most of it. Returns the body
+    /// and the number of changes.
     pub(crate) fn begin_batch(
         &mut self,
         max_changes: usize,
@@ -253,9 +257,9 @@
         Some((body, changes))
     }
 
-    /// A done job moves to the ended ones in one transaction, so that done and
-    /// cancelled exclude each other; its accounting entry goes with it. Where many ended
-    /// at once, the teams take turns.
+    /// Moves completed jobs to the ended ones, each in one transaction, so that completion and
+    /// cancellation exclude each other; the accounting entry is part of it. Where many jobs end at
+    /// once, the teams take turns.
     fn write_finished_jobs(
         &mut self,
         transaction: &mut TransactionBuilder,
@@ -265,7 +269,7 @@
         let mut turns = FairQueue::new(usize::MAX);
         for id in std::mem::take(&mut self.jobs_to_finish) {
             if let Some(job) = jobs.get(&id) {
-                // There is room for all.
+                // The queue is unbounded.
                 let _ = turns.push(&Team::named(&job.spec.team), 1, 1, id);
             }
         }
@@ -332,19 +336,18 @@
         }
     }
 
-    /// The transaction in flight was answered, or given up: its units.
+    /// Takes the units of the transaction in flight, which was answered or timed out.
     pub fn take_in_flight(&mut self) -> Vec<WriteUnit> {
         self.in_flight.take().unwrap_or_default()
     }
 
-    /// The transaction was not, or may not have been, carried out: its units are
-    /// written again.
+    /// Queues the units of a transaction again that was not, or may not have been, executed.
     pub fn requeue(&mut self, units: &[WriteUnit], now: Timestamp) {
         for unit in units {
             match unit {
                 WriteUnit::Renewal | WriteUnit::ProtectionWindows { .. } => (),
-                WriteUnit::Shards { shards: numbers, .. } => {
-                    for shard in numbers {
+                WriteUnit::Shards { shards, .. } => {
+                    for shard in shards {
                         self.machine_shards.queue(shard.number);
                     }
                 }
@@ -364,7 +367,7 @@
         }
     }
 
-    /// Nobody knows whether a renewal was, or will be, carried out.
+    /// A renewal went unanswered, so it is unknown whether it was or will be executed.
     pub fn on_renewal_unanswered(&mut self) {
         self.unanswered_renewal = Some(self.token);
     }
@@ -376,12 +379,12 @@
 
     // ---- keys to be read again -----------------------------------------------
 
-    /// The version of this key must be read before anything more is written.
+    /// The version of this key must be read again before anything else is written.
     pub fn queue_reread(&mut self, key: String) {
         self.rereads.add(key);
     }
 
-    /// The next key whose version must be read, if none is being read.
+    /// The next key whose version must be read, if no read is in flight.
     pub fn next_reread(&mut self, now: Timestamp) -> Option<String> {
         self.rereads.next(now)
     }
@@ -391,7 +394,7 @@
         self.rereads.on_read(key);
     }
 
-    /// The key could not be read; it is read again after a while.
+    /// The key could not be read; it is read again later.
     pub fn on_reread_failed(&mut self, key: String, now: Timestamp) {
         self.rereads.on_failed(key, now);
     }
--- a/crates/controller/src/storage/batch_writer/completed_tasks.rs
+++ b/crates/controller/src/storage/batch_writer/completed_tasks.rs
@@ -1,4 +1,4 @@
-//! Which record holds which completed tasks, and which of them are not recorded yet.
+//! Assignment of completed tasks to records, and the tasks that are not recorded yet.
 
 use super::next_number;
 use super::transaction::{TransactionBuilder, WriteUnit, put};
@@ -14,19 +14,19 @@
 /// A job and the number of a chunk of its tasks.
 pub(super) type ChunkId = (JobId, u32);
 
-/// A record shared by several jobs' completed tasks.
+/// A record shared by the completed tasks of several jobs.
 #[derive(Debug, Default)]
-struct DoneShard {
+struct CompletedTasksShard {
     version: u64,
-    /// With each, the most bytes that it ever takes.
+    /// The chunks, each with the maximum of bytes that it may take.
     chunks: BTreeMap<ChunkId, usize>,
     /// Completed tasks that are not recorded yet.
     pending: BTreeMap<ChunkId, BTreeSet<u32>>,
-    /// Since when there are any.
+    /// When the first of them was added.
     pending_since: Timestamp,
 }
 
-impl DoneShard {
+impl CompletedTasksShard {
     fn bytes(&self) -> usize {
         self.chunks.values().sum()
     }
@@ -58,7 +58,7 @@
 /// The records of completed tasks.
 #[derive(Debug)]
 pub(super) struct CompletedTasks {
-    shards: BTreeMap<u32, DoneShard>,
+    shards: BTreeMap<u32, CompletedTasksShard>,
     shard_of_chunk: HashMap<ChunkId, u32>,
     max_value_bytes: usize,
 }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A task is done and is to be recorded.
+    /// A task is done and must be recorded.
     pub(super) fn add(&mut self, job: &Job, task: u32, now: Timestamp) {
         let chunk = (job.spec.id.clone(), chunk_of(task));
         let bytes = max_chunk_bytes(job.spec.tasks);
@@ -96,20 +96,20 @@
             .map_or_else(|| next_number(&self.shards), |(number, _)| *number)
     }
 
-    /// A chunk's place, as chosen or as read from the records.
+    /// Assigns a chunk to a record, chosen now or read from the state service.
     pub(super) fn assign_chunk(&mut self, chunk: ChunkId, bytes: usize, number: u32) {
         let shard = self.shards.entry(number).or_default();
         shard.chunks.insert(chunk.clone(), bytes);
         self.shard_of_chunk.insert(chunk, number);
     }
 
-    /// A record was read, whatever stands in it.
+    /// A record was read, whatever it contains.
     pub(super) fn load_version(&mut self, number: u32, version: u64) {
         let shard = self.shards.entry(number).or_default();
         shard.version = shard.version.max(version);
     }
 
-    /// A record that is known has this version now.
+    /// A known record has this version now.
     pub(super) fn set_version(&mut self, number: u32, version: u64) {
         if let Some(shard) = self.shards.get_mut(&number) {
             shard.version = version;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// These tasks may not have been recorded: they are written again.
+    /// These tasks may not have been recorded, and are written again.
     pub(super) fn on_failed(
         &mut self,
         number: u32,
@@ -169,7 +169,7 @@
             return;
         };
         for (chunk, tasks) in tasks {
-            // A job that ended meanwhile has no place there any more.
+            // A job that ended in the meantime is no longer part of the record.
             if shard.chunks.contains_key(chunk) {
                 shard.add_pending(chunk.clone(), tasks.iter().copied(), now);
             }
--- a/crates/controller/src/storage/batch_writer/machine_shards.rs
+++ b/crates/controller/src/storage/batch_writer/machine_shards.rs
@@ -1,5 +1,5 @@
-//! Shards of machines: which record holds which machine, which of them must be written, and what they
-//! say.
+//! Shards: assignment of machines to records, the queue of records to be written, and their
+//! contents.
 
 use super::next_number;
 use super::transaction::{PlannedStart, TransactionBuilder, WriteUnit, WrittenShard, put_text};
@@ -18,20 +18,22 @@
 struct Shard {
     version: u64,
     machines: BTreeSet<MachineId>,
-    /// Units of attempts that stood here: they stay in the record from which their
-    /// attempts go, so that at no time either is missing.
+    /// Lingering units of attempts that were in this shard. They stay in the record from which their
+    /// attempts are removed, so that at no time both are missing.
     lingers: LingerSet,
-    /// Those of them that a former leader recorded, as they were read.
+    /// Those of them that a previous leader recorded.
     inherited_lingers: LingerSet,
-    /// Machines that stood here and are gone, and until when a licence server may name their clients.
+    /// Released machines that were in this shard, and until when a licence server may list their
+    /// clients.
     released: Vec<(MachineId, Timestamp)>,
-    /// Half of its machines moved to that shard, and nobody knows yet whether this
-    /// is recorded: until then both are written in one transaction only, so that
-    /// at no time a start stands in neither.
+    /// Half of its machines moved to that shard, and it is not known yet whether this is recorded.
+    /// Until then both are written in one transaction only, so that at no time a start is missing
+    /// from both.
     split_to: Option<u32>,
+    /// The shard that its machines came from, in the same case.
     split_from: Option<u32>,
-    /// Its record may name units that are free by now, and may stand in another record soon.
-    names_freed_units: bool,
+    /// Its record may list units that are free by now, and that another record may soon list.
+    lists_freed_units: bool,
 }
 
 impl Shard {
@@ -39,7 +41,8 @@
         self.split_to.is_some() || self.split_from.is_some()
     }
 
-    /// Beyond the most, those that are named for the shortest time are left out.
+    /// Adds a released machine. Beyond the maximum, those that are listed for the shortest time are
+    /// dropped.
     fn add_released(&mut self, machine: MachineId, until: Timestamp) {
         self.released.push((machine, until));
         if self.released.len() > RELEASED_MACHINES_PER_SHARD {
@@ -49,33 +52,33 @@
     }
 }
 
-/// Units that linger, and the record that says so.
+/// Lingering units and the shard that records them.
 #[derive(Debug, Clone, Copy)]
 pub struct ShardLinger<'a> {
     /// Number of the shard.
     pub shard: u32,
-    /// A former leader recorded it.
+    /// A previous leader recorded it.
     pub inherited: bool,
-    /// What lingers.
+    /// The lingering units.
     pub linger: &'a Linger,
 }
 
-/// What shards are written from.
+/// The state from which shards are encoded.
 pub(super) struct ShardSources<'a> {
     pub(super) machines: &'a mut BTreeMap<MachineId, Machine>,
     pub(super) jobs: &'a BTreeMap<JobId, Job>,
     pub(super) now: Timestamp,
-    /// Time of day in ms since 1970.
+    /// Wall-clock time in ms since 1970.
     pub(super) wall_ms: u64,
 }
 
-/// The shards of machines.
+/// All shards of machines.
 #[derive(Debug)]
 pub(super) struct MachineShards {
     shards: BTreeMap<u32, Shard>,
-    /// Shards that must be written before something is sent, the oldest first.
+    /// Shards that must be written before commands are sent, the oldest first.
     urgent: VecDeque<u32>,
-    /// Shards that name machines which are gone: written when there is room.
+    /// Shards that list machines which are gone, written when a transaction has room.
     stale: BTreeSet<u32>,
     max_value_bytes: usize,
 }
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Something about this machine is to be recorded before anything is sent.
+    /// The machine's record must be written before anything depending on it is sent.
     pub(super) fn queue_machine(&mut self, machine: &mut Machine) {
         let number = match machine.shard {
             Some(number) => number,
@@ -111,7 +114,7 @@
             .map_or_else(|| next_number(&self.shards), |(number, _)| *number)
     }
 
-    /// A machine's place, as chosen or as read from the records.
+    /// Assigns a machine to a shard, chosen now or read from the state service.
     pub(super) fn assign_shard(&mut self, machine: &mut Machine, number: u32, version: u64) {
         let shard = self.shards.entry(number).or_default();
         shard.machines.insert(machine.id.clone());
@@ -119,11 +122,11 @@
         machine.shard = Some(number);
     }
 
-    /// Units of an attempt that is gone linger. They are recorded where it stood, with
-    /// the next record that lacks it.
+    /// Units of a removed attempt linger. They are recorded in the attempt's shard, with the next
+    /// record that omits the attempt.
     pub(super) fn add_linger(&mut self, number: Option<u32>, linger: Linger) {
         let number = number.unwrap_or_else(|| {
-            // A machine that never had a record: any will do.
+            // A machine that never had a record: any shard will do.
             let number = self.shards.keys().next().copied().unwrap_or(0);
             self.stale.insert(number);
             number
@@ -131,19 +134,26 @@
         self.shards.entry(number).or_default().lingers.add(linger);
     }
 
-    /// Lingering units as read from a record; `spent` if it names others that linger no longer.
-    pub(super) fn load_lingers(&mut self, number: u32, version: u64, lingers: LingerSet, spent: bool) {
+    /// Loads lingering units from a record. `lists_freed_units` says whether it lists others that no longer
+    /// linger.
+    pub(super) fn load_lingers(
+        &mut self,
+        number: u32,
+        version: u64,
+        lingers: LingerSet,
+        lists_freed_units: bool,
+    ) {
         let shard = self.shards.entry(number).or_default();
         shard.version = shard.version.max(version);
         shard.inherited_lingers = lingers.clone();
         shard.lingers = lingers;
-        if spent {
+        if lists_freed_units {
             self.on_units_freed(number);
         }
     }
 
-    /// The machine is gone. While units linger that stood here, a licence server may name its clients:
-    /// until when, if at all.
+    /// The machine is gone. While units of this shard linger, a licence server may list its
+    /// clients: returns until when, if at all.
     pub(super) fn on_machine_released(&mut self, number: u32, machine: &MachineId) -> Option<Timestamp> {
         let shard = self.shards.get_mut(&number)?;
         let until = shard.lingers.iter().map(|linger| linger.until).max()?;
@@ -152,7 +162,7 @@
         Some(until)
     }
 
-    /// A machine that is gone, as read from a record.
+    /// Loads a released machine from a record.
     pub(super) fn load_released_machine(&mut self, number: u32, machine: MachineId, until: Timestamp) {
         self.shards
             .entry(number)
@@ -160,16 +170,16 @@
             .add_released(machine, until);
     }
 
-    /// Units that this shard's record may name are free. It is written before any start that could get
-    /// them, or a new leader would read them twice, as held here and there.
+    /// Units that this shard's record may list are free. It is written before any start that could
+    /// get them; otherwise a new leader could find them held in two records.
     pub(super) fn on_units_freed(&mut self, number: u32) {
         if let Some(shard) = self.shards.get_mut(&number) {
-            shard.names_freed_units = true;
+            shard.lists_freed_units = true;
             self.queue(number);
         }
     }
 
-    /// Every entry of lingering units, by shard.
+    /// All lingering units, by shard.
     pub(super) fn shard_lingers(&self) -> impl Iterator<Item = ShardLinger<'_>> {
         self.shards.iter().flat_map(|(number, shard)| {
             shard.lingers.iter().map(|linger| ShardLinger {
@@ -180,7 +190,7 @@
         })
     }
 
-    /// All units that linger still.
+    /// All units that still linger.
     pub(super) fn active_lingers(&mut self, now: Timestamp) -> Vec<Linger> {
         let mut lingers = Vec::new();
         let mut freed = Vec::new();
@@ -207,13 +217,13 @@
         }
     }
 
-    /// The shard must be written; before all others if its record names units that are free.
+    /// The shard must be written, and before all others if its record lists units that are free.
     pub(super) fn queue(&mut self, number: u32) {
-        let names_freed_units = self
+        let lists_freed_units = self
             .shards
             .get(&number)
-            .is_some_and(|shard| shard.names_freed_units);
-        if names_freed_units {
+            .is_some_and(|shard| shard.lists_freed_units);
+        if lists_freed_units {
             self.urgent.retain(|queued| *queued != number);
             self.urgent.push_front(number);
         } else if !self.urgent.contains(&number) {
@@ -221,20 +231,20 @@
         }
     }
 
-    /// Shards were written under this revision.
+    /// Shards were written at this revision.
     pub(super) fn on_written(&mut self, written: &[WrittenShard], version: u64) {
         for WrittenShard { number, deleted } in written {
             if let Some(shard) = self.shards.get_mut(number) {
                 shard.version = if *deleted { 0 } else { version };
                 shard.split_to = None;
                 shard.split_from = None;
-                // Units that were freed while it was in flight have queued it again.
-                shard.names_freed_units &= self.urgent.contains(number);
+                // If units were freed while it was in flight, it has been queued again.
+                shard.lists_freed_units &= self.urgent.contains(number);
             }
         }
     }
 
-    /// The version of a shard that was read again; it is written again.
+    /// The version of a shard was read again; the shard is written again.
     pub(super) fn on_reread(&mut self, number: u32, version: u64) {
         if let Some(shard) = self.shards.get_mut(&number) {
             shard.version = version;
@@ -252,14 +262,14 @@
                 return;
             };
             if !self.write(number, transaction, sources) {
-                // It takes the first place in the next batch.
+                // It goes first in the next batch.
                 self.urgent.push_front(number);
                 return;
             }
         }
     }
 
-    /// Adds one shard that names machines which are gone, if there is room.
+    /// Adds one shard that lists machines which are gone, if there is room.
     pub(super) fn write_stale(&mut self, transaction: &mut TransactionBuilder, sources: &mut ShardSources) {
         if !transaction.is_full()
             && let Some(number) = self.stale.first().copied()
@@ -269,8 +279,8 @@
         }
     }
 
-    /// Writes a shard with as many of its planned starts as the transaction has
-    /// conditions for; false if it does not fit any more.
+    /// Writes a shard with as many of its planned starts as the transaction has conditions for.
+    /// Returns false if the shard does not fit.
     fn write(
         &mut self,
         number: u32,
@@ -286,28 +296,28 @@
             return true;
         };
         let split_to = shard.split_to;
-        let mut gathered = GatheredStarts::default();
-        let mut contents = vec![gathered.contents(number, shard, transaction, sources)];
+        let mut collected = CollectedStarts::default();
+        let mut contents = vec![collected.contents(number, shard, transaction, sources)];
         if let Some(next) = split_to
             && let Some(shard) = self.shards.get(&next)
         {
-            contents.push(gathered.contents(next, shard, transaction, sources));
+            contents.push(collected.contents(next, shard, transaction, sources));
         }
-        let mut values = texts(&contents);
+        let mut values = encode_values(&contents);
         if split_to.is_none() && self.is_too_large(&values[0]) && contents[0].machines.len() > 1 {
-            let other_half = self.split(&mut contents[0], sources.machines);
-            contents.push(other_half);
-            values = texts(&contents);
+            let second_half = self.split(&mut contents[0], sources.machines);
+            contents.push(second_half);
+            values = encode_values(&contents);
         }
         if values.iter().any(|value| self.is_too_large(value)) {
             log::error!("shard too large shard={number}");
             return true;
         }
-        let left_out = gathered.left_out;
-        let Some(written) = self.add_to(transaction, contents, values, gathered) else {
+        let has_omitted_starts = collected.has_omitted_starts;
+        let Some(written) = self.add_to(transaction, contents, values, collected) else {
             return true;
         };
-        if written && left_out {
+        if written && has_omitted_starts {
             self.queue(number);
         }
         written
@@ -317,17 +327,17 @@
         value.get().len() > self.max_value_bytes
     }
 
-    /// Adds these shards to a transaction. `None` if there is nothing to write, false if they do not
-    /// fit.
+    /// Adds these shards to a transaction. `None` if there is nothing to write, false if they do
+    /// not fit.
     fn add_to(
         &mut self,
         transaction: &mut TransactionBuilder,
         contents: Vec<ShardContents>,
         values: Vec<Box<RawValue>>,
-        gathered: GatheredStarts,
+        collected: CollectedStarts,
     ) -> Option<bool> {
-        let mut conditions = gathered.conditions;
-        let mut numbers = Vec::new();
+        let mut conditions = collected.conditions;
+        let mut shards = Vec::new();
         let mut changes = Vec::new();
         for (content, value) in contents.iter().zip(values) {
             let number = content.number;
@@ -341,28 +351,28 @@
                 key: key.clone(),
                 version,
             });
-            numbers.push(WrittenShard { number, deleted });
+            shards.push(WrittenShard { number, deleted });
             changes.push(if deleted {
                 Change::Delete { key }
             } else {
                 put_text(key, value)
             });
         }
-        if numbers.is_empty() {
+        if shards.is_empty() {
             return None;
         }
-        for shard in &numbers {
+        for shard in &shards {
             self.stale.remove(&shard.number);
         }
         let unit = WriteUnit::Shards {
-            shards: numbers,
-            planned_starts: gathered.planned,
-            releases: gathered.returns,
+            shards,
+            planned_starts: collected.planned_starts,
+            releases: collected.releases,
         };
         Some(transaction.add(unit, conditions, changes))
     }
 
-    /// Moves half of a full shard's machines to a new one, and returns what that is to say.
+    /// Moves half of a full shard's machines to a new shard, and returns its contents.
     fn split(
         &mut self,
         full: &mut ShardContents,
@@ -398,7 +408,7 @@
     }
 }
 
-/// What one shard's record is to say.
+/// The contents of one shard's record.
 struct ShardContents {
     number: u32,
     machines: Vec<MachineRecord>,
@@ -418,7 +428,7 @@
     }
 }
 
-/// Machines that are gone, as a record names them.
+/// Records of released machines.
 fn released_records(released: &[(MachineId, Timestamp)], sources: &ShardSources) -> Vec<ReleasedMachine> {
     let named = released.iter().filter(|(_, until)| sources.now < *until);
     named
@@ -429,23 +439,23 @@
         .collect()
 }
 
-fn texts(contents: &[ShardContents]) -> Vec<Box<RawValue>> {
+fn encode_values(contents: &[ShardContents]) -> Vec<Box<RawValue>> {
     contents.iter().map(ShardContents::text).collect()
 }
 
-/// The new starts in the shards of one unit, and the conditions on which they are recorded.
+/// The new starts in the shards of one unit, and the conditions for recording them.
 #[derive(Default)]
-struct GatheredStarts {
+struct CollectedStarts {
     conditions: Vec<Condition>,
-    /// Jobs met so far, and whether a start of theirs may be recorded.
+    /// Jobs seen so far, and whether their starts may be recorded.
     may_start: HashMap<JobId, bool>,
-    planned: Vec<PlannedStart>,
-    returns: Vec<MachineId>,
+    planned_starts: Vec<PlannedStart>,
+    releases: Vec<MachineId>,
     /// The transaction had no conditions left for some start.
-    left_out: bool,
+    has_omitted_starts: bool,
 }
 
-impl GatheredStarts {
+impl CollectedStarts {
     fn contents(
         &mut self,
         number: u32,
@@ -471,7 +481,7 @@
         jobs: &BTreeMap<JobId, Job>,
     ) -> MachineRecord {
         if machine.releasing {
-            self.returns.push(machine.id.clone());
+            self.releases.push(machine.id.clone());
         }
         machine.record(|attempt| {
             if attempt.durable {
@@ -479,7 +489,7 @@
             }
             let included = self.may_start(&attempt.task.job, transaction, jobs);
             if included {
-                self.planned.push(PlannedStart {
+                self.planned_starts.push(PlannedStart {
                     machine: machine.id.clone(),
                     task: attempt.task.clone(),
                     number: attempt.number,
@@ -489,7 +499,7 @@
         })
     }
 
-    /// A start is recorded only while its job is live.
+    /// Whether a start of the job may be recorded, which requires that the job is live.
     fn may_start(
         &mut self,
         id: &JobId,
@@ -506,14 +516,14 @@
         may_start
     }
 
-    /// Adds the condition that a job's record is unchanged; false if there is no room for it.
+    /// Adds the condition that a job's record is unchanged. Returns false if it does not fit.
     fn add_condition(&mut self, id: &JobId, job: &Job, transaction: &TransactionBuilder) -> bool {
         let key = keys::job_key(&id.0);
         if transaction.has_condition(&key) {
             return true;
         }
         if !transaction.has_room_for_condition(self.conditions.len() + SHARD_VERSION_CONDITIONS) {
-            self.left_out = true;
+            self.has_omitted_starts = true;
             return false;
         }
         self.conditions.push(Condition {
--- a/crates/controller/src/storage/batch_writer/rereads.rs
+++ b/crates/controller/src/storage/batch_writer/rereads.rs
@@ -1,9 +1,9 @@
-//! Keys whose versions must be read again, as a transaction on them failed or went unanswered.
+//! Keys whose versions must be read again because a transaction on them failed or went unanswered.
 
 use crate::constants::WRITE_RETRY_MS;
 use crate::model::Timestamp;
 
-/// The keys, read one after the other.
+/// The keys, read one at a time.
 #[derive(Debug, Default)]
 pub(super) struct Rereads {
     keys: Vec<String>,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The next key to be read, if none is being read.
+    /// The next key to read, if no read is in flight.
     pub(super) fn next(&mut self, now: Timestamp) -> Option<String> {
         if self.in_flight || now < self.retry_at {
             return None;
--- a/crates/controller/src/storage/batch_writer/tests.rs
+++ b/crates/controller/src/storage/batch_writer/tests.rs
@@ -14,23 +14,23 @@
     Job::new(spec, 7, 0, 1_000)
 }
 
-// Each job that ended in a term was remembered for as long as the term lasted.
+// Ended jobs used to be remembered for the whole term, without a limit.
 #[test]
-fn ends_of_a_long_term_are_forgotten_the_oldest_first() {
+fn oldest_ended_jobs_are_evicted_first() {
     let settings = Settings::parse(include_str!("../../../tests/support/settings.json")).unwrap();
     let mut writer = BatchWriter::new(1, &settings);
-    let more = 100;
-    for number in 0..ENDED_JOB_CACHE_SIZE + more {
+    let excess = 100;
+    for number in 0..ENDED_JOB_CACHE_SIZE + excess {
         let job = job(number);
         writer.remove_job(&job.spec.id.clone(), &job);
     }
     let ended_at = |number: usize| writer.ended_version(&job(number).spec.id);
-    assert_eq!((ended_at(more - 1), ended_at(more)), (0, 7));
-    assert_eq!(ended_at(ENDED_JOB_CACHE_SIZE + more - 1), 7);
+    assert_eq!((ended_at(excess - 1), ended_at(excess)), (0, 7));
+    assert_eq!(ended_at(ENDED_JOB_CACHE_SIZE + excess - 1), 7);
     assert_eq!(writer.ended_jobs.len(), ENDED_JOB_CACHE_SIZE);
 }
 
-/// Machines with numbers from 0 on, each in a shard of its own.
+/// Machines numbered from 0, each in a shard of its own.
 fn machines_in_shards(writer: &mut BatchWriter, count: u32) -> BTreeMap<MachineId, Machine> {
     let machines = (0..count).map(|number| {
         let id = MachineId(std::sync::Arc::from(format!("m-{number}").as_str()));
@@ -41,15 +41,15 @@
     machines.collect()
 }
 
-/// Numbers of the shards that the next transaction writes, in their order, with so many changes at most.
+/// Numbers of the shards that the next transaction writes, in order, with at most `max_changes`.
 fn shards_written(
     writer: &mut BatchWriter,
     machines: &mut BTreeMap<MachineId, Machine>,
-    most: usize,
+    max_changes: usize,
 ) -> Vec<u32> {
     let settings = Settings::parse(include_str!("../../../tests/support/settings.json")).unwrap();
     writer.begin_batch(
-        most,
+        max_changes,
         &settings,
         machines,
         &BTreeMap::new(),
@@ -58,16 +58,16 @@
     );
     let units = writer.take_in_flight();
     let numbers = units.iter().flat_map(|unit| match unit {
-        WriteUnit::Shards { shards: numbers, .. } => numbers.iter().map(|shard| shard.number).collect(),
+        WriteUnit::Shards { shards, .. } => shards.iter().map(|shard| shard.number).collect(),
         _ => Vec::new(),
     });
     numbers.collect()
 }
 
-// A start in another shard may get the units: were it on record first, and the leader ended then, the next
-// one would count them twice.
+// A start in another shard may get the units. If that start were recorded first, and the leader ended
+// then, its successor would count the units twice.
 #[test]
-fn a_shard_whose_units_are_free_is_written_before_all_others() {
+fn shard_with_freed_units_is_written_first() {
     let settings = Settings::parse(include_str!("../../../tests/support/settings.json")).unwrap();
     let mut writer = BatchWriter::new(1, &settings);
     let mut machines = machines_in_shards(&mut writer, 3);
@@ -76,7 +76,7 @@
     }
     writer.on_units_freed(2);
     assert_eq!(shards_written(&mut writer, &mut machines, 1), [2]);
-    // The transaction failed: it keeps its place before the others.
+    // The transaction failed: the shard stays first.
     let units = [WriteUnit::Shards {
         shards: vec![WrittenShard {
             number: 2,
--- a/crates/controller/src/storage/batch_writer/transaction.rs
+++ b/crates/controller/src/storage/batch_writer/transaction.rs
@@ -1,4 +1,5 @@
-//! A transaction being put together: its units, with their conditions and changes, as long as they fit.
+//! Builder of a transaction: its units with their conditions and changes, up to the limits of the
+//! state service.
 
 use crate::constants::{
     CHANGE_OVERHEAD_BYTES, CONDITION_OVERHEAD_BYTES, MAX_TXN_BYTES, TXN_CONDITIONS_PER_OP, TXN_ENVELOPE_BYTES,
@@ -12,14 +13,14 @@
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A start that a transaction makes durable.
+/// A start that a transaction records.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedStart {
-    /// Where it is placed.
+    /// The machine that it is placed on.
     pub machine: MachineId,
-    /// What is started.
+    /// The task.
     pub task: TaskId,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub number: u64,
 }
 
@@ -28,40 +29,39 @@
 pub struct WrittenShard {
     /// The shard's number.
     pub number: u32,
-    /// Its key is deleted, as nothing is left to record.
+    /// Its key is deleted, because nothing is left to record.
     pub deleted: bool,
 }
 
-/// One thing that a transaction writes.
+/// One item that a transaction writes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteUnit {
     /// A new version of the leader's key, and so a higher token.
     Renewal,
-    /// Shards that are written together, with the starts that they hold for the
-    /// first time.
+    /// Shards that are written together, with the starts recorded in them for the first time.
     Shards {
         /// The shards.
         shards: Vec<WrittenShard>,
         /// Starts that become durable.
         planned_starts: Vec<PlannedStart>,
-        /// Machines that are recorded as to be returned.
+        /// Machines that are recorded as being released.
         releases: Vec<MachineId>,
     },
     /// A record of completed tasks.
     CompletedTasks {
         /// The record's number.
         number: u32,
-        /// Tasks, by job and chunk, that it holds for the first time.
+        /// Tasks, by job and chunk, that are recorded in it for the first time.
         tasks: BTreeMap<(JobId, u32), BTreeSet<u32>>,
     },
-    /// A job all of whose tasks are done becomes an ended one.
+    /// A completed job is moved to the ended ones.
     FinishJob {
         /// The job.
         job: JobId,
     },
-    /// A rental that is to be sent to the cloud.
+    /// A launch request that is to be sent to the cloud.
     ScaleOutRequest {
-        /// The request's identity.
+        /// The identifier of the request.
         request: String,
     },
     /// A value of protection windows.
@@ -71,7 +71,7 @@
         /// Whether it was deleted.
         deleted: bool,
     },
-    /// A key that nobody needs any more is deleted.
+    /// A key that is no longer needed is deleted.
     ObsoleteKey {
         /// The key.
         key: String,
@@ -79,14 +79,13 @@
 }
 
 impl WriteUnit {
-    /// Keys to read again when nobody knows whether the unit was written.
+    /// Keys to read again when it is unknown whether the unit was written.
     pub fn keys(&self) -> Vec<String> {
         match self {
             WriteUnit::Renewal => vec![keys::LEADER_KEY.to_owned()],
-            WriteUnit::Shards { shards: numbers, .. } => numbers
-                .iter()
-                .map(|shard| keys::shard_key(shard.number))
-                .collect(),
+            WriteUnit::Shards { shards, .. } => {
+                shards.iter().map(|shard| keys::shard_key(shard.number)).collect()
+            }
             WriteUnit::CompletedTasks { number, .. } => vec![keys::completed_tasks_key(*number)],
             WriteUnit::FinishJob { job } => vec![keys::job_key(&job.0)],
             WriteUnit::ProtectionWindows { number, .. } => vec![keys::protection_windows_key(*number)],
@@ -95,7 +94,7 @@
     }
 }
 
-/// A transaction being put together.
+/// A transaction being built.
 pub(super) struct TransactionBuilder {
     units: Vec<WriteUnit>,
     body: Transaction<Box<RawValue>>,
@@ -113,7 +112,7 @@
 }
 
 impl TransactionBuilder {
-    /// A transaction that is carried out only while the leader's key is as in `leader`.
+    /// A transaction that is executed only while the leader's key is as in `leader`.
     pub(super) fn new(leader: Condition, max_changes: usize, settings: &Settings) -> TransactionBuilder {
         TransactionBuilder {
             units: Vec::new(),
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Adds a unit, if it fits.
+    /// Adds a unit if it fits, and returns whether it did.
     pub(super) fn add(
         &mut self,
         unit: WriteUnit,
@@ -155,22 +154,22 @@
         fits
     }
 
-    /// No change fits any more.
+    /// Whether no further change fits.
     pub(super) fn is_full(&self) -> bool {
         self.body.changes.len() >= self.max_changes
     }
 
-    /// There is a condition on this key already.
+    /// Whether there already is a condition on this key.
     pub(super) fn has_condition(&self, key: &str) -> bool {
         self.conditioned_keys.contains(key)
     }
 
-    /// Whether another condition fits beside these many that are not added yet.
+    /// Whether another condition fits in addition to `pending` ones that are not added yet.
     pub(super) fn has_room_for_condition(&self, pending: usize) -> bool {
         self.body.conditions.len() + pending < self.max_conditions
     }
 
-    /// `None` if there is nothing to write.
+    /// The transaction; `None` if there is nothing to write.
     pub(super) fn finish(self) -> Option<FinishedTransaction> {
         (!self.units.is_empty()).then(|| FinishedTransaction {
             body: json(&self.body),
@@ -185,7 +184,7 @@
     put_text(key, record.to_text())
 }
 
-/// A change that stores a value which is JSON text already.
+/// A change that stores a value given as JSON text.
 pub(super) fn put_text(key: String, value: Box<RawValue>) -> Change<Box<RawValue>> {
     Change::Put {
         key,
@@ -194,12 +193,12 @@
     }
 }
 
-/// What a condition takes of a transaction's body, at most.
+/// Upper bound of a condition's size in a transaction body.
 fn condition_bytes(condition: &Condition) -> usize {
     condition.key.len() + CONDITION_OVERHEAD_BYTES
 }
 
-/// What a change takes of a transaction's body, at most.
+/// Upper bound of a change's size in a transaction body.
 fn change_bytes(change: &Change<Box<RawValue>>) -> usize {
     match change {
         Change::Put { key, value, .. } => key.len() + value.get().len() + CHANGE_OVERHEAD_BYTES,
--- a/crates/controller/src/storage/keys.rs
+++ b/crates/controller/src/storage/keys.rs
@@ -1,19 +1,18 @@
-//! Keys under which controllers keep their records in the state service: see the table at
-//! [`super::records`].
+//! Keys of the controllers' records in the state service: see the table at [`super::records`].
 
 /// Key of the leader's record; its version is the fencing token.
 pub const LEADER_KEY: &str = "leader";
 /// Key of the machine types.
 pub const MACHINE_TYPES_KEY: &str = "types";
-/// Prefix of live jobs' keys.
+/// Prefix of the keys of live jobs.
 pub const JOB_PREFIX: &str = "j/";
-/// Prefix of ended jobs' keys.
+/// Prefix of the keys of ended jobs.
 pub const ENDED_JOB_PREFIX: &str = "e/";
 /// Prefix of the keys of completed tasks.
 pub const COMPLETED_TASKS_PREFIX: &str = "d/";
-/// Prefix of the keys of machines' shards.
+/// Prefix of the keys of machine shards.
 pub const SHARD_PREFIX: &str = "s/";
-/// Prefix of the keys of rentals sent to the cloud.
+/// Prefix of the keys of launch requests sent to the cloud.
 pub const RENTAL_PREFIX: &str = "h/";
 /// Prefix of the keys of protection windows.
 pub const PROTECTION_WINDOWS_PREFIX: &str = "t/";
@@ -33,7 +32,7 @@
     format!("{COMPLETED_TASKS_PREFIX}{number}")
 }
 
-/// Key of a shard of machines.
+/// Key of a machine shard.
 pub fn shard_key(number: u32) -> String {
     format!("{SHARD_PREFIX}{number}")
 }
@@ -43,12 +42,12 @@
     format!("{PROTECTION_WINDOWS_PREFIX}{number}")
 }
 
-/// Key of a rental sent to the cloud.
+/// Key of a launch request sent to the cloud.
 pub fn rental_key(request: &str) -> String {
     format!("{RENTAL_PREFIX}{request}")
 }
 
-/// The number in a key `<prefix><number>`.
+/// Parses the number in a key `<prefix><number>`.
 pub fn parse_numbered_key(prefix: &str, key: &str) -> Option<u32> {
     key.strip_prefix(prefix)?.parse().ok()
 }
--- a/crates/controller/src/storage/mod.rs
+++ b/crates/controller/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What controllers keep in the key-value store, and how a leader writes it.
+//! Records of the controllers in the key-value store, and the leader's writes to them.
 
 pub(crate) mod batch_writer;
 pub mod keys;
--- a/crates/controller/src/storage/records/completed_tasks.rs
+++ b/crates/controller/src/storage/records/completed_tasks.rs
@@ -1,5 +1,5 @@
-//! Records of completed tasks. The tasks of a job are divided into chunks of [`COMPLETED_TASKS_PER_CHUNK`]; a record
-//! holds a bitmap for each of many chunks.
+//! Records of completed tasks. The tasks of a job are divided into chunks of
+//! [`COMPLETED_TASKS_PER_CHUNK`]; a record contains a bitmap for each of many chunks.
 
 use super::RecordError;
 use crate::constants::{CHUNK_KEY_OVERHEAD_BYTES, COMPLETED_TASKS_PER_CHUNK};
@@ -14,22 +14,22 @@
 #[serde(transparent)]
 pub struct CompletedTasksRecord(pub BTreeMap<String, String>);
 
-/// The name of a job's chunk in a [`DoneRecord`].
+/// The key of a job's chunk in a [`CompletedTasksRecord`].
 pub fn chunk_key(job: &JobId, chunk: u32) -> String {
     format!("{job}/{chunk}")
 }
 
-/// Most bytes that a chunk of a job with so many tasks ever takes in a record.
+/// Maximum size in a record of a chunk of a job with this many tasks.
 pub fn max_chunk_bytes(tasks: u32) -> usize {
     tasks.min(COMPLETED_TASKS_PER_CHUNK).div_ceil(u8::BITS) as usize * 4 / 3 + CHUNK_KEY_OVERHEAD_BYTES
 }
 
-/// Which chunk a task's completion is recorded in.
+/// The chunk in which a task's completion is recorded.
 pub fn chunk_of(task: u32) -> u32 {
     task / COMPLETED_TASKS_PER_CHUNK
 }
 
-/// The completed tasks of one chunk as a bitmap.
+/// Encodes the completed tasks of one chunk as a bitmap.
 pub fn encode_completed_tasks(done: &BTreeSet<u32>, chunk: u32) -> String {
     let start = chunk * COMPLETED_TASKS_PER_CHUNK;
     let mut bits: Vec<u8> = Vec::new();
@@ -44,7 +44,7 @@
     STANDARD_NO_PAD.encode(bits)
 }
 
-/// Adds the completed tasks of a chunk's record to `done`.
+/// Decodes the bitmap of a chunk and adds its tasks to `done`.
 pub fn decode_completed_tasks(text: &str, chunk: u32, done: &mut BTreeSet<u32>) -> Result<(), RecordError> {
     let bits = STANDARD_NO_PAD.decode(text)?;
     if bits.len() > (COMPLETED_TASKS_PER_CHUNK / u8::BITS) as usize {
--- a/crates/controller/src/storage/records/ended.rs
+++ b/crates/controller/src/storage/records/ended.rs
@@ -1,4 +1,4 @@
-//! The record of a job that is over.
+//! The record of an ended job.
 
 use indigopath_accounting::{Entry, VisibleJob};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -14,15 +14,15 @@
     Cancelled,
 }
 
-/// A job that is over.
+/// An ended job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJobRecord {
     /// How it ended.
     pub end: Ending,
-    /// How many of its tasks are done: all, or 0 for a cancelled job.
+    /// Number of its tasks that are done: all, or 0 for a cancelled job.
     pub tasks: u32,
-    /// Its accounting entry. Not in records of earlier builds; one that cannot be read is none, as
-    /// users must learn the state of an ended job whatever stands beside it.
+    /// Its accounting entry. Not in records of earlier builds. An unreadable entry is treated as
+    /// missing, because users must learn the state of an ended job in any case.
     #[serde(
         rename = "h",
         default,
@@ -32,13 +32,13 @@
     entry: Option<Entry>,
 }
 
-/// An entry that cannot be read is none.
+/// Treats an unreadable entry as missing.
 fn entry_or_none<'de, D: Deserializer<'de>>(value: D) -> Result<Option<Entry>, D::Error> {
     Ok(Entry::deserialize(Value::deserialize(value)?).ok())
 }
 
 impl EndedJobRecord {
-    /// All tasks of a job are done.
+    /// The record of a completed job.
     pub fn done(entry: Entry) -> EndedJobRecord {
         EndedJobRecord {
             end: Ending::Done,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// A job is cancelled by a user with access to it. Its live record tells which team's accounting
-    /// the entry goes to; where that cannot be read, there is no entry.
+    /// The record of a job cancelled by a user with access to it. Its live record determines which
+    /// team the accounting entry belongs to; where that is unreadable, there is no entry.
     pub fn cancelled(_access: &VisibleJob, entry: Option<Entry>) -> EndedJobRecord {
         EndedJobRecord {
             end: Ending::Cancelled,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Its accounting entry, if it has one.
+    /// Its accounting entry, if any.
     pub fn entry(&self) -> Option<&Entry> {
         self.entry.as_ref()
     }
--- a/crates/controller/src/storage/records/leader.rs
+++ b/crates/controller/src/storage/records/leader.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Who leads.
+/// The current leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The node's name.
     pub node: String,
-    /// Tells a node from its own former life.
+    /// Distinguishes the process of a node from earlier ones.
     pub incarnation: u64,
 }
--- a/crates/controller/src/storage/records/machine_shard.rs
+++ b/crates/controller/src/storage/records/machine_shard.rs
@@ -1,7 +1,7 @@
-//! Shards: records of what may be on each of many machines.
+//! Shards: records of what may be running on each of many machines.
 //!
-//! In its stored form a shard has lists of texts and of jobs, and refers to them by their position,
-//! as a value has little room (`value_kb`); its entries are JSON arrays for the same reason.
+//! The stored form lists texts and jobs once and refers to them by position, and encodes its
+//! entries as JSON arrays, because a value has little space (`value_kb`).
 
 mod encoder;
 mod stored;
@@ -15,44 +15,43 @@
 use std::sync::Arc;
 use stored::{JobEntry, MachineEntry, StartEntry};
 
-/// A start that was or may have been sent to a machine. Team and needs stand
-/// beside it because the job itself may be over, and its record gone, while the
-/// task still takes its team's quota.
+/// A start that was or may have been sent to a machine. It contains team and needs because the job
+/// itself may have ended and its record be deleted while the task still uses its team's quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StartRecord {
     pub job: JobId,
-    /// Position of the task in its job.
+    /// Index of the task in its job.
     pub index: u32,
     pub attempt: u64,
     pub team: Arc<str>,
-    /// What the task takes of its machine.
+    /// Resources of its machine that the task takes.
     pub needs: Resources,
     /// Units of counted resources that it holds.
     pub counts: Demand,
 }
 
-/// A machine and what may be on it.
+/// A machine and the starts that may be on it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineRecord {
     pub name: Arc<str>,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    /// Its worker's address, once known.
+    /// Address of its worker, once known.
     pub addr: Option<String>,
     pub starts: Vec<StartRecord>,
-    /// Images it is thought to hold, with their size in GB, the latest used last.
+    /// Images that it presumably holds, with their size in GB, the most recently used last.
     pub images: Vec<(Arc<str>, f64)>,
-    /// It is being given back: nothing may be placed there any more.
+    /// It is being released, and nothing may be placed on it.
     pub releasing: bool,
 }
 
-/// A machine that the cloud has taken back, but whose clients a licence server may still name.
+/// A released machine whose clients a licence server may still list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(Arc<str>, u64)", into = "(Arc<str>, u64)")]
 pub struct ReleasedMachine {
     pub name: Arc<str>,
-    /// Until when, by the time of day in ms since 1970.
+    /// Until when, as wall-clock time in ms since 1970.
     pub until_ms: u64,
 }
 
@@ -68,29 +67,30 @@
     }
 }
 
-/// What may be on each of some machines.
+/// The record of a shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// Form of the record. The first, which had no such field, knew no counts.
+    /// Format of the record. The first, without this field, had no counted resources.
     #[serde(rename = "v", default = "first_format")]
     pub(super) format: u16,
     /// Texts that entries refer to: types, zones, teams and images.
     names: Vec<Arc<str>>,
     jobs: Vec<JobEntry>,
     machines: Vec<MachineEntry>,
-    /// Jobs whose tasks hold units of counts, by position.
+    /// Jobs whose tasks hold units of counted resources, by position.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     counts: Vec<(usize, Demand)>,
-    /// Units that linger after attempts which stood here.
+    /// Lingering units of attempts that were in this shard.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     lingers: Vec<LingerEntry>,
-    /// Machines that stood here. Builds that do not know the field leave it out; whoever reads their
-    /// record takes these machines' clients for users outside, as they do themselves.
+    /// Released machines that were in this shard. Builds that do not know the field omit it;
+    /// whoever reads their record counts these machines' clients as outside users, as those builds
+    /// do themselves.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     released: Vec<ReleasedMachine>,
 }
 
-/// Form of shards that this build writes.
+/// Format of the shards that this build writes.
 pub(super) const SHARD_FORMAT: u16 = 2;
 
 fn first_format() -> u16 {
@@ -111,23 +111,23 @@
         }
     }
 
-    /// The same record, with machines that stood here and are gone.
+    /// The same record with released machines.
     pub fn with_released(self, released: Vec<ReleasedMachine>) -> ShardRecord {
         ShardRecord { released, ..self }
     }
 
-    /// Machines that stood here, whose clients a licence server may still name.
+    /// Released machines whose clients a licence server may still list.
     pub fn released(&self) -> &[ReleasedMachine] {
         &self.released
     }
 
-    /// Units that linger after attempts which stood here.
+    /// Lingering units of attempts that were in this shard.
     pub fn lingers(&self) -> &[LingerEntry] {
         &self.lingers
     }
 
-    /// The machines' records; an error if a position names nothing, or a later build
-    /// wrote what this one may not understand.
+    /// Decodes the machines' records. Fails if a position is invalid, or if a newer build wrote the
+    /// record, which this build may not understand.
     pub fn machines(self) -> Result<Vec<MachineRecord>, RecordError> {
         if self.format > SHARD_FORMAT {
             return Err(RecordError::NewerFormat(self.format));
--- a/crates/controller/src/storage/records/machine_shard/encoder.rs
+++ b/crates/controller/src/storage/records/machine_shard/encoder.rs
@@ -1,4 +1,4 @@
-//! Building a shard's stored form: each text and each job is listed once.
+//! Encoder of a shard's stored form, in which each text and each job is listed once.
 
 use super::stored::{JobEntry, MachineEntry, StartEntry};
 use super::{MachineRecord, ShardRecord, StartRecord};
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A shard being put together, and where it lists what.
+/// A shard being encoded, and the positions of its list entries.
 #[derive(Default)]
 pub(super) struct ShardEncoder {
     shard: ShardRecord,
@@ -19,7 +19,7 @@
 struct JobKey {
     job: JobId,
     team: Arc<str>,
-    /// Tasks that are done hold none, beside others of their job that do.
+    /// Completed tasks hold no units, next to others of their job that do.
     holds_units: bool,
 }
 
@@ -58,7 +58,7 @@
     }
 
     fn job_position(&mut self, start: &StartRecord) -> usize {
-        // The team is listed first, also for a job that is listed already.
+        // The team is listed first, even if the job is listed already.
         let team = self.text_position(&start.team);
         let key = JobKey {
             job: start.job.clone(),
--- a/crates/controller/src/storage/records/machine_shard/stored.rs
+++ b/crates/controller/src/storage/records/machine_shard/stored.rs
@@ -1,10 +1,10 @@
-//! Entries of a shard as they are stored: JSON arrays, whose positions have names here.
+//! Stored form of a shard's entries: JSON arrays, with named fields here.
 
 use crate::model::{JobId, Resources};
 use serde::{Deserialize, Serialize, Serializer};
 use std::sync::Arc;
 
-/// A job and what each of its tasks takes.
+/// A job and the resources that each of its tasks takes.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(from = "JobArray")]
 pub(super) struct JobEntry {
@@ -42,7 +42,7 @@
     }
 }
 
-/// A machine and what may be on it.
+/// A machine and the starts that may be on it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(from = "MachineArray")]
 pub(super) struct MachineEntry {
@@ -108,7 +108,7 @@
 pub(super) struct StartEntry {
     /// Position of its job.
     pub(super) job: usize,
-    /// Position of the task in its job.
+    /// Index of the task in its job.
     pub(super) index: u32,
     pub(super) attempt: u64,
 }
--- a/crates/controller/src/storage/records/tests.rs
+++ b/crates/controller/src/storage/records/tests.rs
@@ -9,7 +9,7 @@
 
 proptest! {
     #[test]
-    fn done_chunks_survive_encoding(tasks in proptest::collection::btree_set(0u32..40_000, 0..300)) {
+    fn completed_tasks_round_trip(tasks in proptest::collection::btree_set(0u32..40_000, 0..300)) {
         let mut read = BTreeSet::new();
         for chunk in 0..=chunk_of(40_000) {
             let value = encode_completed_tasks(&tasks, chunk);
@@ -19,7 +19,7 @@
     }
 
     #[test]
-    fn any_string_is_a_bitmap_or_an_error(text in ".{0,40}", chunk in any::<u32>()) {
+    fn decoding_any_string_never_panics(text in ".{0,40}", chunk in any::<u32>()) {
         let mut read = BTreeSet::new();
         let _ = decode_completed_tasks(&text, chunk, &mut read);
         prop_assert!(read.len() <= COMPLETED_TASKS_PER_CHUNK as usize);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_shard_keeps_its_machines() {
+fn shard_round_trips() {
     let seat = Demand::new(&BTreeMap::from([("seat".to_owned(), 2)])).unwrap();
     let start = |job: &str, index, team: &str, gpus| StartRecord {
         job: JobId(Arc::from(job)),
@@ -57,7 +57,7 @@
             Demand::default()
         },
     };
-    // A stranger of a known job stands beside it with a team of its own.
+    // An unrecorded task of a known job is listed with a team of its own.
     let machines = vec![
         machine(
             "m-1",
@@ -84,12 +84,12 @@
     assert!(ShardRecord::from_value(&broken).unwrap().machines().is_err());
 }
 
-// What the build before counts had left in the state service, in the middle of work.
-const BEFORE_COUNTS: &str = include_str!("../../../tests/support/records_before_counts.json");
+// Records of the last build without counted resources, taken while work was running.
+const RECORDS_BEFORE_COUNTS: &str = include_str!("../../../tests/support/records_before_counts.json");
 
 #[test]
-fn records_of_the_build_before_counts_are_read() {
-    let stored: BTreeMap<String, Value> = serde_json::from_str(BEFORE_COUNTS).unwrap();
+fn records_without_counted_resources_are_read() {
+    let stored: BTreeMap<String, Value> = serde_json::from_str(RECORDS_BEFORE_COUNTS).unwrap();
     let shard = ShardRecord::from_value(&stored["s/0"]).unwrap();
     assert_eq!((shard.format, shard.lingers().len()), (1, 0));
     let machines = shard.machines().unwrap();
@@ -105,7 +105,7 @@
     for job in ["j/wk-9", "j/wk-10", "j/wk-11"] {
         let job = JobSpec::from_value(&stored[job]).unwrap();
         assert!(job.counts.is_empty() && job.tasks > 1);
-        // What it did not ask for is not written for it either.
+        // An empty demand is not written.
         assert!(job.to_value().get("counts").is_none());
     }
     let done = CompletedTasksRecord::from_value(&stored["d/0"]).unwrap();
@@ -116,10 +116,10 @@
     assert!(LeaderRecord::from_value(&stored["leader"]).is_ok());
 }
 
-// A task that is done stands in the record for its result; its seat is another's by then, maybe of its own
-// job.
+// A completed task is recorded for its result only; by then its seat may belong to another task, even of
+// its own job.
 #[test]
-fn tasks_of_one_job_with_and_without_units_are_told_apart() {
+fn tasks_of_one_job_with_and_without_units_are_distinguished() {
     let seat = Demand::new(&[("seat".to_owned(), 1)].into()).unwrap();
     let start = |index, counts: &Demand| StartRecord {
         job: JobId(Arc::from("wk-1")),
@@ -139,9 +139,9 @@
     assert_eq!(read, machines);
 }
 
-// The field is there only where it says something: what an earlier build wrote, or reads, has none.
+// The field is written only if it is not empty: earlier builds neither write nor read it.
 #[test]
-fn machines_that_are_gone_are_named_where_there_are_some() {
+fn released_machines_are_written_only_if_there_are_any() {
     let without = ShardRecord::from_machines(&[], Vec::new()).to_value();
     assert!(without.get("released").is_none());
     assert!(ShardRecord::from_value(&without).unwrap().released().is_empty());
@@ -160,18 +160,18 @@
 }
 
 #[test]
-fn a_later_builds_shard_is_not_guessed_at() {
+fn shard_of_a_newer_build_is_rejected() {
     let mut value = ShardRecord::from_machines(&[], Vec::new()).to_value();
     value["v"] = (SHARD_FORMAT + 1).into();
     assert!(ShardRecord::from_value(&value).unwrap().machines().is_err());
 }
 
 proptest! {
-    // A record of any kind in which one value is something else, or is gone, is read or is an error,
-    // by whichever reader meets it.
+    // A record of any kind in which one value is replaced or removed is decoded or rejected by every
+    // reader.
     #[test]
-    fn no_spoilt_record_panics(which in any::<usize>(), end in any::<usize>(), odd in 0usize..7) {
-        let stored: BTreeMap<String, Value> = serde_json::from_str(BEFORE_COUNTS).unwrap();
+    fn corrupted_records_never_panic(which in any::<usize>(), end in any::<usize>(), odd in 0usize..7) {
+        let stored: BTreeMap<String, Value> = serde_json::from_str(RECORDS_BEFORE_COUNTS).unwrap();
         let mut text = stored.values().nth(which % stored.len()).unwrap().to_string();
         let ends: Vec<usize> = text.match_indices([',', ']', '}']).map(|(at, _)| at).collect();
         let end = ends[end % ends.len()];
