--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -41,7 +41,7 @@
         let id = MachineId(Arc::from(heartbeat.machine.as_str()));
         if self.machines.is_recently_released(&id) {
             // Sent before the release; no worker waits for the reply.
-            io.reply_error(request, 503, "this machine is gone");
+            io.reply_error(request, 503, "this machine has been released");
             return Ok(());
         }
         if !self.recovery.is_complete() {
@@ -93,8 +93,8 @@
         self.reconcile(report, Machine::apply_response, io);
     }
 
-    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false if
-    /// the report is outdated.
+    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false
+    /// if the report is outdated.
     fn reconcile(
         &mut self,
         report: &Heartbeat,
@@ -302,7 +302,14 @@
     }
 
     /// Handles an attempt that ended without completing its task.
-    fn on_task_failed(&mut self, id: &MachineId, task: &TaskId, number: u64, cause: TaskEndCause, io: &mut Io) {
+    fn on_task_failed(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        number: u64,
+        cause: TaskEndCause,
+        io: &mut Io,
+    ) {
         self.close_attempt(id, task, number);
         let now = io.now;
         let mut fetching = false;
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -10,16 +10,16 @@
             jobs: self.jobs.len(),
             waiting: self.jobs.waiting_tasks(false),
             held: self.jobs.waiting_tasks(true),
-            rentals: self.autoscaler.open_requests().count(),
+            open_launch_requests: self.autoscaler.open_requests().count(),
             models: self.image_locality.by_spread(),
             replicas_placed: self.image_locality.placed(),
             ..MetricsSnapshot::default()
         };
         for machine in self.machines.values() {
             let state = if machine.releasing {
-                &mut metrics_snapshot.returning
+                &mut metrics_snapshot.releasing
             } else if machine.unreachable {
-                &mut metrics_snapshot.silent
+                &mut metrics_snapshot.unreachable
             } else if !machine.has_been_up() {
                 &mut metrics_snapshot.booting
             } else if machine.is_empty() {
