--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -302,7 +302,14 @@
     }
 
     /// Handles an attempt that ended without completing its task.
-    fn on_task_failed(&mut self, id: &MachineId, task: &TaskId, number: u64, cause: TaskEndCause, io: &mut Io) {
+    fn on_task_failed(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        number: u64,
+        cause: TaskEndCause,
+        io: &mut Io,
+    ) {
         self.close_attempt(id, task, number);
         let now = io.now;
         let mut fetching = false;
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -477,7 +477,7 @@
             shares: self.term.as_ref().map_or_else(Vec::new, |term| {
                 let shares = term.shares();
                 shares
-                    .map(|(whose, share)| (whose.clone(), share.part()))
+                    .map(|(whose, share)| (whose.clone(), share.served_fraction()))
                     .collect()
             }),
             protection_windows: self
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -1,18 +1,18 @@
-//! Fair share: which part of their demand the jobs of a class, or of a team, have satisfied.
+//! Fair share: the fraction of its demand that a class or a team has satisfied.
 //!
-//! **Asked for** is every task from [`SERVED_SHARE_AFTER_MS`] after its job's submission on, as
-//! before that no machine could be up with its image; of a team's tasks, though, only as
-//! many as its limit lets run at a time, those that run first and then the oldest. Held
-//! jobs ask for nothing, nor do jobs that fail wherever they are tried.
+//! **Demanded** is every task from [`SERVED_SHARE_AFTER_MS`] after its job's submission on, since no machine
+//! could be up with its image before that. Of a team's tasks, only as many count as its limit allows to run at
+//! the same time: the running tasks first, then those of the oldest jobs. Held jobs demand nothing, nor do jobs
+//! that fail on every machine.
 //!
-//! **Served** is, of an array, a task that runs or is done; of a gang, all its tasks while
-//! all of them run, and none before; of a service, a replica that is up now. Jobs that were
-//! done within the last [`SERVED_WINDOW_MS`] count as asked for and served: the class goes
-//! by what it got lately, not only by what still waits.
+//! **Served** is, for an array, each task that is running or done; for a gang, all of its tasks while all of
+//! them run, and none otherwise; for a service, each replica that is up now. Jobs that finished within the last
+//! [`SERVED_WINDOW_MS`] count as demanded and served, so that the share reflects what was served recently and
+//! not only what still waits.
 //!
-//! Operators are warned before a class or a team falls under [`SERVED_MIN_SHARE`], once, until it
-//! has recovered. What stays under [`STARVED_SHARE`] is *starved*, and placement gives
-//! it turns before others: see [`StarvedOwners`].
+//! Operators are warned once before a class or a team falls below [`SERVED_MIN_SHARE`], and again only after it
+//! has recovered. A class or team whose old work stays below [`STARVED_SHARE`] is *starved*, and placement lets
+//! some of its tasks go first: see [`StarvedOwners`].
 
 use crate::constants::{
     SECOND_MS, SERVED_MIN_SHARE, SERVED_RECOVERED_MS, SERVED_RECOVERED_SHARE, SERVED_SHARE_AFTER_MS,
@@ -28,7 +28,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// A group of jobs whose share is measured.
+/// A class or team whose share is measured.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShareOwner {
     /// All jobs of a class.
@@ -46,105 +46,106 @@
     }
 }
 
-/// A demand, and how much of it is satisfied.
+/// A demand, and the part of it that is satisfied.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Share {
-    /// Tasks asked for.
-    pub asked: u32,
-    /// Of these, tasks that have what their shape asks.
+    /// Number of tasks demanded.
+    pub demanded: u32,
+    /// Number of these tasks that are served, by the rules of their shape.
     pub served: u32,
-    /// Of these, tasks that wait for units of a count rather than for machines.
+    /// Number of the demanded tasks that wait for units of a counted resource rather than for machines.
     pub short_of_units: u32,
 }
 
 impl Share {
-    /// The satisfied part, from 0 to 1; 1 where nothing is asked for.
-    pub fn part(self) -> f64 {
-        if self.asked == 0 {
+    /// Returns the served fraction, from 0 to 1; 1 if nothing is demanded.
+    pub fn served_fraction(self) -> f64 {
+        if self.demanded == 0 {
             1.0
         } else {
-            f64::from(self.served) / f64::from(self.asked)
+            f64::from(self.served) / f64::from(self.demanded)
         }
     }
 
     fn add(&mut self, other: Share) {
-        self.asked += other.asked;
+        self.demanded += other.demanded;
         self.served += other.served;
         self.short_of_units += other.short_of_units;
     }
 }
 
-/// Classes and teams of whose old work less than [`STARVED_SHARE`] is served, and how many of their tasks
-/// may be placed before all others in the next pass. What runs of them does not give way to
-/// work of higher priority until they have recovered.
+/// Classes and teams whose old work is served by less than [`STARVED_SHARE`], and how many of their tasks may
+/// be placed before all others in the next pass. Their running tasks are not preempted by work of higher
+/// priority until they have recovered.
 ///
-/// Priority alone would leave a class with nothing for as long as more important work
-/// fills every machine, a whole day if need be.
+/// With priority alone, a class would get nothing for as long as more important work fills every machine, even
+/// for a whole day.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StarvedOwners {
-    /// With each, whether it has less than the least share now.
+    /// Starved classes, each with whether it is below the minimum share now.
     classes: BTreeMap<String, bool>,
+    /// Starved teams, each with whether it is below the minimum share now.
     teams: BTreeMap<String, bool>,
+    /// Tasks that may go first. Negative values are debt.
     credits: f64,
 }
 
 impl StarvedOwners {
-    /// Whether the job is of a class or team that has not recovered yet: its work does not
-    /// give way.
+    /// Whether the job's class or team is starved and has not recovered yet, so that its tasks are not
+    /// preempted.
     pub fn is_starved(&self, spec: &JobSpec) -> bool {
-        // Nearly always there is none.
+        // Fast path: usually nothing is starved.
         !self.classes.is_empty() && self.classes.contains_key(&spec.class)
             || !self.teams.is_empty() && self.teams.contains_key(&spec.team)
     }
 
-    /// Whether the job's turn may come before all others': its class or team has less than the least share.
+    /// Whether the job may go before all others because its class or team is below the minimum share.
     pub fn goes_first(&self, spec: &JobSpec) -> bool {
         self.classes.get(&spec.class) == Some(&true) || self.teams.get(&spec.team) == Some(&true)
     }
 
-    /// Tasks of starved work that come first in the next pass.
+    /// Returns the number of starved tasks that go first in the next pass.
     pub fn credits(&self) -> u32 {
         if self.classes.is_empty() && self.teams.is_empty() {
             0
         } else {
-            // Saturates: while more was placed than there were turns, there is none.
+            // The cast saturates: debt yields no credits.
             self.credits as u32
         }
     }
 
-    /// Notes that a task of the job was placed: what is placed for others earns turns, what is
-    /// placed for starved work uses them up.
+    /// Records the placement of a task of the job: other work earns credit, starved work uses it up.
     pub fn record_placement(&mut self, spec: &JobSpec) {
-        let change = if self.is_starved(spec) {
+        let credit_change = if self.is_starved(spec) {
             -1.0
         } else {
             STARVED_CREDIT_PER_START
         };
-        self.credits = (self.credits + change).clamp(-STARVED_MAX_DEBT, STARVED_MAX_CREDIT);
+        self.credits = (self.credits + credit_change).clamp(-STARVED_MAX_DEBT, STARVED_MAX_CREDIT);
     }
 
-    /// Marks an owner as starved. `less`: whether it has less than the least share now; `None` once it has
-    /// recovered.
-    fn mark(&mut self, owner: &ShareOwner, less: Option<bool>) {
+    /// Updates the state of an owner. `is_below_minimum` tells whether a starved owner is below the minimum
+    /// share now; `None` means that it has recovered.
+    fn update(&mut self, owner: &ShareOwner, is_below_minimum: Option<bool>) {
         let (names, name) = match owner {
             ShareOwner::Class(name) => (&mut self.classes, name),
             ShareOwner::Team(name) => (&mut self.teams, name),
         };
-        let known = match less {
-            Some(less) => names.insert(name.clone(), less).is_some(),
+        let was_starved = match is_below_minimum {
+            Some(is_below_minimum) => names.insert(name.clone(), is_below_minimum).is_some(),
             None => names.remove(name).is_some(),
         };
-        match less {
-            Some(_) if !known => {
+        match is_below_minimum {
+            Some(_) if !was_starved => {
                 log::info!("starvation began {owner}: some of its work comes before all other");
             }
-            None if known => log::info!("starvation ended {owner}"),
+            None if was_starved => log::info!("starvation ended {owner}"),
             _ => (),
         }
     }
 
     /// Whether the owner is starved and has not recovered yet.
-    fn has(&self, owner: &ShareOwner) -> bool {
+    fn contains(&self, owner: &ShareOwner) -> bool {
         match owner {
             ShareOwner::Class(name) => self.classes.contains_key(name),
             ShareOwner::Team(name) => self.teams.contains_key(name),
@@ -152,124 +153,133 @@
     }
 }
 
-/// The state of an owner whose share is, or was, low.
+/// The state of an owner whose share is low, or was low and has not recovered.
 #[derive(Debug, Clone, Copy, Default)]
 struct LowShare {
-    /// Since when it is under the share at which operators are warned.
-    since: Option<Timestamp>,
-    /// Since when it is above the share at which it counts as recovered.
+    /// When its share fell below the warning threshold.
+    low_since: Option<Timestamp>,
+    /// When its share rose above the recovery threshold.
     recovered_since: Option<Timestamp>,
-    /// Operators were warned.
+    /// Whether operators have been warned.
     warned: bool,
 }
 
-/// Live jobs, as one look at their shares needs them.
+/// The input of one measurement of shares.
 #[derive(Debug)]
 pub struct LiveDemand<'a> {
-    /// Jobs that are not over.
+    /// Live jobs.
     pub jobs: &'a BTreeMap<JobId, Job>,
-    /// Their tasks done and running.
+    /// Their numbers of done and running tasks.
     pub counts: &'a TaskCounts,
-    /// Jobs that wait for units of counts.
+    /// Jobs that wait for units of counted resources.
     pub short_of_units: BTreeSet<&'a JobId>,
     /// Teams and their limits.
     pub deployment: &'a Deployment,
 }
 
-/// Tasks of jobs that were done within the same second.
+/// Tasks of jobs that finished within the same second.
 #[derive(Debug, Clone, Copy)]
-struct DoneTasks {
-    at: Timestamp,
+struct FinishedTasks {
+    finished_at: Timestamp,
     tasks: u32,
 }
 
-/// What a leader remembers of shares from one look to the next.
+/// The state that a leader keeps from one measurement of shares to the next.
 #[derive(Debug, Default)]
 pub struct DemandSatisfaction {
-    /// Tasks of jobs that were done lately, by the second.
-    done: BTreeMap<ShareOwner, VecDeque<DoneTasks>>,
-    low: BTreeMap<ShareOwner, LowShare>,
+    /// Tasks of recently finished jobs, by second.
+    finished_tasks: BTreeMap<ShareOwner, VecDeque<FinishedTasks>>,
+    low_shares: BTreeMap<ShareOwner, LowShare>,
     shares: BTreeMap<ShareOwner, Share>,
-    /// What placement needs to know.
+    /// Starved classes and teams, for placement.
     pub starved: StarvedOwners,
 }
 
 impl DemandSatisfaction {
-    /// Shares as of the last look, for display.
+    /// Returns the shares of the last measurement, for display.
     pub fn shares(&self) -> impl Iterator<Item = (&ShareOwner, Share)> {
         self.shares.iter().map(|(owner, share)| (owner, *share))
     }
 
-    /// Notes that a job was done.
+    /// Records that a job has finished.
     pub fn record_finished(&mut self, spec: &JobSpec, now: Timestamp) {
         for owner in owners_of(spec) {
-            let done = self.done.entry(owner).or_default();
-            match done.back_mut().filter(|last| now < last.at + SECOND_MS) {
+            let finished_tasks = self.finished_tasks.entry(owner).or_default();
+            match finished_tasks
+                .back_mut()
+                .filter(|last| now < last.finished_at + SECOND_MS)
+            {
                 Some(last) => last.tasks += spec.tasks,
-                None => done.push_back(DoneTasks {
-                    at: now,
+                None => finished_tasks.push_back(FinishedTasks {
+                    finished_at: now,
                     tasks: spec.tasks,
                 }),
             }
         }
     }
 
-    /// Measures the shares of all live jobs. `is_reliable`: this leader has heard from most machines, so
-    /// that a low share is worth a warning.
+    /// Measures the shares of all live jobs. `is_reliable` tells whether this leader has heard from most
+    /// machines, so that a low share is meaningful; otherwise there are no warnings and no changes of the
+    /// starved state.
     pub fn update(&mut self, live: &LiveDemand<'_>, is_reliable: bool, io: &mut Io) {
         let now = io.now;
-        self.forget_done(now);
+        self.forget_old_finished_tasks(now);
         self.shares = self.shares_of(SERVED_SHARE_AFTER_MS, live, now);
         if !is_reliable {
             return;
         }
-        let old = self.shares_of(STARVED_AFTER_MS, live, now);
+        let old_shares = self.shares_of(STARVED_AFTER_MS, live, now);
         self.forget_absent_owners();
         for (owner, share) in &self.shares {
-            if share.part() >= SERVED_RECOVERED_SHARE && !self.low.contains_key(owner) {
+            if share.served_fraction() >= SERVED_RECOVERED_SHARE && !self.low_shares.contains_key(owner) {
                 continue;
             }
-            let low = self.low.entry(owner.clone()).or_default();
-            let old = old.get(owner).copied().unwrap_or_default();
-            if judge(low, owner, *share, old, &mut self.starved, io) {
-                self.low.remove(owner);
+            let low = self.low_shares.entry(owner.clone()).or_default();
+            let old_share = old_shares.get(owner).copied().unwrap_or_default();
+            if evaluate_share(low, owner, *share, old_share, &mut self.starved, io) {
+                self.low_shares.remove(owner);
             }
         }
     }
 
-    /// Forgets jobs that were done too long ago to count.
-    fn forget_done(&mut self, now: Timestamp) {
-        self.done.retain(|_, done| {
-            while done
+    /// Removes jobs that finished too long ago to count.
+    fn forget_old_finished_tasks(&mut self, now: Timestamp) {
+        self.finished_tasks.retain(|_, finished_tasks| {
+            while finished_tasks
                 .front()
-                .is_some_and(|first| now > first.at + SERVED_WINDOW_MS)
+                .is_some_and(|first| now > first.finished_at + SERVED_WINDOW_MS)
             {
-                done.pop_front();
+                finished_tasks.pop_front();
             }
-            !done.is_empty()
+            !finished_tasks.is_empty()
         });
     }
 
-    /// Classes are named by users: what nobody asks for any more is forgotten.
+    /// Removes owners without any demand. Users name the classes, so the state would otherwise grow without
+    /// bound.
     fn forget_absent_owners(&mut self) {
-        for owner in self.low.keys().filter(|owner| !self.shares.contains_key(owner)) {
-            self.starved.mark(owner, None);
+        for owner in self
+            .low_shares
+            .keys()
+            .filter(|owner| !self.shares.contains_key(owner))
+        {
+            self.starved.update(owner, None);
         }
-        self.low.retain(|owner, _| self.shares.contains_key(owner));
+        self.low_shares.retain(|owner, _| self.shares.contains_key(owner));
     }
 
-    /// Shares of live jobs that are at least this old, and of those that were done lately.
+    /// Computes the shares of live jobs of at least this age and of recently finished jobs.
     fn shares_of(
         &self,
-        least_age_ms: Timestamp,
+        min_age_ms: Timestamp,
         live: &LiveDemand<'_>,
         now: Timestamp,
     ) -> BTreeMap<ShareOwner, Share> {
-        let mut shares = live_shares(least_age_ms, live, now);
-        for (owner, done) in &self.done {
-            let tasks = done.iter().map(|done| done.tasks).sum();
+        let mut shares = live_shares(min_age_ms, live, now);
+        for (owner, finished_tasks) in &self.finished_tasks {
+            let tasks = finished_tasks.iter().map(|finished| finished.tasks).sum();
             shares.entry(owner.clone()).or_default().add(Share {
-                asked: tasks,
+                demanded: tasks,
                 served: tasks,
                 short_of_units: 0,
             });
@@ -278,66 +288,70 @@
     }
 }
 
-/// Judges a share, and that of old work alone: warns operators, and marks the owner as starved or recovered.
-/// Returns whether it has recovered.
-fn judge(
+/// Evaluates the share of an owner, and that of its old work alone: warns operators, and marks the owner as
+/// starved or recovered. Returns whether it has recovered.
+fn evaluate_share(
     low: &mut LowShare,
     owner: &ShareOwner,
     share: Share,
-    old: Share,
+    old_share: Share,
     starved: &mut StarvedOwners,
     io: &mut Io,
 ) -> bool {
-    let (part, now) = (share.part(), io.now);
-    if part < SERVED_WARN_SHARE {
-        low.since.get_or_insert(now);
+    let (fraction, now) = (share.served_fraction(), io.now);
+    if fraction < SERVED_WARN_SHARE {
+        low.low_since.get_or_insert(now);
     } else {
-        low.since = None;
+        low.low_since = None;
     }
-    if !low.warned && low.since.is_some_and(|since| now >= since + SERVED_WARN_AFTER_MS) {
+    if !low.warned
+        && low
+            .low_since
+            .is_some_and(|since| now >= since + SERVED_WARN_AFTER_MS)
+    {
         low.warned = true;
         io.effects.push(Effect::Warning(low_share_warning(owner, share)));
     }
-    // A leader that has just taken over judges by the age of what waits, not by what it saw:
-    // with leaders that end every minute nothing would ever have been starved for long.
-    if starved.has(owner) || old.part() < STARVED_SHARE {
-        starved.mark(owner, Some(part < SERVED_MIN_SHARE));
+    // Starvation is determined from the age of waiting work, not from what this leader has observed:
+    // otherwise, with a leader change every minute, nothing would ever count as starved.
+    if starved.contains(owner) || old_share.served_fraction() < STARVED_SHARE {
+        starved.update(owner, Some(fraction < SERVED_MIN_SHARE));
     }
-    if part < SERVED_RECOVERED_SHARE {
+    if fraction < SERVED_RECOVERED_SHARE {
         low.recovered_since = None;
         return false;
     }
-    // For a while, or its work would give way again at once, and it would be starved and not
-    // starved by turns.
+    // The share must stay above the threshold for a while: otherwise its tasks would be preempted again at
+    // once, and the owner would alternate between starved and recovered.
     if now < *low.recovered_since.get_or_insert(now) + SERVED_RECOVERED_MS {
         return false;
     }
-    starved.mark(owner, None);
+    starved.update(owner, None);
     if low.warned {
-        log::info!("fair share recovered {owner} share={part:.2}");
+        log::info!("fair share recovered {owner} share={fraction:.2}");
     }
     true
 }
 
-/// The text that tells operators of a low share.
+/// Formats the operators' warning of a low share.
 fn low_share_warning(owner: &ShareOwner, share: Share) -> String {
-    let missing = share.asked - share.served;
-    let why = if 2 * share.short_of_units > missing {
+    let missing = share.demanded - share.served;
+    let shortage = if 2 * share.short_of_units > missing {
         "units of counts"
     } else {
         "machines"
     };
     format!(
-        "{owner} has only {part:.2} of what it asks for: {} of {} tasks older than {} s run or are \
-         done, most of the others wait for {why}; under {SERVED_MIN_SHARE} it counts as not served",
+        "{owner} has only {fraction:.2} of what it asks for: {} of {} tasks older than {} s run or are \
+         done, most of the others wait for {shortage}; under {SERVED_MIN_SHARE} it counts as not served",
         share.served,
-        share.asked,
+        share.demanded,
         SERVED_SHARE_AFTER_MS / SECOND_MS,
-        part = share.part(),
+        fraction = share.served_fraction(),
     )
 }
 
-/// The owners to whose shares the job counts.
+/// Returns the owners to whose shares the job counts.
 fn owners_of(spec: &JobSpec) -> [ShareOwner; 2] {
     [
         ShareOwner::Class(spec.class.clone()),
@@ -345,17 +359,17 @@
     ]
 }
 
-/// What a live job has, and asks for beyond that.
+/// The served and missing tasks of a live job.
 struct JobDemand<'a> {
     job: &'a Job,
-    /// Done, or on a machine as its shape asks.
+    /// Number of its tasks that are served, by the rules of its shape.
     served: u32,
-    /// Of these, on a machine.
+    /// Number of these tasks that are on a machine.
     running: u32,
     missing: u32,
 }
 
-/// Measures what the job has, by its shape.
+/// Computes the served and missing tasks of a job, by the rules of its shape.
 fn job_demand<'a>(job: &'a Job, counts: &TaskCounts) -> JobDemand<'a> {
     let spec = &job.spec;
     let (done, running) = counts.get(&spec.id).copied().unwrap_or((0, 0));
@@ -373,40 +387,40 @@
     }
 }
 
-/// Shares of live jobs that are at least this old.
-fn live_shares(
-    least_age_ms: Timestamp,
-    live: &LiveDemand<'_>,
-    now: Timestamp,
-) -> BTreeMap<ShareOwner, Share> {
+/// Computes the shares of live jobs of at least this age.
+fn live_shares(min_age_ms: Timestamp, live: &LiveDemand<'_>, now: Timestamp) -> BTreeMap<ShareOwner, Share> {
     let mut shares: BTreeMap<ShareOwner, Share> = BTreeMap::new();
     let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
-    let mut asking: Vec<JobDemand<'_>> = Vec::new();
+    let mut demands: Vec<JobDemand<'_>> = Vec::new();
     for job in live.jobs.values() {
         let demand = job_demand(job, live.counts);
         let spec = &job.spec;
         *used.entry(spec.team.as_str()).or_default() += spec.needs.scaled_by(f64::from(demand.running));
-        if job.age_ms(now) >= least_age_ms && !job.parked && !job.fails_on_many_machines() {
-            asking.push(demand);
+        if job.age_ms(now) >= min_age_ms && !job.parked && !job.fails_on_many_machines() {
+            demands.push(demand);
         }
     }
-    asking.sort_by_key(|demand| Reverse(demand.job.age_ms(now)));
-    for demand in asking {
+    demands.sort_by_key(|demand| Reverse(demand.job.age_ms(now)));
+    for demand in demands {
         let spec = &demand.job.spec;
         let team = live.deployment.teams.iter().find(|team| team.name == spec.team);
         let used = used.entry(spec.team.as_str()).or_default();
         let missing = match (team, spec.shape) {
             (None, _) => 0,
             (Some(team), Shape::Array) => tasks_within_limit(team, used, spec, demand.missing),
-            // The others come whole or not at all.
+            // The missing tasks of a gang or service count all together or not at all.
             (Some(team), _) => {
-                let most = tasks_within_limit(team, used, spec, demand.missing);
-                if most < demand.missing { 0 } else { most }
+                let allowed_tasks = tasks_within_limit(team, used, spec, demand.missing);
+                if allowed_tasks < demand.missing {
+                    0
+                } else {
+                    allowed_tasks
+                }
             }
         };
         *used += spec.needs.scaled_by(f64::from(missing));
         let share = Share {
-            asked: demand.served + missing,
+            demanded: demand.served + missing,
             served: demand.served,
             short_of_units: if live.short_of_units.contains(&spec.id) {
                 missing
@@ -421,9 +435,9 @@
     shares
 }
 
-/// How many more tasks of the job its team's limit allows, of `most`.
-fn tasks_within_limit(team: &Team, used: &Resources, spec: &JobSpec, most: u32) -> u32 {
-    let left = |max: f64, used: f64| {
+/// Returns how many more tasks of the job its team's limit allows, at most `max_tasks`.
+fn tasks_within_limit(team: &Team, used: &Resources, spec: &JobSpec, max_tasks: u32) -> u32 {
+    let remaining_quota = |max: f64, used: f64| {
         if max == 0.0 {
             f64::INFINITY
         } else {
@@ -431,12 +445,12 @@
         }
     };
     let free = Resources {
-        cpus: left(team.cpus_max, used.cpus),
-        gpus: left(team.gpus_max, used.gpus),
+        cpus: remaining_quota(team.cpus_max, used.cpus),
+        gpus: remaining_quota(team.gpus_max, used.gpus),
         memory_gb: f64::INFINITY,
     };
-    // Saturates: no limit at all is a number larger than any.
-    (spec.needs.instances_in(&free) as u32).min(most)
+    // The cast saturates: without any limit the count is infinite.
+    (spec.needs.instances_in(&free) as u32).min(max_tasks)
 }
 
 #[cfg(test)]
--- a/crates/controller/src/scheduling/gangs/tests.rs
+++ b/crates/controller/src/scheduling/gangs/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn who_waited_in_vain_joins_those_that_fetch_still() {
+fn a_task_that_timed_out_waiting_rejoins_while_others_fetch() {
     let mut gang = GangAttempt::new(7);
     gang.record_ended_task(TaskEndCause::Alone, true);
     assert!(gang.accepts_tasks());
@@ -23,14 +23,14 @@
 
 #[test]
 fn an_ended_task_breaks_the_attempt() {
-    for why in [
+    for cause in [
         TaskEndCause::Stopped,
         TaskEndCause::Peers,
         TaskEndCause::Alone,
         TaskEndCause::Error,
     ] {
         let mut gang = GangAttempt::new(7);
-        gang.record_ended_task(why, false);
-        assert!(gang.broken, "{why:?}");
+        gang.record_ended_task(cause, false);
+        assert!(gang.broken, "{cause:?}");
     }
 }
--- a/crates/controller/src/scheduling/image_statistics.rs
+++ b/crates/controller/src/scheduling/image_statistics.rs
@@ -1,18 +1,18 @@
-//! What placement needs to know of image fetches and machine losses, as measured by whoever leads.
+//! The statistics of image fetches and machine losses that placement uses, as measured by the leader.
 
 use indigopath_image_locality::Rates;
 
-/// Measured statistics of images and machines.
+/// Measured statistics of image fetches and machine losses.
 pub trait ImageStatistics {
-    /// Whether places are chosen by the expected downtime of replicas, as the operators set it.
+    /// Whether the operators enabled placement by the expected downtime of replicas.
     fn is_enabled(&self) -> bool;
 
-    /// Measured rates of fetches, by type of machine.
+    /// Returns the measured fetch rates, by machine type.
     fn rates(&self) -> &Rates;
 
-    /// Replicas started with the image lately, per s.
+    /// Returns the recent rate of replica starts with the image, per s.
     fn starts_per_s(&self, image: &str) -> f64;
 
-    /// Losses of a machine, spot or on-demand, per s.
+    /// Returns the rate of losses per machine, spot or on-demand, per s.
     fn loss_rate(&self, spot: bool) -> f64;
 }
--- a/crates/controller/src/scheduling/mod.rs
+++ b/crates/controller/src/scheduling/mod.rs
@@ -1,7 +1,7 @@
 //! Scheduling decisions: task placement, fair share, gangs and forecasts of objectives.
 //!
-//! Pure: they read the leader's state and return decisions or warnings. Nothing here knows the leader:
-//! what it measures comes in through [`image_statistics::ImageStatistics`].
+//! These modules read the leader's state and return decisions or warnings. They do not depend on the leader:
+//! its measurements are passed in through [`image_statistics::ImageStatistics`].
 
 pub mod fair_share;
 pub mod gangs;
