--- a/crates/controller/src/scheduling/fair_share/tests.rs
+++ b/crates/controller/src/scheduling/fair_share/tests.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn others_starts_earn_turns_and_its_own_use_them() {
+fn other_starts_earn_credits_and_starved_starts_use_them() {
     let mut starved = StarvedOwners::default();
     let own = job("wk-1", "sweep", 4, 90, "blue").spec;
     let other = job("wk-2", "gang", 4, 90, "blue").spec;
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -1,9 +1,8 @@
-//! Forecasts of service-level objectives, and warnings when the jobs of a class fall behind: more of them
-//! are forecast to be late than the class's objective on finishing allows, or than may miss their owners'
-//! deadlines.
+//! Forecasts of service-level objectives, and warnings when a class falls behind: more of its jobs are forecast
+//! to be late than its finishing objective allows, or than may miss their owners' deadlines.
 //!
-//! One warning a class and limit tells how many and why; it is repeated at intervals while that lasts, and
-//! never for every job.
+//! There is one warning per class and limit, not one per job. It tells how many jobs are late and why, and is
+//! repeated at intervals while the class is behind.
 
 use crate::allocations::Machine;
 use crate::constants::{
@@ -18,26 +17,26 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// The time within which jobs of a class are to be complete.
+/// The time within which jobs of a class should complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Limit {
-    /// An objective of the operators, in ms from the submission.
+    /// An objective set by the operators, in ms from submission.
     Objective(Timestamp),
-    /// Each job's own deadline, as its owner set it.
+    /// Each job's own deadline, set by its owner.
     Deadline,
 }
 
-/// A job that is done.
+/// A finished job.
 #[derive(Debug)]
 struct FinishedJob {
-    at: Timestamp,
+    finished_at: Timestamp,
     took_s: f64,
     estimate_s: f64,
     deadline_s: Option<f64>,
 }
 
 impl FinishedJob {
-    /// Whether it was late; `None` where that says nothing of how its class fares.
+    /// Whether it was late; `None` if it has no such limit, or could not have met it by its owner's estimate.
     fn is_late(&self, limit: Limit) -> Option<bool> {
         let within_s = limit.within_s(self.deadline_s)?;
         (self.estimate_s <= within_s).then_some(self.took_s > within_s)
@@ -49,7 +48,7 @@
         Limit::Objective((within_s * SECOND_MS as f64) as u64)
     }
 
-    /// The limit in s, for a job with this deadline.
+    /// Returns the limit in s for a job with this deadline.
     fn within_s(self, deadline_s: Option<f64>) -> Option<f64> {
         match self {
             Limit::Objective(ms) => Some(ms as f64 / SECOND_MS as f64),
@@ -58,77 +57,79 @@
     }
 }
 
-/// How a class stands against a limit.
+/// The forecast of a class against a limit.
 #[derive(Debug, Default)]
-struct Outlook<'a> {
+struct ClassForecast<'a> {
     jobs: u32,
-    late: u32,
-    /// Live jobs that take longer by their owners' own estimates, wherever they run.
-    long: u32,
-    /// Late jobs by what holds them.
+    late_jobs: u32,
+    /// Live jobs that cannot meet the limit on any machine, by their owners' estimates.
+    unachievable: u32,
+    /// Number of late jobs by the reason for the delay.
     reasons: BTreeMap<Cow<'static, str>, u32>,
-    /// The live job that will be latest.
-    worst: Option<LateJob<'a>>,
+    /// The live job that will exceed the limit most.
+    latest: Option<JobForecast<'a>>,
 }
 
-/// A live job that is forecast to be late.
+/// The forecast of a live job against a limit.
 #[derive(Debug, Clone, Copy)]
-struct LateJob<'a> {
+struct JobForecast<'a> {
     job: &'a JobId,
-    /// By how much it will be late.
-    over_s: f64,
+    /// How long after the limit it will complete; not positive if it will be in time.
+    late_by_s: f64,
     age_s: f64,
     remaining_s: f64,
 }
 
-impl<'a> Outlook<'a> {
-    /// Counts a live job; `late` has a value that is not positive for one in time.
-    fn add(&mut self, late: LateJob<'a>, reason: Cow<'static, str>) {
+impl<'a> ClassForecast<'a> {
+    /// Counts a live job; `reason` tells why it is delayed if it will be late.
+    fn add(&mut self, job_forecast: JobForecast<'a>, reason: Cow<'static, str>) {
         self.jobs += 1;
-        if late.over_s <= 0.0 {
+        if job_forecast.late_by_s <= 0.0 {
             return;
         }
-        self.late += 1;
+        self.late_jobs += 1;
         *self.reasons.entry(reason).or_default() += 1;
-        if self.worst.is_none_or(|worst| late.over_s > worst.over_s) {
-            self.worst = Some(late);
+        if self
+            .latest
+            .is_none_or(|latest| job_forecast.late_by_s > latest.late_by_s)
+        {
+            self.latest = Some(job_forecast);
         }
     }
 }
 
-/// What a leader remembers of forecasts from one look to the next.
+/// The state that a leader keeps from one forecast to the next.
 #[derive(Debug, Default)]
 pub struct Forecast {
     finished: BTreeMap<String, VecDeque<FinishedJob>>,
-    /// Classes that are behind, by limit, and when that was last said.
-    behind: BTreeMap<(String, Limit), Timestamp>,
-    /// Classes whose larger jobs wait for too long to begin, and when that was last said.
-    not_begun: BTreeMap<String, Timestamp>,
+    /// Time of the last warning for each class that is behind, by limit.
+    behind_warned_at: BTreeMap<(String, Limit), Timestamp>,
+    /// Time of the last warning for each class whose large jobs have waited too long to start.
+    unstarted_warned_at: BTreeMap<String, Timestamp>,
 }
 
-/// Progress of a job's tasks on machines: how many there are and the longest that
-/// one still needs, by the owner's estimate.
+/// A job's tasks on machines: their number, and the longest estimated time that one of them still needs.
 #[derive(Debug, Clone, Copy, Default)]
 struct PlacedTasks {
     tasks: u32,
     longest_s: f64,
 }
 
-/// When a job will be complete.
+/// The estimated completion of a job.
 struct Completion {
     remaining_s: f64,
-    /// What holds it up, for a warning.
+    /// The reason for the delay, for a warning.
     reason: &'static str,
 }
 
-/// How long a task that finds no machine waits for its start.
+/// How long a task without a machine waits for its start.
 #[derive(Debug, Clone, Copy, Default)]
 struct StartDelay {
     boot_s: f64,
     fetch_s: f64,
 }
 
-/// When the job will be complete, by its owner's estimate.
+/// Estimates when the job will be complete, by its owner's estimate of its run time.
 fn completion(job: &Job, placed: PlacedTasks, delay: StartDelay) -> Completion {
     let waiting = job.waiting.len() as f64;
     if waiting == 0.0 {
@@ -150,7 +151,7 @@
     }
 }
 
-/// Tasks on machines, by job.
+/// Returns the tasks on machines, by job.
 fn placed_tasks<'a>(
     jobs: &'a BTreeMap<JobId, Job>,
     machines: &BTreeMap<MachineId, Machine>,
@@ -173,35 +174,35 @@
     placed
 }
 
-/// What a forecast needs to know of the cluster.
+/// The input of a forecast.
 #[derive(Debug)]
 pub struct ForecastInput<'a> {
-    /// Jobs that are not over.
+    /// Live jobs.
     pub jobs: &'a BTreeMap<JobId, Job>,
     /// Machines, with what runs on them.
     pub machines: &'a BTreeMap<MachineId, Machine>,
-    /// Tasks that wait for units of counts.
+    /// Tasks that wait for units of counted resources.
     pub unsatisfied: &'a [UnsatisfiedDemand],
     /// Machine types that the cloud offers.
     pub types: &'a MachineTypes,
-    /// Objectives of the classes.
+    /// The settings, with the objectives of the classes.
     pub settings: &'a Settings,
     /// Observed boot times by machine type, in s.
     pub boot_s: &'a HashMap<String, f64>,
 }
 
-/// Outlooks by class and limit.
-type Outlooks<'a> = BTreeMap<(&'a str, Limit), Outlook<'a>>;
+/// Forecasts by class and limit.
+type ClassForecasts<'a> = BTreeMap<(&'a str, Limit), ClassForecast<'a>>;
 
-/// The outlooks of live jobs.
-fn live_outlooks<'a>(input: &ForecastInput<'a>, now: Timestamp) -> Outlooks<'a> {
+/// Forecasts all live jobs, by class and limit.
+fn live_class_forecasts<'a>(input: &ForecastInput<'a>, now: Timestamp) -> ClassForecasts<'a> {
     let unsatisfied: HashMap<&JobId, &UnsatisfiedDemand> = input
         .unsatisfied
         .iter()
         .map(|demand| (&demand.job, demand))
         .collect();
     let placed = placed_tasks(input.jobs, input.machines, now);
-    let mut outlooks = Outlooks::new();
+    let mut class_forecasts = ClassForecasts::new();
     for job in input.jobs.values().filter(|job| !job.parked) {
         if job.spec.shape == Shape::Service {
             continue;
@@ -222,30 +223,30 @@
             let Some(within_s) = limit.within_s(job.spec.deadline_s) else {
                 continue;
             };
-            let outlook = outlooks.entry((class, limit)).or_default();
-            // No machine of any number could help it: nobody is behind.
+            let class_forecast = class_forecasts.entry((class, limit)).or_default();
+            // More machines would not help it, so it does not count as behind.
             if delay.fetch_s + job.spec.estimate_s > within_s {
-                outlook.long += 1;
+                class_forecast.unachievable += 1;
                 continue;
             }
-            let late = LateJob {
+            let job_forecast = JobForecast {
                 job: &job.spec.id,
-                over_s: age_s + completion.remaining_s - within_s,
+                late_by_s: age_s + completion.remaining_s - within_s,
                 age_s,
                 remaining_s: completion.remaining_s,
             };
-            outlook.add(late, reason.clone());
+            class_forecast.add(job_forecast, reason.clone());
         }
     }
-    outlooks
+    class_forecasts
 }
 
 impl Forecast {
-    /// Notes that a job was done.
+    /// Records that a job has finished.
     pub fn record_finished(&mut self, job: &Job, now: Timestamp) {
         let finished = self.finished.entry(job.spec.class.clone()).or_default();
         finished.push_back(FinishedJob {
-            at: now,
+            finished_at: now,
             took_s: job.age_ms(now) as f64 / SECOND_MS as f64,
             estimate_s: job.spec.estimate_s,
             deadline_s: job.spec.deadline_s,
@@ -257,44 +258,45 @@
 
     /// Forecasts all live jobs, and warns of classes that fall behind.
     pub fn update(&mut self, input: &ForecastInput<'_>, io: &mut Io) {
-        let mut outlooks = live_outlooks(input, io.now);
-        self.count_finished(&mut outlooks, input.settings, io.now);
-        // Classes are named by users: what nobody submits any more is forgotten.
-        self.behind
-            .retain(|(class, limit), _| outlooks.contains_key(&(class.as_str(), *limit)));
-        for ((class, limit), outlook) in outlooks {
-            self.warn(class, limit, &outlook, input.settings, io);
+        let mut class_forecasts = live_class_forecasts(input, io.now);
+        self.count_finished(&mut class_forecasts, input.settings, io.now);
+        // Users name the classes, so the state of classes without jobs is dropped.
+        self.behind_warned_at
+            .retain(|(class, limit), _| class_forecasts.contains_key(&(class.as_str(), *limit)));
+        for ((class, limit), class_forecast) in class_forecasts {
+            self.warn(class, limit, &class_forecast, input.settings, io);
         }
     }
 
-    /// Warns, by class, of larger jobs that are about to begin later than their users expect.
+    /// Warns, by class, of large jobs that have waited too long to start.
     pub fn update_large_jobs(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
         task_locations: &TaskLocations,
-        short: &[UnsatisfiedDemand],
+        unsatisfied: &[UnsatisfiedDemand],
         io: &mut Io,
     ) {
-        let mut late: BTreeMap<&str, (&Job, u32)> = BTreeMap::new();
+        let mut unstarted: BTreeMap<&str, (&Job, u32)> = BTreeMap::new();
         for job in placement::large_unstarted_jobs(jobs, task_locations, LARGE_JOB_WARNING_AFTER_MS, io.now) {
-            late.entry(&job.spec.class).or_insert((job, 0)).1 += 1;
+            unstarted.entry(&job.spec.class).or_insert((job, 0)).1 += 1;
         }
-        self.not_begun
-            .retain(|class, at| late.contains_key(class.as_str()) || io.now < *at + OBJECTIVE_MIN_WARNED_MS);
-        for (class, (oldest, count)) in late {
-            let told = self.not_begun.get(class);
-            if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
+        self.unstarted_warned_at.retain(|class, at| {
+            unstarted.contains_key(class.as_str()) || io.now < *at + OBJECTIVE_MIN_WARNED_MS
+        });
+        for (class, (oldest, count)) in unstarted {
+            let warned_at = self.unstarted_warned_at.get(class);
+            if warned_at.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
                 continue;
             }
-            self.not_begun.insert(class.to_owned(), io.now);
+            self.unstarted_warned_at.insert(class.to_owned(), io.now);
             let id = &oldest.spec.id;
-            let why = match short.iter().find(|short| short.job == *id) {
-                Some(short) => format!("units of {}", short.shortage.count),
+            let reason = match unsatisfied.iter().find(|unsatisfied| unsatisfied.job == *id) {
+                Some(unsatisfied) => format!("units of {}", unsatisfied.shortage.count),
                 None => "machines".to_owned(),
             };
             io.effects.push(Effect::Warning(format!(
                 "class={class} has {count} of its larger jobs that have not begun after {} s; the oldest is \
-                 job={id}, {:.0} s old: {} tasks of {} CPUs and {} GPUs{}, it waits for {why}",
+                 job={id}, {:.0} s old: {} tasks of {} CPUs and {} GPUs{}, it waits for {reason}",
                 LARGE_JOB_WARNING_AFTER_MS / SECOND_MS,
                 oldest.age_ms(io.now) as f64 / SECOND_MS as f64,
                 oldest.spec.tasks,
@@ -305,77 +307,93 @@
         }
     }
 
-    /// Jobs that were done within the time that the class is given count as well, or the
-    /// long ones, which live longest, would speak for all.
-    fn count_finished<'a>(&mut self, outlooks: &mut Outlooks<'a>, settings: &Settings, now: Timestamp) {
+    /// Counts jobs that finished recently, within the class's longest limit. Otherwise long jobs, which are
+    /// live for longest, would dominate the forecast.
+    fn count_finished<'a>(
+        &mut self,
+        class_forecasts: &mut ClassForecasts<'a>,
+        settings: &Settings,
+        now: Timestamp,
+    ) {
         self.finished.retain(|class, finished| {
             let longest_s = settings
                 .deployment
                 .within_s("finished", class)
                 .fold(0.0, f64::max);
-            let kept_s = finished
+            let retention_s = finished
                 .iter()
                 .filter_map(|job| job.deadline_s)
                 .fold(longest_s, f64::max);
-            let kept_ms = (kept_s * SECOND_MS as f64) as u64;
-            while finished.front().is_some_and(|job| now > job.at + kept_ms) {
+            let retention_ms = (retention_s * SECOND_MS as f64) as u64;
+            while finished
+                .front()
+                .is_some_and(|job| now > job.finished_at + retention_ms)
+            {
                 finished.pop_front();
             }
             !finished.is_empty()
         });
-        for ((class, limit), outlook) in outlooks {
+        for ((class, limit), class_forecast) in class_forecasts {
             for job in self.finished.get(*class).into_iter().flatten() {
-                if let Some(late) = job.is_late(*limit) {
-                    outlook.jobs += 1;
-                    outlook.late += u32::from(late);
+                if let Some(is_late) = job.is_late(*limit) {
+                    class_forecast.jobs += 1;
+                    class_forecast.late_jobs += u32::from(is_late);
                 }
             }
         }
     }
 
-    fn warn(&mut self, class: &str, limit: Limit, outlook: &Outlook<'_>, settings: &Settings, io: &mut Io) {
+    fn warn(
+        &mut self,
+        class: &str,
+        limit: Limit,
+        class_forecast: &ClassForecast<'_>,
+        settings: &Settings,
+        io: &mut Io,
+    ) {
         let objective_s = limit.within_s(None);
-        let may = 1.0 - settings.deployment.finished_share(class, objective_s);
-        let allowed = may * f64::from(outlook.jobs);
-        let late = f64::from(outlook.late);
+        let allowed_share = 1.0 - settings.deployment.finished_share(class, objective_s);
+        let allowed_late = allowed_share * f64::from(class_forecast.jobs);
+        let late_jobs = f64::from(class_forecast.late_jobs);
         let key = (class.to_owned(), limit);
-        let what = match objective_s {
+        let objective_text = match objective_s {
             Some(within_s) => format!("their objective of {within_s:.0} s"),
             None => "their owners' deadlines".to_owned(),
         };
-        let told = self.behind.get(&key).copied();
-        let settled = told.is_some_and(|at| io.now >= at + OBJECTIVE_MIN_WARNED_MS);
-        if settled && late <= allowed * OBJECTIVE_RECOVERED_SHARE {
-            self.behind.remove(&key);
-            log::info!("class caught up class={class} with {what}");
+        let warned_at = self.behind_warned_at.get(&key).copied();
+        let min_warned_time_elapsed = warned_at.is_some_and(|at| io.now >= at + OBJECTIVE_MIN_WARNED_MS);
+        if min_warned_time_elapsed && late_jobs <= allowed_late * OBJECTIVE_RECOVERED_SHARE {
+            self.behind_warned_at.remove(&key);
+            log::info!("class caught up class={class} with {objective_text}");
         }
-        // Without a live job that can still be helped there is nothing to act on.
-        let Some(worst) = outlook.worst.filter(|_| late > allowed) else {
+        // Without a late live job that could still be helped, there is nothing to act on.
+        let Some(latest) = class_forecast.latest.filter(|_| late_jobs > allowed_late) else {
             return;
         };
-        if told.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
+        if warned_at.is_some_and(|at| io.now < at + WARNING_REPEAT_MS) {
             return;
         }
-        let why = outlook.reasons.iter().max_by_key(|(_, count)| **count);
+        let reason = class_forecast.reasons.iter().max_by_key(|(_, count)| **count);
         let text = format!(
-            "class={class} falls behind: {} of {} jobs are forecast to miss {what} ({:.0} % may), most of them {}; \
+            "class={class} falls behind: {} of {} jobs are forecast to miss {objective_text} ({:.0} % may), most of them {}; \
              the latest is job={}, {:.0} s old, about {:.0} s to go; {} more are longer by \
              their owners' estimates",
-            outlook.late,
-            outlook.jobs,
-            100.0 * may,
-            why.map_or("late", |(why, _)| &**why),
-            worst.job,
-            worst.age_s,
-            worst.remaining_s,
-            outlook.long,
+            class_forecast.late_jobs,
+            class_forecast.jobs,
+            100.0 * allowed_share,
+            reason.map_or("late", |(reason, _)| &**reason),
+            latest.job,
+            latest.age_s,
+            latest.remaining_s,
+            class_forecast.unachievable,
         );
-        self.behind.insert(key, io.now);
+        self.behind_warned_at.insert(key, io.now);
         io.effects.push(Effect::Warning(text));
     }
 }
 
-/// How long a task that finds no machine waits for a boot, on the type that boots soonest, and for its image.
+/// Returns how long a task without a machine waits for a boot and for its image, on the machine type that boots
+/// fastest.
 fn start_delay(job: &Job, types: &MachineTypes, boot_s: &HashMap<String, f64>) -> StartDelay {
     types
         .values()
