--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -137,7 +137,7 @@
         };
         match is_below_minimum {
             Some(_) if !was_starved => {
-                log::info!("starvation began {owner}: some of its work comes before all other");
+                log::info!("starvation began {owner}: some of its tasks are placed before all other work");
             }
             None if was_starved => log::info!("starvation ended {owner}"),
             _ => (),
@@ -337,13 +337,13 @@
 fn low_share_warning(owner: &ShareOwner, share: Share) -> String {
     let missing = share.demanded - share.served;
     let shortage = if 2 * share.short_of_units > missing {
-        "units of counts"
+        "units of counted resources"
     } else {
         "machines"
     };
     format!(
-        "{owner} has only {fraction:.2} of what it asks for: {} of {} tasks older than {} s run or are \
-         done, most of the others wait for {shortage}; under {SERVED_MIN_SHARE} it counts as not served",
+        "{owner} is served only {fraction:.2} of its demand: {} of {} tasks older than {} s are running or \
+         done, most of the others wait for {shortage}; below {SERVED_MIN_SHARE} it counts as not served",
         share.served,
         share.demanded,
         SERVED_SHARE_AFTER_MS / SECOND_MS,
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -295,8 +295,8 @@
                 None => "machines".to_owned(),
             };
             io.effects.push(Effect::Warning(format!(
-                "class={class} has {count} of its larger jobs that have not begun after {} s; the oldest is \
-                 job={id}, {:.0} s old: {} tasks of {} CPUs and {} GPUs{}, it waits for {reason}",
+                "class={class} has {count} large jobs that have not started after {} s; the oldest is \
+                 job={id}, {:.0} s old: {} tasks of {} CPUs and {} GPUs{}, waiting for {reason}",
                 LARGE_JOB_WARNING_AFTER_MS / SECOND_MS,
                 oldest.age_ms(io.now) as f64 / SECOND_MS as f64,
                 oldest.spec.tasks,
@@ -375,8 +375,8 @@
         }
         let reason = class_forecast.reasons.iter().max_by_key(|(_, count)| **count);
         let text = format!(
-            "class={class} falls behind: {} of {} jobs are forecast to miss {objective_text} ({:.0} % may), most of them {}; \
-             the latest is job={}, {:.0} s old, about {:.0} s to go; {} more are longer by \
+            "class={class} falls behind: {} of {} jobs are forecast to miss {objective_text} ({:.0} % allowed), most of them {}; \
+             the latest is job={}, {:.0} s old, about {:.0} s remaining; {} more cannot be in time by \
              their owners' estimates",
             class_forecast.late_jobs,
             class_forecast.jobs,
