--- a/crates/controller/src/autoscaling/mod.rs
+++ b/crates/controller/src/autoscaling/mod.rs
@@ -1,4 +1,4 @@
-//! Autoscaling: how many machines the cluster is to have, and the scale-out requests that bring them.
+//! Autoscaling: the target size of the cluster, and the scale-out requests for reaching it.
 
 pub mod scale_out_request;
 pub mod target_size;
--- a/crates/controller/src/autoscaling/scale_out_request.rs
+++ b/crates/controller/src/autoscaling/scale_out_request.rs
@@ -1,30 +1,30 @@
-//! Scale-out requests: machines that are being rented from the cloud.
+//! Scale-out requests: machines that are being launched in the cloud.
 
 use crate::model::Timestamp;
 use crate::protocol::RentalRequest;
 
-/// A request for machines, from the decision until its machines are known.
+/// A request to the cloud for machines.
 #[derive(Debug)]
 pub struct ScaleOutRequest {
-    /// What the cloud is asked for.
+    /// The request as sent to the cloud.
     pub request: RentalRequest,
-    /// Its record is persisted: only then it may be sent.
+    /// Whether its record is persisted. It must not be sent before that.
     pub persisted: bool,
-    /// It may have been sent, by this leader or a former one.
+    /// Whether it may have been sent, by this leader or a former one.
     pub sent: bool,
-    /// A call of it waits for its answer.
+    /// Whether a call is waiting for its response.
     pub in_flight: bool,
-    /// A call of it went unanswered: it may be carried out at any time, minutes later.
+    /// Whether a call got no response. The cloud may still carry it out at any time, even minutes later.
     pub outcome_unknown: bool,
-    /// Not sent again before this time.
+    /// The earliest time of the next call.
     pub retry_at: Timestamp,
-    /// When the cloud named its machines. Its record stays until the list must show
-    /// them: only it leads a new leader to machines that boot.
+    /// When the cloud returned its machines. The record is kept until they must appear in the cloud's list of
+    /// machines, because a new leader finds booting machines only through it.
     pub answered_at: Option<Timestamp>,
 }
 
 impl ScaleOutRequest {
-    /// A request that is neither persisted nor sent yet.
+    /// Creates a request that is neither persisted nor sent yet.
     pub fn new(request: RentalRequest) -> ScaleOutRequest {
         ScaleOutRequest {
             request,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether its machines are not known yet.
+    /// Whether the cloud has not returned its machines yet.
     pub fn is_open(&self) -> bool {
         self.answered_at.is_none()
     }
--- a/crates/controller/src/autoscaling/target_size/tests.rs
+++ b/crates/controller/src/autoscaling/target_size/tests.rs
@@ -9,53 +9,56 @@
     }
 }
 
-fn queue(waiting: WaitingTasks) -> QueuedDemand {
-    let mut queue = QueuedDemand::default();
-    queue.add(waiting, 50.0);
-    queue
+fn queued_demand(waiting: WaitingTasks) -> QueuedDemand {
+    let mut demand = QueuedDemand::default();
+    demand.add(waiting, 50.0);
+    demand
 }
 
 #[test]
-fn queued_walltime_over_twice_the_waste() {
-    // 40 one-minute tasks, one a machine: 2400 s / (2 x 50 s) = 24.
-    assert_eq!(target_machines(&queue(waiting(40, 60.0, 1.0)), 50.0), 24);
+fn target_is_queued_walltime_over_twice_the_waste_time() {
+    // 40 one-minute tasks, one per machine: 2400 s / (2 x 50 s) = 24.
+    assert_eq!(target_machines(&queued_demand(waiting(40, 60.0, 1.0)), 50.0), 24);
 }
 
 #[test]
-fn at_least_one_while_work_waits_and_none_otherwise() {
-    assert_eq!(target_machines(&queue(waiting(1, 10.0, 8.0)), 50.0), 1);
+fn target_is_at_least_one_while_work_waits_and_zero_otherwise() {
+    assert_eq!(target_machines(&queued_demand(waiting(1, 10.0, 8.0)), 50.0), 1);
     assert_eq!(target_machines(&QueuedDemand::default(), 50.0), 0);
 }
 
 #[test]
-fn tasks_that_take_nothing_need_a_machine_all_the_same() {
+fn tasks_without_resource_requests_still_need_a_machine() {
     let gang = WaitingTasks {
         is_gang: true,
         ..waiting(40, 5.0, f64::INFINITY)
     };
     for tasks in [waiting(40, 5.0, f64::INFINITY), gang] {
-        assert_eq!(target_machines(&queue(tasks), 50.0), 1);
+        assert_eq!(target_machines(&queued_demand(tasks), 50.0), 1);
     }
-    assert_eq!(target_machines(&queue(waiting(0, 5.0, f64::INFINITY)), 50.0), 0);
+    assert_eq!(
+        target_machines(&queued_demand(waiting(0, 5.0, f64::INFINITY)), 50.0),
+        0
+    );
 }
 
 #[test]
-fn no_more_than_the_tasks_fill() {
-    assert_eq!(target_machines(&queue(waiting(16, 1000.0, 8.0)), 50.0), 2);
+fn target_is_at_most_the_machines_that_the_tasks_fill() {
+    assert_eq!(target_machines(&queued_demand(waiting(16, 1000.0, 8.0)), 50.0), 2);
 }
 
 #[test]
-fn covers_the_largest_gang() {
-    let short = queue(WaitingTasks {
+fn target_covers_the_largest_gang() {
+    let gang_demand = queued_demand(WaitingTasks {
         is_gang: true,
         ..waiting(16, 5.0, 4.0)
     });
-    assert_eq!(target_machines(&short, 50.0), 4);
+    assert_eq!(target_machines(&gang_demand, 50.0), 4);
 }
 
 #[test]
-fn tasks_without_an_estimate_count_twice_the_waste() {
-    assert_eq!(target_machines(&queue(waiting(3, 0.0, 1.0)), 50.0), 3);
+fn tasks_without_an_estimate_count_as_twice_the_waste_time() {
+    assert_eq!(target_machines(&queued_demand(waiting(3, 0.0, 1.0)), 50.0), 3);
 }
 
 fn job(change: impl FnOnce(&mut JobSpec)) -> JobSpec {
@@ -71,7 +74,7 @@
     spec
 }
 
-fn coming(types: &MachineTypes) -> Vec<PendingCapacity> {
+fn pending_machines(types: &MachineTypes) -> Vec<PendingCapacity> {
     let machine = |zone: &str, spot| PendingCapacity {
         machine: Some(MachineId(std::sync::Arc::from(zone))),
         machine_type: "small".into(),
@@ -87,34 +90,61 @@
 }
 
 #[test]
-fn machines_on_their_way_take_what_they_may() {
+fn pending_capacity_covers_eligible_tasks() {
     let flavors: crate::protocol::Flavors =
         serde_json::from_str(include_str!("../../../tests/support/flavors.json")).unwrap();
     let types: MachineTypes = flavors
         .types
         .into_iter()
-        .map(|known| (known.name.clone(), known))
+        .map(|machine_type| (machine_type.name.clone(), machine_type))
         .collect();
-    let both = ["east".to_owned(), "west".to_owned()];
-    let none = BTreeSet::new();
-    let left = |change: fn(&mut JobSpec), zones: &[String]| {
-        uncovered_tasks(&mut coming(&types), &job(change), &none, zones, 10, &types)
+    let both_zones = ["east".to_owned(), "west".to_owned()];
+    let no_avoided = BTreeSet::new();
+    let uncovered = |change: fn(&mut JobSpec), zones: &[String]| {
+        uncovered_tasks(
+            &mut pending_machines(&types),
+            &job(change),
+            &no_avoided,
+            zones,
+            10,
+            &types,
+        )
     };
-    // Four a machine: two ordinary ones, and the spot one where it is allowed.
-    assert_eq!(left(|_| (), &both), 2);
-    assert_eq!(left(|spec| spec.spot = true, &both), 0);
-    assert_eq!(left(|_| (), &both[..1]), 6);
-    let west = BTreeSet::from([MachineId(std::sync::Arc::from("west"))]);
-    let left_without = uncovered_tasks(&mut coming(&types), &job(|_| ()), &west, &both, 10, &types);
-    assert_eq!(left_without, 6, "where it failed, it is not tried again");
-    // A gang comes whole or not at all, and in one zone if it must.
-    assert_eq!(left(|spec| spec.shape = Shape::Gang, &both), 10);
-    let mut rooms = coming(&types);
+    // Four tasks fit on each machine: two on-demand ones, and the spot one if it is allowed.
+    assert_eq!(uncovered(|_| (), &both_zones), 2);
+    assert_eq!(uncovered(|spec| spec.spot = true, &both_zones), 0);
+    assert_eq!(uncovered(|_| (), &both_zones[..1]), 6);
+    let failed_machines = BTreeSet::from([MachineId(std::sync::Arc::from("west"))]);
+    let uncovered_without_west = uncovered_tasks(
+        &mut pending_machines(&types),
+        &job(|_| ()),
+        &failed_machines,
+        &both_zones,
+        10,
+        &types,
+    );
+    assert_eq!(
+        uncovered_without_west, 6,
+        "a machine on which the job failed does not count"
+    );
+    // A gang is covered as a whole or not at all, and in a single zone if it requires that.
+    assert_eq!(uncovered(|spec| spec.shape = Shape::Gang, &both_zones), 10);
+    let mut pending = pending_machines(&types);
     let gang = job(|spec| {
         spec.shape = Shape::Gang;
         spec.one_zone = true;
     });
-    assert_eq!(uncovered_tasks(&mut rooms, &gang, &none, &both, 5, &types), 5);
-    assert_eq!(rooms, coming(&types), "what it does not take stays free");
-    assert_eq!(uncovered_tasks(&mut rooms, &gang, &none, &both, 4, &types), 0);
+    assert_eq!(
+        uncovered_tasks(&mut pending, &gang, &no_avoided, &both_zones, 5, &types),
+        5
+    );
+    assert_eq!(
+        pending,
+        pending_machines(&types),
+        "a gang that does not fit claims nothing"
+    );
+    assert_eq!(
+        uncovered_tasks(&mut pending, &gang, &no_avoided, &both_zones, 4, &types),
+        0
+    );
 }
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns how many of `tasks` that lack machines would have their units once the machines are up. No
-    /// machines are rented for the others.
+    /// machines are launched for the others.
     pub(super) fn tasks_with_expected_units(&mut self, entry: &QueueEntry<'a>, tasks: u32) -> u32 {
         if !entry.needs_units || tasks == 0 {
             return tasks;
