--- a/crates/controller/src/autoscaling/scale_out_request.rs
+++ b/crates/controller/src/autoscaling/scale_out_request.rs
@@ -1,13 +1,13 @@
 //! Scale-out requests: machines that are being launched in the cloud.
 
 use crate::model::Timestamp;
-use crate::protocol::RentalRequest;
+use crate::protocol::LaunchRequest;
 
 /// A request to the cloud for machines.
 #[derive(Debug)]
 pub struct ScaleOutRequest {
     /// The request as sent to the cloud.
-    pub request: RentalRequest,
+    pub request: LaunchRequest,
     /// Whether its record is persisted. It must not be sent before that.
     pub persisted: bool,
     /// Whether it may have been sent, by this leader or a former one.
@@ -25,7 +25,7 @@
 
 impl ScaleOutRequest {
     /// Creates a request that is neither persisted nor sent yet.
-    pub fn new(request: RentalRequest) -> ScaleOutRequest {
+    pub fn new(request: LaunchRequest) -> ScaleOutRequest {
         ScaleOutRequest {
             request,
             persisted: false,
--- a/crates/controller/src/autoscaling/target_size/tests.rs
+++ b/crates/controller/src/autoscaling/target_size/tests.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn pending_capacity_covers_eligible_tasks() {
-    let flavors: crate::protocol::Flavors =
+    let flavors: crate::protocol::MachineTypeList =
         serde_json::from_str(include_str!("../../../tests/support/flavors.json")).unwrap();
     let types: MachineTypes = flavors
         .types
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -41,7 +41,7 @@
         let id = MachineId(Arc::from(heartbeat.machine.as_str()));
         if self.machines.is_recently_released(&id) {
             // Sent before the release; no worker waits for the reply.
-            io.reply_error(request, 503, "this machine is gone");
+            io.reply_error(request, 503, "this machine has been released");
             return Ok(());
         }
         if !self.recovery.is_complete() {
@@ -93,8 +93,8 @@
         self.reconcile(report, Machine::apply_response, io);
     }
 
-    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false if
-    /// the report is outdated.
+    /// Adds the machine if it is unknown, updates it and applies the changes of its attempts. Returns false
+    /// if the report is outdated.
     fn reconcile(
         &mut self,
         report: &Heartbeat,
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -65,7 +65,7 @@
             eligible,
             rank_steps: steps.filter(RankSteps::has_preference),
             image: self.images.number(&job.spec.image),
-            start_within_s: self.cluster.deployment.tightest_s("wait", &job.spec.class),
+            start_within_s: self.cluster.deployment.shortest_s("wait", &job.spec.class),
             avoids_failed_machines: !job.avoided_machines(self.cluster.now).is_empty(),
             // Without the age limit, jobs whose class has no finishing objective left idle machines to a gang
             // that never found enough of them.
