--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One controller: the single owner of all state. Commands go in, effects come
-//! out; sockets and timers are somebody else's.
+//! The state machine of one controller. It owns all state, takes commands and returns effects; sockets and
+//! timers belong to its host.
 
 mod routing;
 
@@ -30,7 +30,7 @@
 use routing::Route;
 use std::collections::HashMap;
 
-/// Something that happened outside.
+/// An input from the host.
 #[derive(Debug, Clone)]
 pub enum Command {
     Request {
@@ -43,29 +43,31 @@
         call: CallId,
         outcome: Outcome,
     },
-    /// A frame from a peer; its heartbeat says which.
+    /// A frame from a peer. Frames that need it carry the sender's position among all members.
     Frame(Frame),
-    /// A connection to a peer has just come about.
+    /// A connection to a peer was established.
     PeerConnected {
         peer: usize,
     },
 }
 
-/// What the node itself asks.
+/// Calls that the node itself makes.
 #[derive(Debug)]
-enum Question {
+enum NodeCall {
     MachineTypes,
-    StoredTypes,
-    /// Only whether the state service answers.
-    Probe,
+    StoredMachineTypes,
+    /// Checks whether the state service responds.
+    StateProbe,
 }
 
+/// The latest heartbeat of a peer.
 #[derive(Debug, Default, Clone, Copy)]
 struct PeerState {
-    beat: Option<PeerHeartbeat>,
-    at: Timestamp,
+    heartbeat: Option<PeerHeartbeat>,
+    received_at: Timestamp,
 }
 
+/// A controller node.
 #[derive(Debug)]
 pub struct Node {
     settings: Settings,
@@ -73,39 +75,40 @@
     election: Election,
     term: Option<LeaderTerm>,
     job_api: JobApi,
-    desk: Desk,
-    types: MachineTypes,
-    type_list: Vec<MachineType>,
-    types_at: Timestamp,
-    types_busy: bool,
-    /// The cloud itself has told them; else they may be a former leader's, and a new one may lack.
-    types_certain: bool,
+    submit_files: Desk,
+    machine_types: MachineTypes,
+    machine_type_list: Vec<MachineType>,
+    machine_types_due_at: Timestamp,
+    machine_types_requested: bool,
+    /// Whether the types were read from the cloud; otherwise an earlier leader stored them, and new types may
+    /// be missing.
+    machine_types_confirmed: bool,
     peers: Vec<PeerState>,
-    /// All members' names in order; a heartbeat names its sender by position.
+    /// All members' names in order; frames identify their sender by its position.
     members: Vec<String>,
-    beat_at: Timestamp,
-    /// When requests that were told to come back were last logged.
-    refused_at: Timestamp,
-    /// Counts of jobs as the leader last told them.
-    told: TaskCounts,
-    /// Counts as this leader last told its peers.
-    sent: TaskCounts,
-    /// Workers that addressed this node, and when.
-    workers: HashMap<String, Timestamp>,
+    heartbeat_due_at: Timestamp,
+    /// When rejected requests were last logged.
+    rejections_logged_at: Timestamp,
+    /// Task counts that the leader reported last.
+    leader_task_counts: TaskCounts,
+    /// Task counts that this leader last sent to its peers.
+    sent_task_counts: TaskCounts,
+    /// When workers last sent this node a heartbeat.
+    worker_heard_at: HashMap<String, Timestamp>,
     state_ok_at: Timestamp,
-    state_failed_at: Option<Timestamp>,
-    probed_at: Timestamp,
-    calls: PendingCalls<Question>,
+    state_failing_since: Option<Timestamp>,
+    state_probed_at: Timestamp,
+    calls: PendingCalls<NodeCall>,
     metrics: Metrics,
-    /// Open connections, and what was done for want of room.
-    sockets: (PerClass<u64>, ShortageCounts),
+    /// Open connections, and the effects of connection limits.
+    connection_stats: (PerClass<u64>, ShortageCounts),
 }
 
 impl Node {
     pub fn new(settings: Settings, seed: u64, now: Timestamp, wall_ms: u64) -> Node {
         let mut io = Io::new(&settings, seed, now, wall_ms);
         let incarnation: u64 = io.rng.random();
-        let desk = Desk::new(&settings, now);
+        let submit_files = Desk::new(&settings, now);
         let mut members: Vec<String> = settings.peers.iter().map(|peer| peer.node.clone()).collect();
         members.push(settings.node.clone());
         members.sort();
@@ -119,32 +122,32 @@
             io,
             term: None,
             job_api,
-            desk,
-            types: MachineTypes::new(),
-            type_list: Vec::new(),
-            types_at: 0,
-            types_busy: false,
-            types_certain: false,
-            beat_at: 0,
-            refused_at: 0,
-            told: TaskCounts::new(),
-            sent: TaskCounts::new(),
-            workers: HashMap::new(),
+            submit_files,
+            machine_types: MachineTypes::new(),
+            machine_type_list: Vec::new(),
+            machine_types_due_at: 0,
+            machine_types_requested: false,
+            machine_types_confirmed: false,
+            heartbeat_due_at: 0,
+            rejections_logged_at: 0,
+            leader_task_counts: TaskCounts::new(),
+            sent_task_counts: TaskCounts::new(),
+            worker_heard_at: HashMap::new(),
             state_ok_at: now,
-            state_failed_at: None,
-            probed_at: now,
+            state_failing_since: None,
+            state_probed_at: now,
             calls: PendingCalls::default(),
             metrics: Metrics::new(),
-            sockets: Default::default(),
+            connection_stats: Default::default(),
         }
     }
 
-    /// The token while this node leads, for the log.
+    /// The fencing token while this node leads, for the log.
     pub fn token(&self) -> Option<u64> {
         self.election.token()
     }
 
-    /// An act's permit ran out before its bytes went out: it was dropped.
+    /// Records that a call was dropped because its permit expired before it was sent.
     pub fn on_operation_dropped(&mut self, permit: &Permit) {
         log::warn!(
             "permit expired before sending operation={} epoch={}",
@@ -154,16 +157,18 @@
         self.io.permits.note_late(permit.operation());
     }
 
-    /// How the process stands with its sockets, for metrics.
-    pub fn set_connection_stats(&mut self, open: PerClass<u64>, tally: ShortageCounts) {
-        self.sockets = (open, tally);
+    /// Sets the process's connection statistics for metrics.
+    pub fn set_connection_stats(&mut self, open: PerClass<u64>, shortages: ShortageCounts) {
+        self.connection_stats = (open, shortages);
     }
 
+    /// Sets the current time. Monotonic time never goes back.
     pub fn set_time(&mut self, now: Timestamp, wall_ms: u64) {
         self.io.now = self.io.now.max(now);
         self.io.wall_ms = wall_ms;
     }
 
+    /// Returns the effects since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let effects = std::mem::take(&mut self.io.effects);
         for effect in &effects {
@@ -172,6 +177,7 @@
         effects
     }
 
+    /// Handles one command.
     pub fn handle(&mut self, command: Command) {
         match command {
             Command::Request {
@@ -179,37 +185,37 @@
                 method,
                 path,
                 body,
-            } => self.request(request, &method, &path, &body),
-            Command::Answer { call, outcome } => self.answer(call, &outcome),
-            Command::Frame(frame) => self.frame(frame),
-            Command::PeerConnected { peer } => self.tell_all(peer),
+            } => self.handle_request(request, &method, &path, &body),
+            Command::Answer { call, outcome } => self.handle_response(call, &outcome),
+            Command::Frame(frame) => self.handle_frame(frame),
+            Command::PeerConnected { peer } => self.send_task_counts(peer),
         }
     }
 
-    /// Does what is due after a batch of commands, or at a tick.
+    /// Does what is due after a batch of commands or at a timer tick.
     pub fn run_due_work(&mut self) {
-        if let Some(news) = self.election.poll(&mut self.io) {
-            self.news(news);
+        if let Some(event) = self.election.poll(&mut self.io) {
+            self.on_election_event(event);
         }
         match self.election.held_lease() {
             Some(hold) => self.io.permits.hold(hold),
             None => self.io.permits.release(),
         }
-        self.poll_types();
+        self.request_machine_types();
         self.probe_state();
         self.job_api
             .run_due_work(4 * self.settings.deployment.state.txn_ops, &mut self.io);
         let context = Context {
             settings: &self.settings,
-            types: &self.type_list,
-            certain: self.types_certain,
+            types: &self.machine_type_list,
+            certain: self.machine_types_confirmed,
         };
-        self.desk.settle(&context, &mut self.io);
-        let peers = self.hearing();
+        self.submit_files.settle(&context, &mut self.io);
+        let peers = self.peer_view();
         if let Some(term) = &mut self.term {
-            let news = term.run_due_work(
+            let event = term.run_due_work(
                 &mut self.election,
-                &self.types,
+                &self.machine_types,
                 &self.settings,
                 peers,
                 &mut self.io,
@@ -218,39 +224,39 @@
                 self.metrics.observe_count_wait(&count, waited_s);
             }
             for (job, team) in std::mem::take(&mut term.writer.recently_finished) {
-                let over = TerminalState {
+                let ended = TerminalState {
                     end: Ending::Done,
                     tasks: 0,
                     team: Some(team),
                 };
-                self.job_api.learn_end(&job, over, &mut self.io);
+                self.job_api.learn_end(&job, ended, &mut self.io);
             }
-            if let Some(news) = news {
-                self.news(news);
+            if let Some(event) = event {
+                self.on_election_event(event);
             }
         }
-        self.tell_refusals();
-        if self.io.now >= self.beat_at {
-            self.beat_at = self.io.now + HEARTBEAT_MS;
-            self.beat();
+        self.log_rejections();
+        if self.io.now >= self.heartbeat_due_at {
+            self.heartbeat_due_at = self.io.now + HEARTBEAT_MS;
+            self.send_heartbeat();
         }
     }
 
-    /// One line a second at most, however many were refused.
-    fn tell_refusals(&mut self) {
-        if self.io.rejections.is_empty() || self.io.now < self.refused_at + SECOND_MS {
+    /// Logs rejected requests, at most one line per second.
+    fn log_rejections(&mut self) {
+        if self.io.rejections.is_empty() || self.io.now < self.rejections_logged_at + SECOND_MS {
             return;
         }
-        self.refused_at = self.io.now;
-        let refusals = std::mem::take(&mut self.io.rejections);
-        let all: u32 = refusals.values().sum();
-        if let Some((why, count)) = refusals.iter().max_by_key(|(_, count)| **count) {
-            log::info!("requests rejected count={all} most={count} reason={why}");
+        self.rejections_logged_at = self.io.now;
+        let rejections = std::mem::take(&mut self.io.rejections);
+        let total: u32 = rejections.values().sum();
+        if let Some((reason, count)) = rejections.iter().max_by_key(|(_, count)| **count) {
+            log::info!("requests rejected count={total} most={count} reason={reason}");
         }
     }
 
-    fn news(&mut self, news: ElectionEvent) {
-        match news {
+    fn on_election_event(&mut self, event: ElectionEvent) {
+        match event {
             ElectionEvent::Elected { token } => {
                 self.io.set_leader(true);
                 self.term = Some(LeaderTerm::new(token, &self.settings, self.io.now));
@@ -260,15 +266,15 @@
                 if let Some(term) = self.term.take() {
                     term.end(&mut self.io);
                 }
-                self.sent.clear();
+                self.sent_task_counts.clear();
             }
         }
-        self.beat_at = self.io.now;
+        self.heartbeat_due_at = self.io.now;
     }
 
     // ---- requests ------------------------------------------------------------
 
-    fn request(&mut self, request: RequestId, method: &str, path: &str, body: &[u8]) {
+    fn handle_request(&mut self, request: RequestId, method: &str, path: &str, body: &[u8]) {
         let route = routing::route(method, path);
         match route {
             Route::Refuse(status) => {
@@ -279,21 +285,23 @@
                 };
                 self.io.reply_error(request, status, problem);
             }
-            Route::Health => self.health(request),
-            Route::Report => self.report(request, body),
-            Route::Submit => self.submit(request, body),
+            Route::Health => self.reply_health(request),
+            Route::Report => self.handle_heartbeat(request, body),
+            Route::Submit => self.handle_submission(request, body),
             Route::Poll(job) => self
                 .job_api
                 .handle_request(request, job, JobRequest::Poll, &mut self.io),
-            Route::Counts | Route::Holders(_) | Route::Explain(..) => self.tell_counts(request, route),
-            Route::Metrics => self.tell_metrics(request),
+            Route::Counts | Route::Holders(_) | Route::Explain(..) => {
+                self.reply_counted_resources(request, route)
+            }
+            Route::Metrics => self.reply_metrics(request),
             Route::Condor(..) if self.settings.operator.condor.is_none() => {
                 let problem = "submit files are served where the operators set condor";
                 self.io.reply_error(request, 404, problem);
             }
             Route::Condor(route, team) => {
-                let asks = authorization::requesting_team(team.as_deref(), &self.settings);
-                self.condor(request, route, asks, body);
+                let requester = authorization::requesting_team(team.as_deref(), &self.settings);
+                self.handle_submit_file_request(request, route, requester, body);
             }
             Route::Cancel(job) => self
                 .job_api
@@ -301,43 +309,53 @@
         }
     }
 
-    fn condor(&mut self, request: RequestId, route: condor::Route, asks: Team, body: &[u8]) {
+    fn handle_submit_file_request(
+        &mut self,
+        request: RequestId,
+        route: condor::Route,
+        requester: Team,
+        body: &[u8],
+    ) {
         let context = Context {
             settings: &self.settings,
-            types: &self.type_list,
-            certain: self.types_certain,
+            types: &self.machine_type_list,
+            certain: self.machine_types_confirmed,
         };
         let io = &mut self.io;
         match route {
-            condor::Route::Submit => self.desk.submit(request, body, &context, io),
-            condor::Route::Change(target, act) => self.desk.change(request, target, act, asks, &context, io),
-            condor::Route::History(cluster) => self.desk.history(request, cluster, asks, &context, io),
-            condor::Route::Queue => self.tell_queue(request, &asks),
-        }
-    }
-
-    /// Only who leads, and surely still does, knows what runs.
-    fn tell_queue(&mut self, request: RequestId, asks: &Team) {
-        let certain = self.election.is_lease_live(self.io.now);
-        match self.term.as_ref().filter(|_| certain) {
-            None => self.send_to_leader(request),
+            condor::Route::Submit => self.submit_files.submit(request, body, &context, io),
+            condor::Route::Change(target, act) => self
+                .submit_files
+                .change(request, target, act, requester, &context, io),
+            condor::Route::History(cluster) => self
+                .submit_files
+                .history(request, cluster, requester, &context, io),
+            condor::Route::Queue => self.reply_queue(request, &requester),
+        }
+    }
+
+    /// Answers with the queue, which is known only to a leader whose lease is live.
+    fn reply_queue(&mut self, request: RequestId, requester: &Team) {
+        let is_lease_live = self.election.is_lease_live(self.io.now);
+        match self.term.as_ref().filter(|_| is_lease_live) {
+            None => self.redirect_to_leader(request),
             Some(term) if !term.is_recovered() => {
                 self.io
                     .reply_retry_later(request, RETRY_AFTER_S, "the records are being read");
             }
             Some(term) => {
-                let jobs = term.queue(asks, &self.settings, self.io.now);
+                let jobs = term.queue(requester, &self.settings, self.io.now);
                 self.io.reply(request, 200, &condor::QueueList { jobs });
             }
         }
     }
 
-    fn submit(&mut self, request: RequestId, body: &[u8]) {
+    fn handle_submission(&mut self, request: RequestId, body: &[u8]) {
         let known = KnownMachineTypes {
-            list: &self.type_list,
-            confirmed: self.types_certain,
+            list: &self.machine_type_list,
+            confirmed: self.machine_types_confirmed,
         };
-        let types = (!self.type_list.is_empty()).then_some(known);
+        let types = (!self.machine_type_list.is_empty()).then_some(known);
         let deployment = &self.settings.deployment;
         let definitions = &self.settings.operator.counted_resources;
         let accepted = admission::accept(body, deployment, definitions, types, self.io.wall_ms);
@@ -346,7 +364,7 @@
             Err((Some(job), refusal)) => (job, JobRequest::Refused(refusal)),
             Err((None, refusal)) => return job_api::reply_refusal(request, &refusal, &mut self.io),
         };
-        // Unless it is known: it may have been accepted before submit files were served.
+        // A job with the id may still exist, accepted before submit files were enabled.
         let request_kind = if self.settings.operator.condor.is_some() && condor::is_reserved(&job) {
             JobRequest::Refused(Refusal::Impossible(
                 "ids of this form are given to submit files".into(),
@@ -358,73 +376,74 @@
             .handle_request(request, job, request_kind, &mut self.io);
     }
 
-    /// Not healthy while the state service fails this node but not its peers: they can serve
-    /// the users that it can only send away. A node that hears none of them either may be cut
-    /// off, where they are served; in an outage it would hear that they are not. Its users would
-    /// get no answer for as long as that lasts, and those of the others would.
-    fn health(&mut self, request: RequestId) {
-        let failing = self
-            .state_failed_at
+    /// Reports unhealthy while the state service fails for this node but not for its peers, which can serve
+    /// the users that this node can only reject. A node that hears no peer either is probably partitioned
+    /// while its peers are served; its users would get no answers for the duration of the partition. In an
+    /// outage of the state service, by contrast, it would hear that its peers are not served.
+    fn reply_health(&mut self, request: RequestId) {
+        let is_failing = self
+            .state_failing_since
             .is_some_and(|since| self.io.now >= since + STATE_UNHEALTHY_AFTER_MS);
-        let others_fine = self.fresh().any(|beat| beat.state_ok);
-        let cut_off = self.fresh().next().is_none() && !self.peers.is_empty();
-        if failing && (others_fine || cut_off) {
+        let peers_served = self.fresh_heartbeats().any(|beat| beat.state_ok);
+        let is_partitioned = self.fresh_heartbeats().next().is_none() && !self.peers.is_empty();
+        if is_failing && (peers_served || is_partitioned) {
             self.io.reply_error(request, 503, "no state service here");
-        } else if self.type_list.is_empty() {
+        } else if self.machine_type_list.is_empty() {
             self.io.reply_error(request, 503, "starting");
         } else {
             self.io.reply(request, 200, &serde_json::json!({ "ok": true }));
         }
     }
 
-    fn report(&mut self, request: RequestId, body: &[u8]) {
-        let report: Heartbeat = match serde_json::from_slice(body) {
-            Ok(report) => report,
+    fn handle_heartbeat(&mut self, request: RequestId, body: &[u8]) {
+        let heartbeat: Heartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => {
                 log::info!("heartbeat rejected: {error}");
                 self.io.reply_error(request, 400, "malformed report");
                 return;
             }
         };
-        self.workers.insert(report.machine.clone(), self.io.now);
-        // Asked here as well as when time passes: a process that stood still finds reports first.
+        self.worker_heard_at
+            .insert(heartbeat.machine.clone(), self.io.now);
+        // Checked here as well as in `run_due_work`: a process that was suspended handles heartbeats first.
         let may_renew = self.election.may_renew_worker_leases(self.io.now);
         if let Some(term) = self.term.as_mut().filter(|_| may_renew) {
-            let certain = self.election.is_lease_live(self.io.now);
-            match term.handle_heartbeat(request, &report, certain, &mut self.io) {
+            let is_lease_live = self.election.is_lease_live(self.io.now);
+            match term.handle_heartbeat(request, &heartbeat, is_lease_live, &mut self.io) {
                 Ok(()) => return,
                 Err(superseded) => {
-                    if let Some(news) = self.election.depose(&superseded.to_string()) {
-                        self.news(news);
+                    if let Some(event) = self.election.depose(&superseded.to_string()) {
+                        self.on_election_event(event);
                     }
                 }
             }
         }
-        self.send_to_leader(request);
+        self.redirect_to_leader(request);
     }
 
-    /// This node is not entitled to answer; another may be.
-    fn send_to_leader(&mut self, request: RequestId) {
+    /// Redirects the sender to the leader, because this node is not entitled to answer.
+    fn redirect_to_leader(&mut self, request: RequestId) {
         let redirect = Redirect {
-            leader: self.leader(),
+            leader: self.known_leader(),
         };
         let body = crate::io::json(&redirect);
         self.io.reply_bytes(request, 421, ContentType::Json, body);
     }
 
-    /// Every count at a glance, as whoever leads sees it once its records are read.
+    /// Status of all counted resources, if this node leads and has read its records.
     pub fn counted_resource_status(&self) -> Option<Vec<CountStatus>> {
         let term = self.term.as_ref().filter(|term| term.is_recovered())?;
         Some(term.count_status(&self.settings.operator.counted_resources, self.io.now))
     }
 
-    /// Only who leads, and surely still does, knows who holds what.
-    fn tell_counts(&mut self, request: RequestId, route: Route) {
-        let certain = self.election.is_lease_live(self.io.now);
+    /// Answers about counted resources, whose holders are known only to a leader whose lease is live.
+    fn reply_counted_resources(&mut self, request: RequestId, route: Route) {
+        let is_lease_live = self.election.is_lease_live(self.io.now);
         let operator = &self.settings.operator;
         let (definitions, now) = (&operator.counted_resources, self.io.now);
-        let Some(term) = self.term.as_ref().filter(|_| certain) else {
-            return self.send_to_leader(request);
+        let Some(term) = self.term.as_ref().filter(|_| is_lease_live) else {
+            return self.redirect_to_leader(request);
         };
         if !term.is_recovered() {
             self.io
@@ -433,8 +452,8 @@
         }
         match route {
             Route::Holders(team) if operator.show_holders => {
-                let asks = team.map(|team| authorization::requesting_team(Some(&team), &self.settings));
-                let holders = term.holders(asks.as_ref(), &self.settings, now);
+                let requester = team.map(|team| authorization::requesting_team(Some(&team), &self.settings));
+                let holders = term.holders(requester.as_ref(), &self.settings, now);
                 self.io.reply(request, 200, &HolderList { holders });
             }
             Route::Holders(_) => {
@@ -452,32 +471,32 @@
         }
     }
 
-    fn tell_metrics(&mut self, request: RequestId) {
+    fn reply_metrics(&mut self, request: RequestId) {
         let now = self.io.now;
         let definitions = &self.settings.operator.counted_resources;
         let counts = self.term.as_ref().map(|term| term.count_status(definitions, now));
         let metrics_snapshot = self.term.as_ref().map(LeaderTerm::metrics_snapshot);
-        let standing = NodeGauges {
+        let gauges = NodeGauges {
             token: self.election.token(),
-            state_ok: self.state_failed_at.is_none(),
-            peers: self.fresh().count(),
+            state_ok: self.state_failing_since.is_none(),
+            peers: self.fresh_heartbeats().count(),
             metrics_snapshot,
             watermark_age_ms: self.term.as_ref().map(|term| term.watermark_age_ms(now)),
             counts: counts.unwrap_or_default(),
             held_lease: self.io.permits.held(),
             refused: self.io.permits.refused().collect(),
             expired: self.io.permits.late().collect(),
-            open: self.sockets.0,
-            shortages: self.sockets.1,
+            open: self.connection_stats.0,
+            shortages: self.connection_stats.1,
             throttled: {
-                let put_off = self.job_api.throttled();
-                put_off.map(|(team, count)| (team.clone(), count)).collect()
+                let throttled = self.job_api.throttled();
+                throttled.map(|(team, count)| (team.clone(), count)).collect()
             },
             accounting: self.term.as_ref().map(|term| term.book_standing(now)),
             shares: self.term.as_ref().map_or_else(Vec::new, |term| {
                 let shares = term.shares();
                 shares
-                    .map(|(whose, share)| (whose.clone(), share.part()))
+                    .map(|(owner, share)| (owner.clone(), share.part()))
                     .collect()
             }),
             protection_windows: self
@@ -486,7 +505,7 @@
                 .map_or_else(Vec::new, |term| term.shifts(self.io.wall_ms)),
             spare: self.term.as_ref().map_or((0, 0), LeaderTerm::spare),
         };
-        match self.metrics.encode(&standing) {
+        match self.metrics.encode(&gauges) {
             Ok(text) => self
                 .io
                 .reply_bytes(request, 200, ContentType::Metrics, text.into_bytes()),
@@ -497,101 +516,105 @@
         }
     }
 
-    /// The node that leads, as far as this one knows.
-    fn leader(&self) -> Option<&str> {
-        // A fresh heartbeat is sooner than the watch.
-        let beat = self.peers.iter().enumerate().filter_map(|(index, peer)| {
-            let beat = peer
-                .beat
-                .filter(|beat| beat.leads && self.io.now < peer.at + HEARTBEAT_MAX_AGE_MS)?;
-            Some((beat.token, self.settings.peers[index].node.as_str()))
+    /// The current leader, if known.
+    fn known_leader(&self) -> Option<&str> {
+        // A recent heartbeat is more current than the watch on the leader's key.
+        let heartbeats = self.peers.iter().enumerate().filter_map(|(index, peer)| {
+            let heartbeat = peer.heartbeat.filter(|heartbeat| {
+                heartbeat.leads && self.io.now < peer.received_at + HEARTBEAT_MAX_AGE_MS
+            })?;
+            Some((heartbeat.token, self.settings.peers[index].node.as_str()))
         });
-        beat.max()
+        heartbeats
+            .max()
             .map(|(_, node)| node)
             .or_else(|| self.election.other_leader())
     }
 
-    // ---- answers -------------------------------------------------------------
+    // ---- responses -----------------------------------------------------------
 
-    fn answer(&mut self, call: CallId, outcome: &Outcome) {
-        if let Some(news) = self.election.handle_response(call, outcome, &mut self.io) {
-            self.note_state(outcome);
-            self.follow(news);
+    fn handle_response(&mut self, call: CallId, outcome: &Outcome) {
+        if let Some(event) = self.election.handle_response(call, outcome, &mut self.io) {
+            self.record_state_response(outcome);
+            self.on_optional_election_event(event);
             return;
         }
         if let Some(term) = &mut self.term
-            && let Some(news) =
+            && let Some(event) =
                 term.handle_response(call, outcome, &mut self.election, &self.settings, &mut self.io)
         {
-            self.follow(news);
+            self.on_optional_election_event(event);
             return;
         }
-        let counts = self.term.as_ref().map_or(&self.told, |term| term.counts());
-        if let Some(done) = self.job_api.handle_response(call, outcome, counts, &mut self.io) {
-            self.note_state(outcome);
-            self.user_done(done);
+        let counts = self
+            .term
+            .as_ref()
+            .map_or(&self.leader_task_counts, |term| term.counts());
+        if let Some(request_outcome) = self.job_api.handle_response(call, outcome, counts, &mut self.io) {
+            self.record_state_response(outcome);
+            self.on_request_outcome(request_outcome);
             return;
         }
         let context = Context {
             settings: &self.settings,
-            types: &self.type_list,
-            certain: self.types_certain,
+            types: &self.machine_type_list,
+            certain: self.machine_types_confirmed,
         };
-        if self.desk.answered(call, outcome, &context, &mut self.io) {
-            self.note_state(outcome);
+        if self.submit_files.answered(call, outcome, &context, &mut self.io) {
+            self.record_state_response(outcome);
             return;
         }
         match self.calls.complete(call) {
             None => (),
-            Some(Question::Probe) => self.note_state(outcome),
-            Some(Question::MachineTypes) => self.types_answered(outcome),
-            Some(Question::StoredTypes) => {
-                self.note_state(outcome);
+            Some(NodeCall::StateProbe) => self.record_state_response(outcome),
+            Some(NodeCall::MachineTypes) => self.on_machine_types_response(outcome),
+            Some(NodeCall::StoredMachineTypes) => {
+                self.record_state_response(outcome);
                 let stored = outcome
                     .read::<StoredItem>(&[200])
                     .and_then(|item| protocol::MachineTypeList::from_value(&item.value).ok());
-                if let Some(flavors) = stored.filter(|_| self.type_list.is_empty()) {
-                    self.learn_types(flavors);
+                if let Some(list) = stored.filter(|_| self.machine_type_list.is_empty()) {
+                    self.set_machine_types(list);
                 }
             }
         }
     }
 
-    fn follow(&mut self, news: Option<ElectionEvent>) {
-        if let Some(news) = news {
-            self.news(news);
+    fn on_optional_election_event(&mut self, event: Option<ElectionEvent>) {
+        if let Some(event) = event {
+            self.on_election_event(event);
         }
     }
 
-    fn types_answered(&mut self, outcome: &Outcome) {
-        self.types_busy = false;
-        if let Some(flavors) = outcome.read::<protocol::MachineTypeList>(&[200]) {
-            self.types_at = self.io.now + MACHINE_TYPES_INTERVAL_MS;
-            self.types_certain = true;
-            self.learn_types(flavors);
+    fn on_machine_types_response(&mut self, outcome: &Outcome) {
+        self.machine_types_requested = false;
+        if let Some(list) = outcome.read::<protocol::MachineTypeList>(&[200]) {
+            self.machine_types_due_at = self.io.now + MACHINE_TYPES_INTERVAL_MS;
+            self.machine_types_confirmed = true;
+            self.set_machine_types(list);
             return;
         }
-        self.types_at = self.io.now + CLOUD_RETRY_MS;
+        self.machine_types_due_at = self.io.now + CLOUD_RETRY_MS;
     }
 
-    /// Whether the state service serves this node.
-    fn note_state(&mut self, outcome: &Outcome) {
+    /// Records whether the state service serves this node.
+    fn record_state_response(&mut self, outcome: &Outcome) {
         match outcome {
             Outcome::Answer { status: 503, .. } | Outcome::NotSent | Outcome::NoAnswer => {
-                self.state_failed_at.get_or_insert(self.io.now);
+                self.state_failing_since.get_or_insert(self.io.now);
             }
             Outcome::Answer { .. } => {
                 self.state_ok_at = self.io.now;
-                self.state_failed_at = None;
+                self.state_failing_since = None;
             }
         }
     }
 
-    fn user_done(&mut self, done: Option<RequestOutcome>) {
-        match done {
+    fn on_request_outcome(&mut self, request_outcome: Option<RequestOutcome>) {
+        match request_outcome {
             Some(RequestOutcome::Accepted { spec, version }) => {
-                // PeerView may be about to say that there is no such job.
-                self.send_all(&Frame::JobChanged { job: spec.id.clone() });
+                // A peer may be about to answer that the job does not exist.
+                self.broadcast(&Frame::JobChanged { job: spec.id.clone() });
                 if let Some(term) = &mut self.term {
                     term.job_accepted(*spec, version, &self.io);
                 }
@@ -605,77 +628,82 @@
         }
     }
 
-    /// Asks the state service for a sign of life when nothing else has lately.
+    /// Sends a probe if the state service has not responded to anything recently.
     fn probe_state(&mut self) {
         let now = self.io.now;
-        if now >= self.state_ok_at + STATE_PROBE_MS && now >= self.probed_at + STATE_PROBE_MS {
-            self.probed_at = now;
+        if now >= self.state_ok_at + STATE_PROBE_MS && now >= self.state_probed_at + STATE_PROBE_MS {
+            self.state_probed_at = now;
             let path = paths::key(records::LEADER_KEY);
             let call = self.io.state_call(Method::Get, path, Vec::new(), STATE_PROBE_MS);
-            self.calls.insert(call, Question::Probe);
+            self.calls.insert(call, NodeCall::StateProbe);
         }
     }
 
-    fn poll_types(&mut self) {
-        if self.types_busy || self.io.now < self.types_at {
+    fn request_machine_types(&mut self) {
+        if self.machine_types_requested || self.io.now < self.machine_types_due_at {
             return;
         }
-        self.types_busy = true;
+        self.machine_types_requested = true;
         self.io.cloud_budget.force_take(1.0, self.io.now);
         let call = self.io.machine_types_call();
-        self.calls.insert(call, Question::MachineTypes);
-        // A leader has stored them, and the state service answers many times sooner: a node that
-        // is back after a moment has users at once, as nobody saw it go.
-        if self.type_list.is_empty() {
+        self.calls.insert(call, NodeCall::MachineTypes);
+        // Earlier leaders store the types, and the state service responds much faster than the cloud. A node
+        // that restarts quickly gets users immediately, because its absence was not noticed.
+        if self.machine_type_list.is_empty() {
             let path = paths::key(records::MACHINE_TYPES_KEY);
             let call = self
                 .io
                 .state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS);
-            self.calls.insert(call, Question::StoredTypes);
+            self.calls.insert(call, NodeCall::StoredMachineTypes);
         }
     }
 
-    fn learn_types(&mut self, flavors: protocol::MachineTypeList) {
-        let types: Vec<MachineType> = flavors.types.into_iter().filter(sane).collect();
-        if types.is_empty() {
+    fn set_machine_types(&mut self, list: protocol::MachineTypeList) {
+        let machine_types: Vec<MachineType> = list.types.into_iter().filter(has_valid_amounts).collect();
+        if machine_types.is_empty() {
             log::error!("machine types rejected: the cloud names none that can be used");
             return;
         }
-        self.types = types
+        self.machine_types = machine_types
             .iter()
             .map(|machine_type| (machine_type.name.clone(), machine_type.clone()))
             .collect();
-        self.type_list = types;
+        self.machine_type_list = machine_types;
     }
 
     // ---- peers ------------------------------------------------------------
 
-    fn fresh(&self) -> impl Iterator<Item = PeerHeartbeat> + '_ {
+    fn fresh_heartbeats(&self) -> impl Iterator<Item = PeerHeartbeat> + '_ {
         self.peers
             .iter()
-            .filter(|peer| self.io.now < peer.at + HEARTBEAT_MAX_AGE_MS)
-            .filter_map(|peer| peer.beat)
+            .filter(|peer| self.io.now < peer.received_at + HEARTBEAT_MAX_AGE_MS)
+            .filter_map(|peer| peer.heartbeat)
     }
 
-    /// A worker that loses its node goes round all of them, about a second each.
-    fn found_ms(&self) -> u64 {
+    /// Maximum time, in ms, in which a worker that loses its node reaches another: it tries all nodes in turn,
+    /// about one second each.
+    fn worker_failover_ms(&self) -> u64 {
         WORKER_CONTACT_MAX_AGE_MS + self.members.len() as u64 * SECOND_MS
     }
 
-    fn hearing(&self) -> PeerView {
+    fn peer_view(&self) -> PeerView {
         PeerView {
             total: self.peers.len(),
-            recently_heard: self.fresh().count(),
-            max_workers_heard: self.fresh().map(|beat| beat.workers_heard).max().unwrap_or(0),
-            worker_failover_ms: self.found_ms(),
+            recently_heard: self.fresh_heartbeats().count(),
+            max_workers_heard: self
+                .fresh_heartbeats()
+                .map(|heartbeat| heartbeat.workers_heard)
+                .max()
+                .unwrap_or(0),
+            worker_failover_ms: self.worker_failover_ms(),
         }
     }
 
-    fn send_all(&mut self, frame: &Frame) {
-        self.send_bytes(&frame.encode());
+    fn broadcast(&mut self, frame: &Frame) {
+        self.broadcast_bytes(&frame.encode());
     }
 
-    fn send_bytes(&mut self, bytes: &[u8]) {
+    fn broadcast_bytes(&mut self, bytes: &[u8]) {
         for peer in 0..self.peers.len() {
             self.io.effects.push(Effect::Frame {
                 peer,
@@ -684,79 +712,81 @@
         }
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeat(&mut self) {
         let now = self.io.now;
-        let hears_ms = self.found_ms();
-        self.workers.retain(|_, at| now < *at + hears_ms);
-        let beat = PeerHeartbeat {
+        let max_age_ms = self.worker_failover_ms();
+        self.worker_heard_at
+            .retain(|_, heard_at| now < *heard_at + max_age_ms);
+        let heartbeat = PeerHeartbeat {
             index: self.job_api.index(),
             token: self.election.token().unwrap_or(0),
             leads: self.term.is_some(),
-            state_ok: self.state_failed_at.is_none() && now < self.state_ok_at + 2 * STATE_PROBE_MS,
-            workers_heard: self.workers.len() as u32,
+            state_ok: self.state_failing_since.is_none() && now < self.state_ok_at + 2 * STATE_PROBE_MS,
+            workers_heard: self.worker_heard_at.len() as u32,
         };
-        self.send_all(&Frame::PeerHeartbeat(beat));
+        self.broadcast(&Frame::PeerHeartbeat(heartbeat));
         let Some(term) = &self.term else { return };
         let mut bytes = Vec::new();
         for (job, counts) in term.counts() {
-            if self.sent.get(job) != Some(counts) {
-                bytes.extend(counts_frame(job, *counts));
+            if self.sent_task_counts.get(job) != Some(counts) {
+                bytes.extend(task_counts_frame(job, *counts));
             }
         }
         if !bytes.is_empty() {
-            self.sent = term.counts().clone();
-            self.send_bytes(&bytes);
+            self.sent_task_counts = term.counts().clone();
+            self.broadcast_bytes(&bytes);
         }
     }
 
-    /// A peer that has just connected knows no counts yet.
-    fn tell_all(&mut self, peer: usize) {
+    /// Sends all task counts to a peer that has just connected and knows none yet.
+    fn send_task_counts(&mut self, peer: usize) {
         let Some(term) = &self.term else { return };
         let bytes: Vec<u8> = term
             .counts()
             .iter()
-            .flat_map(|(job, counts)| counts_frame(job, *counts))
+            .flat_map(|(job, counts)| task_counts_frame(job, *counts))
             .collect();
         if !bytes.is_empty() {
             self.io.effects.push(Effect::Frame { peer, bytes });
         }
     }
 
-    fn frame(&mut self, frame: Frame) {
+    fn handle_frame(&mut self, frame: Frame) {
         match frame {
-            Frame::PeerHeartbeat(beat) => {
-                let peer = self.peer(beat.index);
+            Frame::PeerHeartbeat(heartbeat) => {
+                let peer = self.peer_index(heartbeat.index);
                 if let Some(peer) = peer.and_then(|peer| self.peers.get_mut(peer)) {
                     *peer = PeerState {
-                        beat: Some(beat),
-                        at: self.io.now,
+                        heartbeat: Some(heartbeat),
+                        received_at: self.io.now,
                     };
                 }
-                if beat.leads
-                    && self.election.token().is_some_and(|own| beat.token > own)
-                    && let Some(news) = self.election.depose("a sibling leads with a higher token")
+                if heartbeat.leads
+                    && self.election.token().is_some_and(|own| heartbeat.token > own)
+                    && let Some(event) = self.election.depose("a sibling leads with a higher token")
                 {
-                    self.news(news);
+                    self.on_election_event(event);
                 }
             }
             Frame::TaskCounts { job, done, running } => {
-                if self.told.len() >= ENDED_JOB_CACHE_SIZE {
-                    self.told.clear();
+                if self.leader_task_counts.len() >= ENDED_JOB_CACHE_SIZE {
+                    self.leader_task_counts.clear();
                 }
-                self.told.insert(job, (done, running));
+                self.leader_task_counts.insert(job, (done, running));
             }
-            // What follows from the change, the watch tells.
+            // The leader learns of the change itself from its watch.
             Frame::JobChanged { job } => {
                 self.job_api.on_peer_notice(job, false, self.io.now);
             }
             Frame::EndNotice { job, nonce, index } => {
-                // Before it is sent back: its user is told then, and from then on nothing of the job starts.
+                // Before the acknowledgement, after which the user sees the end: no task of the job may start
+                // from then on.
                 if let Some(term) = &mut self.term {
                     term.ended_elsewhere(&job);
                 }
-                // Only what was noted is sent back.
+                // Only a recorded notice is acknowledged.
                 if self.job_api.on_peer_notice(job.clone(), true, self.io.now)
-                    && let Some(peer) = self.peer(index)
+                    && let Some(peer) = self.peer_index(index)
                 {
                     let index = self.job_api.index();
                     let bytes = Frame::EndAcknowledged { job, nonce, index }.encode();
@@ -769,14 +799,14 @@
         }
     }
 
-    /// The peer at this position among all members.
-    fn peer(&self, index: u16) -> Option<usize> {
+    /// Index in the settings of the peer at this position among all members.
+    fn peer_index(&self, index: u16) -> Option<usize> {
         let name = self.members.get(usize::from(index))?;
         self.settings.peers.iter().position(|peer| peer.node == *name)
     }
 }
 
-fn counts_frame(job: &JobId, (done, running): (u32, u32)) -> Vec<u8> {
+fn task_counts_frame(job: &JobId, (done, running): (u32, u32)) -> Vec<u8> {
     Frame::TaskCounts {
         job: job.clone(),
         done,
@@ -785,8 +815,8 @@
     .encode()
 }
 
-/// A machine type with which placement can reckon.
-fn sane(machine_type: &MachineType) -> bool {
+/// Whether all amounts of a machine type are finite and not negative, as placement requires.
+fn has_valid_amounts(machine_type: &MachineType) -> bool {
     let amounts = [
         machine_type.cpus,
         machine_type.gpus,
--- a/crates/controller/src/node/routing.rs
+++ b/crates/controller/src/node/routing.rs
@@ -1,11 +1,11 @@
-//! Which request a method and path make.
+//! Routing of HTTP requests by method and path.
 
 use crate::condor;
 use crate::job_api::{admission, authorization};
 use crate::model::JobId;
 use crate::protocol::paths;
 
-/// The request that a method and path make, or the status that refuses it.
+/// The request that a method and path denote, or the status with which it is rejected.
 pub(super) enum Route {
     Submit,
     Poll(JobId),
@@ -13,20 +13,21 @@
     Report,
     Health,
     Counts,
-    /// Holders of counted resources, of the team that the request states, if it does.
+    /// Holders of counted resources, of the team in the query if there is one.
     Holders(Option<String>),
+    /// Why a job waits, for the team in the query if there is one.
     Explain(JobId, Option<String>),
     Metrics,
-    /// Submit files and their clusters.
+    /// HTCondor submit files and their clusters, for the team in the query if there is one.
     Condor(condor::Route, Option<String>),
     Refuse(u16),
 }
 
-/// Finds the route of a method and path.
+/// Finds the route of a method and path with its query.
 pub(super) fn route(method: &str, path: &str) -> Route {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    let allow = |wanted: &str, route: Route| {
-        if method == wanted {
+    let allow = |allowed_method: &str, route: Route| {
+        if method == allowed_method {
             route
         } else {
             Route::Refuse(405)
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -5,7 +5,7 @@
     Settings::parse(include_str!("../../tests/support/settings.json")).unwrap()
 }
 
-fn health(node: &mut Node) -> u16 {
+fn health_status(node: &mut Node) -> u16 {
     node.handle(Command::Request {
         request: RequestId(1),
         method: "GET".to_owned(),
@@ -20,61 +20,65 @@
     status.expect("a reply")
 }
 
-fn beat(node: &mut Node, state_ok: bool) {
-    // `n1`, by its place among the members.
-    let beat = PeerHeartbeat {
+fn peer_heartbeat(node: &mut Node, state_ok: bool) {
+    // Position of `n1` among the members.
+    let heartbeat = PeerHeartbeat {
         index: 1,
         token: 0,
         leads: false,
         state_ok,
         workers_heard: 0,
     };
-    node.handle(Command::Frame(Frame::PeerHeartbeat(beat)));
+    node.handle(Command::Frame(Frame::PeerHeartbeat(heartbeat)));
 }
 
-/// A node that knows the machine types, and which the state service has failed for long enough.
-fn failed() -> Node {
+/// A node that knows the machine types and for which the state service has failed long enough.
+fn node_with_failing_state_service() -> Node {
     let mut node = Node::new(settings(), 1, 0, 0);
     let flavors = include_str!("../../tests/support/flavors.json");
-    node.learn_types(serde_json::from_str(flavors).unwrap());
-    assert_eq!(health(&mut node), 200);
-    node.note_state(&Outcome::NoAnswer);
+    node.set_machine_types(serde_json::from_str(flavors).unwrap());
+    assert_eq!(health_status(&mut node), 200);
+    node.record_state_response(&Outcome::NoAnswer);
     node.set_time(STATE_UNHEALTHY_AFTER_MS, 0);
     node
 }
 
 #[test]
-fn in_an_outage_every_node_is_healthy() {
-    let mut node = failed();
-    beat(&mut node, false);
-    assert_eq!(health(&mut node), 200);
+fn every_node_is_healthy_in_an_outage_of_the_state_service() {
+    let mut node = node_with_failing_state_service();
+    peer_heartbeat(&mut node, false);
+    assert_eq!(health_status(&mut node), 200);
 }
 
 #[test]
-fn a_node_that_alone_is_refused_sends_its_users_away() {
-    let mut node = failed();
-    beat(&mut node, true);
-    assert_eq!(health(&mut node), 503);
+fn a_node_that_alone_loses_the_state_service_is_unhealthy() {
+    let mut node = node_with_failing_state_service();
+    peer_heartbeat(&mut node, true);
+    assert_eq!(health_status(&mut node), 503);
 }
 
-// It went on taking users, who got no answer for as long as the cut lasted: it has the fewest
-// connections, and the load balancer prefers it.
+// A partitioned node stayed healthy and got new users, who received no answers during the partition: it
+// had the fewest connections, so the load balancer preferred it.
 #[test]
-fn a_node_cut_from_siblings_and_the_state_service_sends_its_users_away() {
-    let mut node = failed();
-    assert_eq!(health(&mut node), 503);
-    beat(&mut node, false);
-    assert_eq!(health(&mut node), 200);
+fn a_node_partitioned_from_peers_and_the_state_service_is_unhealthy() {
+    let mut node = node_with_failing_state_service();
+    assert_eq!(health_status(&mut node), 503);
+    peer_heartbeat(&mut node, false);
+    assert_eq!(health_status(&mut node), 200);
     node.set_time(STATE_UNHEALTHY_AFTER_MS + HEARTBEAT_MAX_AGE_MS, 0);
-    assert_eq!(health(&mut node), 503);
-    node.note_state(&Outcome::Answer {
+    assert_eq!(health_status(&mut node), 503);
+    node.record_state_response(&Outcome::Answer {
         status: 200,
         body: Vec::new(),
     });
-    assert_eq!(health(&mut node), 200, "siblings alone are no reason");
+    assert_eq!(
+        health_status(&mut node),
+        200,
+        "losing the peers alone is no reason"
+    );
 }
 
-/// The reply to a submission; the state service answers each call made for it so.
+/// The reply to a submission when the state service answers every call with the same outcome.
 fn submission(node: &mut Node, body: &[u8], state: &Outcome) -> (u16, Vec<u8>) {
     node.handle(Command::Request {
         request: RequestId(7),
@@ -99,9 +103,10 @@
     panic!("no reply");
 }
 
-// Only who has read that an id is not known may refuse it: its user never comes again.
+// A submission may only be rejected after reading that its id is unknown, because the user does not retry
+// a rejected submission.
 #[test]
-fn a_submission_is_refused_only_once_its_id_is_read() {
+fn a_submission_is_rejected_only_after_its_id_was_read() {
     let answer = |status, body: &str| Outcome::Answer {
         status,
         body: body.as_bytes().to_vec(),
@@ -127,15 +132,15 @@
             (Outcome::NotSent, 503),
         ] {
             let mut node = Node::new(settings(), 1, 0, 0);
-            let (told, _) = submission(&mut node, body.as_bytes(), &state);
-            assert_eq!(told, status, "{body}, {state:?}");
+            let (reply_status, _) = submission(&mut node, body.as_bytes(), &state);
+            assert_eq!(reply_status, status, "{body}, {state:?}");
         }
     }
 }
 
-// No line of an answer may be longer than 64 KiB, and a refusal repeats what came.
+// No line of a response may be longer than 64 KiB, and an error message quotes the request.
 #[test]
-fn a_refusal_is_short_whatever_came() {
+fn an_error_response_is_short_for_any_request() {
     let absent = Outcome::Answer {
         status: 404,
         body: br#"{"Ledger":9}"#.to_vec(),
@@ -155,9 +160,9 @@
     }
 }
 
-// The number goes back to whoever sent it, and to nobody else.
+// The nonce is returned to its sender and to no other peer.
 #[test]
-fn a_siblings_word_of_an_end_is_noted_and_sent_back() {
+fn an_end_notice_of_a_peer_is_recorded_and_acknowledged() {
     let mut node = Node::new(settings(), 1, 0, 0);
     let job = crate::job_api::admission::parse_id("wk-1").unwrap();
     let (nonce, index) = (77, 1);
