--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -1,5 +1,5 @@
-//! The platform's settings file: parsed here, checked here, read by everyone.
-//! Fields that this version does not know are ignored, as the platform asks.
+//! The platform's settings file and the operators' settings: parsing and validation.
+//! The platform requires that unknown fields of its file are ignored.
 
 use crate::election::cancellation_watermark;
 use indigopath_accounting::MAX_LANE_WEIGHT;
@@ -11,6 +11,7 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
+/// Settings of one controller node.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     #[serde(rename = "member")]
@@ -25,14 +26,15 @@
     pub peers: Vec<Peer>,
     pub services: ServiceAddresses,
     pub deployment: Deployment,
-    /// The operators' shifts, as checked.
+    /// The operators' protection windows, as validated.
     #[serde(skip)]
     pub protection_windows: Timetable,
-    /// The operators' own settings; not part of the platform's file.
+    /// The operators' own settings, which are not part of the platform's file.
     #[serde(skip)]
     pub operator: OperatorSettings,
 }
 
+/// Another controller node.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
     #[serde(rename = "member")]
@@ -40,12 +42,14 @@
     pub addr: SocketAddrV4,
 }
 
+/// Addresses of the services that the controllers call.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceAddresses {
     pub cloud: SocketAddrV4,
     pub state: SocketAddrV4,
 }
 
+/// Settings shared by all controllers of a deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
     pub zones: Vec<String>,
@@ -61,7 +65,7 @@
     pub clock_skew_ms: f64,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// A team's guaranteed resources and limits; 0 means none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     pub name: String,
@@ -75,7 +79,7 @@
     pub gpus_max: f64,
 }
 
-/// What is expected of a class of jobs, on starting or on finishing.
+/// A service-level objective for a class of jobs: when they start or finish.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     pub kind: String,
@@ -83,11 +87,12 @@
     pub class: Option<String>,
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Part of the class that is to keep it.
+    /// Share of the class's jobs that should meet it.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
+/// Time limits of the worker protocol.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
     pub report_s: f64,
@@ -97,6 +102,7 @@
     pub cancel_s: f64,
 }
 
+/// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
     pub rps: f64,
@@ -105,19 +111,21 @@
     pub txn_ops: usize,
 }
 
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
+/// Resource limits of a controller process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct NodeLimits {
-    #[serde(rename = "ram_mb", default = "default_ram_mb")]
+    #[serde(rename = "ram_mb", default = "default_memory_mb")]
     pub memory_mb: f64,
-    #[serde(rename = "max_sockets", default = "default_sockets")]
+    #[serde(rename = "max_sockets", default = "default_max_connections")]
     pub max_connections: usize,
-    /// Share of a processor core; a whole one where the platform names none.
+    /// CPU cores, possibly a fraction; one core if the platform states no limit.
     #[serde(default = "default_cores")]
     pub cores: f64,
 }
@@ -126,40 +134,40 @@
     1.0
 }
 
-/// Assumed where the platform names no memory limit, in MB.
-fn default_ram_mb() -> f64 {
+/// Memory limit, in MB, if the platform states none.
+fn default_memory_mb() -> f64 {
     200.0
 }
 
-/// Assumed where the platform names no socket limit.
-fn default_sockets() -> usize {
+/// Connection limit if the platform states none.
+fn default_max_connections() -> usize {
     1_000
 }
 
-/// What operators may set themselves, beyond the platform's file.
+/// The operators' own settings, in addition to the platform's file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Most machines rented at a time.
+    /// Maximum number of rented machines.
     pub fleet_max: u32,
-    /// Seconds a machine must be idle before it is given back.
+    /// Seconds that a machine must be idle before it is released.
     pub idle_return_s: f64,
     /// Counted resources, such as licence seats, by name.
     #[serde(rename = "count")]
     pub counted_resources: Definitions,
-    /// Whether `GET /v1/counts/holders` names the tasks that hold units. It shows ids of
-    /// all teams' jobs to whoever reaches the node.
+    /// Whether `GET /v1/counts/holders` lists the tasks that hold units. The list shows the job ids of all
+    /// teams to everyone who can reach the node.
     pub show_holders: bool,
-    /// Whether places are chosen by the one measure of models' weights; without it, by the fetch
-    /// and preferences.
+    /// Whether placement scores image locality of services; otherwise it considers fetch times and preferences
+    /// only.
     #[serde(rename = "weights")]
     pub image_locality: bool,
-    /// Windows in which services are protected, by name.
+    /// Protection windows of services, by name.
     #[serde(rename = "shift")]
     pub protection_windows: indigopath_protection_windows::Definitions,
-    /// What HTCondor submit files mean here; they are served where this is given.
+    /// How HTCondor submit files are interpreted; submit files are accepted only if this is set.
     pub condor: Option<CondorSettings>,
-    /// Weights of teams' requests where they come faster than they can be served; 1 otherwise.
+    /// Weights of the teams in fair queueing of requests; 1 for teams that are not listed.
     pub request_weights: BTreeMap<String, u64>,
 }
 
@@ -179,10 +187,13 @@
 }
 
 impl OperatorSettings {
-    /// Reads the operators' settings from whatever notation held them.
+    /// Deserializes the operators' settings from a value that was parsed from any format.
+    ///
+    /// # Errors
+    /// A field is unknown or invalid, or a block is defined more than once.
     pub fn from_value(value: serde_json::Value) -> Result<OperatorSettings, SettingsError> {
-        // Two blocks of one name come as a list, which reads as nonsense below.
-        let twice = |block: Option<&serde_json::Value>| {
+        // Blocks of the same name are parsed as a list, for which deserialization reports a misleading error.
+        let duplicate_block = |block: Option<&serde_json::Value>| {
             let blocks = block?.as_object()?;
             let (name, _) = blocks.iter().find(|(_, value)| value.is_array())?;
             Some(name.clone())
@@ -193,58 +204,64 @@
             ("shift", value.get("shift")),
             ("condor.machine", condor.and_then(|condor| condor.get("machine"))),
         ] {
-            if let Some(name) = twice(block) {
-                return Err(bad(format!("{path}.{name}"), "is defined more than once"));
+            if let Some(name) = duplicate_block(block) {
+                return Err(invalid_field(
+                    format!("{path}.{name}"),
+                    "is defined more than once",
+                ));
             }
         }
         if condor.is_some_and(serde_json::Value::is_array) {
-            return Err(bad("condor", "is defined more than once"));
+            return Err(invalid_field("condor", "is defined more than once"));
         }
         Ok(serde_path_to_error::deserialize(value)?)
     }
 }
 
-/// A setting that cannot be used, with the field's name.
+/// An invalid setting, with the name of the field.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The path to the field, and what is wrong there.
+    /// A field could not be deserialized.
     #[error("{0}")]
     Unreadable(#[from] serde_path_to_error::Error<serde_json::Error>),
     #[error("{field}: {problem}")]
     Field { field: String, problem: String },
     #[error(transparent)]
-    Count(#[from] DefinitionError),
+    CountedResource(#[from] DefinitionError),
     #[error(transparent)]
-    Shift(#[from] indigopath_protection_windows::DefinitionError),
+    ProtectionWindow(#[from] indigopath_protection_windows::DefinitionError),
     #[error(transparent)]
     Condor(#[from] CondorSettingsError),
 }
 
-fn bad(field: impl Into<String>, problem: impl Into<String>) -> SettingsError {
+fn invalid_field(field: impl Into<String>, problem: impl Into<String>) -> SettingsError {
     SettingsError::Field {
         field: field.into(),
         problem: problem.into(),
     }
 }
 
-fn positive(field: &str, value: f64) -> Result<(), SettingsError> {
+fn check_positive(field: &str, value: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
-        Err(bad(field, format!("must be a positive number, not {value}")))
+        Err(invalid_field(
+            field,
+            format!("must be a positive number, not {value}"),
+        ))
     }
 }
 
-fn not_negative(field: impl Into<String>, value: f64) -> Result<(), SettingsError> {
+fn check_not_negative(field: impl Into<String>, value: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value >= 0.0 {
         Ok(())
     } else {
-        Err(bad(field, format!("must not be negative, is {value}")))
+        Err(invalid_field(field, format!("must not be negative, is {value}")))
     }
 }
 
 impl Deployment {
-    /// Times, in s, that the objectives of this kind give jobs of a class.
+    /// Time limits, in s, of the class's objectives of this kind.
     pub fn within_s<'a>(&'a self, kind: &'a str, class: &'a str) -> impl Iterator<Item = f64> + 'a {
         self.objectives_of(kind, class)
             .filter_map(|objective| objective.within_s)
@@ -256,8 +273,8 @@
             .filter(move |objective| objective.kind == kind && objective.class.as_deref() == Some(class))
     }
 
-    /// Part of a class's jobs that are to be done within an objective's time; without
-    /// one, for owners' own deadlines, what the strictest objective of the class asks.
+    /// Share of a class's jobs that should finish within the time of an objective. Without a time, which
+    /// applies to deadlines of single jobs, the highest share of the class's objectives.
     pub fn finished_share(&self, class: &str, within_s: Option<f64>) -> f64 {
         self.objectives_of("finished", class)
             .filter(|objective| within_s.is_none() || objective.within_s == within_s)
@@ -266,33 +283,37 @@
             .unwrap_or(1.0)
     }
 
-    /// The shortest of them; infinite if there is none.
+    /// The shortest time limit, in s, of the class's objectives of this kind; infinite if there is none.
     pub fn shortest_s(&self, kind: &str, class: &str) -> f64 {
         self.within_s(kind, class).fold(f64::INFINITY, f64::min)
     }
 }
 
 impl Settings {
+    /// Parses and validates the platform's settings file.
+    ///
+    /// # Errors
+    /// A field is missing or invalid.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let mut input = serde_json::Deserializer::from_str(text);
         let settings: Settings = serde_path_to_error::deserialize(&mut input)?;
         input
             .end()
-            .map_err(|error| bad("end of file", error.to_string()))?;
+            .map_err(|error| invalid_field("end of file", error.to_string()))?;
         settings.check()?;
         Ok(settings)
     }
 
     fn check(&self) -> Result<(), SettingsError> {
         if self.node.is_empty() {
-            return Err(bad("member", "must not be empty"));
+            return Err(invalid_field("member", "must not be empty"));
         }
         if self.peers.iter().any(|peer| peer.node == self.node) {
-            return Err(bad("siblings", "must not contain this node itself"));
+            return Err(invalid_field("siblings", "must not contain this node itself"));
         }
         let deployment = &self.deployment;
         if deployment.zones.is_empty() {
-            return Err(bad("deployment.zones", "must not be empty"));
+            return Err(invalid_field("deployment.zones", "must not be empty"));
         }
         for team in &deployment.teams {
             for (name, value) in [
@@ -301,37 +322,43 @@
                 ("gpus", team.gpus),
                 ("gpus_max", team.gpus_max),
             ] {
-                not_negative(format!("deployment.teams.{}.{name}", team.name), value)?;
+                check_not_negative(format!("deployment.teams.{}.{name}", team.name), value)?;
             }
         }
         let workers = &deployment.workers;
-        positive("deployment.workers.report_s", workers.report_s)?;
-        positive("deployment.workers.lease_s", workers.lease_s)?;
-        positive("deployment.workers.gang_wait_s", workers.gang_wait_s)?;
-        positive("deployment.workers.gang_peer_s", workers.gang_peer_s)?;
-        positive("deployment.workers.cancel_s", workers.cancel_s)?;
-        positive("deployment.state.rps", deployment.state.rps)?;
-        positive("deployment.state.write_rps", deployment.state.write_rps)?;
-        positive("deployment.state.value_kb", deployment.state.value_kb)?;
+        check_positive("deployment.workers.report_s", workers.report_s)?;
+        check_positive("deployment.workers.lease_s", workers.lease_s)?;
+        check_positive("deployment.workers.gang_wait_s", workers.gang_wait_s)?;
+        check_positive("deployment.workers.gang_peer_s", workers.gang_peer_s)?;
+        check_positive("deployment.workers.cancel_s", workers.cancel_s)?;
+        check_positive("deployment.state.rps", deployment.state.rps)?;
+        check_positive("deployment.state.write_rps", deployment.state.write_rps)?;
+        check_positive("deployment.state.value_kb", deployment.state.value_kb)?;
         if deployment.state.txn_ops < 4 {
-            return Err(bad("deployment.state.txn_ops", "must be at least 4"));
+            return Err(invalid_field("deployment.state.txn_ops", "must be at least 4"));
         }
-        positive("deployment.cloud.rps", deployment.cloud.rps)?;
-        not_negative("deployment.cloud.list_lag_s", deployment.cloud.list_lag_s)?;
-        not_negative("deployment.skew_ms", deployment.clock_skew_ms)?;
-        positive("deployment.resources.ram_mb", deployment.limits.memory_mb)?;
-        positive("deployment.resources.cores", deployment.limits.cores)?;
+        check_positive("deployment.cloud.rps", deployment.cloud.rps)?;
+        check_not_negative("deployment.cloud.list_lag_s", deployment.cloud.list_lag_s)?;
+        check_not_negative("deployment.skew_ms", deployment.clock_skew_ms)?;
+        check_positive("deployment.resources.ram_mb", deployment.limits.memory_mb)?;
+        check_positive("deployment.resources.cores", deployment.limits.cores)?;
         if deployment.limits.max_connections < 16 {
-            return Err(bad("deployment.resources.max_sockets", "must be at least 16"));
+            return Err(invalid_field(
+                "deployment.resources.max_sockets",
+                "must be at least 16",
+            ));
         }
         Ok(())
     }
 
-    /// Puts the operators' settings in place of the defaults.
+    /// Validates the operators' settings and replaces the defaults by them.
+    ///
+    /// # Errors
+    /// A setting is invalid for this deployment.
     pub fn with_operator(mut self, operator: OperatorSettings) -> Result<Settings, SettingsError> {
-        not_negative("idle_return_s", operator.idle_return_s)?;
+        check_not_negative("idle_return_s", operator.idle_return_s)?;
         if operator.fleet_max == 0 {
-            return Err(bad("fleet_max", "must be at least 1"));
+            return Err(invalid_field("fleet_max", "must be at least 1"));
         }
         let teams = &self.deployment.teams;
         let is_team = |name: &str| teams.iter().any(|team| team.name == name);
@@ -342,10 +369,13 @@
         for (team, weight) in &operator.request_weights {
             let field = || format!("request_weights.{team}");
             if !is_team(team) {
-                return Err(bad(field(), "there is no such team"));
+                return Err(invalid_field(field(), "there is no such team"));
             }
             if !(1..=MAX_LANE_WEIGHT).contains(weight) {
-                return Err(bad(field(), format!("must be from 1 to {MAX_LANE_WEIGHT}")));
+                return Err(invalid_field(
+                    field(),
+                    format!("must be from 1 to {MAX_LANE_WEIGHT}"),
+                ));
             }
         }
         self.protection_windows =
@@ -354,27 +384,27 @@
         Ok(self)
     }
 
-    /// What may be meant otherwise, a line each: the settings can be used all the same.
+    /// Warnings about settings that are valid but may be unintended.
     pub fn warnings(&self) -> Vec<String> {
-        let named = |class: &str| {
+        let is_known_class = |class: &str| {
             let objectives = self.deployment.objectives.iter();
             objectives
                 .filter_map(|objective| objective.class.as_deref())
                 .any(|known| known == class)
         };
-        let mut doubts: Vec<String> =
-            indigopath_protection_windows::unknown_classes(&self.operator.protection_windows, named)
+        let mut warnings: Vec<String> =
+            indigopath_protection_windows::unknown_classes(&self.operator.protection_windows, is_known_class)
                 .map(|(shift, class)| {
                     format!("shift.{shift}.classes: no objective names class {class}: is it misspelt?")
                 })
                 .collect();
         if !cancellation_watermark::proves_cancellations(&self.deployment.workers) {
-            let why = "a leader cut off from the state service cannot prove that cancelled tasks end in time";
-            doubts.push(format!(
-                "deployment.workers.cancel_s: less than 3 s above lease_s: {why}"
+            let reason = "a leader cut off from the state service cannot prove that cancelled tasks end in time";
+            warnings.push(format!(
+                "deployment.workers.cancel_s: less than 3 s above lease_s: {reason}"
             ));
         }
-        doubts
+        warnings
     }
 }
 
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-const GOOD: &str = include_str!("../../tests/support/settings.json");
+const VALID: &str = include_str!("../../tests/support/settings.json");
 
-fn problem(change: impl FnOnce(&mut serde_json::Value)) -> String {
-    let mut value: serde_json::Value = serde_json::from_str(GOOD).unwrap();
+fn error_after(change: impl FnOnce(&mut serde_json::Value)) -> String {
+    let mut value: serde_json::Value = serde_json::from_str(VALID).unwrap();
     change(&mut value);
     Settings::parse(&value.to_string()).unwrap_err().to_string()
 }
 
 #[test]
-fn problems_name_their_field() {
-    assert!(Settings::parse(GOOD).is_ok());
-    assert!(problem(|value| value["deployment"]["zones"] = 5.into()).starts_with("deployment.zones: "));
-    assert!(problem(|value| value["bind"] = "here".into()).starts_with("bind: "));
-    assert!(problem(|value| value["deployment"]["workers"]["lease_s"] = 0.into()).contains("lease_s"));
+fn errors_name_their_field() {
+    assert!(Settings::parse(VALID).is_ok());
+    assert!(error_after(|value| value["deployment"]["zones"] = 5.into()).starts_with("deployment.zones: "));
+    assert!(error_after(|value| value["bind"] = "here".into()).starts_with("bind: "));
+    assert!(error_after(|value| value["deployment"]["workers"]["lease_s"] = 0.into()).contains("lease_s"));
     assert!(
-        problem(|value| {
+        error_after(|value| {
             value.as_object_mut().unwrap().remove("services");
         })
         .contains("services")
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_submit_files_mean_is_checked_against_the_site() {
+fn submit_file_settings_are_validated() {
     for (text, field) in [
         (r#"{ "default_team": "nobody" }"#, "condor.default_team: "),
         (r#"{ "default_image": "" }"#, "condor.default_image: "),
@@ -43,7 +43,7 @@
     ] {
         let value = serde_json::json!({ "condor": serde_json::from_str::<serde_json::Value>(text).unwrap() });
         let operator = OperatorSettings::from_value(value).unwrap();
-        let problem = Settings::parse(GOOD)
+        let problem = Settings::parse(VALID)
             .unwrap()
             .with_operator(operator)
             .unwrap_err();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn shifts_are_checked_against_the_site() {
+fn protection_windows_are_validated() {
     let read = |change: &str| {
         let mut shift = serde_json::json!({
             "time_zone": "Australia/Perth", "from": "06:00", "to": "22:00", "classes": ["live"], "rank": 1
@@ -62,7 +62,7 @@
             shift[key] = value.clone();
         }
         let operator = OperatorSettings::from_value(serde_json::json!({ "shift": { "trading": shift } }))?;
-        Settings::parse(GOOD).unwrap().with_operator(operator)
+        Settings::parse(VALID).unwrap().with_operator(operator)
     };
     for (change, line) in [
         (
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn operators_settings_allow_nothing_unknown() {
+fn unknown_or_invalid_operator_settings_are_rejected() {
     let read = |text: &str| OperatorSettings::from_value(serde_json::from_str(text).unwrap());
     assert_eq!(read(r#"{ "fleet_max": 7 }"#).unwrap().fleet_max, 7);
     for (text, field) in [
@@ -118,19 +118,19 @@
     }
 }
 
-// Where a lease lasts nearly as long as a cancellation may take, operators are told, and it runs.
+// Operators are warned if a cancellation may take hardly longer than a lease; the settings are still valid.
 #[test]
-fn too_little_between_lease_and_cancellation_is_doubted() {
-    let doubts = |cancel_s: f64| {
-        let mut value: serde_json::Value = serde_json::from_str(GOOD).unwrap();
+fn a_short_margin_between_lease_and_cancellation_is_warned_about() {
+    let warnings = |cancel_s: f64| {
+        let mut value: serde_json::Value = serde_json::from_str(VALID).unwrap();
         let workers = &mut value["deployment"]["workers"];
         workers["cancel_s"] = (workers["lease_s"].as_f64().unwrap() + cancel_s).into();
         Settings::parse(&value.to_string()).unwrap().warnings()
     };
-    assert!(doubts(3.0).is_empty());
+    assert!(warnings(3.0).is_empty());
     for short in [2.9, 0.0, -5.0] {
-        let doubts = doubts(short);
-        assert_eq!(doubts.len(), 1);
-        assert!(doubts[0].starts_with("deployment.workers.cancel_s: less than 3 s above lease_s"));
+        let warnings = warnings(short);
+        assert_eq!(warnings.len(), 1);
+        assert!(warnings[0].starts_with("deployment.workers.cancel_s: less than 3 s above lease_s"));
     }
 }
