--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_gone_is_not_told_any_more() {
+fn gauges_of_removed_objects_disappear() {
     let metrics = Metrics::new();
     metrics.observe_count_wait("seat", 4.0);
     let seat = CountStatus {
@@ -23,17 +23,17 @@
     let mut gauges = NodeGauges {
         token: Some(7),
         state_ok: true,
-        peers: 2,
+        peers_heard: 2,
         metrics_snapshot: Some(MetricsSnapshot {
             busy: 3,
             ..MetricsSnapshot::default()
         }),
-        counts: vec![seat],
-        watermark_age_ms: Some(1_500),
+        counted_resources: vec![seat],
+        cancellation_watermark_age_ms: Some(1_500),
         held_lease: Some(HeldLease { epoch: 7, until: 9 }),
-        refused: vec![(GuardedOperation::ReleaseMachines, 2)],
-        expired: Vec::new(),
-        open: PerClass([0, 3, 40, 4, 2, 1]),
+        refused_operations: vec![(GuardedOperation::ReleaseMachines, 2)],
+        expired_operations: Vec::new(),
+        open_connections: PerClass([0, 3, 40, 4, 2, 1]),
         shortages: ShortageCounts {
             refused: PerClass([2, 0, 0, 0, 0, 0]),
             answered: PerClass([0, 0, 9, 0, 0, 0]),
@@ -41,14 +41,14 @@
         },
         throttled: Vec::new(),
         accounting: None,
-        shares: vec![(ShareOwner::Class("batch".to_owned()), 0.5)],
+        served_shares: vec![(ShareOwner::Class("batch".to_owned()), 0.5)],
         protection_windows: vec![ShiftStatus {
             shift: "trading".into(),
             open: true,
             until_ms: Some(1_796_104_800_000),
             services: 3,
         }],
-        spare: (4, 2),
+        spare_replicas: (4, 2),
     };
     let text = metrics.encode(&gauges).unwrap();
     for line in [
@@ -72,7 +72,7 @@
         assert!(text.lines().any(|other| other == line), "{line} in\n{text}");
     }
     gauges.token = None;
-    gauges.counts.clear();
+    gauges.counted_resources.clear();
     let text = metrics.encode(&gauges).unwrap();
     assert!(!text.contains("count_held{") && text.contains("indigopath_is_leader 0"));
 }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -479,21 +479,21 @@
         let gauges = NodeGauges {
             token: self.election.token(),
             state_ok: self.state_failing_since.is_none(),
-            peers: self.fresh_heartbeats().count(),
+            peers_heard: self.fresh_heartbeats().count(),
             metrics_snapshot,
-            watermark_age_ms: self.term.as_ref().map(|term| term.watermark_age_ms(now)),
-            counts: counts.unwrap_or_default(),
+            cancellation_watermark_age_ms: self.term.as_ref().map(|term| term.watermark_age_ms(now)),
+            counted_resources: counts.unwrap_or_default(),
             held_lease: self.io.permits.held(),
-            refused: self.io.permits.refused().collect(),
-            expired: self.io.permits.late().collect(),
-            open: self.connection_stats.0,
+            refused_operations: self.io.permits.refused().collect(),
+            expired_operations: self.io.permits.late().collect(),
+            open_connections: self.connection_stats.0,
             shortages: self.connection_stats.1,
             throttled: {
                 let throttled = self.job_api.throttled();
                 throttled.map(|(team, count)| (team.clone(), count)).collect()
             },
             accounting: self.term.as_ref().map(|term| term.book_standing(now)),
-            shares: self.term.as_ref().map_or_else(Vec::new, |term| {
+            served_shares: self.term.as_ref().map_or_else(Vec::new, |term| {
                 let shares = term.shares();
                 shares
                     .map(|(owner, share)| (owner.clone(), share.part()))
@@ -503,7 +503,7 @@
                 .term
                 .as_ref()
                 .map_or_else(Vec::new, |term| term.shifts(self.io.wall_ms)),
-            spare: self.term.as_ref().map_or((0, 0), LeaderTerm::spare),
+            spare_replicas: self.term.as_ref().map_or((0, 0), LeaderTerm::spare),
         };
         match self.metrics.encode(&gauges) {
             Ok(text) => self
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -399,7 +399,8 @@
                 })
                 .collect();
         if !cancellation_watermark::proves_cancellations(&self.deployment.workers) {
-            let reason = "a leader cut off from the state service cannot prove that cancelled tasks end in time";
+            let reason =
+                "a leader cut off from the state service cannot prove that cancelled tasks end in time";
             warnings.push(format!(
                 "deployment.workers.cancel_s: less than 3 s above lease_s: {reason}"
             ));
