--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -365,10 +365,10 @@
             .filter(|entry| &*entry.linger.count == pool.name && now < entry.linger.until)
             .map(|entry| LingeringUnits::of(&entry, now));
         let feed = self.counted_resources.feeds.get(pool.name);
-        let is_ours = |host: &str| {
+        let is_own_machine = |host: &str| {
             self.machines.as_map().contains_key(host) || self.machines.recently_released().contains_key(host)
         };
-        let server = feed.and_then(|feed| UsageReport::of(feed, is_ours, now));
+        let server = feed.and_then(|feed| UsageReport::of(feed, is_own_machine, now));
         Oversubscription::new(pool, attempts, lingers.collect(), server)
     }
 
--- a/crates/controller/src/leader/oversubscription.rs
+++ b/crates/controller/src/leader/oversubscription.rs
@@ -116,11 +116,11 @@
     /// The last report, if there was any.
     pub(super) fn of(
         feed: &UsageFeed,
-        is_ours: impl Fn(&str) -> bool,
+        is_own_machine: impl Fn(&str) -> bool,
         now: Timestamp,
     ) -> Option<UsageReport> {
         let (usage, age_ms) = feed.last_usage(now)?;
-        let external = usage.seats.iter().filter(|(host, _)| !is_ours(host));
+        let external = usage.seats.iter().filter(|(host, _)| !is_own_machine(host));
         Some(UsageReport {
             age_ms,
             in_use: usage.in_use,
--- a/crates/counted_resources/src/licence.rs
+++ b/crates/counted_resources/src/licence.rs
@@ -107,16 +107,16 @@
     /// Seats held by clients outside the cluster: those on hosts that are not machines of the
     /// cluster. If the server lists fewer seats than it reports in use, the unlisted seats count
     /// as external, except as many as the cluster holds (`held`) and the server does not list.
-    pub fn external_seats(&self, is_ours: impl Fn(&str) -> bool, held: u32) -> u32 {
-        let (mut named, mut on_ours) = (0u32, 0u32);
+    pub fn external_seats(&self, is_own_machine: impl Fn(&str) -> bool, held: u32) -> u32 {
+        let (mut listed, mut own) = (0u32, 0u32);
         for (host, units) in &self.seats {
-            named = named.saturating_add(*units);
-            if is_ours(host) {
-                on_ours = on_ours.saturating_add(*units);
+            listed = listed.saturating_add(*units);
+            if is_own_machine(host) {
+                own = own.saturating_add(*units);
             }
         }
-        let unnamed = self.in_use.saturating_sub(named);
-        (named - on_ours).saturating_add(unnamed.saturating_sub(held.saturating_sub(on_ours)))
+        let unlisted = self.in_use.saturating_sub(listed);
+        (listed - own).saturating_add(unlisted.saturating_sub(held.saturating_sub(own)))
     }
 }
 
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -366,12 +366,12 @@
     }
 
     /// Applies the usage reported by licence servers. Called after all held units are recorded.
-    /// `is_ours` tells whether a host is a machine of the cluster.
+    /// `is_own_machine` tells whether a host is a machine of the cluster.
     pub fn apply_server_usage(
         &mut self,
         feeds: &BTreeMap<Name, UsageFeed>,
         now: u64,
-        is_ours: impl Fn(&str) -> bool,
+        is_own_machine: impl Fn(&str) -> bool,
     ) {
         for pool in &mut self.pools {
             if pool
@@ -384,7 +384,7 @@
                 Some(FeedState::Fresh(usage)) => {
                     pool.units = pool.units.min(usage.total);
                     let held = pool.held.saturating_add(pool.lingering);
-                    pool.external = usage.external_seats(&is_ours, held);
+                    pool.external = usage.external_seats(&is_own_machine, held);
                 }
                 Some(FeedState::Silent) | None => pool.closed = Some(ClosedReason::Silent),
             }
--- a/crates/counted_resources/src/unit_ledger/tests.rs
+++ b/crates/counted_resources/src/unit_ledger/tests.rs
@@ -49,11 +49,11 @@
         }));
         BTreeMap::from([(Arc::from("seat"), feed)])
     };
-    let is_ours = |host: &str| host.starts_with("m-");
+    let is_own_machine = |host: &str| host.starts_with("m-");
     let mut unit_ledger = UnitLedger::new(&definitions);
     unit_ledger.hold("red", &one, 5.0, false);
     unit_ledger.linger("red", "seat", 1, 3.0);
-    unit_ledger.apply_server_usage(&says(5, "desk"), 0, is_ours);
+    unit_ledger.apply_server_usage(&says(5, "desk"), 0, is_own_machine);
     assert_eq!(unit_ledger.available(&one, 9, &FRESH), 2);
     assert_eq!(unit_ledger.available(&two, 9, &FRESH), 1);
     let shortage = unit_ledger.handle_shortage(&two, 2, &FRESH).0.unwrap();
@@ -61,7 +61,7 @@
     // Oversubscribed: nothing starts, and no stop is requested.
     let mut unit_ledger = UnitLedger::new(&definitions);
     unit_ledger.hold("red", &two, 5.0, false);
-    unit_ledger.apply_server_usage(&says(1, "m-1"), 0, is_ours);
+    unit_ledger.apply_server_usage(&says(1, "m-1"), 0, is_own_machine);
     assert_eq!(
         (
             unit_ledger.available(&one, 9, &FRESH),
@@ -72,7 +72,7 @@
     assert_eq!(unit_ledger.deficit(&one, 1), None);
     // The usage of outside clients is unknown.
     let mut unit_ledger = UnitLedger::new(&definitions);
-    unit_ledger.apply_server_usage(&BTreeMap::new(), 0, is_ours);
+    unit_ledger.apply_server_usage(&BTreeMap::new(), 0, is_own_machine);
     assert_eq!(unit_ledger.available(&one, 9, &FRESH), 0);
     assert_eq!(
         unit_ledger.handle_shortage(&one, 1, &FRESH).0.unwrap().reason,
