--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -97,8 +97,8 @@
             .adopt(number, &item.value.to_string(), item.version);
         if let Err(problem) = read {
             let text = format!(
-                "shifts: record {} is left as it is, {problem}: until it can be read or is deleted, windows go \
-                 by this node's clock alone, and services have no order on record",
+                "protection windows: record {} is not changed, {problem}: until it can be read or is deleted, \
+                 windows follow this node's clock alone, and the order of services is not recorded",
                 item.key
             );
             io.effects.push(Effect::Warning(text));
@@ -185,19 +185,19 @@
                 return;
             }
             Event::ClockOff { by_ms } => format!(
-                "shifts: this node's time of day is {by_ms} ms behind the one under which the record was \
-                 written, which is more than deployment.skew_ms allows: windows on record stay as they are"
+                "protection windows: this node's clock is {by_ms} ms behind the clock under which the record was \
+                 written, more than deployment.skew_ms allows: recorded windows are not changed"
             ),
             Event::NotInSettings { shift, closes_ms } => format!(
-                "shift={shift} is open on record and not in this node's settings: services on record stay \
+                "shift={shift} is recorded as open but is not in this node's settings: recorded services stay \
                  protected until {closes_ms} ms, and no others"
             ),
             Event::TooLarge { most } => format!(
-                "shifts: the windows do not fit into a value of {most} bytes: they are not on record, and go by \
-                 each leader's clock"
+                "protection windows: they do not fit into a value of {most} bytes: they are not recorded, and \
+                 follow each leader's clock"
             ),
             Event::Unplaced { services } => format!(
-                "shifts: {services} services are protected without a place on record: there are too many"
+                "protection windows: {services} services are protected without a recorded place: there are too many"
             ),
         };
         io.effects.push(Effect::Warning(warning));
@@ -227,8 +227,8 @@
                 && !std::mem::replace(&mut self.protection_windows.warned_unplaced, true)
             {
                 warning = Some(format!(
-                    "shifts: {unplaced_replicas} protected replicas find no room: the cloud has too few machines for them, \
-                     or their teams may use no more"
+                    "protection windows: {unplaced_replicas} protected replicas cannot be placed: the cloud has too few \
+                     machines for them, or their teams may use no more"
                 ));
             }
         }
@@ -241,8 +241,8 @@
             && !std::mem::replace(&mut self.protection_windows.warned_large, true)
         {
             warning = Some(format!(
-                "shifts: what is protected fills {machines:.0} of at most {fleet_max} machines: while it lasts, \
-                 other classes may have less than half of what they ask for"
+                "protection windows: protected services fill {machines:.0} of at most {fleet_max} machines: \
+                 meanwhile other classes may get less than half of their demand"
             ));
         }
         if let Some(warning) = warning {
