--- a/crates/controller/examples/effect-digest.rs
+++ b/crates/controller/examples/effect-digest.rs
@@ -1,13 +1,14 @@
-//! Prints a digest of what the controllers send in every scenario and in some hundred drawn ones.
+//! Prints a digest of everything that the controllers send, for each handwritten scenario and for some
+//! hundred generated ones.
 //!
-//! Two versions that behave alike print the same lines. To compare a change with its base:
+//! Two versions with the same behaviour print the same lines. To compare a change with its base:
 //!
 //! ```text
 //! cargo run --release -p indigopath-controller --example effect-digest > after.txt
 //! diff before.txt after.txt
 //! ```
 //!
-//! A number after `--` says how many seeds of each generator are played (default 60).
+//! A number after `--` sets the number of seeds of each generator (default 60).
 
 #[path = "../tests/generators/answers.rs"]
 mod answers;
@@ -23,10 +24,10 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// Seeds of each generator that are played where nothing else is said.
+/// Default number of seeds of each generator.
 const SEEDS: u64 = 60;
 
-/// A generator of scenarios, by name.
+/// A scenario generator and its name.
 type Generator = (&'static str, fn(u64) -> String);
 
 const GENERATORS: [Generator; 5] = [
@@ -41,7 +42,7 @@
     let seeds = std::env::args()
         .nth(1)
         .map_or(SEEDS, |text| text.parse().expect("a number of seeds"));
-    let mut cases = written();
+    let mut cases = handwritten_scenarios();
     for (name, generate) in GENERATORS {
         cases.extend((0..seeds).map(|seed| (format!("{name}/{seed}"), generate(seed))));
     }
@@ -51,18 +52,18 @@
         let (outcome, digest) = indigopath_simulator::run_with_digest(text);
         let verdict = if outcome.is_ok() { "passed" } else { "failed" };
         let line = format!("{name} {verdict} {digest}");
-        lines.lock().expect("no player panics").push(line);
+        lines.lock().expect("no worker thread panics").push(line);
         Ok(())
     });
-    let mut lines = lines.into_inner().expect("no player panics");
+    let mut lines = lines.into_inner().expect("no worker thread panics");
     lines.sort();
     for line in lines {
         println!("{line}");
     }
 }
 
-/// The scenarios that are written by hand, by name.
-fn written() -> Vec<(String, String)> {
+/// The handwritten scenarios, by name.
+fn handwritten_scenarios() -> Vec<(String, String)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let mut scenarios = Vec::new();
     for entry in std::fs::read_dir(folder).expect("the scenarios' folder") {
--- a/crates/controller/src/election/cancellation_watermark.rs
+++ b/crates/controller/src/election/cancellation_watermark.rs
@@ -1,30 +1,30 @@
-//! Up to when a leader has provably seen every end of a job, and how long that lets it keep
-//! workers' leases alive.
+//! The time up to which a leader has provably seen every end of a job, and how long that allows it
+//! to renew worker leases.
 //!
-//! An answered renewal proves that the leader's lease lives; it says nothing about jobs that other
-//! nodes ended meanwhile. Their tasks must be gone `cancel_s` after a user was told, and a worker
-//! that a leader answered at `t` may run them until `t + lease_s`, as nobody else stops them while
-//! the state service is down. So a leader answers reports only up to `seen + cancel_s - lease_s`,
-//! less a margin. `seen` moves by a reading of the jobs' records, or a watch on them, that was
-//! answered and worked off, and to the time at which its question was *sent*: the answer may have
-//! been under way for long.
+//! A confirmed renewal proves that the leader's lease is live, but nothing about jobs that other
+//! nodes ended in the meantime. Their tasks must be gone `cancel_s` after a user was told, and a
+//! worker that a leader answered at `t` may run them until `t + lease_s`, because nobody else stops
+//! them while the state service is unavailable. Therefore a leader answers reports only up to
+//! `observed_until + cancel_s - lease_s`, less a margin. `observed_until` is advanced by a read of
+//! the jobs' records, or a watch on them, once its response has been processed, to the time at
+//! which the request was *sent*: the response may have been in flight for long.
 
 use crate::constants::{CANCEL_MARGIN_MS, LEADER_LEASE_MS, LEASE_MARGIN_MS, SECOND_MS};
 use crate::model::Timestamp;
 use crate::settings::WorkerSettings;
 
-/// What a leader has seen of jobs' ends, in one term.
+/// What a leader has observed of ended jobs in one term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationWatermark {
-    /// Every end before that is known and followed. In ms of this node's clock.
+    /// Every end before this time is known and processed. In ms of this node's clock.
     observed_until: Timestamp,
-    /// The records are being read: nothing is known yet.
+    /// The records are still being read, so nothing is known yet.
     is_unread: bool,
     grace_ms: u64,
 }
 
 impl CancellationWatermark {
-    /// Of a leader that has read nothing yet.
+    /// The watermark of a leader that has not read the records yet.
     pub fn unread(workers: &WorkerSettings, now: Timestamp) -> CancellationWatermark {
         CancellationWatermark {
             observed_until: now,
@@ -33,49 +33,49 @@
         }
     }
 
-    /// A reading or a watch that was sent then is answered and worked off.
+    /// The response to a read or a watch that was sent at that time has been processed.
     pub fn advance(&mut self, sent: Timestamp) {
         self.is_unread = false;
         self.observed_until = self.observed_until.max(sent);
     }
 
-    /// Whether an answer that renews a worker's lease can keep alive nothing that was cancelled
-    /// for too long.
+    /// Whether a response that renews a worker's lease cannot keep a task running for too long
+    /// after its cancellation.
     pub fn permits_lease_renewal(&self, now: Timestamp) -> bool {
         !self.is_unread && !self.is_expired(now)
     }
 
-    /// Whether nothing was learned for so long that this leader can keep nobody alive.
+    /// Whether nothing was learned for so long that this leader may not renew any worker lease.
     pub fn is_expired(&self, now: Timestamp) -> bool {
         now >= self.observed_until + self.grace_ms
     }
 
-    /// For how long nothing has been learned, in ms.
+    /// How long nothing has been learned, in ms.
     pub fn age_ms(&self, now: Timestamp) -> u64 {
         now.saturating_sub(self.observed_until)
     }
 }
 
 /// How long after its watermark, and after its last lease renewal, a leader may answer workers with
-/// its token, in ms. A worker's lease then expires early enough for any cancellation that this leader
-/// may have missed; and the next leader counts on nothing longer.
+/// its token, in ms. A worker's lease then expires early enough for any cancellation that this
+/// leader may have missed, and the next leader assumes nothing longer.
 ///
-/// Where a lease lasts nearly as long as a cancellation may take, or longer, no answer could be
-/// proved harmless (see [`proves_cancellations`]): such a leader has no grace, and answers while its
-/// own lease lives.
+/// Where a lease lasts nearly as long as a cancellation may take, or longer, no response could be
+/// proved harmless (see [`proves_cancellations`]): such a leader has no grace period, and answers
+/// while its own lease is live.
 pub fn grace_ms(workers: &WorkerSettings) -> u64 {
     spare_ms(workers)
         .saturating_sub(CANCEL_MARGIN_MS)
         .max(LEADER_LEASE_MS)
 }
 
-/// Whether these settings leave a leader time to prove that what it keeps alive is gone `cancel_s`
-/// after its cancellation.
+/// Whether these settings leave a leader enough time to prove that tasks it keeps running are gone
+/// `cancel_s` after their cancellation.
 pub fn proves_cancellations(workers: &WorkerSettings) -> bool {
     spare_ms(workers) >= LEADER_LEASE_MS + LEASE_MARGIN_MS
 }
 
-/// What a cancellation may take beyond a lease, in ms.
+/// How much longer than a lease a cancellation may take, in ms.
 fn spare_ms(workers: &WorkerSettings) -> u64 {
     // A negative difference becomes 0.
     ((workers.cancel_s - workers.lease_s) * SECOND_MS as f64) as u64
--- a/crates/controller/src/election/cancellation_watermark/tests.rs
+++ b/crates/controller/src/election/cancellation_watermark/tests.rs
@@ -11,17 +11,17 @@
 }
 
 #[test]
-fn nobody_is_kept_alive_before_the_records_are_read() {
+fn no_lease_is_renewed_before_the_records_are_read() {
     let mut watermark = CancellationWatermark::unread(&workers(30.0, 50.0), 1_000);
     assert!(!watermark.permits_lease_renewal(1_001));
     watermark.advance(1_200);
     assert!(watermark.permits_lease_renewal(1_500));
 }
 
-// A lease renewed at the last moment that is allowed is out before the earliest cancellation that
-// was missed must be carried out, by the clocks' worst drift.
+// A lease renewed at the last permitted moment expires before the earliest missed cancellation is due,
+// even with the maximum clock drift.
 #[test]
-fn the_last_lease_it_renews_is_out_in_time() {
+fn last_renewed_lease_expires_in_time() {
     for (lease_s, cancel_s) in [(30.0, 50.0), (42.0, 62.0), (32.0, 62.0), (30.0, 33.0)] {
         let workers = workers(lease_s, cancel_s);
         assert!(proves_cancellations(&workers));
@@ -37,9 +37,9 @@
     }
 }
 
-// The answer to an older question says nothing newer.
+// The response to an older request must not move the watermark back.
 #[test]
-fn it_never_goes_back() {
+fn watermark_never_moves_back() {
     let mut watermark = CancellationWatermark::unread(&workers(30.0, 50.0), 0);
     watermark.advance(5_000);
     watermark.advance(4_000);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn without_spare_time_there_is_no_grace_and_that_is_said() {
+fn without_spare_time_there_is_no_grace_period() {
     for (lease_s, cancel_s) in [(30.0, 30.0), (30.0, 10.0), (30.0, 32.9)] {
         let workers = workers(lease_s, cancel_s);
         assert!(!proves_cancellations(&workers));
--- a/crates/controller/src/election/candidate.rs
+++ b/crates/controller/src/election/candidate.rs
@@ -1,4 +1,4 @@
-//! The candidate's part: it asks for a lease and claims the leader's key under it.
+//! The candidate: it requests a lease and claims the leader's key under it.
 
 use super::{Election, ElectionEvent, Leadership, NextCall, PendingCall, RequestedLease};
 use crate::constants::{CLAIM_TIMEOUT_MS, LEADER_LEASE_MS, LEADER_LOOKUP_RETRY_MS, LEADER_SLOW_LEASE_MS};
@@ -26,7 +26,7 @@
         self.calls.insert(call, PendingCall::GrantLease { requested_at });
     }
 
-    /// How long a call of an election may stay unanswered, in ms.
+    /// Timeout of one call of an election, in ms.
     fn claim_timeout_ms(&self) -> u64 {
         if self.claim_timed_out {
             LEADER_LEASE_MS
@@ -36,8 +36,8 @@
     }
 
     pub(super) fn on_lease_granted(&mut self, requested_at: Timestamp, outcome: &Outcome, io: &mut Io) {
-        // An answer here does not show that the service is fast again: only that to the claim does,
-        // which is the second call.
+        // A response here does not show that the service is fast again: only the response to the
+        // claim, the second call, does.
         self.claim_timed_out |= *outcome == Outcome::NoAnswer;
         match outcome.read::<LeaseResponse>(&[200]) {
             Some(answer) => {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Creates the leader's key, on the condition that there is none.
+    /// Creates the leader's key on the condition that it does not exist.
     fn claim_key(&mut self, lease: RequestedLease, io: &mut Io) {
         let body = Transaction {
             conditions: vec![Condition {
@@ -95,7 +95,7 @@
         self.known_leader = Some(self.node.clone());
         self.leadership = Some(Leadership {
             token,
-            // The lease's life counts from before it was granted.
+            // The lifetime of the lease is counted from before it was granted.
             lease,
             next_renewal: io.now,
         });
--- a/crates/controller/src/election/follower.rs
+++ b/crates/controller/src/election/follower.rs
@@ -1,5 +1,4 @@
-//! The follower's part: it reads and watches the leader's key, and becomes a candidate when there is
-//! none.
+//! The follower: it reads and watches the leader's key, and becomes a candidate when there is none.
 
 use super::{Election, NextCall, PendingCall};
 use crate::constants::{
@@ -20,7 +19,8 @@
 }
 
 impl KeyReading {
-    /// From an answer to a reading of the key itself. A present key tells only its own version.
+    /// From the response to a read of the key itself. For an existing key it contains only the
+    /// key's own version.
     fn from_key(outcome: &Outcome) -> Option<KeyReading> {
         if let Some(item) = outcome.read::<StoredItem>(&[200]) {
             let revision = item.version;
@@ -36,7 +36,7 @@
         })
     }
 
-    /// From an answer to a reading of a page, which tells the state service's revision.
+    /// From the response to a read of a page, which contains the revision of the state service.
     fn from_page(outcome: &Outcome) -> Option<KeyReading> {
         let page = outcome.read::<StoredPage>(&[200])?;
         Some(KeyReading {
@@ -47,10 +47,10 @@
 }
 
 impl Election {
-    /// The key's own version does not tell of the changes since. Where the state service no longer
-    /// tells those, each watch from it is refused, and the key would be read again without pause for
-    /// as long as the leader did not change it. So a node that is behind reads a page, which tells its
-    /// revision.
+    /// The key's own version does not reflect the changes since. If the state service no longer
+    /// keeps those, each watch from that version is refused, and the key would be read again
+    /// without pause until the leader changes it. Therefore a node that is behind reads a page,
+    /// which contains the current revision.
     pub(super) fn read_key(&mut self, io: &mut Io) {
         let path = if self.revision_compacted {
             paths::page(LEADER_KEY, None, 1)
@@ -61,7 +61,8 @@
         self.calls.insert(call, PendingCall::ReadKey);
     }
 
-    /// Watches the key; during a back-off only until nobody has led for so long that it ends.
+    /// Watches the key; during a backoff only until leadership has been vacant long enough to end
+    /// it.
     pub(super) fn watch_key(&mut self, io: &mut Io) {
         let left_ms = |since: Timestamp| (since + ELECTION_BACKOFF_VACANT_MS).saturating_sub(io.now);
         let hold_ms = self
@@ -101,7 +102,7 @@
         match item.lease.filter(|_| abandoned) {
             Some(lease) => self.release_abandoned(lease, io),
             None => {
-                // A page does not tell the lease: the key does.
+                // A page does not contain the lease; the key does.
                 self.next_call = if abandoned && read_page {
                     NextCall::ReadKey
                 } else {
@@ -137,7 +138,7 @@
         if vacant {
             self.on_vacant(io);
         } else if self.known_leader.is_none() {
-            // After a back-off, or a claim of its own that expires.
+            // After a backoff, or when a claim of this node expires.
             self.next_call = NextCall::ReadKey;
             self.next_call_at = io.now + LEADER_LOOKUP_RETRY_MS;
         }
@@ -146,29 +147,29 @@
     fn learn_leader(&mut self, value: &Value) {
         self.vacant_since = None;
         match LeaderRecord::from_value(value) {
-            // A claim of this node that was carried out without an answer, or of its former life:
-            // nobody acts on it, so it is released or expires.
+            // A claim of this node that was executed without a response, or one of its previous
+            // process: nobody acts on it, so it is released or expires.
             Ok(record) if record.node == self.node => self.known_leader = None,
             Ok(record) => self.known_leader = Some(record.node),
             Err(error) => log::error!("the leader's record: {error}"),
         }
     }
 
-    /// Whether the key, as read by a node that does not lead, is its own. Either an earlier life
-    /// claimed it: that one is over, as a node is one process, and this is it. Or this life did and
-    /// never learned of it: the answer was lost, or the claim carried out after it was given up. Only
-    /// the first reading judges another life: two processes that bear one name, against the rules,
-    /// would otherwise depose each other for ever.
+    /// Whether the key, as read by a node that does not lead, belongs to this node. Either an
+    /// earlier process of the node claimed it, which has ended, because a node is a single process.
+    /// Or this process did and never learned of it: the response was lost, or the claim was
+    /// executed after its timeout. Another process's claim is only recognized by the first read:
+    /// otherwise two processes that wrongly have the same name would depose each other forever.
     fn is_abandoned(&self, value: &Value, is_first: bool) -> bool {
         LeaderRecord::from_value(value).is_ok_and(|record| {
             record.node == self.node && (is_first || record.incarnation == self.incarnation)
         })
     }
 
-    /// Nobody needs to wait for a lease under which nobody acts any more. Whatever of its term is
-    /// still under way is refused as after any other failover: its transactions and its claim by the
-    /// key's version and the lease, its commands by the next token, its calls to the cloud by their
-    /// records.
+    /// Releases a lease under which nobody acts any more, so that nobody has to wait for its
+    /// expiry. Anything of its term that is still in flight is refused as after any other failover:
+    /// its transactions and its claim by the key's version and the lease, its commands by the next
+    /// token, its calls to the cloud by their records.
     fn release_abandoned(&mut self, lease: u64, io: &mut Io) {
         log::info!("lease released: this node holds the leader's key of a former life");
         self.call_in_flight = true;
@@ -176,12 +177,12 @@
     }
 
     pub(super) fn on_abandoned_lease_released(&mut self, io: &mut Io) {
-        // Peers have seen the key go and know the fleet already: they go first.
+        // Peers have seen the deletion of the key and know the fleet already, so they go first.
         self.next_call = NextCall::ReadKey;
         self.next_call_at = io.now + RELEASED_LEASE_BACKOFF_MS;
     }
 
-    /// Nobody leads. A node that backs off leaves it to others, unless there are none.
+    /// Leadership is vacant. A node that backs off leaves it to others, unless there are none.
     fn on_vacant(&mut self, io: &mut Io) {
         self.known_leader = None;
         let backs_off = io.now < self.back_off_until;
--- a/crates/controller/src/election/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -1,4 +1,4 @@
-//! The leader's part: it renews its lease, and its token with the leader's key.
+//! The leader: it renews its lease, and its token with the leader's key.
 
 use super::{Election, ElectionEvent, PendingCall, RequestedLease};
 use crate::constants::{CLOCK_DRIFT_PPM, LEADER_LEASE_MS, LEADER_RENEWAL_MS, PARTS_PER_MILLION};
@@ -8,18 +8,18 @@
 use crate::storage::records::{LEADER_KEY, LeaderRecord, Record};
 use indigopath_fencing::HeldLease;
 
-/// What a leader holds.
+/// The state of a leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Leadership {
     pub(super) token: u64,
-    /// The lease, and when the last renewal that was answered was sent.
+    /// The lease, and when the last confirmed renewal was sent.
     pub(super) lease: RequestedLease,
     pub(super) next_renewal: Timestamp,
 }
 
 impl Leadership {
-    /// The token, and until when the lease surely lives: counted from when the last renewal that was
-    /// answered was sent, less the clocks' drift.
+    /// The token, and the time until which the lease is certainly live: counted from when the last
+    /// confirmed renewal was sent, less the clock drift.
     pub(super) fn held_lease(&self) -> HeldLease {
         let lifetime_ms = LEADER_LEASE_MS - LEADER_LEASE_MS * CLOCK_DRIFT_PPM / PARTS_PER_MILLION;
         HeldLease {
@@ -30,11 +30,13 @@
 }
 
 impl Election {
-    /// Renews the lease when that is due, and steps down when the leader may answer workers no longer.
+    /// Renews the lease when that is due, and steps down when the leader may no longer answer
+    /// workers.
     pub(super) fn poll_leader(&mut self, io: &mut Io) -> Option<ElectionEvent> {
-        // Without the state service a leader cannot tell an outage, in which it still leads, from
-        // being alone refused. It goes on answering workers for as long as its cancellation watermark
-        // allows, and never so long that the next leader could count their leases as expired.
+        // Without the state service a leader cannot distinguish an outage, in which it still leads,
+        // from being the only node that is refused. It continues to answer workers for as long as
+        // its cancellation watermark permits, and never so long that the next leader could consider
+        // their leases expired.
         if !self.may_renew_worker_leases(io.now) {
             return Some(self.step_down("no word from the state service"));
         }
@@ -53,8 +55,8 @@
             json(&LeaseRequest {
                 ttl_ms: LEADER_LEASE_MS,
             }),
-            // The next one does not wait for it, and an answer proves the lease from when it was
-            // asked for.
+            // The next renewal does not wait for this one, and a response proves the lease from
+            // when the renewal was sent.
             LEADER_LEASE_MS,
         );
         self.calls.insert(call, PendingCall::RenewLease(lease));
@@ -77,7 +79,7 @@
                 None
             }
             Some(404) => Some(self.step_down("its lease is over")),
-            // The next renewal is due in less than a third of the lease anyway.
+            // The next renewal is due within a third of the lease anyway.
             _ => None,
         }
     }
@@ -91,17 +93,18 @@
         })
     }
 
-    /// The leader's key was renewed: its new version is the token.
+    /// The leader's key was renewed, and its new version is the token.
     pub fn on_key_renewed(&mut self, token: u64) {
         if let Some(leadership) = &mut self.leadership {
             leadership.token = leadership.token.max(token);
         }
     }
 
-    /// Whether the key, as read, is this leader's own: of this life, and under the lease that it
-    /// leads by. A key goes only with its lease, so nobody else led since its claim. The name alone
-    /// does not tell that: a claim of this node that was carried out late, under a lease that an
-    /// outage kept alive, bears it too, and others may have led before it.
+    /// Whether the key, as read, belongs to this leader: written by this process, under the lease
+    /// that it leads under. The key is deleted only with its lease, so nobody else has led since
+    /// its claim. The node name alone does not prove that: a claim of this node that was executed
+    /// late, under a lease that an outage kept alive, has it too, and others may have led before
+    /// it.
     pub fn is_own_key(&self, item: Option<&StoredItem>) -> bool {
         let lease = self.lease();
         lease.is_some()
--- a/crates/controller/src/election/mod.rs
+++ b/crates/controller/src/election/mod.rs
@@ -1,7 +1,8 @@
-//! Leader election: the leader holds the key `leader`, which is bound to a short lease of the state
-//! service. The version of that key is the fencing token; it only ever rises.
+//! Leader election. The leader holds the key `leader`, which is bound to a short lease of the state
+//! service. The version of that key is the fencing token, which only increases.
+//!
+//! A node has one of three roles, each in a file of its own:
 //!
-//! A node is one of three things, each in a file of its own:
 //! - a follower reads and watches the leader's key (`follower.rs`);
 //! - a candidate found no leader and claims the key under a lease of its own (`candidate.rs`);
 //! - the leader renews its lease until it steps down (`leadership.rs`).
@@ -20,7 +21,7 @@
 use indigopath_fencing::HeldLease;
 use leadership::Leadership;
 
-/// A call to the state service that the election waits for.
+/// A call to the state service whose response the election awaits.
 #[derive(Debug)]
 enum PendingCall {
     ReadKey,
@@ -30,20 +31,20 @@
     },
     ClaimKey(RequestedLease),
     RenewLease(RequestedLease),
-    /// The leader gives its lease up.
+    /// The leader releases its lease.
     ReleaseLease,
-    /// A lease of this node under which nobody acts is released.
+    /// A lease of this node that it does not lead under is released.
     ReleaseAbandonedLease,
 }
 
-/// A lease of the state service and when this node sent the call that grants or renews it.
+/// A lease of the state service, and when this node sent the call that granted or last renewed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct RequestedLease {
     id: u64,
     requested_at: Timestamp,
 }
 
-/// The call that a node which does not lead makes next.
+/// The next call of a node that does not lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextCall {
     ReadKey,
@@ -51,32 +52,32 @@
     GrantLease,
 }
 
-/// What changed in this node's role.
+/// A change of this node's role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ElectionEvent {
-    /// This node leads, under this fencing token.
+    /// This node became the leader, with this fencing token.
     Elected { token: u64 },
-    /// This node leads no longer.
+    /// This node is no longer the leader.
     Deposed,
 }
 
-/// This node's part in the election, without input or output: [`Election::poll`] issues the calls
-/// that are due and [`Election::answered`] takes their answers.
+/// This node's part in the election, without I/O: [`Election::poll`] issues the calls that are due,
+/// and [`Election::handle_response`] takes their responses.
 #[derive(Debug)]
 pub struct Election {
     node: String,
     incarnation: u64,
-    /// What this node holds while it leads.
+    /// The leader's state while this node leads.
     leadership: Option<Leadership>,
-    /// The node that leads, as far as this one knows.
+    /// The current leader, as far as this node knows.
     known_leader: Option<String>,
     /// Revision of the state service up to which `known_leader` is known.
     revision: u64,
     /// A call of a follower or a candidate is in flight.
     call_in_flight: bool,
-    /// Whether the key was read in this life.
+    /// Whether this process has read the key.
     has_read: bool,
-    /// The state service no longer tells the changes since `revision`.
+    /// The state service no longer keeps the changes since `revision`.
     revision_compacted: bool,
     next_call: NextCall,
     next_call_at: Timestamp,
@@ -84,15 +85,16 @@
     /// How long after its last lease renewal it may answer workers, in ms: see
     /// [`cancellation_watermark::grace_ms`].
     grace_ms: u64,
-    /// During a back-off: since when nobody has led, as far as it knows.
+    /// During a backoff: since when leadership has been vacant, as far as known.
     vacant_since: Option<Timestamp>,
-    /// A call of the last election was given up: the state service may be slow.
+    /// A call of the last election timed out, so the state service may be slow.
     claim_timed_out: bool,
     calls: PendingCalls<PendingCall>,
 }
 
 impl Election {
-    /// A follower that knows nothing yet. `incarnation` tells this life of the node from earlier ones.
+    /// A follower that knows nothing yet. `incarnation` distinguishes this process of the node from
+    /// earlier ones.
     pub fn new(node: &str, incarnation: u64, deployment: &Deployment) -> Election {
         Election {
             node: node.to_owned(),
@@ -118,22 +120,22 @@
         self.leadership.as_ref().map(|leadership| leadership.token)
     }
 
-    /// The leader that others should be sent to, if it is not this node.
+    /// The leader to which requests should be redirected, if it is another node.
     pub fn other_leader(&self) -> Option<&str> {
         self.known_leader.as_deref().filter(|node| *node != self.node)
     }
 
-    /// What this node holds, and until when nobody else can.
+    /// The lease that this node holds, with the time until which no other node can lead.
     pub fn held_lease(&self) -> Option<HeldLease> {
         self.leadership.as_ref().map(Leadership::held_lease)
     }
 
-    /// The lease has surely not expired yet.
+    /// Whether the lease has certainly not expired yet.
     pub fn is_lease_live(&self, now: Timestamp) -> bool {
         self.held_lease().is_some_and(|hold| now < hold.until)
     }
 
-    /// No later leader counts on a worker's lease having expired that is renewed now.
+    /// Whether a worker lease that is renewed now expires before any later leader assumes so.
     pub fn may_renew_worker_leases(&self, now: Timestamp) -> bool {
         self.leadership
             .as_ref()
@@ -157,7 +159,8 @@
         None
     }
 
-    /// A call was answered. `None` if the election did not make it, else what follows.
+    /// Handles the response to a call. `None` if the election did not make the call, otherwise the
+    /// resulting event, if any.
     pub fn handle_response(
         &mut self,
         call: CallId,
@@ -190,12 +193,12 @@
         None
     }
 
-    /// Another node holds a higher token, or a transaction showed it.
+    /// Steps down because another node holds a higher token, or a transaction showed it.
     pub fn depose(&mut self, why: &str) -> Option<ElectionEvent> {
         self.leadership.is_some().then(|| self.step_down(why))
     }
 
-    /// Gives leadership up for others to take, and backs off for a while.
+    /// Releases leadership for others to take, and backs off for a while.
     pub fn hand_over(&mut self, why: &str, io: &mut Io) -> Option<ElectionEvent> {
         let lease = self.lease()?;
         self.release(lease, PendingCall::ReleaseLease, io);
--- a/crates/controller/src/election/tests.rs
+++ b/crates/controller/src/election/tests.rs
@@ -15,8 +15,8 @@
     }
 }
 
-/// Does what is due, and answers the one call that is made.
-fn turn(election: &mut Election, io: &mut Io, path: &str, outcome: &Outcome) -> Option<ElectionEvent> {
+/// Polls the election, and responds to the one call that it makes.
+fn step(election: &mut Election, io: &mut Io, path: &str, outcome: &Outcome) -> Option<ElectionEvent> {
     io.now += CLAIM_JITTER_MS;
     if io.effects.is_empty() {
         assert_eq!(election.poll(io), None);
@@ -24,16 +24,18 @@
     let calls = std::mem::take(&mut io.effects);
     let [
         Effect::Call {
-            call, path: asked, ..
+            call,
+            path: requested_path,
+            ..
         },
     ] = &calls[..]
     else {
         panic!("{calls:?}");
     };
-    assert_eq!(asked, path);
+    assert_eq!(requested_path, path);
     election
         .handle_response(*call, outcome, io)
-        .expect("it was its own")
+        .expect("a call of the election")
 }
 
 fn key(node: &str, incarnation: u64, lease: Option<u64>) -> protocol::StoredItem {
@@ -45,35 +47,35 @@
     }
 }
 
-/// A node that leads under the lease 12, after a claim under 11 of which nobody told it anything.
-fn leads(io: &mut Io) -> Election {
+/// A node that leads under lease 12, after a claim under lease 11 that was never answered.
+fn elected_node(io: &mut Io) -> Election {
     let settings = Settings::parse(include_str!("../../tests/support/settings.json")).unwrap();
     let mut election = Election::new("n0", INCARNATION, &settings.deployment);
     let absent = answer(404, json!({ "Ledger": 9 }));
-    turn(&mut election, io, "/store/leader", &absent);
-    turn(&mut election, io, "/holds", &answer(200, json!({ "Permit": 11 })));
-    turn(&mut election, io, "/multi", &Outcome::NoAnswer);
+    step(&mut election, io, "/store/leader", &absent);
+    step(&mut election, io, "/holds", &answer(200, json!({ "Permit": 11 })));
+    step(&mut election, io, "/multi", &Outcome::NoAnswer);
     io.now += LEADER_LOOKUP_RETRY_MS;
-    turn(&mut election, io, "/store/leader", &absent);
-    turn(&mut election, io, "/holds", &answer(200, json!({ "Permit": 12 })));
-    let claimed = turn(&mut election, io, "/multi", &answer(200, json!({ "Ledger": 20 })));
+    step(&mut election, io, "/store/leader", &absent);
+    step(&mut election, io, "/holds", &answer(200, json!({ "Permit": 12 })));
+    let claimed = step(&mut election, io, "/multi", &answer(200, json!({ "Ledger": 20 })));
     assert_eq!(claimed, Some(ElectionEvent::Elected { token: 20 }));
     election
 }
 
-// The claim that was given up may be carried out minutes later, if an outage kept its lease alive,
-// and after another node's term: it bears this life's name, and was taken for a renewal.
+// A claim that timed out may be executed minutes later, after another node's term, if an outage kept its
+// lease alive. It has the name and incarnation of this process, and was mistaken for a renewal.
 #[test]
-fn a_late_claim_of_this_life_is_no_renewal() {
+fn late_claim_of_this_process_is_not_a_renewal() {
     let settings = Settings::parse(include_str!("../../tests/support/settings.json")).unwrap();
     let mut io = Io::new(&settings, 1, 0, 0);
-    let mut election = leads(&mut io);
+    let mut election = elected_node(&mut io);
     assert!(election.is_own_key(Some(&key("n0", INCARNATION, Some(12)))));
     assert!(!election.is_own_key(Some(&key("n0", INCARNATION, Some(11)))));
     assert!(!election.is_own_key(Some(&key("n0", INCARNATION, None))));
     assert!(!election.is_own_key(Some(&key("n0", INCARNATION + 1, Some(12)))));
     assert!(!election.is_own_key(Some(&key("n1", INCARNATION, Some(12)))));
     assert!(!election.is_own_key(None));
-    election.hand_over("it leaves", &mut io);
+    election.hand_over("leaving", &mut io);
     assert!(!election.is_own_key(Some(&key("n0", INCARNATION, Some(12)))));
 }
--- a/crates/controller/src/expiring_cache.rs
+++ b/crates/controller/src/expiring_cache.rs
@@ -1,4 +1,4 @@
-//! What is remembered of jobs that ended lately: a bounded number, the oldest forgotten first.
+//! A bounded cache of values by job, for recently ended jobs; the oldest are evicted first.
 
 use crate::constants::ENDED_JOB_CACHE_SIZE;
 use crate::model::JobId;
@@ -23,7 +23,7 @@
 }
 
 impl<V> ExpiringCache<V> {
-    /// A job that is known already takes the new value and keeps its place.
+    /// Adds or replaces a job's value. A known job keeps its position in the eviction order.
     pub fn insert(&mut self, job: JobId, value: V) {
         if self.values.insert(job.clone(), value).is_none() {
             self.order.push_back(job);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The job's value, unless it is forgotten.
+    /// The job's value, unless it was evicted.
     pub fn get<Q: Hash + Eq + ?Sized>(&self, job: &Q) -> Option<&V>
     where
         JobId: Borrow<Q>,
@@ -43,7 +43,7 @@
         self.values.get(job)
     }
 
-    /// Whether the job's value is remembered.
+    /// Whether the job's value is cached.
     pub fn contains_key<Q: Hash + Eq + ?Sized>(&self, job: &Q) -> bool
     where
         JobId: Borrow<Q>,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,5 +1,5 @@
-//! The scheduler of indigopath, without input or output: time, randomness and
-//! commands go in, effects come out.
+//! The scheduler of indigopath as a pure state machine: time, randomness and commands are its
+//! inputs, and effects its outputs. It performs no I/O itself.
 #![forbid(unsafe_code)]
 
 pub mod allocations;
--- a/crates/controller/src/token_bucket.rs
+++ b/crates/controller/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Token buckets that keep calls below the rates of the state service and the cloud.
+//! Token buckets that limit the rate of calls to the state service and the cloud.
 
 use crate::constants::SECOND_MS;
 use crate::model::Timestamp;
@@ -31,10 +31,10 @@
         self.level = self.level.min(self.burst);
     }
 
-    /// Leaves at most this share of a full bucket.
-    pub fn drain_to(&mut self, part: f64, now: Timestamp) {
+    /// Reduces the level to at most this share of a full bucket.
+    pub fn drain_to(&mut self, share: f64, now: Timestamp) {
         self.refill(now);
-        self.level = self.level.min(part * self.burst);
+        self.level = self.level.min(share * self.burst);
     }
 
     fn refill(&mut self, now: Timestamp) {
@@ -43,7 +43,8 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes `units` if that leaves at least `reserve` of a full bucket.
+    /// Takes `units` if at least the share `reserve` of a full bucket remains, and returns whether
+    /// it did.
     pub fn try_take(&mut self, units: f64, reserve: f64, now: Timestamp) -> bool {
         let has_enough = self.has_available(units, reserve, now);
         if has_enough {
@@ -52,13 +53,13 @@
         has_enough
     }
 
-    /// Whether `units` could be taken so that at least `reserve` of a full bucket is left.
+    /// Whether `units` could be taken with at least the share `reserve` of a full bucket remaining.
     pub fn has_available(&mut self, units: f64, reserve: f64, now: Timestamp) -> bool {
         self.refill(now);
         self.level - units >= reserve * self.burst
     }
 
-    /// Takes `units` whatever is left: for what must not wait, as lease renewals.
+    /// Takes `units` whatever the level, for calls that must not wait, such as lease renewals.
     pub fn force_take(&mut self, units: f64, now: Timestamp) {
         self.refill(now);
         self.level -= units;
--- a/crates/fencing/src/operation/tests.rs
+++ b/crates/fencing/src/operation/tests.rs
@@ -11,9 +11,9 @@
     );
 }
 
-// Where nobody compares tokens, only what stands on record beforehand tells a successor.
+// Where the receiver does not compare tokens, only a recorded intent informs the successor.
 #[test]
-fn what_nobody_compares_has_an_intent() {
+fn operations_without_a_token_check_have_an_intent() {
     for spec in GUARDED_OPERATIONS {
         let unfenced = spec.fence == Fence::PermitAndIntent;
         assert_eq!(
--- a/crates/fencing/src/permit.rs
+++ b/crates/fencing/src/permit.rs
@@ -30,7 +30,7 @@
 }
 
 impl Permit {
-    /// The operation that it is for.
+    /// The operation that it permits.
     pub fn operation(&self) -> GuardedOperation {
         self.operation
     }
@@ -73,7 +73,7 @@
 }
 
 impl Permits {
-    /// Notes the lease that this controller holds from now on. A lower epoch, or an earlier
+    /// Records the lease that this controller holds from now on. A lower epoch, or an earlier
     /// expiry of the same one, changes nothing.
     pub fn hold(&mut self, lease: HeldLease) {
         let newer = self
@@ -98,7 +98,7 @@
         self.lease
     }
 
-    /// Grants a permit for an operation that begins now.
+    /// Grants a permit for an operation that starts now.
     ///
     /// # Errors
     /// This controller holds no lease, or the lease may have expired. The refusal is counted.
@@ -123,12 +123,12 @@
         *self.late.entry(operation).or_default() += 1;
     }
 
-    /// How many operations were not begun for want of a permit, by operation.
+    /// Number of operations that were not started because no permit was granted, by operation.
     pub fn refused(&self) -> impl Iterator<Item = (GuardedOperation, u64)> {
         self.refused.iter().map(|(operation, count)| (*operation, *count))
     }
 
-    /// How many operations were dropped because their permit expired before they were sent.
+    /// Number of operations dropped because their permit expired before they were sent.
     pub fn late(&self) -> impl Iterator<Item = (GuardedOperation, u64)> {
         self.late.iter().map(|(operation, count)| (*operation, *count))
     }
--- a/crates/fencing/src/permit/tests.rs
+++ b/crates/fencing/src/permit/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn nothing_is_allowed_without_a_lease_or_after_it() {
+fn no_permit_without_a_lease_or_after_its_expiry() {
     let mut permits = Permits::default();
     assert_eq!(
         permits.request(GuardedOperation::LaunchMachines, 0),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_renewed_token_of_the_same_lease_keeps_its_end() {
+fn renewed_token_of_the_same_lease_keeps_its_expiry() {
     let mut permits = Permits::default();
     permits.hold(HeldLease { epoch: 5, until: 100 });
     permits.hold(HeldLease { epoch: 6, until: 90 });
@@ -39,24 +39,24 @@
 }
 
 proptest! {
-    /// Two holders in a row: whatever the first is given ends before the second may begin,
-    /// whenever either asks.
+    /// Of two successive holders, every permit of the first expires before the second can get one,
+    /// whenever either requests it.
     #[test]
-    fn no_two_epochs_are_allowed_at_once(
-        touched in 0u64..10_000, life in 1u64..5_000, asked in 0u64..20_000, acts in 0u64..20_000,
+    fn no_two_epochs_hold_permits_at_once(
+        renewed_at in 0u64..10_000, lifetime in 1u64..5_000, requested_at in 0u64..20_000, sent_at in 0u64..20_000,
     ) {
-        let over = touched + life;
+        let expires_at = renewed_at + lifetime;
         let mut old = Permits::default();
-        old.hold(HeldLease { epoch: 1, until: over });
+        old.hold(HeldLease { epoch: 1, until: expires_at });
         let mut new = Permits::default();
-        // The second is elected once the first's lease is over, at the earliest.
-        if asked >= over {
-            new.hold(HeldLease { epoch: 2, until: asked + life });
+        // The second is elected no earlier than the expiry of the first's lease.
+        if requested_at >= expires_at {
+            new.hold(HeldLease { epoch: 2, until: requested_at + lifetime });
         }
-        if let Ok(permit) = old.request(GuardedOperation::ReleaseMachines, asked.min(acts)) {
-            prop_assert!(!(permit.allows(acts) && acts >= over));
+        if let Ok(permit) = old.request(GuardedOperation::ReleaseMachines, requested_at.min(sent_at)) {
+            prop_assert!(!(permit.allows(sent_at) && sent_at >= expires_at));
         }
-        let both = old.request(GuardedOperation::ReleaseMachines, acts).is_ok() && new.request(GuardedOperation::ReleaseMachines, acts).is_ok();
-        prop_assert!(!(both && acts >= asked));
+        let both = old.request(GuardedOperation::ReleaseMachines, sent_at).is_ok() && new.request(GuardedOperation::ReleaseMachines, sent_at).is_ok();
+        prop_assert!(!(both && sent_at >= requested_at));
     }
 }
