--- a/crates/controller/src/election/follower.rs
+++ b/crates/controller/src/election/follower.rs
@@ -151,7 +151,7 @@
             // process: nobody acts on it, so it is released or expires.
             Ok(record) if record.node == self.node => self.known_leader = None,
             Ok(record) => self.known_leader = Some(record.node),
-            Err(error) => log::error!("the leader's record: {error}"),
+            Err(error) => log::error!("leader record unusable: {error}"),
         }
     }
 
@@ -171,7 +171,7 @@
     /// its transactions and its claim by the key's version and the lease, its commands by the next
     /// token, its calls to the cloud by their records.
     fn release_abandoned(&mut self, lease: u64, io: &mut Io) {
-        log::info!("lease released: this node holds the leader's key of a former life");
+        log::info!("lease released: the leader key belongs to an earlier claim of this node");
         self.call_in_flight = true;
         self.release(lease, PendingCall::ReleaseAbandonedLease, io);
     }
--- a/crates/controller/src/election/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -38,7 +38,7 @@
         // its cancellation watermark permits, and never so long that the next leader could consider
         // their leases expired.
         if !self.may_renew_worker_leases(io.now) {
-            return Some(self.step_down("no word from the state service"));
+            return Some(self.step_down("lease not renewed in time"));
         }
         let leadership = self.leadership.as_mut()?;
         if io.now < leadership.next_renewal {
@@ -78,7 +78,7 @@
                 lease.requested_at = lease.requested_at.max(renewed.requested_at);
                 None
             }
-            Some(404) => Some(self.step_down("its lease is over")),
+            Some(404) => Some(self.step_down("lease expired")),
             // The next renewal is due within a third of the lease anyway.
             _ => None,
         }
--- a/crates/controller/src/storage/records.rs
+++ b/crates/controller/src/storage/records.rs
@@ -58,7 +58,7 @@
     #[error("unreadable record: {0}")]
     Json(#[from] serde_json::Error),
     /// It refers to a missing entry of its own lists.
-    #[error("unreadable record: nothing stands at position {0}")]
+    #[error("unreadable record: no entry at position {0}")]
     InvalidPosition(usize),
     /// A bitmap of completed tasks is not base64.
     #[error("unreadable record: {0}")]
--- a/crates/fencing/src/permit.rs
+++ b/crates/fencing/src/permit.rs
@@ -55,10 +55,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum PermitError {
     /// This controller holds no lease.
-    #[error("this node does not hold the duty")]
+    #[error("this node does not hold the leader lease")]
     NotHeld,
     /// The lease may have expired, and another leader may have been elected.
-    #[error("its lease may be over")]
+    #[error("the leader lease may have expired")]
     MayBeReplaced,
 }
 
