--- a/crates/controller/src/allocations/machine.rs
+++ b/crates/controller/src/allocations/machine.rs
@@ -47,7 +47,7 @@
     /// How long before `first_known_at` it had been launched, in ms.
     pub age_ms_at_first_known: u64,
     /// When this leader launched it, from which its boot time is measured.
-    pub rented_at: Option<Timestamp>,
+    pub launched_at: Option<Timestamp>,
     /// When the cloud reclaims this spot instance, once it has given notice.
     pub reclaim_notice_until: Option<Timestamp>,
     /// Number of the record that it shares with other machines, once it had work.
@@ -112,7 +112,7 @@
             last_answered_report: (0, 0),
             first_known_at: now,
             age_ms_at_first_known: 0,
-            rented_at: None,
+            launched_at: None,
             reclaim_notice_until: None,
             shard: None,
             direct_command_in_flight: false,
--- a/crates/controller/src/constants.rs
+++ b/crates/controller/src/constants.rs
@@ -367,19 +367,19 @@
 pub const ZONE_OUTAGE_MAX_FLEET_SHARE: f64 = 0.75;
 
 /// Share of unresponsive machines at which a zone counts as partitioned, whichever others respond.
-pub const ZONE_OUTAGE_SILENT_SHARE: f64 = 0.8;
+pub const ZONE_OUTAGE_UNREACHABLE_SHARE: f64 = 0.8;
 
 /// How long the machines of a partitioned zone are kept, as a multiple of the worker lease. After
 /// one lease they run nothing any more, but they hold images, and each replacement costs a boot.
-pub const ZONE_OUTAGE_KEPT_LEASES: u64 = 2;
+pub const ZONE_OUTAGE_RETENTION_LEASES: u64 = 2;
 
 /// Minimum number of machines of a zone in a one-way partition for the zone as a whole to be
 /// treated as such.
-pub const MUTE_ZONE_MIN_MACHINES: usize = 2;
+pub const ONE_WAY_ZONE_MIN_MACHINES: usize = 2;
 
 /// How long, in ms, no machine is launched in a zone that was partitioned, once none of its
 /// remaining machines is unresponsive. Then it is tried again.
-pub const ZONE_RENTAL_BACKOFF_MS: u64 = 20_000;
+pub const ZONE_LAUNCH_BACKOFF_MS: u64 = 20_000;
 
 /// Maximum number of direct commands in flight. Each takes a socket.
 pub const DIRECT_COMMANDS_IN_FLIGHT: usize = 200;
@@ -404,7 +404,7 @@
 
 /// Share of recently heard machines that must become unresponsive at once for a leader to suspect
 /// that it is partitioned itself.
-pub const SELF_PARTITION_SILENT_SHARE: f64 = 0.5;
+pub const SELF_PARTITION_UNREACHABLE_SHARE: f64 = 0.5;
 
 /// How long a leader that suspects itself to be partitioned waits, in ms, before it hands over to a
 /// peer that hears workers.
@@ -448,7 +448,7 @@
 pub const CAPACITY_RETRY_MS: u64 = 8_000;
 
 /// Maximum number of machines in one launch request (protocol).
-pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
+pub const MAX_MACHINES_PER_LAUNCH: u32 = 50;
 
 /// Maximum number of machines in one release request (protocol).
 pub const MAX_MACHINES_PER_RELEASE: usize = 100;
@@ -563,7 +563,7 @@
 
 /// How long, in ms, the name of a released machine is remembered, to tell a lagging listing or a
 /// late report from a machine that still exists.
-pub const GONE_MACHINE_RETENTION_MS: u64 = 300_000;
+pub const RELEASED_MACHINE_RETENTION_MS: u64 = 300_000;
 
 /// Interval, in ms, at which operators are warned again of a persisting problem (a class behind its
 /// objective, a count). Often enough for whoever comes on call, and rare enough not to flood the
--- a/crates/controller/src/election/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -32,7 +32,7 @@
 impl Election {
     /// Renews the lease when that is due, and steps down when the leader may no longer answer
     /// workers.
-    pub(super) fn poll_leader(&mut self, io: &mut Io) -> Option<ElectionEvent> {
+    pub(super) fn run_due_leader_work(&mut self, io: &mut Io) -> Option<ElectionEvent> {
         // Without the state service a leader cannot distinguish an outage, in which it still leads,
         // from being the only node that is refused. It continues to answer workers for as long as
         // its cancellation watermark permits, and never so long that the next leader could consider
--- a/crates/controller/src/election/mod.rs
+++ b/crates/controller/src/election/mod.rs
@@ -61,7 +61,7 @@
     Deposed,
 }
 
-/// This node's part in the election, without I/O: [`Election::poll`] issues the calls that are due,
+/// This node's part in the election, without I/O: [`Election::run_due_work`] issues the calls that are due,
 /// and [`Election::handle_response`] takes their responses.
 #[derive(Debug)]
 pub struct Election {
@@ -143,9 +143,9 @@
     }
 
     /// Issues the call that is due, if any.
-    pub fn poll(&mut self, io: &mut Io) -> Option<ElectionEvent> {
+    pub fn run_due_work(&mut self, io: &mut Io) -> Option<ElectionEvent> {
         if self.leadership.is_some() {
-            return self.poll_leader(io);
+            return self.run_due_leader_work(io);
         }
         if self.call_in_flight || io.now < self.next_call_at {
             return None;
--- a/crates/controller/src/election/tests.rs
+++ b/crates/controller/src/election/tests.rs
@@ -19,7 +19,7 @@
 fn step(election: &mut Election, io: &mut Io, path: &str, outcome: &Outcome) -> Option<ElectionEvent> {
     io.now += CLAIM_JITTER_MS;
     if io.effects.is_empty() {
-        assert_eq!(election.poll(io), None);
+        assert_eq!(election.run_due_work(io), None);
     }
     let calls = std::mem::take(&mut io.effects);
     let [
--- a/crates/controller/src/leader/autoscaling/mod.rs
+++ b/crates/controller/src/leader/autoscaling/mod.rs
@@ -130,9 +130,9 @@
     /// Removes a request and its record.
     fn remove_request(&mut self, key: &str) {
         self.autoscaler.requests.remove(key);
-        let unrecorded = self.writer.rentals_to_record.remove(key);
+        let unrecorded = self.writer.launches_to_record.remove(key);
         if !unrecorded {
-            self.writer.obsolete_keys.insert(records::rental_key(key));
+            self.writer.obsolete_keys.insert(records::launch_key(key));
         }
     }
 }
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -4,7 +4,7 @@
 use crate::allocations::Machine;
 use crate::autoscaling::scale_out_request::ScaleOutRequest;
 use crate::autoscaling::target_size::{self, PendingCapacity, QueuedDemand};
-use crate::constants::{CAPACITY_RETRY_MS, CLOUD_RETRY_MS, MAX_MACHINES_PER_RENTAL, RELEASE_CALL_RESERVE};
+use crate::constants::{CAPACITY_RETRY_MS, CLOUD_RETRY_MS, MAX_MACHINES_PER_LAUNCH, RELEASE_CALL_RESERVE};
 use crate::io::{Io, Method, Outcome, json};
 use crate::leader::LeaderTerm;
 use crate::leader::calls::TermCall;
@@ -276,7 +276,7 @@
                 if spot { " spot=true" } else { "" }
             );
             while remaining > 0 {
-                let count = remaining.min(MAX_MACHINES_PER_RENTAL);
+                let count = remaining.min(MAX_MACHINES_PER_LAUNCH);
                 remaining -= count;
                 self.autoscaler.request_count += 1;
                 let request = LaunchRequest {
@@ -294,7 +294,7 @@
                 self.autoscaler
                     .requests
                     .insert(key.clone(), ScaleOutRequest::new(request));
-                self.writer.rentals_to_record.insert(key);
+                self.writer.launches_to_record.insert(key);
             }
         }
     }
@@ -353,7 +353,7 @@
                             io.now,
                         );
                         // The boot time of a machine requested by a former leader is unknown.
-                        machine.rented_at = own.then_some(io.now);
+                        machine.launched_at = own.then_some(io.now);
                         machine
                     });
                     machine.unconfirmed = false;
--- a/crates/controller/src/leader/machine_table.rs
+++ b/crates/controller/src/leader/machine_table.rs
@@ -2,7 +2,7 @@
 //! released recently.
 
 use crate::allocations::{Attempt, Machine};
-use crate::constants::{GONE_MACHINE_RETENTION_MS, MACHINE_INDEX_REBUILD_MS};
+use crate::constants::{MACHINE_INDEX_REBUILD_MS, RELEASED_MACHINE_RETENTION_MS};
 use crate::model::{JobId, MachineId, TaskLocations, Timestamp};
 use std::collections::{BTreeMap, HashMap, btree_map};
 
@@ -82,7 +82,7 @@
     /// Removes a machine whose release the cloud has confirmed, and remembers it for a while.
     pub(super) fn remove_released(&mut self, id: &MachineId, now: Timestamp) -> Option<Machine> {
         let machine = self.machines.remove(id)?;
-        self.remember_released(id, now + GONE_MACHINE_RETENTION_MS);
+        self.remember_released(id, now + RELEASED_MACHINE_RETENTION_MS);
         Some(machine)
     }
 
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -4,7 +4,7 @@
 //! on such a machine, and no machine is launched in a zone where most machines are affected.
 
 use super::LeaderTerm;
-use crate::constants::MUTE_ZONE_MIN_MACHINES;
+use crate::constants::ONE_WAY_ZONE_MIN_MACHINES;
 use crate::model::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
         }
         let affected_zones = zones
             .into_iter()
-            .filter(|(_, (total, affected))| *affected >= MUTE_ZONE_MIN_MACHINES && 2 * affected > *total);
+            .filter(|(_, (total, affected))| *affected >= ONE_WAY_ZONE_MIN_MACHINES && 2 * affected > *total);
         let affected_zones: BTreeSet<String> = affected_zones.map(|(zone, _)| zone.to_owned()).collect();
         for zone in affected_zones.symmetric_difference(&self.one_way_partitions.zones) {
             if affected_zones.contains(zone) {
--- a/crates/controller/src/leader/partition_detection.rs
+++ b/crates/controller/src/leader/partition_detection.rs
@@ -4,7 +4,7 @@
 use super::{LeaderTerm, PeerView};
 use crate::constants::{
     INSPECT_TIMEOUT_MS, PROBE_SAMPLE, RECONNECT_GRACE_MS, SELF_PARTITION_HANDOVER_ALONE_MS,
-    SELF_PARTITION_HANDOVER_MS, SELF_PARTITION_SILENT_SHARE,
+    SELF_PARTITION_HANDOVER_MS, SELF_PARTITION_UNREACHABLE_SHARE,
 };
 use crate::election::{Election, ElectionEvent};
 use crate::io::Io;
@@ -105,7 +105,7 @@
         let ReachabilityCount { unreachable, total } = self.count_unreachable();
         unreachable >= 2
             && (self.partition_detector.sample_unreachable
-                || f64::from(unreachable) > SELF_PARTITION_SILENT_SHARE * f64::from(total))
+                || f64::from(unreachable) > SELF_PARTITION_UNREACHABLE_SHARE * f64::from(total))
     }
 
     /// Hands leadership over if this node seems partitioned and a peer hears the workers, or may hear them.
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -114,7 +114,7 @@
             machine.unconfirmed = true;
             machine
         });
-        let rented_at = machine.rented_at.filter(|_| machine.last_heard_at.is_none());
+        let rented_at = machine.launched_at.filter(|_| machine.last_heard_at.is_none());
         let before = machine.usability();
         let Some(changes) = absorb(machine, report, self.first_token, io.now) else {
             return false;
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -23,7 +23,7 @@
     records::JOB_PREFIX,
     records::COMPLETED_TASKS_PREFIX,
     records::SHARD_PREFIX,
-    records::RENTAL_PREFIX,
+    records::LAUNCH_PREFIX,
     records::PROTECTION_WINDOWS_PREFIX,
 ];
 
@@ -220,7 +220,7 @@
         {
             self.adopt_shifts(number, item, io);
             Ok(())
-        } else if item.key.starts_with(records::RENTAL_PREFIX) {
+        } else if item.key.starts_with(records::LAUNCH_PREFIX) {
             self.autoscaler
                 .adopt_request(LaunchRequest::from_value(&item.value)?);
             Ok(())
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -9,8 +9,8 @@
 use super::LeaderTerm;
 use crate::allocations::Machine;
 use crate::constants::{
-    INSPECT_TIMEOUT_MS, RECONNECT_GRACE_MS, SECOND_MS, ZONE_OUTAGE_KEPT_LEASES, ZONE_OUTAGE_MAX_FLEET_SHARE,
-    ZONE_OUTAGE_MIN_MACHINES, ZONE_OUTAGE_SILENT_SHARE, ZONE_PROBE_SAMPLE, ZONE_RENTAL_BACKOFF_MS,
+    INSPECT_TIMEOUT_MS, RECONNECT_GRACE_MS, SECOND_MS, ZONE_LAUNCH_BACKOFF_MS, ZONE_OUTAGE_MAX_FLEET_SHARE,
+    ZONE_OUTAGE_MIN_MACHINES, ZONE_OUTAGE_RETENTION_LEASES, ZONE_OUTAGE_UNREACHABLE_SHARE, ZONE_PROBE_SAMPLE,
 };
 use crate::io::Io;
 use crate::model::{Job, MachineId, Timestamp};
@@ -94,7 +94,7 @@
                 // Its machines have been released. The zone is avoided for a while, then tried again.
                 _ => {
                     probe_sample.partitioned
-                        && io.now < probe_sample.last_unreachable_at + ZONE_RENTAL_BACKOFF_MS
+                        && io.now < probe_sample.last_unreachable_at + ZONE_LAUNCH_BACKOFF_MS
                 }
             });
         for (zone, tally) in tallies {
@@ -154,7 +154,7 @@
         let unheard = probe_sample.probed.len() - heard;
         let answering = heard > 0 && heard >= unheard;
         let timed_out = now >= probe_sample.sampled_at + INSPECT_TIMEOUT_MS;
-        let mostly_unreachable = tally.unreachable as f64 >= ZONE_OUTAGE_SILENT_SHARE * tally.up as f64;
+        let mostly_unreachable = tally.unreachable as f64 >= ZONE_OUTAGE_UNREACHABLE_SHARE * tally.up as f64;
         let Some(probe_sample) = self.zone_health.probe_samples.get_mut(zone) else {
             return;
         };
@@ -204,7 +204,7 @@
                     continue;
                 }
                 let last_heard_at = machine.last_heard_at.unwrap_or(self.started);
-                let retention_expired = now > last_heard_at + ZONE_OUTAGE_KEPT_LEASES * lease_ms;
+                let retention_expired = now > last_heard_at + ZONE_OUTAGE_RETENTION_LEASES * lease_ms;
                 if evaluating
                     || just_recovered
                     || !retention_expired && !self.has_movable_replica(machine, &deployment.zones)
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -188,7 +188,7 @@
 
     /// Does what is due after a batch of commands, or at a tick.
     pub fn run_due_work(&mut self) {
-        if let Some(news) = self.election.poll(&mut self.io) {
+        if let Some(news) = self.election.run_due_work(&mut self.io) {
             self.news(news);
         }
         match self.election.held_lease() {
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -53,7 +53,7 @@
     /// Completed jobs to be moved to the ended ones.
     pub jobs_to_finish: BTreeSet<JobId>,
     /// Launch requests to be recorded.
-    pub rentals_to_record: BTreeSet<String>,
+    pub launches_to_record: BTreeSet<String>,
     /// Values of protection windows to be written.
     pub protection_window_writes: Vec<indigopath_protection_windows::Write>,
     /// Keys to be deleted.
@@ -77,7 +77,7 @@
             retry_at: 0,
             rereads: Rereads::default(),
             jobs_to_finish: BTreeSet::new(),
-            rentals_to_record: BTreeSet::new(),
+            launches_to_record: BTreeSet::new(),
             protection_window_writes: Vec::new(),
             obsolete_keys: BTreeSet::new(),
             recently_finished: Vec::new(),
@@ -232,7 +232,7 @@
         settings: &Settings,
         machines: &mut BTreeMap<MachineId, Machine>,
         jobs: &BTreeMap<JobId, Job>,
-        rentals: &BTreeMap<String, ScaleOutRequest>,
+        launches: &BTreeMap<String, ScaleOutRequest>,
         (now, wall_ms): (Timestamp, u64),
     ) -> Option<(Vec<u8>, usize)> {
         if max_changes == 0 {
@@ -246,7 +246,7 @@
             wall_ms,
         };
         self.write_finished_jobs(&mut transaction, jobs, wall_ms);
-        self.write_rentals(&mut transaction, rentals);
+        self.write_launches(&mut transaction, launches);
         self.write_protection_windows(&mut transaction);
         self.completed_tasks.write(&mut transaction, jobs, now);
         self.machine_shards.write_urgent(&mut transaction, &mut sources);
@@ -285,21 +285,21 @@
         }
     }
 
-    fn write_rentals(
+    fn write_launches(
         &mut self,
         transaction: &mut TransactionBuilder,
-        rentals: &BTreeMap<String, ScaleOutRequest>,
+        launches: &BTreeMap<String, ScaleOutRequest>,
     ) {
-        for request in std::mem::take(&mut self.rentals_to_record) {
-            let Some(rental) = rentals.get(&request) else {
+        for request in std::mem::take(&mut self.launches_to_record) {
+            let Some(launch) = launches.get(&request) else {
                 continue;
             };
-            let change = put(keys::rental_key(&request), &rental.request);
+            let change = put(keys::launch_key(&request), &launch.request);
             let unit = WriteUnit::ScaleOutRequest {
                 request: request.clone(),
             };
             if transaction.is_full() || !transaction.add(unit, Vec::new(), vec![change]) {
-                self.rentals_to_record.insert(request);
+                self.launches_to_record.insert(request);
             }
         }
     }
@@ -358,7 +358,7 @@
                     self.jobs_to_finish.insert(job.clone());
                 }
                 WriteUnit::ScaleOutRequest { request } => {
-                    self.rentals_to_record.insert(request.clone());
+                    self.launches_to_record.insert(request.clone());
                 }
                 WriteUnit::ObsoleteKey { key } => {
                     self.obsolete_keys.insert(key.clone());
--- a/crates/controller/src/storage/keys.rs
+++ b/crates/controller/src/storage/keys.rs
@@ -13,7 +13,7 @@
 /// Prefix of the keys of machine shards.
 pub const SHARD_PREFIX: &str = "s/";
 /// Prefix of the keys of launch requests sent to the cloud.
-pub const RENTAL_PREFIX: &str = "h/";
+pub const LAUNCH_PREFIX: &str = "h/";
 /// Prefix of the keys of protection windows.
 pub const PROTECTION_WINDOWS_PREFIX: &str = "t/";
 
@@ -43,8 +43,8 @@
 }
 
 /// Key of a launch request sent to the cloud.
-pub fn rental_key(request: &str) -> String {
-    format!("{RENTAL_PREFIX}{request}")
+pub fn launch_key(request: &str) -> String {
+    format!("{LAUNCH_PREFIX}{request}")
 }
 
 /// Parses the number in a key `<prefix><number>`.
--- a/crates/controller/src/storage/records.rs
+++ b/crates/controller/src/storage/records.rs
@@ -32,9 +32,9 @@
 mod machine_shard;
 
 pub use super::keys::{
-    COMPLETED_TASKS_PREFIX, ENDED_JOB_PREFIX, JOB_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY,
-    PROTECTION_WINDOWS_PREFIX, RENTAL_PREFIX, SHARD_PREFIX, completed_tasks_key, ended_job_key, job_key,
-    parse_numbered_key, protection_windows_key, rental_key, shard_key,
+    COMPLETED_TASKS_PREFIX, ENDED_JOB_PREFIX, JOB_PREFIX, LAUNCH_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY,
+    PROTECTION_WINDOWS_PREFIX, SHARD_PREFIX, completed_tasks_key, ended_job_key, job_key, launch_key,
+    parse_numbered_key, protection_windows_key, shard_key,
 };
 pub use completed_tasks::{
     CompletedTasksRecord, chunk_key, chunk_of, decode_completed_tasks, encode_completed_tasks,
