--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -140,7 +140,7 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let prefixes = LOAD_ORDER.len() - usize::from(!self.protection_windows.on());
+        let prefixes = LOAD_ORDER.len() - usize::from(!self.protection_windows.is_enabled());
         let page = outcome.read::<StoredPage>(&[200]);
         let loaded = self.recovery.add_page(page, sent, prefixes, io.now)?;
         if let Err(error) = self.adopt_records(loaded, settings, io) {
@@ -157,7 +157,7 @@
     }
 
     fn adopt_records(&mut self, loaded: Loaded, settings: &Settings, io: &mut Io) -> Result<(), RecordError> {
-        self.watch.begin_at(loaded.first_page.revision);
+        self.watch.start_at(loaded.first_page.revision);
         for item in loaded.items {
             match self.adopt_record(&item, settings, io) {
                 Ok(()) => (),
@@ -165,7 +165,7 @@
                 Err(error) => log::error!("record ignored key={}: {error}", item.key),
             }
         }
-        self.park_all();
+        self.update_all_parked();
         self.machines.reindex(io.now);
         self.link_attempts_to_jobs(io.now);
         self.watermark.advance(loaded.first_page.asked_at);
@@ -208,7 +208,7 @@
         io: &mut Io,
     ) -> Result<(), RecordError> {
         if let Some(cluster) = condor::parse_open(&item.key) {
-            self.cluster_open(cluster, &item.value, item.version)
+            self.on_cluster_open(cluster, &item.value, item.version)
         } else if item.key.starts_with(records::JOB_PREFIX) {
             self.adopt_job(item, io)
         } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &item.key) {
@@ -218,7 +218,7 @@
         } else if let Some(number) =
             records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &item.key)
         {
-            self.adopt_shifts(number, item, io);
+            self.restore_protection_windows(number, item, io);
             Ok(())
         } else if item.key.starts_with(records::LAUNCH_PREFIX) {
             self.autoscaler
@@ -231,7 +231,7 @@
 
     fn adopt_job(&mut self, item: &StoredItem, io: &Io) -> Result<(), RecordError> {
         let mut spec = JobSpec::from_value(&item.value)?;
-        self.share(&mut spec);
+        self.intern_spec(&mut spec);
         self.jobs.insert(Job::new(spec, item.version, io.now, io.wall_ms));
         Ok(())
     }
@@ -296,12 +296,12 @@
         self.writer.load_lingers(number, item.version, lingers, spent);
         let clock_off_ms = settings.deployment.clock_skew_ms as u64;
         for released in shard.released() {
-            self.adopt_released(number, released, clock_off_ms, io);
+            self.restore_released_machine(number, released, clock_off_ms, io);
         }
         for record in shard.machines()? {
             let mut machine = Machine::from_record(&record, io.now);
             for attempt in &mut machine.attempts {
-                self.share_demand(&mut attempt.counts);
+                self.intern_demand(&mut attempt.counts);
             }
             self.writer.assign_shard(&mut machine, number, item.version);
             self.machines.insert(machine);
--- a/crates/controller/src/leader/status.rs
+++ b/crates/controller/src/leader/status.rs
@@ -12,7 +12,7 @@
             held: self.jobs.waiting_tasks(true),
             open_launch_requests: self.autoscaler.open_requests().count(),
             models: self.image_locality.by_spread(),
-            replicas_placed: self.image_locality.placed(),
+            replicas_placed: self.image_locality.replicas_placed(),
             ..MetricsSnapshot::default()
         };
         for machine in self.machines.values() {
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -130,24 +130,24 @@
         match entry.single_count {
             Some(count) => self
                 .unit_ledger
-                .startable_tasks_of(count, max_tasks, || self.requester(entry.job)),
+                .available_of(count, max_tasks, || self.requester(entry.job)),
             None => {
                 let requester = self.requester(entry.job);
                 self.unit_ledger
-                    .startable_tasks(&entry.job.spec.counts, max_tasks, &requester)
+                    .available(&entry.job.spec.counts, max_tasks, &requester)
             }
         }
     }
 
     /// Returns how many of `tasks` that lack machines would have their units once the machines are up. No
-    /// machines are rented for the others.
+    /// machines are launched for the others.
     pub(super) fn tasks_with_expected_units(&mut self, entry: &QueueEntry<'a>, tasks: u32) -> u32 {
         if !entry.needs_units || tasks == 0 {
             return tasks;
         }
         match entry.single_count {
-            Some(count) => self.unit_ledger.promise_of(count, tasks),
-            None => self.unit_ledger.promise(&entry.job.spec.counts, tasks),
+            Some(count) => self.unit_ledger.available_later_of(count, tasks),
+            None => self.unit_ledger.available_later(&entry.job.spec.counts, tasks),
         }
     }
 
