--- a/crates/controller/src/election/cancellation_watermark.rs
+++ b/crates/controller/src/election/cancellation_watermark.rs
@@ -2,7 +2,7 @@
 //! to renew worker leases.
 //!
 //! A confirmed renewal proves that the leader's lease is live, but nothing about jobs that other
-//! nodes ended in the meantime. Their tasks must be gone `cancel_s` after a user was told, and a
+//! nodes ended in the meantime. Their tasks must have stopped `cancel_s` after a user was told, and a
 //! worker that a leader answered at `t` may run them until `t + lease_s`, because nobody else stops
 //! them while the state service is unavailable. Therefore a leader answers reports only up to
 //! `observed_until + cancel_s - lease_s`, less a margin. `observed_until` is advanced by a read of
@@ -69,7 +69,7 @@
         .max(LEADER_LEASE_MS)
 }
 
-/// Whether these settings leave a leader enough time to prove that tasks it keeps running are gone
+/// Whether these settings leave a leader enough time to prove that tasks it keeps running have stopped
 /// `cancel_s` after their cancellation.
 pub fn proves_cancellations(workers: &WorkerSettings) -> bool {
     spare_ms(workers) >= LEADER_LEASE_MS + LEASE_MARGIN_MS
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -182,7 +182,7 @@
     /// Unreachable machines that must not be released now.
     ///
     /// They are retained while their zone is being evaluated, for a while after it has become reachable
-    /// again, and for [`ZONE_OUTAGE_KEPT_LEASES`] leases while it is partitioned. The last does not hold for
+    /// again, and for [`ZONE_OUTAGE_RETENTION_LEASES`] leases while it is partitioned. The last does not hold for
     /// a machine with a replica that could run in another zone, where its users can reach it.
     pub(super) fn retained_machines(&self, deployment: &Deployment, now: Timestamp) -> HashSet<MachineId> {
         let lease_ms = (deployment.workers.lease_s * SECOND_MS as f64) as u64;
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -105,14 +105,14 @@
         self.machine_shards.add_linger(number, linger);
     }
 
-    /// Loads lingering units from a record. `lists_freed_units` says whether it lists others that no longer
-    /// linger.
+    /// Loads lingering units from a record. `lists_freed_units` says whether it also lists units that
+    /// no longer linger.
     pub fn load_lingers(&mut self, number: u32, version: u64, lingers: LingerSet, lists_freed_units: bool) {
         self.machine_shards
             .load_lingers(number, version, lingers, lists_freed_units);
     }
 
-    /// The machine is gone. While units of its shard linger, a licence server may list its clients:
+    /// The machine was released. While units of its shard linger, a licence server may list its clients:
     /// returns until when, if at all.
     pub fn on_machine_released(&mut self, shard: u32, machine: &MachineId) -> Option<Timestamp> {
         self.machine_shards.on_machine_released(shard, machine)
@@ -139,7 +139,7 @@
         self.machine_shards.shard_lingers()
     }
 
-    /// A machine is gone; its shard is written without it when a transaction has room.
+    /// Removes a machine from its shard, which is written when a transaction has room.
     pub fn remove_machine(&mut self, machine: &Machine) {
         self.machine_shards.remove(machine);
     }
--- a/crates/controller/src/storage/batch_writer/machine_shards.rs
+++ b/crates/controller/src/storage/batch_writer/machine_shards.rs
@@ -78,7 +78,7 @@
     shards: BTreeMap<u32, Shard>,
     /// Shards that must be written before commands are sent, the oldest first.
     urgent: VecDeque<u32>,
-    /// Shards that list machines which are gone, written when a transaction has room.
+    /// Shards that list removed machines, written when a transaction has room.
     stale: BTreeSet<u32>,
     max_value_bytes: usize,
 }
@@ -134,8 +134,8 @@
         self.shards.entry(number).or_default().lingers.add(linger);
     }
 
-    /// Loads lingering units from a record. `lists_freed_units` says whether it lists others that no longer
-    /// linger.
+    /// Loads lingering units from a record. `lists_freed_units` says whether it also lists units that
+    /// no longer linger.
     pub(super) fn load_lingers(
         &mut self,
         number: u32,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The machine is gone. While units of this shard linger, a licence server may list its
+    /// The machine was released. While units of this shard linger, a licence server may list its
     /// clients: returns until when, if at all.
     pub(super) fn on_machine_released(&mut self, number: u32, machine: &MachineId) -> Option<Timestamp> {
         let shard = self.shards.get_mut(&number)?;
@@ -207,7 +207,7 @@
         lingers
     }
 
-    /// A machine is gone.
+    /// Removes a machine from its shard.
     pub(super) fn remove(&mut self, machine: &Machine) {
         if let Some(number) = machine.shard
             && let Some(shard) = self.shards.get_mut(&number)
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Adds one shard that lists machines which are gone, if there is room.
+    /// Adds one shard that lists removed machines, if there is room.
     pub(super) fn write_stale(&mut self, transaction: &mut TransactionBuilder, sources: &mut ShardSources) {
         if !transaction.is_full()
             && let Some(number) = self.stale.first().copied()
