--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -317,7 +317,8 @@
     }
 
     fn begin(&mut self, request: RequestId, work: Work, first: Step, context: &Context<'_>, io: &mut Io) {
-        if self.ops.len() >= MAX_CLUSTER_OPERATIONS || !io.state_budget.try_take(1.0, USER_WRITE_RESERVE, io.now)
+        if self.ops.len() >= MAX_CLUSTER_OPERATIONS
+            || !io.state_budget.try_take(1.0, USER_WRITE_RESERVE, io.now)
         {
             return io.reply_retry_later(request, RETRY_AFTER_S, "too many requests, come back later");
         }
--- a/crates/controller/src/job_api/tests.rs
+++ b/crates/controller/src/job_api/tests.rs
@@ -254,7 +254,9 @@
             .record_live(&other(1_000_000 + number), 9, Team::named("red"));
         job_api.on_peer_notice(other(number), false, io.now);
     }
-    assert!(job_api.cache.ended_len() <= ENDED_JOB_CACHE_SIZE && job_api.cache.live_len() <= LIVE_JOB_CACHE_SIZE);
+    assert!(
+        job_api.cache.ended_len() <= ENDED_JOB_CACHE_SIZE && job_api.cache.live_len() <= LIVE_JOB_CACHE_SIZE
+    );
     assert!(job_api.peer_notices.len() <= MAX_PEER_NOTICES);
     assert!(!job_api.cache.has_ended(&job()), "it was evicted");
     io.now += POLL_BATCH_MS;
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -211,7 +211,8 @@
     /// Answers the heartbeats that were buffered during recovery.
     fn answer_buffered_heartbeats(&mut self, election: &mut Election, io: &mut Io) -> Option<ElectionEvent> {
         while let Some((request, heartbeat)) = self.buffered_heartbeats.pop() {
-            if let Err(superseded) = self.handle_heartbeat(request, &heartbeat, election.is_lease_live(io.now), io)
+            if let Err(superseded) =
+                self.handle_heartbeat(request, &heartbeat, election.is_lease_live(io.now), io)
             {
                 buffered_heartbeats::reject(request, io);
                 return election.depose(&superseded.to_string());
--- a/crates/controller/src/leader/one_way_partition.rs
+++ b/crates/controller/src/leader/one_way_partition.rs
@@ -42,7 +42,8 @@
         }
         self.one_way_partitions.zones = affected_zones;
         for machine in self.machines.values_mut() {
-            let in_affected_zone = !machine.has_own_report && self.one_way_partitions.zones.contains(&machine.zone);
+            let in_affected_zone =
+                !machine.has_own_report && self.one_way_partitions.zones.contains(&machine.zone);
             let one_way_partition =
                 machine.is_up() && (in_affected_zone || machine.is_own_report_late(late_ms, now));
             if one_way_partition != std::mem::replace(&mut machine.one_way_partition, one_way_partition) {
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -134,7 +134,8 @@
                     .unwrap_or_default();
                 // An earlier renewal of this leader that was given up may have been executed before
                 // this transaction. Then there is no other leader, as re-reading the key shows.
-                if failed_keys.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed() {
+                if failed_keys.iter().any(|key| key == records::LEADER_KEY) && !self.writer.may_have_renewed()
+                {
                     return election.depose("a transaction conflicted with a newer leader");
                 }
                 for key in failed_keys {
--- a/crates/controller/src/leader/zone_health.rs
+++ b/crates/controller/src/leader/zone_health.rs
@@ -71,7 +71,9 @@
     /// Probes a sample of a zone's other machines when one has newly become unreachable, and updates whether
     /// the zone is partitioned.
     pub(super) fn update_zone_health(&mut self, io: &mut Io) {
-        if self.zone_health.probe_samples.is_empty() && self.machines.values().all(|machine| !machine.unreachable) {
+        if self.zone_health.probe_samples.is_empty()
+            && self.machines.values().all(|machine| !machine.unreachable)
+        {
             return;
         }
         let tallies = self.tally_zones();
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -237,7 +237,10 @@
         let mut candidates = self.candidates(&requirements, &zones, None);
         candidates.retain(|candidate| {
             self.has_image(&requirements, candidate.machine_index)
-                && self.capacities[candidate.machine_index].machine.failed_jobs.is_empty()
+                && self.capacities[candidate.machine_index]
+                    .machine
+                    .failed_jobs
+                    .is_empty()
         });
         if candidates.is_empty() {
             return 0;
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -56,7 +56,8 @@
     pub fn machine_demand(&self, jobs: &BTreeMap<JobId, Job>, types: &MachineTypes) -> f64 {
         let machines_filled = |id: &JobId, tasks: u32| {
             let Some(job) = jobs.get(id) else { return 0.0 };
-            let per_machine = |machine_type: &MachineType| job.spec.needs.instances_in(&machine_type.resources());
+            let per_machine =
+                |machine_type: &MachineType| job.spec.needs.instances_in(&machine_type.resources());
             let allowed = types.values().filter(|machine_type| {
                 let allowed_types = job.spec.types.as_ref();
                 allowed_types.is_none_or(|allowed_types| allowed_types.contains(&machine_type.name))
