--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -132,7 +132,7 @@
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
             autoscaler: Autoscaler::new(),
-            counted_resources: Counted::new(&settings.operator.counts),
+            counted_resources: Counted::new(&settings.operator.counted_resources),
             protection_windows: Shifts::new(settings),
             submit_clusters: Clusters::default(),
             image_locality: Weights::default(),
@@ -194,7 +194,7 @@
             return Some(event);
         }
         self.poll_listing(io);
-        self.poll_servers(&settings.operator.counts, io);
+        self.poll_servers(&settings.operator.counted_resources, io);
         if certain && !types.is_empty() {
             self.schedule(types, settings, io);
             self.store_types_once(types, io);
@@ -252,7 +252,7 @@
             self.size_fleet(types, settings, io);
         }
         self.forecast_when_due(types, settings, io);
-        self.look_at_counts(&settings.operator.counts, io);
+        self.look_at_counts(&settings.operator.counted_resources, io);
         self.look_at_clusters(settings, io);
         self.send_scale_out_requests(io);
     }
@@ -296,7 +296,7 @@
             TermCall::Launch { request } => self.handle_launch_response(&request, outcome, io),
             TermCall::Release { machines, sent } => self.handle_release_response(machines, sent, outcome, io),
             TermCall::LicenceUsage { server } => {
-                self.licences_told(server, outcome, &settings.operator.counts, io.now);
+                self.licences_told(server, outcome, &settings.operator.counted_resources, io.now);
             }
             // The record watch delivers the result.
             TermCall::SubmitCluster => (),
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -103,7 +103,7 @@
 /// of the job's class.
 pub(super) fn is_short_of_time(job: &Job, runs: f64, deployment: &Deployment, now: Timestamp) -> bool {
     let age_s = job.age_ms(now) as f64 / SECOND_MS as f64;
-    age_s + runs * job.spec.estimate_s > deployment.tightest_s("finished", &job.spec.class)
+    age_s + runs * job.spec.estimate_s > deployment.shortest_s("finished", &job.spec.class)
 }
 
 /// Returns the job's slack: for how long, in ms, it may still wait for a start and meet the next objective of
--- a/crates/controller/src/storage/records.rs
+++ b/crates/controller/src/storage/records.rs
@@ -44,7 +44,7 @@
 pub use machine_shard::{MachineRecord, ReleasedMachine, ShardRecord, StartRecord};
 
 use crate::model::JobSpec;
-use crate::protocol::{Flavors, RentalRequest};
+use crate::protocol::{LaunchRequest, MachineTypeList};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -98,8 +98,8 @@
 impl Record for ShardRecord {}
 impl Record for CompletedTasksRecord {}
 impl Record for JobSpec {}
-impl Record for RentalRequest {}
-impl Record for Flavors {}
+impl Record for LaunchRequest {}
+impl Record for MachineTypeList {}
 
 #[cfg(test)]
 mod tests;
