--- a/crates/controller/src/autoscaling/target_size.rs
+++ b/crates/controller/src/autoscaling/target_size.rs
@@ -87,8 +87,8 @@
 
 /// Returns how many of a job's waiting tasks the pending capacity does not cover, and claims the capacity for
 /// the others. A gang is covered as a whole or not at all, and in a single zone if it requires that. Machines
-/// that the job `avoids`, because its tasks failed there, do not count. This is fastest if machines of one kind
-/// are adjacent in `pending`.
+/// that the job `avoids`, because its tasks failed there, do not count. This is fastest if machines of one
+/// kind are adjacent in `pending`.
 pub fn uncovered_tasks(
     pending: &mut [PendingCapacity],
     spec: &JobSpec,
--- a/crates/controller/src/scheduling/fair_share.rs
+++ b/crates/controller/src/scheduling/fair_share.rs
@@ -1,18 +1,18 @@
 //! Fair share: the fraction of its demand that a class or a team has satisfied.
 //!
 //! **Demanded** is every task from [`SERVED_SHARE_AFTER_MS`] after its job's submission on, since no machine
-//! could be up with its image before that. Of a team's tasks, only as many count as its limit allows to run at
-//! the same time: the running tasks first, then those of the oldest jobs. Held jobs demand nothing, nor do jobs
-//! that fail on every machine.
+//! could be up with its image before that. Of a team's tasks, only as many count as its limit allows to run
+//! at the same time: the running tasks first, then those of the oldest jobs. Held jobs demand nothing, nor do
+//! jobs that fail on every machine.
 //!
 //! **Served** is, for an array, each task that is running or done; for a gang, all of its tasks while all of
-//! them run, and none otherwise; for a service, each replica that is up now. Jobs that finished within the last
-//! [`SERVED_WINDOW_MS`] count as demanded and served, so that the share reflects what was served recently and
-//! not only what still waits.
+//! them run, and none otherwise; for a service, each replica that is up now. Jobs that finished within the
+//! last [`SERVED_WINDOW_MS`] count as demanded and served, so that the share reflects what was served
+//! recently and not only what still waits.
 //!
-//! Operators are warned once before a class or a team falls below [`SERVED_MIN_SHARE`], and again only after it
-//! has recovered. A class or team whose old work stays below [`STARVED_SHARE`] is *starved*, and placement lets
-//! some of its tasks go first: see [`StarvedOwners`].
+//! Operators are warned once before a class or a team falls below [`SERVED_MIN_SHARE`], and again only after
+//! it has recovered. A class or team whose old work stays below [`STARVED_SHARE`] is *starved*, and placement
+//! lets some of its tasks go first: see [`StarvedOwners`].
 
 use crate::constants::{
     SECOND_MS, SERVED_MIN_SHARE, SERVED_RECOVERED_MS, SERVED_RECOVERED_SHARE, SERVED_SHARE_AFTER_MS,
@@ -78,8 +78,8 @@
 /// be placed before all others in the next pass. Their running tasks are not preempted by work of higher
 /// priority until they have recovered.
 ///
-/// With priority alone, a class would get nothing for as long as more important work fills every machine, even
-/// for a whole day.
+/// With priority alone, a class would get nothing for as long as more important work fills every machine,
+/// even for a whole day.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StarvedOwners {
     /// Starved classes, each with whether it is below the minimum share now.
--- a/crates/controller/src/scheduling/gangs.rs
+++ b/crates/controller/src/scheduling/gangs.rs
@@ -1,6 +1,6 @@
 //! Gang scheduling: all tasks of a gang share one attempt number, a replacement task may join only before the
-//! start, all tasks are stopped gracefully, and no new attempt begins while any task of the old one may still be
-//! on a machine.
+//! start, all tasks are stopped gracefully, and no new attempt begins while any task of the old one may still
+//! be on a machine.
 
 use crate::protocol::TaskEndCause;
 
@@ -31,8 +31,8 @@
         self.broken |= self.started;
     }
 
-    /// Records that a task of this attempt ended without being done. `fetching` tells whether other tasks of it
-    /// are still fetching their image.
+    /// Records that a task of this attempt ended without being done. `fetching` tells whether other tasks of
+    /// it are still fetching their image.
     pub fn record_ended_task(&mut self, cause: TaskEndCause, fetching: bool) {
         match cause {
             // The worker refused the task, so another machine may run it.
--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -1,5 +1,5 @@
-//! Forecasts of service-level objectives, and warnings when a class falls behind: more of its jobs are forecast
-//! to be late than its finishing objective allows, or than may miss their owners' deadlines.
+//! Forecasts of service-level objectives, and warnings when a class falls behind: more of its jobs are
+//! forecast to be late than its finishing objective allows, or than may miss their owners' deadlines.
 //!
 //! There is one warning per class and limit, not one per job. It tells how many jobs are late and why, and is
 //! repeated at intervals while the class is behind.
@@ -392,8 +392,8 @@
     }
 }
 
-/// Returns how long a task without a machine waits for a boot and for its image, on the machine type that boots
-/// fastest.
+/// Returns how long a task without a machine waits for a boot and for its image, on the machine type that
+/// boots fastest.
 fn start_delay(job: &Job, types: &MachineTypes, boot_s: &HashMap<String, f64>) -> StartDelay {
     types
         .values()
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -51,7 +51,7 @@
             return 0;
         };
         let mut used = self.usage.of(&spec.team);
-        used += self.quota_reserved_from(spec);
+        used += self.quota_reserved_for_others(spec);
         let mut allowed_tasks = 0;
         while allowed_tasks < max_tasks {
             used += spec.needs;
@@ -93,21 +93,21 @@
         let capacity = &mut self.capacities[machine_index];
         let image = self.images.intern(&spec.image, spec.image_gb);
         if add_image(&mut capacity.images, image) {
-            if let Some(known) = self.images.get_mut(image) {
-                known.copies += 1;
+            if let Some(image_info) = self.images.get_mut(image) {
+                image_info.copies += 1;
             }
             record_fetch(
                 &mut capacity.fetching,
                 ImageFetch {
                     image,
-                    since: self.cluster.now,
-                    waiting: 0.0,
+                    started_at: self.cluster.now,
+                    waiting_replicas: 0.0,
                 },
             );
         }
         if let Some(fetch) = capacity.fetching.iter_mut().find(|fetch| fetch.image == image) {
-            let replica = spec.shape == Shape::Service;
-            fetch.waiting += if replica { 1.0 } else { 1.0 / BATCH_SECONDS };
+            let is_replica = spec.shape == Shape::Service;
+            fetch.waiting_replicas += if is_replica { 1.0 } else { 1.0 / BATCH_SECONDS };
         }
         image
     }
@@ -187,8 +187,8 @@
             }
             if entry.job.spec.shape == Shape::Service && entry.tasks > 1 && self.is_down(entry.job) {
                 self.on_demand_shortage = *on_demand_shortage;
-                let one = QueueEntry { tasks: 1, ..*entry };
-                self.place_tasks(&one);
+                let first_replica = QueueEntry { tasks: 1, ..*entry };
+                self.place_tasks(&first_replica);
                 entry.skip += 1;
                 entry.tasks -= 1;
             }
--- a/crates/controller/src/scheduling/placement/consolidation.rs
+++ b/crates/controller/src/scheduling/placement/consolidation.rs
@@ -1,4 +1,5 @@
-//! Consolidation of services: moves replicas onto fewer machines, so that others become idle and are released.
+//! Consolidation of services: moves replicas onto fewer machines, so that others become idle and are
+//! released.
 
 use super::Decision;
 use super::pass::{MachineCapacity, OpenZones, Pass, RunningTask};
@@ -21,8 +22,8 @@
 
 impl<'a> Pass<'a> {
     /// If nothing is left unplaced, moves replicas from the emptiest machines to fuller ones that have their
-    /// image, so that the former become idle and are released. With the image present, a move takes a fraction
-    /// of a second.
+    /// image, so that the former become idle and are released. With the image present, a move takes a
+    /// fraction of a second.
     pub(super) fn consolidate_replicas(&mut self) {
         let is_stop = |decision: &Decision| matches!(decision, Decision::Stop { .. });
         let is_busy = !self.plan.unplaced.is_empty() || self.plan.decisions.iter().any(is_stop);
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Reserves free units for an old job whose tasks wait for machines. Otherwise other jobs would have taken
-    /// its units whenever its machines become available.
+    /// Reserves free units for an old job whose tasks wait for machines. Otherwise other jobs would have
+    /// taken its units whenever its machines become available.
     pub(super) fn reserve_units(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let age_s = job.age_ms(self.cluster.now) as f64 / SECOND_MS as f64;
@@ -206,8 +206,8 @@
             if !missing.units.is_empty() && !self.preempt_for_units(entry, missing.units) {
                 return;
             }
-            // Claims the free units while the rest is being released for it. Units are not left idle for tasks
-            // that are only expected to end on their own: for an old request they are reserved anyway.
+            // Claims the free units while the rest is being released for it. Units are not left idle for
+            // tasks that are only expected to end on their own: for an old request they are reserved anyway.
             if !missing.awaits_completions {
                 self.unit_ledger.claim(&job.spec.counts, together);
             }
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -82,7 +82,7 @@
                 self.cluster.now,
             ),
             on_demand_only,
-            is_batch: self.is_batch(&job.spec),
+            is_barred_from_spare: self.is_barred_from_spare(&job.spec),
         }
     }
 
@@ -122,8 +122,8 @@
     /// Returns the rank steps of a set of kinds, evaluated once per pass.
     fn rank_steps(&self, kinds: &'a Arc<KindSet>) -> RankSteps {
         let address = Arc::as_ptr(kinds).addr();
-        if let Some(known) = self.kind_sets.borrow().get(&address) {
-            return known.clone();
+        if let Some(cached) = self.kind_sets.borrow().get(&address) {
+            return cached.clone();
         }
         let steps = self.each_kind(|machine_type, zone, spot| kinds.step(&machine_type.name, zone, spot));
         let steps = RankSteps(Rc::new(steps));
@@ -139,7 +139,7 @@
             one_zone: requirements.job.spec.one_zone,
             is_deadline_critical: requirements.is_deadline_critical,
             on_demand_only: requirements.on_demand_only,
-            is_batch: requirements.is_batch,
+            is_barred_from_spare: requirements.is_barred_from_spare,
             admitted_by: self
                 .reservations
                 .iter()
--- a/crates/controller/src/scheduling/placement/gang_placement.rs
+++ b/crates/controller/src/scheduling/placement/gang_placement.rs
@@ -119,8 +119,8 @@
         if self.tasks_with_expected_units(entry, tasks) < tasks {
             return;
         }
-        // Capacity for a larger gang comes from scaling out: preempting work for only a part of the gang would
-        // waste that work without starting the gang.
+        // Capacity for a larger gang comes from scaling out: preempting work for only a part of the gang
+        // would waste that work without starting the gang.
         if tasks == 1 && self.preempt_for(requirements, open_zones, None) {
             return;
         }
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -1,5 +1,5 @@
-//! Slots for large gangs: the machine and the time at which each of their tasks finds capacity, as estimated or
-//! made by preemption.
+//! Slots for large gangs: the machine and the time at which each of their tasks finds capacity, as estimated
+//! or made by preemption.
 
 use super::grace_s;
 use super::inventory::remaining_s;
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Returns the expected releases of a machine's tasks within [`RESERVATION_HORIZON_S`], the earliest first.
+    /// Returns the expected releases of a machine's tasks within [`RESERVATION_HORIZON_S`], the earliest
+    /// first.
     fn releases<'r>(&self, running: &'r [RunningTask<'a>]) -> Vec<Release<'r, 'a>> {
         let mut releases: Vec<Release<'r, 'a>> = running
             .iter()
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -116,8 +116,8 @@
             &mut capacity.fetching,
             ImageFetch {
                 image: number,
-                since: attempt.planned_at,
-                waiting: fetch_weight(attempt),
+                started_at: attempt.planned_at,
+                waiting_replicas: fetch_weight(attempt),
             },
         );
     }
--- a/crates/controller/src/scheduling/placement/mod.rs
+++ b/crates/controller/src/scheduling/placement/mod.rs
@@ -156,9 +156,10 @@
 /// Returns the queue entries of all jobs that may start tasks now, in scheduling order.
 fn queue_sort<'a>(pass: &Pass<'a>) -> Vec<QueueEntry<'a>> {
     let cluster = pass.cluster;
-    let schedulable = |job: &&Job| !job.waiting.is_empty() && !job.parked && job.backoff_until <= cluster.now;
+    let is_schedulable =
+        |job: &&Job| !job.waiting.is_empty() && !job.parked && job.backoff_until <= cluster.now;
     let mut order: Vec<QueueEntry<'_>> = Vec::new();
-    for job in cluster.jobs.values().filter(schedulable) {
+    for job in cluster.jobs.values().filter(is_schedulable) {
         pass.queue_entries(job, &mut order);
     }
     let order = large_jobs_first(order, &prioritized_large_jobs(cluster));
--- a/crates/controller/src/scheduling/placement/pass.rs
+++ b/crates/controller/src/scheduling/placement/pass.rs
@@ -46,9 +46,9 @@
 /// An image that a machine is fetching.
 pub(super) struct ImageFetch {
     pub(super) image: u32,
-    pub(super) since: Timestamp,
+    pub(super) started_at: Timestamp,
     /// Number of replicas waiting for it; other tasks count as a fraction of a replica.
-    pub(super) waiting: f64,
+    pub(super) waiting_replicas: f64,
 }
 
 /// Number of a job's tasks in each zone, by zone index. The last element counts tasks in zones that are
@@ -78,7 +78,7 @@
     /// Set if the job's rank expression prefers some kinds to others.
     pub(super) rank_steps: Option<RankSteps>,
     pub(super) image: Option<u32>,
-    /// The tightest objective of the job's class on the time to start; infinite if there is none.
+    /// The shortest objective of the job's class on the time to start; infinite if there is none.
     pub(super) start_within_s: f64,
     /// Whether to avoid machines on which its tasks failed.
     pub(super) avoids_failed_machines: bool,
@@ -90,7 +90,7 @@
     /// Whether it is protected and therefore restricted to on-demand machines.
     pub(super) on_demand_only: bool,
     /// Whether it may not use spare capacity reserved for protected services.
-    pub(super) is_batch: bool,
+    pub(super) is_barred_from_spare: bool,
 }
 
 /// The bit patterns of [`Resources`], usable as a hash key.
@@ -119,7 +119,7 @@
     pub(super) one_zone: bool,
     pub(super) is_deadline_critical: bool,
     pub(super) on_demand_only: bool,
-    pub(super) is_batch: bool,
+    pub(super) is_barred_from_spare: bool,
     /// Whether each reservation admits it. Without this, short jobs were treated as unschedulable on
     /// reserved machines once a long job of the same size had not been admitted there.
     pub(super) admitted_by: Vec<bool>,
--- a/crates/controller/src/scheduling/placement/placement_cost.rs
+++ b/crates/controller/src/scheduling/placement/placement_cost.rs
@@ -54,7 +54,7 @@
     /// Returns the estimated remaining duration of a fetch in progress, in s.
     fn fetch_remaining_s(&self, capacity: &MachineCapacity<'_>, fetch: &ImageFetch) -> f64 {
         let image_gb = self.images.get(fetch.image).size_gb;
-        let waited_s = self.cluster.now.saturating_sub(fetch.since) as f64 / SECOND_MS as f64;
+        let waited_s = self.cluster.now.saturating_sub(fetch.started_at) as f64 / SECOND_MS as f64;
         (self.uncontended_fetch_s(capacity, image_gb) - waited_s).max(MIN_REMAINING_FETCH_S)
     }
 
@@ -71,7 +71,7 @@
         other_fetches
             .map(|fetch| Fetching {
                 left_s: self.fetch_remaining_s(capacity, fetch),
-                waiting: fetch.waiting,
+                waiting: fetch.waiting_replicas,
             })
             .collect()
     }
@@ -169,8 +169,8 @@
                 <= self.uncontended_fetch_s(capacity, requirements.job.spec.image_gb)
     }
 
-    /// Returns how much work, in s, may be lost to preemption so that a task starts on a machine with its image
-    /// instead of this one.
+    /// Returns how much work, in s, may be lost to preemption so that a task starts on a machine with its
+    /// image instead of this one.
     pub(super) fn preemption_budget_s(
         &self,
         requirements: &TaskRequirements<'_>,
@@ -212,8 +212,8 @@
 pub(super) fn record_fetch(fetching: &mut Vec<ImageFetch>, new: ImageFetch) {
     match fetching.iter_mut().find(|fetch| fetch.image == new.image) {
         Some(fetch) => {
-            fetch.since = fetch.since.min(new.since);
-            fetch.waiting += new.waiting;
+            fetch.started_at = fetch.started_at.min(new.started_at);
+            fetch.waiting_replicas += new.waiting_replicas;
         }
         None => fetching.push(new),
     }
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -210,7 +210,7 @@
     ) -> Option<Victims> {
         let job = requirements.job;
         let capacity = &self.capacities[machine_index];
-        let mut options: Vec<(f64, usize)> = Vec::new();
+        let mut victim_costs: Vec<(f64, usize)> = Vec::new();
         for (index, running) in capacity.running.iter().enumerate() {
             if running.stopping || running.attempt.exited() {
                 continue;
@@ -220,14 +220,14 @@
             };
             if self.is_preemptible_for(victim, job) {
                 let lost_s = self.lost_work_s(running.attempt, victim);
-                options.push((lost_s + self.protection_cost_s(requirements, victim), index));
+                victim_costs.push((lost_s + self.protection_cost_s(requirements, victim), index));
             }
         }
-        options.sort_by(|(left, _), (right, _)| left.total_cmp(right));
+        victim_costs.sort_by(|(left, _), (right, _)| left.total_cmp(right));
         let mut free = self.free_for(requirements, machine_index);
         let mut total_cost_s = 0.0;
         let mut running = Vec::new();
-        for (cost_s, index) in options {
+        for (cost_s, index) in victim_costs {
             if job.spec.needs.fits_in(&free) {
                 break;
             }
@@ -245,7 +245,7 @@
     /// resources guaranteed to the job's team.
     fn is_preemptible_for(&self, victim: &Job, job: &Job) -> bool {
         // Starved work keeps what it has, whatever its priority: that is its minimum share.
-        let is_lower = victim.spec.priority > job.spec.priority
+        let has_lower_priority = victim.spec.priority > job.spec.priority
             && !self.cluster.starved.is_starved(&victim.spec)
             && !self.is_protected_from(job, victim);
         let is_borrowed = self.within_guarantee.contains(&job.spec.id)
@@ -255,7 +255,7 @@
             // work.
             && !self.within_guarantee.contains(&victim.spec.id)
             && self.exceeds_guarantee(&victim.spec.team);
-        is_lower || is_borrowed
+        has_lower_priority || is_borrowed
     }
 
     /// Whether the team uses more than its guarantee.
--- a/crates/controller/src/scheduling/placement/protection.rs
+++ b/crates/controller/src/scheduling/placement/protection.rs
@@ -97,7 +97,7 @@
 
     /// Whether spare capacity is closed to the job. Starved jobs are exempt, since the minimum share takes
     /// precedence over protection.
-    pub(super) fn is_batch(&self, spec: &JobSpec) -> bool {
+    pub(super) fn is_barred_from_spare(&self, spec: &JobSpec) -> bool {
         !self.cluster.protection.spare.is_empty()
             && spec.shape != Shape::Service
             && !self.cluster.starved.is_starved(spec)
@@ -107,7 +107,7 @@
     pub(super) fn free_for(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> Resources {
         let capacity = &self.capacities[machine_index];
         let mut free = capacity.free;
-        if requirements.is_batch {
+        if requirements.is_barred_from_spare {
             free -= capacity.spare;
         }
         free
@@ -120,8 +120,8 @@
         job.spec.shape != Shape::Service && self.cluster.protection.standing(&victim.spec.id).is_some()
     }
 
-    /// Returns the cost, in s, of preempting a victim in addition to the lost work. For a protected job, batch
-    /// is preempted before replicas; protected replicas are always preempted last.
+    /// Returns the cost, in s, of preempting a victim in addition to the lost work. For a protected job,
+    /// batch is preempted before replicas; protected replicas are always preempted last.
     pub(super) fn protection_cost_s(&self, requirements: &TaskRequirements<'_>, victim: &Job) -> f64 {
         let protection = &self.cluster.protection;
         if protection.standing(&victim.spec.id).is_some() {
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Reserves spare capacity on the emptiest machines that run batch work, so that it is free once that work
-    /// ends.
+    /// Reserves spare capacity on the emptiest machines that run batch work, so that it is free once that
+    /// work ends.
     fn drain_for_spare(&mut self, requirements: &TaskRequirements<'_>, mut remaining: u32) {
         let needs = requirements.job.spec.needs;
         let zones: OpenZones = vec![true; self.cluster.deployment.zones.len()];
--- a/crates/controller/src/scheduling/placement/queue_order.rs
+++ b/crates/controller/src/scheduling/placement/queue_order.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Whether this many runs of the estimated duration no longer fit before the tightest finishing objective
+/// Whether this many runs of the estimated duration no longer fit before the shortest finishing objective
 /// of the job's class.
 pub(super) fn is_short_of_time(job: &Job, runs: f64, deployment: &Deployment, now: Timestamp) -> bool {
     let age_s = job.age_ms(now) as f64 / SECOND_MS as f64;
@@ -200,8 +200,8 @@
     )
 }
 
-/// Moves as many tasks of starved work to the front as there are credits. A gang needs only one credit to go first,
-/// since a part of it cannot run; its other tasks become debt.
+/// Moves as many tasks of starved work to the front as there are credits. A gang needs only one credit to go
+/// first, since a part of it cannot run; its other tasks become debt.
 pub(super) fn starved_work_first<'a>(
     mut order: Vec<QueueEntry<'a>>,
     starved: &StarvedOwners,
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -66,7 +66,8 @@
 impl<'a> Pass<'a> {
     /// Reserves machines for a large or overdue gang that goes first, in one zone if it needs that, else in
     /// all zones that it may use. Chooses the machines that are estimated to be free earliest, if that is
-    /// within [`RESERVATION_HORIZON_S`]; otherwise those on which preemption for the gang loses the least work.
+    /// within [`RESERVATION_HORIZON_S`]; otherwise those on which preemption for the gang loses the least
+    /// work.
     pub(super) fn reserve_capacity(&mut self, entry: &QueueEntry<'a>) {
         let job = entry.job;
         let tasks = job.waiting.len();
@@ -125,14 +126,15 @@
     }
 
     /// Returns the estimated time, in s, until the team's limit allows the gang; `None` if that is not within
-    /// [`RESERVATION_HORIZON_S`]. Reserves the gang's resources of that limit, for one gang of a team at a time and
-    /// only for a part of each period, so that the team's other work continues if no machines are available.
+    /// [`RESERVATION_HORIZON_S`]. Reserves the gang's resources of that limit, for one gang of a team at a
+    /// time and only for a part of each period, so that the team's other work continues if no machines are
+    /// available.
     fn reserve_quota(&mut self, job: &'a Job, tasks: usize) -> Option<f64> {
         let name = job.spec.team.as_str();
         let team = self.team(name)?;
         let needs = job.spec.needs.scaled_by(tasks as f64);
         let mut used = self.usage.of(name);
-        used += self.quota_reserved_from(&job.spec);
+        used += self.quota_reserved_for_others(&job.spec);
         used += needs;
         let elapsed_in_period_ms = job
             .age_ms(self.cluster.now)
@@ -183,7 +185,7 @@
     }
 
     /// Returns the resources of the team's limit that are reserved for other jobs.
-    pub(super) fn quota_reserved_from(&self, spec: &JobSpec) -> Resources {
+    pub(super) fn quota_reserved_for_others(&self, spec: &JobSpec) -> Resources {
         let mut reserved = Resources::default();
         for quota in &self.reserved_quotas {
             if quota.team == spec.team && !quota.reservation.admits(spec) {
--- a/crates/controller/src/scheduling/placement/scoring.rs
+++ b/crates/controller/src/scheduling/placement/scoring.rs
@@ -17,17 +17,18 @@
 }
 
 impl Pass<'_> {
-    /// Returns the time until the machine has the job's image, in s. Concurrent fetches may share the machine's
-    /// bandwidth, and an image still being fetched does not count as present. Without this, replicas of a
-    /// dozen images were all placed on the few machines that had just booted and waited half a minute for
-    /// their fetches.
+    /// Returns the time until the machine has the job's image, in s. Concurrent fetches may share the
+    /// machine's bandwidth, and an image still being fetched does not count as present. Without this,
+    /// replicas of a dozen images were all placed on the few machines that had just booted and waited half a
+    /// minute for their fetches.
     pub(super) fn fetch_s(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> f64 {
         self.downtime(requirements, machine_index).fetch_s
     }
 
     /// Returns the cost of placing a task on the machine; lower is better. It is the expected downtime
-    /// plus smaller terms that prefer spot machines for jobs that may use them, and the fullest machines, so
-    /// that others become idle.
+    /// plus penalties: for kinds of machines that the user prefers less, for on-demand machines if the job
+    /// may use spot ones, for reserved or recently failing machines, and for emptier machines, so that they
+    /// become idle.
     pub(super) fn placement_cost(&self, requirements: &TaskRequirements<'_>, machine_index: usize) -> f64 {
         let capacity = &self.capacities[machine_index];
         let downtime = self.downtime(requirements, machine_index);
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -163,8 +163,8 @@
         && holder.spec.team != entry.job.spec.team
 }
 
-/// Drops victims whose units are not needed: the cheapest were chosen first, and a more expensive one may have
-/// made some of them redundant.
+/// Drops victims whose units are not needed: the cheapest were chosen first, and a more expensive one may
+/// have made some of them redundant.
 fn drop_redundant(chosen: &mut Vec<UnitVictim<'_>>, missing: &[(Name, u32)]) {
     let mut surplus: HashMap<Name, u32> = HashMap::new();
     for (count, units) in missing {
