--- a/crates/controller/src/scheduling/placement/aging.rs
+++ b/crates/controller/src/scheduling/placement/aging.rs
@@ -106,7 +106,7 @@
 
     /// Whether the team's limit allows the job to start. Otherwise it would block the credits of others.
     fn may_start(&self, entry: &QueueEntry<'_>) -> bool {
-        let together = entry.job.gang_size();
-        self.quota_left(&entry.job.spec, together) >= together
+        let gang_size = entry.job.gang_size();
+        self.quota_left(&entry.job.spec, gang_size) >= gang_size
     }
 }
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -175,15 +175,15 @@
             .collect()
     }
 
-    /// Handles a shortage of units for `tasks` of the entry, of which `together` start at once: records their
+    /// Handles a shortage of units for `tasks` of the entry, which start in groups of `gang_size`: records their
     /// demand, and preempts holders of units where allowed.
-    pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, together: u32, tasks: u32) {
+    pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, gang_size: u32, tasks: u32) {
         let job = entry.job;
         let requester = self.requester(job);
-        let (shortage, reservation) =
+        let (shortage, is_reserved) =
             self.unit_ledger
-                .handle_shortage(&job.spec.counts, together, &requester);
-        if reservation {
+                .handle_shortage(&job.spec.counts, gang_size, &requester);
+        if is_reserved {
             self.plan.units_reserved_for.insert(job.spec.id.clone());
         }
         if let Some(shortage) = shortage {
@@ -193,23 +193,23 @@
                 shortage,
             });
         }
-        let lower_priority_holders = self.lowest_unit_priority() > Some(job.spec.priority);
-        let preemption_rounds = (tasks / together.max(1)).min(UNIT_SEARCHES_PER_JOB);
+        let has_lower_priority_holders = self.lowest_unit_priority() > Some(job.spec.priority);
+        let preemption_rounds = (tasks / gang_size.max(1)).min(UNIT_SEARCHES_PER_JOB);
         for _ in 0..preemption_rounds {
             // Units being released go to the waiting jobs in order, whether or not they may preempt.
-            let Some(missing) = self.unit_ledger.deficit(&job.spec.counts, together) else {
+            let Some(deficit) = self.unit_ledger.deficit(&job.spec.counts, gang_size) else {
                 return;
             };
-            if !lower_priority_holders && !entry.units_guaranteed {
+            if !has_lower_priority_holders && !entry.units_guaranteed {
                 return;
             }
-            if !missing.units.is_empty() && !self.preempt_for_units(entry, missing.units) {
+            if !deficit.units.is_empty() && !self.preempt_for_units(entry, deficit.units) {
                 return;
             }
             // Claims the free units while the rest is being released for it. Units are not left idle for
             // tasks that are only expected to end on their own: for an old request they are reserved anyway.
-            if !missing.awaits_completions {
-                self.unit_ledger.claim(&job.spec.counts, together);
+            if !deficit.awaits_completions {
+                self.unit_ledger.claim(&job.spec.counts, gang_size);
             }
         }
     }
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -44,7 +44,7 @@
         let mut victims = self.unit_victims(entry, missing);
         victims.sort_by(|left, right| left.lost_s.total_cmp(&right.lost_s));
         let mut still_missing = missing.to_vec();
-        let mut borrowed: HashMap<(&str, &str), u32> = HashMap::new();
+        let mut reclaimed: HashMap<(&str, &str), u32> = HashMap::new();
         let mut chosen: Vec<UnitVictim<'a>> = Vec::new();
         for victim in victims {
             if still_missing.iter().all(|(_, units)| *units == 0) {
@@ -53,7 +53,7 @@
             let frees_missing = still_missing
                 .iter()
                 .any(|(count, units)| *units > 0 && victim.units(count) > 0);
-            if !frees_missing || !self.claim_borrowed_units(&victim, &mut borrowed) {
+            if !frees_missing || !self.claim_borrowed_units(&victim, &mut reclaimed) {
                 continue;
             }
             for (count, units) in &mut still_missing {
