--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -175,8 +175,8 @@
             .collect()
     }
 
-    /// Handles a shortage of units for `tasks` of the entry, which start in groups of `gang_size`: records their
-    /// demand, and preempts holders of units where allowed.
+    /// Handles a shortage of units for `tasks` of the entry, which start in groups of `gang_size`: records
+    /// their demand, and preempts holders of units where allowed.
     pub(super) fn wait_for_units(&mut self, entry: &QueueEntry<'a>, gang_size: u32, tasks: u32) {
         let job = entry.job;
         let requester = self.requester(job);
--- a/crates/controller/src/scheduling/placement/gang_slots.rs
+++ b/crates/controller/src/scheduling/placement/gang_slots.rs
@@ -18,9 +18,9 @@
     pub(super) machine_index: usize,
 }
 
-/// The release of a running task's resources.
-struct Release<'r, 'a> {
-    available_in_s: f64,
+/// The estimated end of a running task, which frees its resources.
+struct TaskEnd<'r, 'a> {
+    ends_in_s: f64,
     running: &'r RunningTask<'a>,
 }
 
@@ -192,7 +192,7 @@
         let needs = requirements.job.spec.needs;
         let has_image = self.has_image(requirements, machine_index);
         let capacity = &self.capacities[machine_index];
-        let mut releases = self.releases(&capacity.running).into_iter();
+        let mut task_ends = self.task_ends(&capacity.running).into_iter();
         let mut free = capacity.free;
         let mut available_in_s = 0.0;
         let mut slots_found = 0;
@@ -206,27 +206,26 @@
                     machine_index,
                 });
             }
-            let Some(release) = releases.next() else {
+            let Some(task_end) = task_ends.next() else {
                 break;
             };
-            available_in_s = release.available_in_s;
-            free += release.running.attempt.needs;
+            available_in_s = task_end.ends_in_s;
+            free += task_end.running.attempt.needs;
         }
     }
 
-    /// Returns the expected releases of a machine's tasks within [`RESERVATION_HORIZON_S`], the earliest
-    /// first.
-    fn releases<'r>(&self, running: &'r [RunningTask<'a>]) -> Vec<Release<'r, 'a>> {
-        let mut releases: Vec<Release<'r, 'a>> = running
+    /// Returns the estimated ends of a machine's tasks within [`RESERVATION_HORIZON_S`], the earliest first.
+    fn task_ends<'r>(&self, running: &'r [RunningTask<'a>]) -> Vec<TaskEnd<'r, 'a>> {
+        let mut task_ends: Vec<TaskEnd<'r, 'a>> = running
             .iter()
-            .map(|running| Release {
-                available_in_s: self.ends_in_s(running),
+            .map(|running| TaskEnd {
+                ends_in_s: self.ends_in_s(running),
                 running,
             })
-            .filter(|release| release.available_in_s <= RESERVATION_HORIZON_S)
+            .filter(|task_end| task_end.ends_in_s <= RESERVATION_HORIZON_S)
             .collect();
-        releases.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
-        releases
+        task_ends.sort_by(|left, right| left.ends_in_s.total_cmp(&right.ends_in_s));
+        task_ends
     }
 
     /// Returns the estimated time until a task has left its machine, in s.
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -21,7 +21,7 @@
     images: ImageCatalog<'a>,
     usage: UsageByTeam<'a>,
     unit_ledger: UnitLedger<'a>,
-    any_releasing: bool,
+    any_stopping: bool,
 }
 
 impl<'a> Inventory<'a> {
@@ -32,7 +32,7 @@
             images: ImageCatalog::default(),
             usage: UsageByTeam::default(),
             unit_ledger: UnitLedger::with_policy(cluster.units.definitions, cluster.units.policy),
-            any_releasing: false,
+            any_stopping: false,
         }
     }
 
@@ -55,7 +55,7 @@
             type_and_zone: type_position.zip(zone_position),
             free: machine_type.map(MachineType::resources).unwrap_or_default(),
             spare: Resources::default(),
-            releasing: Resources::default(),
+            stopping_resources: Resources::default(),
             running: Vec::with_capacity(machine.attempts.len()),
             usable: is_usable(machine, self.cluster.now),
             images: self.cached_images(machine),
@@ -92,8 +92,8 @@
         record_units(&mut self.unit_ledger, attempt, self.cluster.now);
         let stopping = attempt.stop.is_some();
         if stopping {
-            capacity.releasing += attempt.needs;
-            self.any_releasing = true;
+            capacity.stopping_resources += attempt.needs;
+            self.any_stopping = true;
         }
         self.add_fetch(attempt, capacity);
         capacity.occupied_s = capacity.occupied_s.max(remaining_s(attempt, self.cluster.now));
@@ -150,7 +150,7 @@
             reservations: Vec::new(),
             on_demand_shortage: false,
             lowest_priority: lowest_placed_priority(cluster),
-            any_releasing: inventory.any_releasing,
+            any_stopping: inventory.any_stopping,
             placed_zones: HashMap::new(),
             running_jobs_resolved: false,
             preemption_searches: 0,
--- a/crates/controller/src/scheduling/placement/pass.rs
+++ b/crates/controller/src/scheduling/placement/pass.rs
@@ -30,7 +30,7 @@
     /// Part of `free` that is reserved for protected services. Batch tasks may not use it.
     pub(super) spare: Resources,
     /// Resources of tasks that are being stopped, not yet claimed by the tasks that will replace them.
-    pub(super) releasing: Resources,
+    pub(super) stopping_resources: Resources,
     pub(super) running: Vec<RunningTask<'a>>,
     pub(super) usable: bool,
     /// Images that it has or is fetching, by their number in the catalog, the most recently used last.
@@ -185,7 +185,7 @@
     pub(super) on_demand_shortage: bool,
     /// The lowest priority of any job with tasks on machines; larger values are lower priorities.
     pub(super) lowest_priority: Option<Priority>,
-    pub(super) any_releasing: bool,
+    pub(super) any_stopping: bool,
     /// Zones of the tasks placed in this pass, for jobs with zone constraints. A job may have two queue
     /// entries, and the second must see the tasks of the first.
     pub(super) placed_zones: HashMap<&'a JobId, TasksByZone>,
--- a/crates/controller/src/scheduling/placement/preemption.rs
+++ b/crates/controller/src/scheduling/placement/preemption.rs
@@ -41,9 +41,9 @@
                     .any(|team| team.name != job.spec.team && self.exceeds_guarantee(&team.name))
     }
 
-    /// Finds capacity for one task among resources being released, or preempts work for it, and claims that
-    /// capacity for the rest of the pass. With `max_cost_s`, considers only machines that have the job's
-    /// image, and preempts at no higher cost.
+    /// Finds capacity for one task among resources of tasks being stopped, or preempts work for it, and
+    /// claims that capacity for the rest of the pass. With `max_cost_s`, considers only machines that have
+    /// the job's image, and preempts at no higher cost.
     pub(super) fn preempt_for(
         &mut self,
         requirements: &TaskRequirements<'_>,
@@ -52,7 +52,7 @@
     ) -> bool {
         let job = requirements.job;
         let may_preempt = self.may_preempt(job);
-        if !may_preempt && !self.any_releasing {
+        if !may_preempt && !self.any_stopping {
             return false;
         }
         let class = PreemptionClass {
@@ -70,8 +70,8 @@
             .filter(|machine_index| self.is_allowed(requirements, *machine_index, zones))
             .filter(|machine_index| max_cost_s.is_none() || self.has_image(requirements, *machine_index))
             .collect();
-        if let Some(machine_index) = self.find_releasing(requirements, &candidates) {
-            self.claim_releasing(machine_index, needs);
+        if let Some(machine_index) = self.find_fit_after_stops(requirements, &candidates) {
+            self.claim_stopping_resources(machine_index, needs);
             return true;
         }
         let cheapest = if may_preempt {
@@ -87,18 +87,22 @@
             return false;
         };
         self.stop_victims(machine_index, victims);
-        self.claim_releasing(machine_index, needs);
+        self.claim_stopping_resources(machine_index, needs);
         true
     }
 
     /// Returns the first of these machines on which a task fits once the tasks being stopped have ended.
-    fn find_releasing(&self, requirements: &TaskRequirements<'_>, candidates: &[usize]) -> Option<usize> {
+    fn find_fit_after_stops(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        candidates: &[usize],
+    ) -> Option<usize> {
         let needs = requirements.job.spec.needs;
         candidates.iter().copied().find(|machine_index| {
-            let releasing = self.capacities[*machine_index].releasing;
+            let stopping_resources = self.capacities[*machine_index].stopping_resources;
             let mut free_soon = self.free_for(requirements, *machine_index);
-            free_soon += releasing;
-            releasing != Resources::default() && needs.fits_in(&free_soon)
+            free_soon += stopping_resources;
+            stopping_resources != Resources::default() && needs.fits_in(&free_soon)
         })
     }
 
@@ -124,7 +128,7 @@
         best
     }
 
-    /// Stops these tasks of a machine and counts their resources as being released.
+    /// Stops these tasks of a machine and counts their resources as being freed.
     pub(super) fn stop_victims(&mut self, machine_index: usize, victims: Victims) {
         for victim in victims.running {
             let running = &mut self.capacities[machine_index].running[victim];
@@ -134,8 +138,8 @@
             }
             let attempt = running.attempt;
             let machine = self.capacities[machine_index].machine.id.clone();
-            self.capacities[machine_index].releasing += attempt.needs;
-            self.any_releasing = true;
+            self.capacities[machine_index].stopping_resources += attempt.needs;
+            self.any_stopping = true;
             self.stop(attempt, machine);
         }
     }
@@ -154,19 +158,22 @@
         }
     }
 
-    /// Claims resources that are being released on a machine.
-    fn claim_releasing(&mut self, machine_index: usize, needs: Resources) {
+    /// Claims resources of tasks that are being stopped on a machine.
+    fn claim_stopping_resources(&mut self, machine_index: usize, needs: Resources) {
         let capacity = &mut self.capacities[machine_index];
-        capacity.releasing -= needs;
-        // Any shortfall in `releasing` is taken from `free`.
-        for (releasing, free) in [
-            (&mut capacity.releasing.cpus, &mut capacity.free.cpus),
-            (&mut capacity.releasing.gpus, &mut capacity.free.gpus),
-            (&mut capacity.releasing.memory_gb, &mut capacity.free.memory_gb),
+        capacity.stopping_resources -= needs;
+        // Any shortfall in `stopping_resources` is taken from `free`.
+        for (stopping_resources, free) in [
+            (&mut capacity.stopping_resources.cpus, &mut capacity.free.cpus),
+            (&mut capacity.stopping_resources.gpus, &mut capacity.free.gpus),
+            (
+                &mut capacity.stopping_resources.memory_gb,
+                &mut capacity.free.memory_gb,
+            ),
         ] {
-            if *releasing < 0.0 {
-                *free += *releasing;
-                *releasing = 0.0;
+            if *stopping_resources < 0.0 {
+                *free += *stopping_resources;
+                *stopping_resources = 0.0;
             }
         }
     }
--- a/crates/controller/src/scheduling/placement/reservation.rs
+++ b/crates/controller/src/scheduling/placement/reservation.rs
@@ -57,9 +57,9 @@
     needs: Resources,
 }
 
-/// The release of a running task's resources.
-struct Release {
-    available_in_s: f64,
+/// The estimated end of a running task, which frees its resources.
+struct TaskEnd {
+    ends_in_s: f64,
     needs: Resources,
 }
 
@@ -162,18 +162,18 @@
     /// allow this usage.
     fn quota_available_in_s(&self, team: &Team, mut used: Resources) -> Option<f64> {
         let running = self.capacities.iter().flat_map(|capacity| &capacity.running);
-        let mut releases: Vec<Release> = running
+        let mut task_ends: Vec<TaskEnd> = running
             .filter(|running| *running.attempt.team == *team.name)
-            .map(|running| Release {
-                available_in_s: self.ends_in_s(running),
+            .map(|running| TaskEnd {
+                ends_in_s: self.ends_in_s(running),
                 needs: running.attempt.needs,
             })
-            .filter(|release| release.available_in_s <= RESERVATION_HORIZON_S)
+            .filter(|task_end| task_end.ends_in_s <= RESERVATION_HORIZON_S)
             .collect();
-        releases.sort_by(|left, right| left.available_in_s.total_cmp(&right.available_in_s));
-        releases.into_iter().find_map(|release| {
-            used -= release.needs;
-            team.allows(&used).then_some(release.available_in_s)
+        task_ends.sort_by(|left, right| left.ends_in_s.total_cmp(&right.ends_in_s));
+        task_ends.into_iter().find_map(|task_end| {
+            used -= task_end.needs;
+            team.allows(&used).then_some(task_end.ends_in_s)
         })
     }
 
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -75,9 +75,9 @@
         }
         let capacity = &mut self.capacities[victim.machine_index];
         let machine = capacity.machine.id.clone();
-        capacity.releasing += victim.attempt.needs;
+        capacity.stopping_resources += victim.attempt.needs;
         capacity.running[victim.running_index].stopping = true;
-        self.any_releasing = true;
+        self.any_stopping = true;
         self.stop(victim.attempt, machine);
     }
 
