--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -47,7 +47,7 @@
             .scheduler
             .unplaced()
             .iter()
-            .chain(&self.protection_windows.short)
+            .chain(&self.protection_windows.unplaced_spares)
         {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
@@ -137,7 +137,7 @@
             .scheduler
             .unplaced()
             .iter()
-            .chain(&self.protection_windows.short)
+            .chain(&self.protection_windows.unplaced_spares)
         {
             let Some(job) = self.jobs.get(&unplaced.job) else {
                 continue;
@@ -181,7 +181,7 @@
                 continue;
             };
             let mut free = known_type.resources();
-            if let Some(reserved) = machine.and_then(|machine| self.protection_windows.kept.get(machine)) {
+            if let Some(reserved) = machine.and_then(|machine| self.protection_windows.reserved.get(machine)) {
                 free -= *reserved;
             }
             for _ in 0..count {
--- a/crates/controller/src/leader/calls.rs
+++ b/crates/controller/src/leader/calls.rs
@@ -1,7 +1,7 @@
 //! Calls that a leader makes during its term. Responses that arrive after the term are dropped.
 
 use super::LeaderTerm;
-use super::accounting::BookCall;
+use super::accounting::AccountingCall;
 use super::direct_commands::DirectCall;
 use crate::constants::STATE_TIMEOUT_MS;
 use crate::io::{Io, Method};
@@ -44,7 +44,7 @@
     /// Changes the records of a submitted cluster. The record watch delivers the result.
     SubmitCluster,
     /// Reads or writes the accounts of teams.
-    Accounting(BookCall),
+    Accounting(AccountingCall),
 }
 
 impl LeaderTerm {
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -165,7 +165,7 @@
                         task.job,
                         task.index
                     );
-                    self.note_end(&task, number, None, io.now);
+                    self.record_run_end(&task, number, None, io.now);
                     self.on_task_completed(machine, &task, number, io.now);
                 }
                 Change::Exited {
@@ -174,7 +174,7 @@
                     cause: why,
                     ..
                 } => {
-                    self.note_end(&task, number, loss_cause(why), io.now);
+                    self.record_run_end(&task, number, loss_cause(why), io.now);
                     self.on_task_failed(machine, &task, number, why, io);
                 }
                 Change::Released(task) => self.requeue(&task, io.now),
@@ -182,7 +182,7 @@
                 Change::Fetched { gb, took_ms, others } => {
                     if let Some(machine) = self.machines.get(machine) {
                         self.image_locality
-                            .fetched(&machine.machine_type, gb, took_ms, others);
+                            .on_image_fetched(&machine.machine_type, gb, took_ms, others);
                     }
                 }
                 Change::Freed {
@@ -191,7 +191,7 @@
                     lingers,
                 } => {
                     if lingers {
-                        self.freed(shard, &team, &counts, io.now);
+                        self.on_units_released(shard, &team, &counts, io.now);
                     }
                     if let Some(shard) = shard {
                         self.writer.on_units_freed(shard);
@@ -209,7 +209,7 @@
             task.job,
             task.index
         );
-        self.note_run(task, number, now);
+        self.record_run_start(task, number, now);
         self.clear_machine_errors(machine);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
@@ -234,7 +234,7 @@
 
     /// Handles an attempt that was lost with its machine.
     fn on_task_lost(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        self.note_end(task, number, Some(LossCause::Machine), now);
+        self.record_run_end(task, number, Some(LossCause::Machine), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -90,8 +90,8 @@
     /// both.
     pub(super) fn run_pass(&mut self, types: &MachineTypes, settings: &Settings, io: &mut Io) {
         self.scheduler.begin_pass(io.now);
-        self.settle_lingers(io.now);
-        self.look_at_weights(types, settings, io.now);
+        self.update_lingers(io.now);
+        self.update_image_locality(types, settings, io.now);
         let snapshot = ClusterSnapshot {
             deployment: &settings.deployment,
             types,
@@ -99,7 +99,7 @@
             machines: self.machines.as_map(),
             task_locations: self.machines.task_locations(),
             spot_loss_rate: self.autoscaler.spot_losses().rate(),
-            units: self.units(&settings.operator.counted_resources),
+            units: self.counted_units(&settings.operator.counted_resources),
             starved: &self.forecast.satisfaction().starved,
             aging_credit: self.scheduler.aging_credit,
             image_statistics: &self.image_locality,
@@ -109,8 +109,8 @@
         let plan = placement::plan(&snapshot);
         self.scheduler.unplaced = plan.unplaced;
         self.protection_windows
-            .planned(plan.spare_capacity, plan.unplaced_spare);
-        self.note_units(
+            .record_plan(plan.spare_capacity, plan.unplaced_spare);
+        self.record_unit_reservations(
             plan.unsatisfied,
             plan.reserved_units,
             plan.units_reserved_for,
@@ -180,7 +180,8 @@
         machine.images.sized(cache_gb);
         machine.images.asked(&job.spec.image, job.spec.image_gb);
         if job.spec.shape == Shape::Service {
-            self.image_locality.started(&job.spec.image, cached, now);
+            self.image_locality
+                .on_replica_started(&job.spec.image, cached, now);
         }
         let job_id = task.job.clone();
         machine.attempts.push(Attempt {
@@ -200,7 +201,7 @@
         self.writer.queue_machine(machine);
         self.machines.add_location(job_id, machine_id.clone());
         if !counts.is_empty() {
-            self.note_wait(&counts, waited_ms);
+            self.record_unit_wait(&counts, waited_ms);
         }
     }
 
--- a/crates/controller/src/scheduling/placement/counted_units.rs
+++ b/crates/controller/src/scheduling/placement/counted_units.rs
@@ -130,11 +130,11 @@
         match entry.single_count {
             Some(count) => self
                 .unit_ledger
-                .startable_tasks_of(count, max_tasks, || self.requester(entry.job)),
+                .available_of(count, max_tasks, || self.requester(entry.job)),
             None => {
                 let requester = self.requester(entry.job);
                 self.unit_ledger
-                    .startable_tasks(&entry.job.spec.counts, max_tasks, &requester)
+                    .available(&entry.job.spec.counts, max_tasks, &requester)
             }
         }
     }
@@ -146,8 +146,8 @@
             return tasks;
         }
         match entry.single_count {
-            Some(count) => self.unit_ledger.promise_of(count, tasks),
-            None => self.unit_ledger.promise(&entry.job.spec.counts, tasks),
+            Some(count) => self.unit_ledger.available_later_of(count, tasks),
+            None => self.unit_ledger.available_later(&entry.job.spec.counts, tasks),
         }
     }
 
