--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -197,7 +197,9 @@
     fn send_releases(&mut self, permit: Permit, io: &mut Io) {
         let mut machine_ids: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.releasing || machine.release_in_flight || machine_ids.len() >= MAX_MACHINES_PER_RELEASE
+            if !machine.releasing
+                || machine.release_in_flight
+                || machine_ids.len() >= MAX_MACHINES_PER_RELEASE
             {
                 continue;
             }
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -594,10 +594,8 @@
             family.clear();
         }
         self.accounting.clear();
-        let Some(accounting) = &gauges.accounting else {
-            return;
-        };
-        for (team, queue) in &accounting.waiting {
+        let Some(stats) = &gauges.accounting else { return };
+        for (team, queue) in &stats.waiting {
             for what in WaitReason::ALL {
                 let labels = labels_for(team, what.text());
                 self.accounting_queue
@@ -605,7 +603,7 @@
                     .set(gauge_value(queue.waiting(what)));
             }
         }
-        for (team, totals) in &accounting.ended {
+        for (team, totals) in &stats.ended {
             for (what, count) in [
                 ("done", totals.done),
                 ("cancelled", totals.cancelled),
@@ -618,11 +616,11 @@
             }
         }
         for (state, count) in [
-            ("pending", accounting.pending),
-            ("unowned", accounting.unowned),
-            ("differences", accounting.differences),
-            ("checked", u64::from(accounting.checked)),
-            ("left_alone", u64::from(accounting.suspended)),
+            ("pending", stats.pending),
+            ("unowned", stats.unowned),
+            ("differences", stats.differences),
+            ("checked", u64::from(stats.checked)),
+            ("left_alone", u64::from(stats.suspended)),
         ] {
             self.accounting
                 .get_or_create(&StateLabels { state })
