--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -194,7 +194,7 @@
 
     /// Does what is due after a batch of commands or at a timer tick.
     pub fn run_due_work(&mut self) {
-        if let Some(event) = self.election.poll(&mut self.io) {
+        if let Some(event) = self.election.run_due_work(&mut self.io) {
             self.on_election_event(event);
         }
         match self.election.held_lease() {
--- a/crates/controller/src/scheduling/placement/unit_preemption.rs
+++ b/crates/controller/src/scheduling/placement/unit_preemption.rs
@@ -44,7 +44,7 @@
         let mut victims = self.unit_victims(entry, missing);
         victims.sort_by(|left, right| left.lost_s.total_cmp(&right.lost_s));
         let mut still_missing = missing.to_vec();
-        let mut borrowed: HashMap<(&str, &str), u32> = HashMap::new();
+        let mut reclaimed: HashMap<(&str, &str), u32> = HashMap::new();
         let mut chosen: Vec<UnitVictim<'a>> = Vec::new();
         for victim in victims {
             if still_missing.iter().all(|(_, units)| *units == 0) {
@@ -53,7 +53,7 @@
             let frees_missing = still_missing
                 .iter()
                 .any(|(count, units)| *units > 0 && victim.units(count) > 0);
-            if !frees_missing || !self.claim_borrowed_units(&victim, &mut borrowed) {
+            if !frees_missing || !self.claim_borrowed_units(&victim, &mut reclaimed) {
                 continue;
             }
             for (count, units) in &mut still_missing {
@@ -75,9 +75,9 @@
         }
         let capacity = &mut self.capacities[victim.machine_index];
         let machine = capacity.machine.id.clone();
-        capacity.releasing += victim.attempt.needs;
+        capacity.stopping_resources += victim.attempt.needs;
         capacity.running[victim.running_index].stopping = true;
-        self.any_releasing = true;
+        self.any_stopping = true;
         self.stop(victim.attempt, machine);
     }
 
@@ -163,8 +163,8 @@
         && holder.spec.team != entry.job.spec.team
 }
 
-/// Drops victims whose units are not needed: the cheapest were chosen first, and a more expensive one may have
-/// made some of them redundant.
+/// Drops victims whose units are not needed: the cheapest were chosen first, and a more expensive one may
+/// have made some of them redundant.
 fn drop_redundant(chosen: &mut Vec<UnitVictim<'_>>, missing: &[(Name, u32)]) {
     let mut surplus: HashMap<Name, u32> = HashMap::new();
     for (count, units) in missing {
