--- a/crates/counted_resources/src/lib.rs
+++ b/crates/counted_resources/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! let mut unit_ledger = UnitLedger::new(&definitions);
 //! unit_ledger.hold("slotting", &seat, 12.0, false);
-//! assert_eq!(unit_ledger.startable_tasks(&seat, 5, &requester), 1);
+//! assert_eq!(unit_ledger.available(&seat, 5, &requester), 1);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -458,7 +458,7 @@
         &self.pools[single.index as usize]
     }
 
-    /// As [`UnitLedger::startable_tasks`], for a demand of a single counted resource.
+    /// As [`UnitLedger::available`], for a demand of a single counted resource.
     pub fn available_of(
         &self,
         single: SingleCount,
@@ -480,7 +480,7 @@
             .then(|| max_tasks.min(pool.unused_share(team) / single.units.max(1)))
     }
 
-    /// As [`UnitLedger::promise`], for a demand of a single counted resource.
+    /// As [`UnitLedger::available_later`], for a demand of a single counted resource.
     pub fn available_later_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
         let pool = &mut self.pools[single.index as usize];
         let count = max_tasks.min(pool.unpromised() / single.units.max(1));
