--- a/crates/controller/src/leader/autoscaling/listing.rs
+++ b/crates/controller/src/leader/autoscaling/listing.rs
@@ -122,12 +122,12 @@
     pub(in crate::leader) fn remove_listed_requests(&mut self, settings: &Settings, now: Timestamp) {
         let lag_s = settings.deployment.cloud.list_lag_s * LIST_LAG_MAX_FACTOR;
         let pages = (self.machines.len() / LIST_PAGE_MACHINES) as u64;
-        let listed_ms = (lag_s * SECOND_MS as f64) as u64 + LIST_LAG_SLACK_MS + pages * LIST_PAGE_MS;
+        let listing_delay_ms = (lag_s * SECOND_MS as f64) as u64 + LIST_LAG_SLACK_MS + pages * LIST_PAGE_MS;
         let obsolete: Vec<String> = self
             .autoscaler
             .requests
             .iter()
-            .filter(|(_, request)| request.answered_at.is_some_and(|at| now >= at + listed_ms))
+            .filter(|(_, request)| request.answered_at.is_some_and(|at| now >= at + listing_delay_ms))
             .map(|(key, _)| key.clone())
             .collect();
         for key in obsolete {
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -118,7 +118,7 @@
     ) -> Vec<(MachineId, ScaleInReason)> {
         let can_release_unreachable = self.can_release_unreachable_machines(peers, now);
         let retained = self.retained_machines(&settings.deployment, now);
-        let mut idle = IdleSurplus {
+        let mut idle_surplus = IdleSurplus {
             now,
             idle_ms: (settings.operator.idle_return_s * SECOND_MS as f64) as u64,
             image_holders: self.kept_for_weights(types, settings),
@@ -137,9 +137,9 @@
             let surplus_idle = machine.is_up()
                 && machine.synced
                 && machine.is_empty()
-                && !idle.image_holders.contains(&machine.id)
+                && !idle_surplus.image_holders.contains(&machine.id)
                 && !self.protection_windows.kept.contains_key(&machine.id)
-                && idle.select(machine);
+                && idle_surplus.select(machine);
             let unusable = machine.is_up()
                 && machine.is_empty()
                 && (is_faulty(machine) || machine.reclaim_notice_until.is_some());
--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -97,20 +97,20 @@
                 .or_default()
                 .add(waiting, waste_s);
         }
-        let pending: u32 = self
+        let pending_machines: u32 = self
             .autoscaler
             .open_requests()
             .map(|scale_out| scale_out.request.count)
             .sum();
-        let mut room = settings
+        let mut remaining_fleet = settings
             .operator
             .fleet_max
-            .saturating_sub(self.machines.len() as u32 + pending);
+            .saturating_sub(self.machines.len() as u32 + pending_machines);
         for ((name, spot, zones), queue) in queues {
             let target = target_size::target_machines(&queue, self.autoscaler.overhead_s(types, &name));
-            let count = target.min(room);
+            let count = target.min(remaining_fleet);
             if count > 0 {
-                room -= count;
+                remaining_fleet -= count;
                 self.create_requests(&name, spot, &zones, count);
             }
         }
@@ -211,10 +211,10 @@
         types: &'a MachineTypes,
     ) -> Option<(&'a MachineType, bool, Vec<String>)> {
         let mut best = None;
-        let mut least = (true, f64::INFINITY);
+        let mut lowest_cost = (true, f64::INFINITY);
         for machine_type in types.values() {
             for spot in [true, false] {
-                let open: Vec<String> = zones
+                let open_zones: Vec<String> = zones
                     .iter()
                     .filter(|zone| {
                         machine_type.zones.contains(zone) && spec.is_eligible(machine_type, zone, spot)
@@ -229,7 +229,7 @@
                     })
                     .cloned()
                     .collect();
-                if open.is_empty() {
+                if open_zones.is_empty() {
                     continue;
                 }
                 let per_machine = spec.needs.instances_in(&machine_type.resources()).max(1.0);
@@ -239,9 +239,9 @@
                     machine_type.price
                 };
                 let cost = (spot && avoids_spot, price / per_machine);
-                if cost < least {
-                    least = cost;
-                    best = Some((machine_type, spot, open));
+                if cost < lowest_cost {
+                    lowest_cost = cost;
+                    best = Some((machine_type, spot, open_zones));
                 }
             }
         }
@@ -311,15 +311,15 @@
         let Ok(permit) = io.permits.request(GuardedOperation::LaunchMachines, now) else {
             return;
         };
-        let mut sends = Vec::new();
+        let mut to_send = Vec::new();
         for scale_out in self.autoscaler.requests.values_mut() {
             if due(scale_out) && io.cloud_budget.try_take(1.0, RELEASE_CALL_RESERVE, io.now) {
                 scale_out.sent = true;
                 scale_out.in_flight = true;
-                sends.push(scale_out.request.clone());
+                to_send.push(scale_out.request.clone());
             }
         }
-        for request in sends {
+        for request in to_send {
             let body = json(&request);
             let call = io.cloud_call(permit, Method::Post, paths::RENTALS.to_owned(), body);
             self.calls.insert(
@@ -338,7 +338,7 @@
         };
         scale_out.in_flight = false;
         let request = scale_out.request.clone();
-        let own = request.request.starts_with(&request_prefix(self.first_token));
+        let requested_in_this_term = request.request.starts_with(&request_prefix(self.first_token));
         if let Some(names) = outcome.read::<MachineNames>(&[200]) {
             scale_out.answered_at = Some(io.now);
             for name in &names.machines {
@@ -353,7 +353,7 @@
                             io.now,
                         );
                         // The boot time of a machine requested by a former leader is unknown.
-                        machine.rented_at = own.then_some(io.now);
+                        machine.rented_at = requested_in_this_term.then_some(io.now);
                         machine
                     });
                     machine.unconfirmed = false;
--- a/crates/controller/src/leader/autoscaling/spot_losses.rs
+++ b/crates/controller/src/leader/autoscaling/spot_losses.rs
@@ -14,9 +14,9 @@
 impl SpotLosses {
     /// Adds the uptime of this number of spot machines since the last call.
     pub(in crate::leader) fn add_uptime(&mut self, machines: usize, now: Timestamp) {
-        let since_s = now.saturating_sub(self.updated_at) as f64 / SECOND_MS as f64;
+        let elapsed_s = now.saturating_sub(self.updated_at) as f64 / SECOND_MS as f64;
         if self.updated_at > 0 {
-            self.machine_uptime_s += machines as f64 * since_s;
+            self.machine_uptime_s += machines as f64 * elapsed_s;
         }
         self.updated_at = now;
     }
--- a/crates/controller/src/leader/calls.rs
+++ b/crates/controller/src/leader/calls.rs
@@ -55,21 +55,21 @@
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
-        kind: TermCall,
+        term_call: TermCall,
         io: &mut Io,
     ) {
         let call = io.state_call(method, path, body, timeout_ms);
-        self.calls.insert(call, kind);
+        self.calls.insert(call, term_call);
     }
 
     /// Reads from the state service with the default timeout.
-    pub(super) fn read_state(&mut self, path: String, kind: TermCall, io: &mut Io) {
-        self.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS, kind, io);
+    pub(super) fn read_state(&mut self, path: String, term_call: TermCall, io: &mut Io) {
+        self.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS, term_call, io);
     }
 
     /// Sends a transaction to the state service.
-    pub(super) fn transact(&mut self, body: Vec<u8>, kind: TermCall, io: &mut Io) {
+    pub(super) fn transact(&mut self, body: Vec<u8>, term_call: TermCall, io: &mut Io) {
         let path = paths::TRANSACTION.to_owned();
-        self.state_call(Method::Post, path, body, STATE_TIMEOUT_MS, kind, io);
+        self.state_call(Method::Post, path, body, STATE_TIMEOUT_MS, term_call, io);
     }
 }
--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -68,11 +68,11 @@
 
 impl LeaderTerm {
     /// Sends direct commands to the marked machines for which they are due.
-    pub(super) fn send_due_commands(&mut self, certain: bool, io: &mut Io) {
+    pub(super) fn send_due_commands(&mut self, lease_live: bool, io: &mut Io) {
         while let Some(id) = self.commands.next_due() {
             let machine = self.machines.get(&id);
-            if machine.is_some_and(|machine| machine.is_direct_command_due(certain, io.now)) {
-                self.send_direct_command(&id, false, certain, io);
+            if machine.is_some_and(|machine| machine.is_direct_command_due(lease_live, io.now)) {
+                self.send_direct_command(&id, false, lease_live, io);
             }
         }
     }
@@ -111,7 +111,7 @@
         &mut self,
         machine_id: &MachineId,
         fencing_probe: bool,
-        certain: bool,
+        lease_live: bool,
         io: &mut Io,
     ) {
         let token = self.token();
@@ -120,7 +120,7 @@
         };
         let Some(addr) = machine.addr.clone() else { return };
         let orders = if machine.synced {
-            machine.due_commands(None, certain, token, io.now)
+            machine.due_commands(None, lease_live, token, io.now)
         } else {
             Vec::new()
         };
--- a/crates/controller/src/leader/liveness.rs
+++ b/crates/controller/src/leader/liveness.rs
@@ -122,7 +122,7 @@
             if !self.liveness.try_take_probe(reserve, io.now) {
                 break;
             }
-            self.probe(&id, io);
+            self.send_probe(&id, io);
         }
     }
 
@@ -137,7 +137,7 @@
         }
     }
 
-    fn probe(&mut self, id: &MachineId, io: &mut Io) {
+    fn send_probe(&mut self, id: &MachineId, io: &mut Io) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -204,7 +204,7 @@
         let sample: Vec<MachineId> = machines.into_iter().skip(first).step_by(stride).collect();
         for id in &sample {
             self.liveness.probe_budget.force_take(1.0, io.now);
-            self.probe(id, io);
+            self.send_probe(id, io);
         }
         sample
     }
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -189,20 +189,20 @@
         }
         self.poll_watch(io);
         self.look_at_shifts(types, settings, io);
-        let certain = election.is_lease_live(io.now);
+        let lease_live = election.is_lease_live(io.now);
         if let Some(event) = self.check_fleet(election, types, settings, peers, io) {
             return Some(event);
         }
         self.poll_listing(io);
         self.poll_servers(&settings.operator.counted_resources, io);
-        if certain && !types.is_empty() {
+        if lease_live && !types.is_empty() {
             self.schedule(types, settings, io);
             self.store_types_once(types, io);
         }
         self.drop_cancelled_starts(io);
         self.send_due_write(election, settings, io);
-        self.send_due_commands(certain, io);
-        if certain {
+        self.send_due_commands(lease_live, io);
+        if lease_live {
             self.look_at_books(settings, io);
         }
         None
@@ -267,19 +267,19 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<Option<ElectionEvent>> {
-        let kind = self.calls.complete(call)?;
-        Some(self.dispatch_response(kind, outcome, election, settings, io))
+        let completed = self.calls.complete(call)?;
+        Some(self.dispatch_response(completed, outcome, election, settings, io))
     }
 
     fn dispatch_response(
         &mut self,
-        kind: TermCall,
+        call: TermCall,
         outcome: &Outcome,
         election: &mut Election,
         settings: &Settings,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        match kind {
+        match call {
             TermCall::RecordsPage { sent } => {
                 return self.handle_records_page(sent, outcome, election, settings, io);
             }
@@ -301,7 +301,7 @@
             // The record watch delivers the result.
             TermCall::SubmitCluster => (),
             TermCall::Accounting(call) => self.books_answered(call, outcome, io.now),
-            TermCall::StoreMachineTypes => self.handle_types_stored(outcome),
+            TermCall::StoreMachineTypes => self.handle_store_types_response(outcome),
         }
         None
     }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -33,11 +33,11 @@
     pub(super) fn send_due_write(&mut self, election: &Election, settings: &Settings, io: &mut Io) {
         if let Some(key) = self.writer.next_reread(io.now) {
             let path = paths::key(&key);
-            let kind = TermCall::Reread {
+            let term_call = TermCall::Reread {
                 key,
                 end_notices: self.jobs.end_notices(),
             };
-            self.read_state(path, kind, io);
+            self.read_state(path, term_call, io);
             return;
         }
         if !self.writer.can_send(io.now) {
@@ -184,17 +184,17 @@
                 self.writer.token = revision;
             }
             WriteUnit::Shards {
-                shards: numbers,
-                planned_starts: planned,
-                releases: returns,
+                shards,
+                planned_starts,
+                releases,
             } => {
-                self.writer.on_shards_written(&numbers, revision);
-                for id in returns {
+                self.writer.on_shards_written(&shards, revision);
+                for id in releases {
                     if let Some(machine) = self.machines.get_mut(&id) {
                         machine.release_recorded = machine.releasing;
                     }
                 }
-                for start in planned {
+                for start in planned_starts {
                     if let Some(attempt) = self
                         .machines
                         .get_mut(&start.machine)
@@ -239,7 +239,7 @@
     }
 
     /// Handles the response to the write of the machine types.
-    pub(super) fn handle_types_stored(&mut self, outcome: &Outcome) {
+    pub(super) fn handle_store_types_response(&mut self, outcome: &Outcome) {
         self.persistence.types_stored = outcome.status() == Some(200);
     }
 
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -32,7 +32,7 @@
         &mut self,
         request: RequestId,
         heartbeat: &Heartbeat,
-        certain: bool,
+        lease_live: bool,
         io: &mut Io,
     ) -> Result<(), Superseded> {
         if heartbeat.token > self.token() {
@@ -64,7 +64,7 @@
             let orders = if is_newest {
                 machine.due_commands(
                     Some((heartbeat.agent_epoch, heartbeat.seq)),
-                    certain,
+                    lease_live,
                     token,
                     io.now,
                 )
@@ -98,7 +98,7 @@
     fn reconcile(
         &mut self,
         report: &Heartbeat,
-        absorb: fn(&mut Machine, &Heartbeat, u64, Timestamp) -> Option<Vec<Change>>,
+        apply_report: fn(&mut Machine, &Heartbeat, u64, Timestamp) -> Option<Vec<Change>>,
         io: &mut Io,
     ) -> bool {
         let id = MachineId(Arc::from(report.machine.as_str()));
@@ -115,13 +115,13 @@
             machine
         });
         let rented_at = machine.rented_at.filter(|_| machine.last_heard_at.is_none());
-        let before = machine.usability();
-        let Some(changes) = absorb(machine, report, self.first_token, io.now) else {
+        let usability_before = machine.usability();
+        let Some(changes) = apply_report(machine, report, self.first_token, io.now) else {
             return false;
         };
         // Most heartbeats bring no change and need no scheduling pass.
         self.scheduler
-            .request_pass_if(!changes.is_empty() || machine.usability() != before);
+            .request_pass_if(!changes.is_empty() || machine.usability() != usability_before);
         if let Some(rented_at) = rented_at {
             if machine.attempts.is_empty() {
                 machine.images = indigopath_image_locality::Cache::empty();
@@ -146,41 +146,38 @@
     /// Like [`Self::apply_changes`], for a machine that may have been removed: `shard` held its record.
     pub(super) fn apply_changes_from_shard(
         &mut self,
-        machine: &MachineId,
+        machine_id: &MachineId,
         shard: Option<u32>,
         changes: Vec<Change>,
         io: &mut Io,
     ) {
         for change in changes {
             match change {
-                Change::Running(task, number) => self.on_task_running(machine, &task, number, io.now),
+                Change::Running(task, number) => self.on_task_running(machine_id, &task, number, io.now),
                 Change::Exited {
                     task,
                     number,
                     cause: TaskEndCause::Done,
-                    elapsed_s: ran_s,
+                    elapsed_s,
                 } => {
                     log::debug!(
-                        "task done job={} machine={machine} task={} ran_s={ran_s:.1}",
+                        "task done job={} machine={machine_id} task={} ran_s={elapsed_s:.1}",
                         task.job,
                         task.index
                     );
                     self.note_end(&task, number, None, io.now);
-                    self.on_task_completed(machine, &task, number, io.now);
+                    self.on_task_completed(machine_id, &task, number, io.now);
                 }
                 Change::Exited {
-                    task,
-                    number,
-                    cause: why,
-                    ..
+                    task, number, cause, ..
                 } => {
-                    self.note_end(&task, number, loss_cause(why), io.now);
-                    self.on_task_failed(machine, &task, number, why, io);
+                    self.note_end(&task, number, loss_cause(cause), io.now);
+                    self.on_task_failed(machine_id, &task, number, cause, io);
                 }
                 Change::Released(task) => self.requeue(&task, io.now),
-                Change::Unrecorded(task) => self.adopt_unrecorded(machine, task),
+                Change::Unrecorded(task) => self.adopt_unrecorded(machine_id, task),
                 Change::Fetched { gb, took_ms, others } => {
-                    if let Some(machine) = self.machines.get(machine) {
+                    if let Some(machine) = self.machines.get(machine_id) {
                         self.image_locality
                             .fetched(&machine.machine_type, gb, took_ms, others);
                     }
@@ -203,14 +200,14 @@
     }
 
     /// Handles an attempt that has started to run.
-    fn on_task_running(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
+    fn on_task_running(&mut self, machine_id: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         log::debug!(
-            "task running job={} machine={machine} task={}",
+            "task running job={} machine={machine_id} task={}",
             task.job,
             task.index
         );
         self.note_run(task, number, now);
-        self.clear_machine_errors(machine);
+        self.clear_machine_errors(machine_id);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(gang) = job.gang.as_mut().filter(|gang| gang.number == number)
         {
@@ -257,9 +254,9 @@
     }
 
     /// Records a completed task as done.
-    fn on_task_completed(&mut self, machine: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
+    fn on_task_completed(&mut self, machine_id: &MachineId, task: &TaskId, number: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            self.close_attempt(machine, task, number);
+            self.mark_end_processed(machine_id, task, number);
             return;
         };
         job.failure_rounds = 0;
@@ -271,7 +268,7 @@
             Shape::Array => vec![task.index],
             // A replica runs until it is cancelled; one that ends is replaced.
             Shape::Service => {
-                self.close_attempt(machine, task, number);
+                self.mark_end_processed(machine_id, task, number);
                 self.requeue(task, now);
                 return;
             }
@@ -290,11 +287,11 @@
         }
     }
 
-    /// Marks an attempt as closed, so that its worker may forget it. Its end needs no record.
-    fn close_attempt(&mut self, machine: &MachineId, task: &TaskId, number: u64) {
+    /// Marks the end of an attempt as processed without a record, so that its worker may forget it.
+    fn mark_end_processed(&mut self, machine_id: &MachineId, task: &TaskId, number: u64) {
         if let Some(attempt) = self
             .machines
-            .get_mut(machine)
+            .get_mut(machine_id)
             .and_then(|machine| machine.attempt_mut(task, number))
         {
             attempt.end_processed = true;
@@ -310,7 +307,7 @@
         cause: TaskEndCause,
         io: &mut Io,
     ) {
-        self.close_attempt(id, task, number);
+        self.mark_end_processed(id, task, number);
         let now = io.now;
         let mut fetching = false;
         if cause == TaskEndCause::Alone {
@@ -367,18 +364,18 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let mut elsewhere = false;
+        let mut still_running = false;
         let mut any_left = false;
         let broken = job.gang.is_some_and(|gang| gang.broken);
         let grace_s = placement::grace_s(&job.spec);
         self.machines.for_each_attempt(&task.job, |machine_id, attempt| {
             any_left |= attempt.may_be_running();
-            elsewhere |= attempt.task.index == task.index && attempt.may_be_running();
+            still_running |= attempt.task.index == task.index && attempt.may_be_running();
             if broken && !attempt.exited() && attempt.stop.is_none() {
                 self.commands.request_stop(attempt, machine_id, grace_s, now);
             }
         });
-        if !elsewhere && !job.done.contains(&task.index) && task.index < job.spec.tasks {
+        if !still_running && !job.done.contains(&task.index) && task.index < job.spec.tasks {
             job.waiting.insert(task.index);
         }
         if !any_left {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -55,7 +55,7 @@
 }
 
 /// All records, once they have been read.
-struct Loaded {
+struct LoadedRecords {
     items: Vec<StoredItem>,
     first_page: FirstPage,
 }
@@ -87,14 +87,14 @@
         ))
     }
 
-    /// Adds a page. Returns all records after the last page of the last of `prefixes` prefixes.
+    /// Adds a page. Returns all records after the last page of the last prefix, number `prefix_count`.
     fn add_page(
         &mut self,
         page: Option<StoredPage>,
         asked_at: Timestamp,
-        prefixes: usize,
+        prefix_count: usize,
         now: Timestamp,
-    ) -> Option<Loaded> {
+    ) -> Option<LoadedRecords> {
         let load = self.load.as_mut()?;
         load.in_flight = false;
         let Some(page) = page else {
@@ -112,11 +112,11 @@
             load.after = None;
             load.prefix_index += 1;
         }
-        if load.prefix_index != prefixes {
+        if load.prefix_index != prefix_count {
             return None;
         }
         let load = self.load.take()?;
-        Some(Loaded {
+        Some(LoadedRecords {
             items: load.items,
             first_page: load.first_page.unwrap_or_default(),
         })
@@ -140,9 +140,9 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Option<ElectionEvent> {
-        let prefixes = LOAD_ORDER.len() - usize::from(!self.protection_windows.on());
+        let prefix_count = LOAD_ORDER.len() - usize::from(!self.protection_windows.on());
         let page = outcome.read::<StoredPage>(&[200]);
-        let loaded = self.recovery.add_page(page, sent, prefixes, io.now)?;
+        let loaded = self.recovery.add_page(page, sent, prefix_count, io.now)?;
         if let Err(error) = self.adopt_records(loaded, settings, io) {
             // The records may contain starts that this version cannot read.
             log::error!("leadership declined: {error}");
@@ -156,7 +156,12 @@
         None
     }
 
-    fn adopt_records(&mut self, loaded: Loaded, settings: &Settings, io: &mut Io) -> Result<(), RecordError> {
+    fn adopt_records(
+        &mut self,
+        loaded: LoadedRecords,
+        settings: &Settings,
+        io: &mut Io,
+    ) -> Result<(), RecordError> {
         self.watch.begin_at(loaded.first_page.revision);
         for item in loaded.items {
             match self.adopt_record(&item, settings, io) {
@@ -212,7 +217,7 @@
         } else if item.key.starts_with(records::JOB_PREFIX) {
             self.adopt_job(item, io)
         } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &item.key) {
-            self.adopt_done(number, item)
+            self.adopt_completed_tasks(number, item)
         } else if let Some(number) = records::parse_numbered_key(records::SHARD_PREFIX, &item.key) {
             self.adopt_shard(number, item, settings, io)
         } else if let Some(number) =
@@ -237,14 +242,14 @@
     }
 
     /// Restores which tasks are done, from a record shared by several jobs.
-    fn adopt_done(&mut self, number: u32, item: &StoredItem) -> Result<(), RecordError> {
+    fn adopt_completed_tasks(&mut self, number: u32, item: &StoredItem) -> Result<(), RecordError> {
         self.writer.load_completed_tasks_version(number, item.version);
         for (name, bitmap) in CompletedTasksRecord::from_value(&item.value)?.0 {
-            let Some((job, chunk)) = records::parse_chunk_key(&name) else {
+            let Some((job_id, chunk)) = records::parse_chunk_key(&name) else {
                 continue;
             };
             // The record may still contain jobs that have ended.
-            let Some(live) = self.jobs.get_mut(job) else {
+            let Some(job) = self.jobs.get_mut(job_id) else {
                 continue;
             };
             // Many jobs share a record: an unreadable part must not cost the other jobs their results.
@@ -253,14 +258,14 @@
                 log::error!("record part ignored part={name} key={}: {error}", item.key);
                 continue;
             }
-            live.done.append(&mut done);
-            live.done.split_off(&live.spec.tasks);
-            live.waiting.retain(|task| !live.done.contains(task));
-            let id = live.spec.id.clone();
-            if live.is_complete() {
+            job.done.append(&mut done);
+            job.done.split_off(&job.spec.tasks);
+            job.waiting.retain(|task| !job.done.contains(task));
+            let id = job.spec.id.clone();
+            if job.is_complete() {
                 self.writer.jobs_to_finish.insert(id.clone());
             }
-            let bytes = records::max_chunk_bytes(live.spec.tasks);
+            let bytes = records::max_chunk_bytes(job.spec.tasks);
             self.writer.assign_chunk((id, chunk), bytes, number);
         }
         Ok(())
@@ -291,12 +296,13 @@
         let recorded: u64 = recorded
             .map(|LingerEntry(_, _, units, _)| u64::from(*units))
             .sum();
-        let left: u64 = lingers.iter().map(|linger| u64::from(linger.units)).sum();
-        let spent = left < recorded;
-        self.writer.load_lingers(number, item.version, lingers, spent);
-        let clock_off_ms = settings.deployment.clock_skew_ms as u64;
+        let remaining: u64 = lingers.iter().map(|linger| u64::from(linger.units)).sum();
+        let some_expired = remaining < recorded;
+        self.writer
+            .load_lingers(number, item.version, lingers, some_expired);
+        let clock_skew_ms = settings.deployment.clock_skew_ms as u64;
         for released in shard.released() {
-            self.adopt_released(number, released, clock_off_ms, io);
+            self.adopt_released(number, released, clock_skew_ms, io);
         }
         for record in shard.machines()? {
             let mut machine = Machine::from_record(&record, io.now);
