--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -121,7 +121,7 @@
         let mut idle_surplus = IdleSurplus {
             now,
             idle_ms: (settings.operator.idle_return_s * SECOND_MS as f64) as u64,
-            image_holders: self.kept_for_weights(types, settings),
+            image_holders: self.machines_kept_for_images(types, settings),
             wanted: &self.autoscaler.wanted,
             idle_by_kind: self.idle_by_kind(),
         };
@@ -138,7 +138,7 @@
                 && machine.synced
                 && machine.is_empty()
                 && !idle_surplus.image_holders.contains(&machine.id)
-                && !self.protection_windows.kept.contains_key(&machine.id)
+                && !self.protection_windows.reserved.contains_key(&machine.id)
                 && idle_surplus.select(machine);
             let unusable = machine.is_up()
                 && machine.is_empty()
@@ -180,11 +180,11 @@
         machine.releasing = true;
         machine.release_recorded = false;
         self.writer.queue_machine(machine);
-        self.image_locality.goes(machine, settings);
+        self.image_locality.on_machine_releasing(machine, settings);
         if !std::mem::replace(&mut machine.release_logged, true) {
             log::info!("scale-in requested machine={id}: {}", reason.text());
             if reason == ScaleInReason::Unreachable {
-                self.image_locality.lost();
+                self.image_locality.on_machine_lost();
             }
         }
     }
@@ -267,7 +267,7 @@
                 self.writer.remove_machine(&machine);
                 let changes = machine.clear();
                 self.apply_changes_from_shard(&id, machine.shard, changes, io);
-                self.remember_clients(&machine);
+                self.remember_licence_clients(&machine);
                 self.scheduler.request_pass();
             }
             return;
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -37,11 +37,11 @@
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
 use crate::storage::batch_writer::BatchWriter;
-use accounting::TermBooks;
+use accounting::Accounting;
 use autoscaling::Autoscaler;
 use buffered_heartbeats::BufferedHeartbeats;
 use calls::TermCall;
-use counted_resources::Counted;
+use counted_resources::CountedResources;
 use demand_forecast::DemandForecast;
 use direct_commands::CommandQueue;
 use job_table::JobTable;
@@ -50,14 +50,14 @@
 use one_way_partition::OneWayPartition;
 use partition_detection::PartitionDetector;
 use persistence::Persistence;
-use protection_windows::Shifts;
+use protection_windows::ProtectionWindows;
 use record_watch::RecordWatch;
 use recovery::Recovery;
 use scheduling_pass::Scheduler;
-use submit_clusters::Clusters;
+use submit_clusters::SubmitClusters;
 use zone_health::ZoneHealth;
 
-pub use image_locality::Weights;
+pub use image_locality::ImageLocality;
 
 /// A worker has seen a newer fencing token, so this term is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -102,11 +102,11 @@
     scheduler: Scheduler,
     forecast: DemandForecast,
     autoscaler: Autoscaler,
-    counted_resources: Counted,
-    protection_windows: Shifts,
-    submit_clusters: Clusters,
-    image_locality: Weights,
-    accounting: TermBooks,
+    counted_resources: CountedResources,
+    protection_windows: ProtectionWindows,
+    submit_clusters: SubmitClusters,
+    image_locality: ImageLocality,
+    accounting: Accounting,
 }
 
 impl LeaderTerm {
@@ -132,11 +132,11 @@
             scheduler: Scheduler::new(token),
             forecast: DemandForecast::default(),
             autoscaler: Autoscaler::new(),
-            counted_resources: Counted::new(&settings.operator.counted_resources),
-            protection_windows: Shifts::new(settings),
-            submit_clusters: Clusters::default(),
-            image_locality: Weights::default(),
-            accounting: TermBooks::new(settings),
+            counted_resources: CountedResources::new(&settings.operator.counted_resources),
+            protection_windows: ProtectionWindows::new(settings),
+            submit_clusters: SubmitClusters::default(),
+            image_locality: ImageLocality::default(),
+            accounting: Accounting::new(settings),
         }
     }
 
@@ -188,13 +188,13 @@
             return Some(event);
         }
         self.poll_watch(io);
-        self.look_at_shifts(types, settings, io);
+        self.update_protection_windows(types, settings, io);
         let lease_live = election.is_lease_live(io.now);
         if let Some(event) = self.check_fleet(election, types, settings, peers, io) {
             return Some(event);
         }
         self.poll_listing(io);
-        self.poll_servers(&settings.operator.counted_resources, io);
+        self.poll_licence_servers(&settings.operator.counted_resources, io);
         if lease_live && !types.is_empty() {
             self.schedule(types, settings, io);
             self.store_types_once(types, io);
@@ -203,7 +203,7 @@
         self.send_due_write(election, settings, io);
         self.send_due_commands(lease_live, io);
         if lease_live {
-            self.look_at_books(settings, io);
+            self.update_accounting(settings, io);
         }
         None
     }
@@ -252,8 +252,8 @@
             self.size_fleet(types, settings, io);
         }
         self.forecast_when_due(types, settings, io);
-        self.look_at_counts(&settings.operator.counted_resources, io);
-        self.look_at_clusters(settings, io);
+        self.update_count_warnings(&settings.operator.counted_resources, io);
+        self.update_submit_clusters(settings, io);
         self.send_scale_out_requests(io);
     }
 
@@ -283,7 +283,7 @@
             TermCall::RecordsPage { sent } => {
                 return self.handle_records_page(sent, outcome, election, settings, io);
             }
-            TermCall::Watch { sent } => return self.watched(sent, outcome, election, io),
+            TermCall::Watch { sent } => return self.handle_watch_response(sent, outcome, election, io),
             TermCall::Transaction => return self.handle_transaction_response(outcome, election, io),
             TermCall::Reread { key, end_notices } => {
                 return self.handle_reread(key, end_notices, outcome, election, io);
@@ -296,11 +296,11 @@
             TermCall::Launch { request } => self.handle_launch_response(&request, outcome, io),
             TermCall::Release { machines, sent } => self.handle_release_response(machines, sent, outcome, io),
             TermCall::LicenceUsage { server } => {
-                self.licences_told(server, outcome, &settings.operator.counted_resources, io.now);
+                self.handle_licence_response(server, outcome, &settings.operator.counted_resources, io.now);
             }
             // The record watch delivers the result.
             TermCall::SubmitCluster => (),
-            TermCall::Accounting(call) => self.books_answered(call, outcome, io.now),
+            TermCall::Accounting(call) => self.handle_accounting_response(call, outcome, io.now),
             TermCall::StoreMachineTypes => self.handle_store_types_response(outcome),
         }
         None
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -53,7 +53,7 @@
             self.transact(body, TermCall::Transaction, io);
             return;
         }
-        self.queue_shifts(io.now);
+        self.queue_protection_windows(io.now);
         let max_ops = settings
             .deployment
             .state
@@ -125,7 +125,7 @@
             return None;
         }
         self.writer.requeue(&units, io.now);
-        self.protection_windows.failed(&units);
+        self.protection_windows.on_write_failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
                 let failed_keys = outcome
@@ -171,7 +171,7 @@
         match key.strip_prefix(records::JOB_PREFIX) {
             // Another controller cancelled the job. Only jobs of a submitted cluster can change before
             // they end, when they are held or released.
-            Some(job) if !self.may_change(job) => self.job_over(&JobId(Arc::from(job)), now),
+            Some(job) if !self.job_record_may_change(job) => self.on_job_ended(&JobId(Arc::from(job)), now),
             _ => self.writer.queue_reread(key),
         }
     }
@@ -224,7 +224,7 @@
             }
             WriteUnit::ProtectionWindows { number, deleted } => {
                 self.protection_windows
-                    .ledger
+                    .window_state
                     .written(number, if deleted { 0 } else { revision });
             }
             WriteUnit::ObsoleteKey { .. } => (),
@@ -269,7 +269,7 @@
         }
         let team = self.jobs.get(&job).map_or("", |job| &job.spec.team);
         let team = Team::named(team);
-        self.job_over(&job, now);
+        self.on_job_ended(&job, now);
         self.writer.recently_finished.push((job, team));
     }
 
@@ -302,10 +302,10 @@
         } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
             match spec {
-                _ if version == 0 => self.job_over(&JobId(Arc::from(job)), io.now),
+                _ if version == 0 => self.on_job_ended(&JobId(Arc::from(job)), io.now),
                 Some(Ok(spec)) => {
                     let job = spec.id.clone();
-                    self.job_accepted(spec, version, io);
+                    self.on_job_accepted(spec, version, io);
                     self.on_job_reread(&job, end_notices);
                 }
                 Some(Err(error)) => log::error!("record ignored key={key}: {error}"),
@@ -316,7 +316,7 @@
         } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &key) {
             self.writer.set_completed_tasks_version(number, version);
         } else if let Some(number) = records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &key) {
-            self.protection_windows.ledger.found(number, version);
+            self.protection_windows.window_state.found(number, version);
         }
         None
     }
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -383,29 +383,30 @@
             match feeds.get(pool.name).map(|feed| feed.state(now)) {
                 Some(FeedState::Fresh(usage)) => {
                     pool.units = pool.units.min(usage.total);
-                    let ours = pool.held.saturating_add(pool.lingering);
-                    pool.external = usage.external_seats(&is_ours, ours);
+                    let held = pool.held.saturating_add(pool.lingering);
+                    pool.external = usage.external_seats(&is_ours, held);
                 }
                 Some(FeedState::Silent) | None => pool.closed = Some(ClosedReason::Silent),
             }
         }
     }
 
+    /// Index of the pool of a counted resource, which is created if there is none.
     fn pool(&mut self, name: &'a str, definition: Option<&'a Definition>) -> usize {
         if let Some(index) = self.index.get(name) {
             return *index;
         }
-        /// The pools of all counted resources, whether defined or only held.
         self.pools.push(Pool::new(name, definition));
         self.index.insert(name, self.pools.len() - 1);
         self.pools.len() - 1
     }
-    /// The pool of one counted resource.
 
+    /// The pools of all counted resources, whether defined or only held.
     pub fn pools(&self) -> impl Iterator<Item = &Pool<'a>> {
         self.pools.iter()
     }
 
+    /// The pool of one counted resource.
     pub fn get(&self, count: &str) -> Option<&Pool<'a>> {
         self.index.get(count).map(|index| &self.pools[*index])
     }
@@ -458,7 +459,7 @@
     }
 
     /// As [`UnitLedger::startable_tasks`], for a demand of a single counted resource.
-    pub fn startable_tasks_of(
+    pub fn available_of(
         &self,
         single: SingleCount,
         max_tasks: u32,
@@ -480,7 +481,7 @@
     }
 
     /// As [`UnitLedger::promise`], for a demand of a single counted resource.
-    pub fn promise_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
+    pub fn available_later_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
         let pool = &mut self.pools[single.index as usize];
         let count = max_tasks.min(pool.unpromised() / single.units.max(1));
         pool.promised += single.units * count;
@@ -488,7 +489,7 @@
     }
 
     /// How many of at most `max_tasks` tasks can get their units now.
-    pub fn startable_tasks(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
+    pub fn available(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
         let mut room = max_tasks;
         for (name, units) in demand.iter() {
             let open = self.get(name).map_or(0, |pool| pool.available_to(|| *requester));
@@ -499,7 +500,7 @@
 
     /// How many of at most `max_tasks` tasks that lack machines would have units once machines are
     /// available. These units are not promised again in this pass.
-    pub fn promise(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
+    pub fn available_later(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
         let mut count = max_tasks;
         for (name, units) in demand.iter() {
             let open = self.get(name).map_or(0, Pool::unpromised);
