--- a/crates/controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/controller/src/leader/autoscaling/scale_out.rs
@@ -181,7 +181,8 @@
                 continue;
             };
             let mut free = known_type.resources();
-            if let Some(reserved) = machine.and_then(|machine| self.protection_windows.reserved.get(machine)) {
+            if let Some(reserved) = machine.and_then(|machine| self.protection_windows.reserved.get(machine))
+            {
                 free -= *reserved;
             }
             for _ in 0..count {
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -129,7 +129,8 @@
         }
         let lingering = self.counted_resources.lingers.iter().filter(|linger| {
             now < linger.until
-                && requesting_team.is_none_or(|team| authorization::is_same_team(&linger.team, team, settings))
+                && requesting_team
+                    .is_none_or(|team| authorization::is_same_team(&linger.team, team, settings))
         });
         holders.extend(lingering.map(|linger| Holder {
             count: linger.count.to_string(),
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -87,7 +87,7 @@
         ))
     }
 
-    /// Adds a page. Returns all records after the last page of the last prefix, number `prefix_count`.
+    /// Adds a page. Returns all records once `prefix_count` prefixes have been read.
     fn add_page(
         &mut self,
         page: Option<StoredPage>,
