--- a/crates/controller/src/leader/counted_resources.rs
+++ b/crates/controller/src/leader/counted_resources.rs
@@ -247,11 +247,11 @@
     ) {
         let text = match outcome {
             Outcome::Answer { status: 200, body } if body.len() <= MAX_SERVER_ANSWER_BYTES => {
-                std::str::from_utf8(body).map_err(|_| "its answer is not valid UTF-8".to_owned())
+                std::str::from_utf8(body).map_err(|_| "its answer is no text".to_owned())
             }
             Outcome::Answer { status: 200, .. } => Err("its answer is too long".to_owned()),
-            Outcome::Answer { status, .. } => Err(format!("it answers with status {status}")),
-            Outcome::NotSent => Err("the request could not be sent".to_owned()),
+            Outcome::Answer { status, .. } => Err(format!("it answers {status}")),
+            Outcome::NotSent => Err("nobody listens there".to_owned()),
             Outcome::NoAnswer => Err("it does not answer".to_owned()),
         };
         for (name, feed) in &mut self.counted_resources.feeds {
@@ -300,7 +300,7 @@
                         name.clone(),
                         CountProblem::Silent,
                         format!(
-                            "its licence server {} reports no usage: no units are allocated, and {waiting} tasks wait",
+                            "its licence server {} is silent: nothing new starts on it, and {waiting} tasks wait",
                             server.map_or_else(String::new, |server| server.to_string()),
                         ),
                     ));
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -208,7 +208,7 @@
         } else if job.parked {
             "its cluster is not accepted yet".to_owned()
         } else if now < job.backoff_until {
-            "it failed on several machines and is retried later".to_owned()
+            "it failed on several machines and is tried again in a while".to_owned()
         } else if needs_machines {
             "it has its units and waits for machines".to_owned()
         } else {
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -97,8 +97,8 @@
             .adopt(number, &item.value.to_string(), item.version);
         if let Err(problem) = read {
             let text = format!(
-                "protection windows: record {} is not changed, {problem}: until it can be read or is deleted, \
-                 windows follow this node's clock alone, and the order of services is not recorded",
+                "shifts: record {} is left unchanged, {problem}: until it can be read or is deleted, \
+                 windows follow this node's clock alone, and services have no recorded order",
                 item.key
             );
             io.effects.push(Effect::Warning(text));
@@ -185,19 +185,19 @@
                 return;
             }
             Event::ClockOff { by_ms } => format!(
-                "protection windows: this node's clock is {by_ms} ms behind the clock under which the record was \
-                 written, more than deployment.skew_ms allows: recorded windows are not changed"
+                "shifts: this node's clock is {by_ms} ms behind the clock under which the record was \
+                 written, more than deployment.skew_ms allows: recorded windows stay as they are"
             ),
             Event::NotInSettings { shift, closes_ms } => format!(
                 "shift={shift} is recorded as open but is not in this node's settings: recorded services stay \
                  protected until {closes_ms} ms, and no others"
             ),
             Event::TooLarge { most } => format!(
-                "protection windows: they do not fit into a value of {most} bytes: they are not recorded, and \
+                "shifts: they do not fit into a value of {most} bytes: they are not recorded, and \
                  follow each leader's clock"
             ),
             Event::Unplaced { services } => format!(
-                "protection windows: {services} services are protected without a recorded place: there are too many"
+                "shifts: {services} services are protected without a recorded place: there are too many"
             ),
         };
         io.effects.push(Effect::Warning(warning));
@@ -227,7 +227,7 @@
                 && !std::mem::replace(&mut self.protection_windows.warned_unplaced, true)
             {
                 warning = Some(format!(
-                    "protection windows: {unplaced_replicas} protected replicas cannot be placed: the cloud has too few \
+                    "shifts: {unplaced_replicas} protected replicas lack machines: the cloud has too few \
                      machines for them, or their teams may use no more"
                 ));
             }
@@ -241,7 +241,7 @@
             && !std::mem::replace(&mut self.protection_windows.warned_large, true)
         {
             warning = Some(format!(
-                "protection windows: protected services fill {machines:.0} of at most {fleet_max} machines: \
+                "shifts: protected services fill {machines:.0} of at most {fleet_max} machines: \
                  meanwhile other classes may get less than half of their demand"
             ));
         }
--- a/crates/counted_resources/src/demand.rs
+++ b/crates/counted_resources/src/demand.rs
@@ -20,7 +20,7 @@
 pub enum DemandError {
     #[error("Counts names more than {MAX_DEMAND} counts")]
     TooManyCounts,
-    #[error("Counts contains an invalid name")]
+    #[error("Counts holds a name that no count can have")]
     InvalidName,
     #[error("Counts.{0} is out of range")]
     UnitsOutOfRange(Name),
--- a/crates/counted_resources/src/licence.rs
+++ b/crates/counted_resources/src/licence.rs
@@ -33,7 +33,7 @@
 /// Why an answer contains no usage of a feature.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum UsageParseError {
-    #[error("it does not list the feature")]
+    #[error("it does not name the feature")]
     Absent,
     #[error("it has no total for the feature: {0}")]
     NoTotal(&'static str),
@@ -76,7 +76,7 @@
             let Some(totals) = is_total.captures(&found[2]) else {
                 let uncounted = found[2].contains("ncounted");
                 return Err(UsageParseError::NoTotal(if uncounted {
-                    "the licence is uncounted"
+                    "its seats are not counted"
                 } else {
                     "the vendor daemon is down or refuses"
                 }));
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -41,10 +41,10 @@
     pub fn text(self) -> &'static str {
         match self {
             ShortageReason::Held => "all are held",
-            ShortageReason::Lingering => "some linger after attempts that did not exit on their own",
-            ShortageReason::External => "clients outside the cluster hold them",
-            ShortageReason::Reserved => "free units are reserved for an older, larger request",
-            ShortageReason::Oversubscribed => "more units are in use than exist",
+            ShortageReason::Lingering => "some linger after attempts that did not end by themselves",
+            ShortageReason::External => "users outside hold them",
+            ShortageReason::Reserved => "what is free is kept for an older, larger request",
+            ShortageReason::Oversubscribed => "more is held than there is",
             ShortageReason::Silent => "its licence server is silent",
             ShortageReason::Undefined => "no count of that name is defined any more",
         }
