--- a/crates/controller/src/election/follower.rs
+++ b/crates/controller/src/election/follower.rs
@@ -65,12 +65,12 @@
     /// it.
     pub(super) fn watch_key(&mut self, io: &mut Io) {
         let left_ms = |since: Timestamp| (since + ELECTION_BACKOFF_VACANT_MS).saturating_sub(io.now);
-        let hold_ms = self
+        let long_poll_ms = self
             .vacant_since
             .map_or(WATCH_LONG_POLL_MS, left_ms)
             .min(WATCH_LONG_POLL_MS);
-        let path = paths::watch(LEADER_KEY, self.revision, hold_ms);
-        let call = io.state_call(Method::Get, path, Vec::new(), hold_ms + WATCH_SLACK_MS);
+        let path = paths::watch(LEADER_KEY, self.revision, long_poll_ms);
+        let call = io.state_call(Method::Get, path, Vec::new(), long_poll_ms + WATCH_SLACK_MS);
         self.calls.insert(call, PendingCall::WatchKey);
     }
 
