--- a/crates/controller/src/leader/direct_commands.rs
+++ b/crates/controller/src/leader/direct_commands.rs
@@ -119,12 +119,12 @@
             return;
         };
         let Some(addr) = machine.addr.clone() else { return };
-        let orders = if machine.synced {
+        let commands = if machine.synced {
             machine.due_commands(None, lease_live, token, io.now)
         } else {
             Vec::new()
         };
-        if orders.is_empty() && !fencing_probe {
+        if commands.is_empty() && !fencing_probe {
             return;
         }
         machine.direct_command_in_flight = true;
@@ -138,7 +138,7 @@
         let body = json(&DirectCommands {
             token,
             agent_epoch,
-            commands: orders,
+            commands,
         });
         let call = io.call(
             FencedDestination::Worker(addr),
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -61,7 +61,7 @@
             machine.record_answered_report(heartbeat, io.now);
             // A heartbeat that is older than the response to a direct command still renews the lease, so
             // its reply carries stop commands. Its contents must have no other effect.
-            let orders = if is_newest {
+            let commands = if is_newest {
                 machine.due_commands(
                     Some((heartbeat.agent_epoch, heartbeat.seq)),
                     lease_live,
@@ -71,14 +71,7 @@
             } else {
                 machine.stop_commands(io.now)
             };
-            io.reply(
-                request,
-                200,
-                &HeartbeatResponse {
-                    token,
-                    commands: orders,
-                },
-            );
+            io.reply(request, 200, &HeartbeatResponse { token, commands });
         }
         Ok(())
     }
@@ -114,7 +107,7 @@
             machine.unconfirmed = true;
             machine
         });
-        let rented_at = machine.launched_at.filter(|_| machine.last_heard_at.is_none());
+        let launched_at = machine.launched_at.filter(|_| machine.last_heard_at.is_none());
         let usability_before = machine.usability();
         let Some(changes) = apply_report(machine, report, self.first_token, io.now) else {
             return false;
@@ -122,13 +115,13 @@
         // Most heartbeats bring no change and need no scheduling pass.
         self.scheduler
             .request_pass_if(!changes.is_empty() || machine.usability() != usability_before);
-        if let Some(rented_at) = rented_at {
+        if let Some(launched_at) = launched_at {
             if machine.attempts.is_empty() {
                 machine.images = indigopath_image_locality::Cache::empty();
             }
             // Only machines that this leader launched show how long a boot takes: the start of the
             // others is unknown.
-            let took_s = (io.now - rented_at) as f64 / SECOND_MS as f64;
+            let took_s = (io.now - launched_at) as f64 / SECOND_MS as f64;
             self.autoscaler.record_boot_time(&machine.machine_type, took_s);
             log::info!("machine ready machine={id} boot_s={took_s:.1}");
         }
