--- a/crates/controller/src/scheduling/objective_forecast.rs
+++ b/crates/controller/src/scheduling/objective_forecast.rs
@@ -295,7 +295,7 @@
                 None => "machines".to_owned(),
             };
             io.effects.push(Effect::Warning(format!(
-                "class={class} has {count} large jobs that have not started after {} s; the oldest is \
+                "class={class} has {count} of its larger jobs that have not started after {} s; the oldest is \
                  job={id}, {:.0} s old: {} tasks of {} CPUs and {} GPUs{}, waiting for {reason}",
                 LARGE_JOB_WARNING_AFTER_MS / SECOND_MS,
                 oldest.age_ms(io.now) as f64 / SECOND_MS as f64,
