--- a/crates/controller/src/leader/buffered_heartbeats.rs
+++ b/crates/controller/src/leader/buffered_heartbeats.rs
@@ -71,7 +71,7 @@
 
 /// Rejects a heartbeat, so that its worker tries another controller.
 pub(super) fn reject(request: RequestId, io: &mut Io) {
-    io.reply_error(request, 503, "this node does not know which jobs have ended");
+    io.reply_error(request, 503, "which jobs are over is not known here");
 }
 
 #[cfg(test)]
--- a/crates/controller/src/leader/reconciliation.rs
+++ b/crates/controller/src/leader/reconciliation.rs
@@ -41,7 +41,7 @@
         let id = MachineId(Arc::from(heartbeat.machine.as_str()));
         if self.machines.is_recently_released(&id) {
             // Sent before the release; no worker waits for the reply.
-            io.reply_error(request, 503, "this machine has been released");
+            io.reply_error(request, 503, "this machine is gone");
             return Ok(());
         }
         if !self.recovery.is_complete() {
