--- a/crates/controller/src/allocations/attempt.rs
+++ b/crates/controller/src/allocations/attempt.rs
@@ -113,9 +113,9 @@
 }
 
 /// Whether a task can only have ended this way after its image was fetched.
-pub(super) fn proves_image(why: Option<TaskEndCause>) -> bool {
+pub(super) fn proves_image(cause: Option<TaskEndCause>) -> bool {
     matches!(
-        why,
+        cause,
         Some(TaskEndCause::Done | TaskEndCause::Error | TaskEndCause::Alone | TaskEndCause::Peers)
     )
 }
--- a/crates/controller/src/allocations/commands.rs
+++ b/crates/controller/src/allocations/commands.rs
@@ -39,9 +39,9 @@
     }
 
     /// A command to the worker about this attempt.
-    fn command(&self, verb: CommandKind, grace_s: Option<f64>) -> WorkerCommand {
+    fn command(&self, kind: CommandKind, grace_s: Option<f64>) -> WorkerCommand {
         WorkerCommand {
-            kind: verb,
+            kind,
             task: self.task.to_string(),
             attempt: self.number,
             grace_s,
--- a/crates/controller/src/allocations/reconciliation.rs
+++ b/crates/controller/src/allocations/reconciliation.rs
@@ -406,12 +406,12 @@
                 changes.push(Change::Running(self.task.clone(), self.number));
             }
             TaskState::Exited if before != Some(TaskState::Exited) => {
-                let why = reported.cause.unwrap_or(TaskEndCause::Other);
-                self.exit_cause = Some(why);
+                let cause = reported.cause.unwrap_or(TaskEndCause::Other);
+                self.exit_cause = Some(cause);
                 changes.push(Change::Exited {
                     task: self.task.clone(),
                     number: self.number,
-                    cause: why,
+                    cause,
                     elapsed_s: self.elapsed_s(now),
                 });
             }
--- a/crates/controller/src/allocations/tests.rs
+++ b/crates/controller/src/allocations/tests.rs
@@ -335,23 +335,23 @@
 
 #[test]
 fn units_are_free_at_once_only_after_a_task_reports_its_end() {
-    let done = |why| {
+    let done = |cause| {
         let mut machine = machine(|attempt| attempt.counts = seat());
         machine.due_commands(Some((1, 0)), true, TOKEN, 0);
         let mut exit = report(1, 1, TOKEN, Some(TaskState::Exited));
-        exit.tasks[0].cause = Some(why);
+        exit.tasks[0].cause = Some(cause);
         freed(machine.apply_heartbeat(&exit, TOKEN, 0).unwrap())
     };
     assert_eq!(done(TaskEndCause::Done), [false]);
     assert_eq!(done(TaskEndCause::NoRoom), [false], "it was never admitted");
-    for why in [
+    for cause in [
         TaskEndCause::Stopped,
         TaskEndCause::Error,
         TaskEndCause::Alone,
         TaskEndCause::Peers,
         TaskEndCause::Other,
     ] {
-        assert_eq!(done(why), [true], "{why:?}");
+        assert_eq!(done(cause), [true], "{cause:?}");
     }
     let mut machine = machine(|attempt| attempt.counts = seat());
     assert_eq!(freed(machine.clear()), [false], "nothing was ever sent");
--- a/crates/controller/src/election/mod.rs
+++ b/crates/controller/src/election/mod.rs
@@ -194,21 +194,21 @@
     }
 
     /// Steps down because another node holds a higher token, or a transaction showed it.
-    pub fn depose(&mut self, why: &str) -> Option<ElectionEvent> {
-        self.leadership.is_some().then(|| self.step_down(why))
+    pub fn depose(&mut self, reason: &str) -> Option<ElectionEvent> {
+        self.leadership.is_some().then(|| self.step_down(reason))
     }
 
     /// Releases leadership for others to take, and backs off for a while.
-    pub fn hand_over(&mut self, why: &str, io: &mut Io) -> Option<ElectionEvent> {
+    pub fn hand_over(&mut self, reason: &str, io: &mut Io) -> Option<ElectionEvent> {
         let lease = self.lease()?;
         self.release(lease, PendingCall::ReleaseLease, io);
         self.back_off_until = io.now + ELECTION_BACKOFF_MS;
-        Some(self.step_down(why))
+        Some(self.step_down(reason))
     }
 
-    fn step_down(&mut self, why: &str) -> ElectionEvent {
+    fn step_down(&mut self, reason: &str) -> ElectionEvent {
         let token = self.token().unwrap_or(0);
-        log::info!("leader deposed token={token}: {why}");
+        log::info!("leader deposed token={token}: {reason}");
         self.leadership = None;
         self.known_leader = None;
         self.call_in_flight = false;
--- a/crates/controller/src/storage/records/machine_shard/stored.rs
+++ b/crates/controller/src/storage/records/machine_shard/stored.rs
@@ -59,7 +59,7 @@
     pub(super) starts: Vec<StartEntry>,
 }
 
-/// Name, type, zone, spot, returning, address, images, starts.
+/// Name, type, zone, spot, releasing, address, images, starts.
 type MachineArray = (
     Arc<str>,
     usize,
@@ -72,13 +72,13 @@
 );
 
 impl From<MachineArray> for MachineEntry {
-    fn from((name, machine_type, zone, spot, returning, addr, images, starts): MachineArray) -> MachineEntry {
+    fn from((name, machine_type, zone, spot, releasing, addr, images, starts): MachineArray) -> MachineEntry {
         MachineEntry {
             name,
             machine_type,
             zone,
             spot,
-            releasing: returning,
+            releasing,
             addr,
             images,
             starts,
