--- a/crates/controller/src/leader/buffered_heartbeats/tests.rs
+++ b/crates/controller/src/leader/buffered_heartbeats/tests.rs
@@ -54,8 +54,8 @@
     let mut io = io(1_000);
     let mut buffer = BufferedHeartbeats::default();
     let tasks = 99;
-    let most = BUFFERED_HEARTBEATS / (1 + tasks);
-    for request in 0..most {
+    let capacity = BUFFERED_HEARTBEATS / (1 + tasks);
+    for request in 0..capacity {
         buffer.push(RequestId(request as u64), &heartbeat(tasks), &mut io);
     }
     assert!(take_rejected(&mut io).is_empty());
