--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -661,7 +661,7 @@
     fn set_machine_types(&mut self, list: protocol::MachineTypeList) {
         let machine_types: Vec<MachineType> = list.types.into_iter().filter(has_valid_amounts).collect();
         if machine_types.is_empty() {
-            log::error!("machine types rejected: the cloud names none that can be used");
+            log::error!("machine types rejected: the cloud offers no usable type");
             return;
         }
         self.machine_types = machine_types
@@ -763,7 +763,7 @@
                 }
                 if heartbeat.leads
                     && self.election.token().is_some_and(|own| heartbeat.token > own)
-                    && let Some(event) = self.election.depose("a sibling leads with a higher token")
+                    && let Some(event) = self.election.depose("a peer leads with a higher token")
                 {
                     self.on_election_event(event);
                 }
