--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -194,7 +194,7 @@
 
     /// Does what is due after a batch of commands or at a timer tick.
     pub fn run_due_work(&mut self) {
-        if let Some(event) = self.election.poll(&mut self.io) {
+        if let Some(event) = self.election.run_due_work(&mut self.io) {
             self.on_election_event(event);
         }
         match self.election.held_lease() {
@@ -220,7 +220,7 @@
                 peers,
                 &mut self.io,
             );
-            for (count, waited_s) in term.take_waits() {
+            for (count, waited_s) in term.take_unit_waits() {
                 self.metrics.observe_count_wait(&count, waited_s);
             }
             for (job, team) in std::mem::take(&mut term.writer.recently_finished) {
@@ -344,7 +344,7 @@
                     .reply_retry_later(request, RETRY_AFTER_S, "the records are being read");
             }
             Some(term) => {
-                let jobs = term.queue(requester, &self.settings, self.io.now);
+                let jobs = term.submitted_queue(requester, &self.settings, self.io.now);
                 self.io.reply(request, 200, &condor::QueueList { jobs });
             }
         }
@@ -492,18 +492,18 @@
                 let throttled = self.job_api.throttled();
                 throttled.map(|(team, count)| (team.clone(), count)).collect()
             },
-            accounting: self.term.as_ref().map(|term| term.book_standing(now)),
+            accounting: self.term.as_ref().map(|term| term.accounting_gauges(now)),
             served_shares: self.term.as_ref().map_or_else(Vec::new, |term| {
-                let shares = term.shares();
+                let shares = term.demand_shares();
                 shares
-                    .map(|(owner, share)| (owner.clone(), share.part()))
+                    .map(|(owner, share)| (owner.clone(), share.served_fraction()))
                     .collect()
             }),
             protection_windows: self
                 .term
                 .as_ref()
-                .map_or_else(Vec::new, |term| term.shifts(self.io.wall_ms)),
-            spare_replicas: self.term.as_ref().map_or((0, 0), LeaderTerm::spare),
+                .map_or_else(Vec::new, |term| term.protection_window_status(self.io.wall_ms)),
+            spare_replicas: self.term.as_ref().map_or((0, 0), LeaderTerm::spare_replicas),
         };
         match self.metrics.encode(&gauges) {
             Ok(text) => self
@@ -616,12 +616,12 @@
                 // A peer may be about to answer that the job does not exist.
                 self.broadcast(&Frame::JobChanged { job: spec.id.clone() });
                 if let Some(term) = &mut self.term {
-                    term.job_accepted(*spec, version, &self.io);
+                    term.on_job_accepted(*spec, version, &self.io);
                 }
             }
             Some(RequestOutcome::Cancelled(job)) => {
                 if let Some(term) = &mut self.term {
-                    term.job_over(&job, self.io.now);
+                    term.on_job_ended(&job, self.io.now);
                 }
             }
             None => (),
@@ -782,7 +782,7 @@
                 // Before the acknowledgement, after which the user sees the end: no task of the job may start
                 // from then on.
                 if let Some(term) = &mut self.term {
-                    term.ended_elsewhere(&job);
+                    term.on_job_ended_elsewhere(&job);
                 }
                 // Only a recorded notice is acknowledged.
                 if self.job_api.on_peer_notice(job.clone(), true, self.io.now)
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -41,10 +41,10 @@
     pub fn text(self) -> &'static str {
         match self {
             ShortageReason::Held => "all are held",
-            ShortageReason::Lingering => "some linger after attempts that did not end by themselves",
-            ShortageReason::External => "users outside hold them",
-            ShortageReason::Reserved => "what is free is kept for an older, larger request",
-            ShortageReason::Oversubscribed => "more is held than there is",
+            ShortageReason::Lingering => "some linger after attempts that did not exit on their own",
+            ShortageReason::External => "clients outside the cluster hold them",
+            ShortageReason::Reserved => "free units are reserved for an older, larger request",
+            ShortageReason::Oversubscribed => "more units are in use than exist",
             ShortageReason::Silent => "its licence server is silent",
             ShortageReason::Undefined => "no count of that name is defined any more",
         }
@@ -366,12 +366,12 @@
     }
 
     /// Applies the usage reported by licence servers. Called after all held units are recorded.
-    /// `is_ours` tells whether a host is a machine of the cluster.
+    /// `is_own_machine` tells whether a host is a machine of the cluster.
     pub fn apply_server_usage(
         &mut self,
         feeds: &BTreeMap<Name, UsageFeed>,
         now: u64,
-        is_ours: impl Fn(&str) -> bool,
+        is_own_machine: impl Fn(&str) -> bool,
     ) {
         for pool in &mut self.pools {
             if pool
@@ -383,29 +383,30 @@
             match feeds.get(pool.name).map(|feed| feed.state(now)) {
                 Some(FeedState::Fresh(usage)) => {
                     pool.units = pool.units.min(usage.total);
-                    let ours = pool.held.saturating_add(pool.lingering);
-                    pool.external = usage.external_seats(&is_ours, ours);
+                    let held = pool.held.saturating_add(pool.lingering);
+                    pool.external = usage.external_seats(&is_own_machine, held);
                 }
                 Some(FeedState::Silent) | None => pool.closed = Some(ClosedReason::Silent),
             }
         }
     }
 
+    /// Index of the pool of a counted resource, which is created if there is none.
     fn pool(&mut self, name: &'a str, definition: Option<&'a Definition>) -> usize {
         if let Some(index) = self.index.get(name) {
             return *index;
         }
-        /// The pools of all counted resources, whether defined or only held.
         self.pools.push(Pool::new(name, definition));
         self.index.insert(name, self.pools.len() - 1);
         self.pools.len() - 1
     }
-    /// The pool of one counted resource.
 
+    /// The pools of all counted resources, whether defined or only held.
     pub fn pools(&self) -> impl Iterator<Item = &Pool<'a>> {
         self.pools.iter()
     }
 
+    /// The pool of one counted resource.
     pub fn get(&self, count: &str) -> Option<&Pool<'a>> {
         self.index.get(count).map(|index| &self.pools[*index])
     }
@@ -457,8 +458,8 @@
         &self.pools[single.index as usize]
     }
 
-    /// As [`UnitLedger::startable_tasks`], for a demand of a single counted resource.
-    pub fn startable_tasks_of(
+    /// As [`UnitLedger::available`], for a demand of a single counted resource.
+    pub fn available_of(
         &self,
         single: SingleCount,
         max_tasks: u32,
@@ -479,8 +480,8 @@
             .then(|| max_tasks.min(pool.unused_share(team) / single.units.max(1)))
     }
 
-    /// As [`UnitLedger::promise`], for a demand of a single counted resource.
-    pub fn promise_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
+    /// As [`UnitLedger::available_later`], for a demand of a single counted resource.
+    pub fn available_later_of(&mut self, single: SingleCount, max_tasks: u32) -> u32 {
         let pool = &mut self.pools[single.index as usize];
         let count = max_tasks.min(pool.unpromised() / single.units.max(1));
         pool.promised += single.units * count;
@@ -488,7 +489,7 @@
     }
 
     /// How many of at most `max_tasks` tasks can get their units now.
-    pub fn startable_tasks(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
+    pub fn available(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
         let mut room = max_tasks;
         for (name, units) in demand.iter() {
             let open = self.get(name).map_or(0, |pool| pool.available_to(|| *requester));
@@ -499,7 +500,7 @@
 
     /// How many of at most `max_tasks` tasks that lack machines would have units once machines are
     /// available. These units are not promised again in this pass.
-    pub fn promise(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
+    pub fn available_later(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
         let mut count = max_tasks;
         for (name, units) in demand.iter() {
             let open = self.get(name).map_or(0, Pool::unpromised);
