--- a/crates/image_locality/src/lib.rs
+++ b/crates/image_locality/src/lib.rs
@@ -26,18 +26,18 @@
 
 mod cache;
 pub mod constants;
-mod copies;
-mod crowd;
+mod cost;
+mod deferral;
 mod error;
-mod measure;
-mod rates;
+mod fetch_rates;
+mod image_replicas;
 
 pub use cache::{Cache, CacheState, Held};
-pub use copies::{Idle, ImageReplicas, Spread};
-pub use crowd::waits_for_others;
+pub use cost::{Choice, Cost, Evicted, Fetching, cost};
+pub use deferral::waits_for_others;
 pub use error::WeightsError;
-pub use measure::{Choice, Cost, Evicted, Fetching, cost};
-pub use rates::{Fetched, Rates};
+pub use fetch_rates::{Fetched, Rates};
+pub use image_replicas::{Idle, ImageReplicas, Spread};
 
 /// Name of an image. Shared, as every machine holds some.
 pub type Name = std::sync::Arc<str>;
