--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -6,7 +6,10 @@
 //! same submission again, to any node, goes on where the records stand.
 
 use super::plan::{Plan, plan};
-use super::{Accepted, Changed, History, Past, Refused, Seen, Told, jobs_prefix, open_key, released, site};
+use super::{
+    AcceptedCluster, AccessProof, ChangeSummary, History, HistoryJob, ProcsOutcome, SubmitRejection,
+    jobs_prefix, open_key, site, without_obsolete_holds,
+};
 use crate::constants::{
     CLUSTER_RESPONSE_MS, CLUSTER_TXN_KEYS, CLUSTER_WRITE_SHARE, HISTORY_CLUSTERS_SHOWN,
     MAX_CLUSTER_OPERATIONS, MAX_CLUSTER_ROUNDS, MAX_TXN_BYTES, RETRY_AFTER_S, STATE_PAGE_ITEMS,
@@ -35,12 +38,12 @@
 pub enum Route {
     Submit,
     Queue,
-    Change(Target, Act),
+    Change(Target, ClusterAction),
     History(Option<u64>),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
+pub enum ClusterAction {
     Hold,
     Release,
     Remove,
@@ -82,14 +85,14 @@
                 .ok_or(404u16)?;
             ("GET", Route::History(Some(target.cluster)))
         }
-        ["clusters", target, act] => {
-            let act = match act {
-                "hold" => Act::Hold,
-                "release" => Act::Release,
-                "remove" => Act::Remove,
+        ["clusters", target, action] => {
+            let action = match action {
+                "hold" => ClusterAction::Hold,
+                "release" => ClusterAction::Release,
+                "remove" => ClusterAction::Remove,
                 _ => return Err(404),
             };
-            ("POST", Route::Change(parse_target(target).ok_or(404u16)?, act))
+            ("POST", Route::Change(parse_target(target).ok_or(404u16)?, action))
         }
         _ => return Err(404),
     };
@@ -147,7 +150,7 @@
 #[derive(Debug)]
 struct Modify {
     target: Target,
-    act: Act,
+    action: ClusterAction,
     /// Who asks: another team's cluster does not exist for it.
     asks: Team,
     /// The cluster's record does not say whose it is, or names the asking team.
@@ -155,7 +158,7 @@
     /// Jobs still to be changed: leave to do it, record, version.
     left: Vec<(Access, JobSpec, u64)>,
     done: u32,
-    not: Vec<Told>,
+    not: Vec<ProcsOutcome>,
 }
 
 #[derive(Debug)]
@@ -182,7 +185,7 @@
 
 /// Operations on clusters that are under way at this node.
 #[derive(Debug)]
-pub struct Desk {
+pub struct SubmitFileService {
     ops: BTreeMap<u64, Op>,
     next: u64,
     calls: PendingCalls<(u64, Step)>,
@@ -194,7 +197,7 @@
     pub settings: &'a Settings,
     pub types: &'a [MachineType],
     /// The cloud itself has told them, and not a former leader's record.
-    pub certain: bool,
+    pub types_confirmed: bool,
 }
 
 /// How an operation goes on.
@@ -210,11 +213,11 @@
     Again(Step),
 }
 
-impl Desk {
-    pub fn new(settings: &Settings, now: Timestamp) -> Desk {
+impl SubmitFileService {
+    pub fn new(settings: &Settings, now: Timestamp) -> SubmitFileService {
         let rate = settings.deployment.state.write_rps * CLUSTER_WRITE_SHARE;
         let burst = CLUSTER_TXN_KEYS as f64;
-        Desk {
+        SubmitFileService {
             ops: BTreeMap::new(),
             next: 0,
             calls: PendingCalls::default(),
@@ -278,14 +281,14 @@
         &mut self,
         request: RequestId,
         target: Target,
-        act: Act,
+        action: ClusterAction,
         asks: Team,
         context: &Context<'_>,
         io: &mut Io,
     ) {
         let work = Work::Modify(Modify {
             target,
-            act,
+            action,
             asks,
             known: None,
             left: Vec::new(),
@@ -335,7 +338,7 @@
     }
 
     /// Goes on with what waited for its share, and tells who has waited for long.
-    pub fn settle(&mut self, context: &Context<'_>, io: &mut Io) {
+    pub fn run_due_work(&mut self, context: &Context<'_>, io: &mut Io) {
         let due: Vec<u64> = self
             .ops
             .iter()
@@ -366,7 +369,13 @@
     }
 
     /// Whether an operation on clusters waits for this call; it goes on.
-    pub fn answered(&mut self, call: CallId, outcome: &Outcome, context: &Context<'_>, io: &mut Io) -> bool {
+    pub fn handle_response(
+        &mut self,
+        call: CallId,
+        outcome: &Outcome,
+        context: &Context<'_>,
+        io: &mut Io,
+    ) -> bool {
         let Some((id, step)) = self.calls.complete(call) else {
             return false;
         };
@@ -497,7 +506,12 @@
     (room / changes_each).max(1)
 }
 
-fn planned(bundle: &Bundle, cluster: u64, at_ms: u64, context: &Context<'_>) -> Result<Plan, Refused> {
+fn planned(
+    bundle: &Bundle,
+    cluster: u64,
+    at_ms: u64,
+    context: &Context<'_>,
+) -> Result<Plan, SubmitRejection> {
     let operator = &context.settings.operator;
     let deployment = &context.settings.deployment;
     let condor = operator.condor.clone().unwrap_or_default();
@@ -593,7 +607,7 @@
 
     /// Plans the file anew for the number and the time that hold; a refusal if it cannot be.
     fn plan(&mut self, cluster: u64, at_ms: u64, context: &Context<'_>) -> Result<(), Next> {
-        let refused = |refused: Refused| match context.certain {
+        let refused = |refused: SubmitRejection| match context.types_confirmed {
             // Machines that do may be among those that only the cloud can tell of.
             false if !refused.refused.is_empty() => Next::Later(MACHINE_TYPES_UNCONFIRMED),
             _ => Next::Reply(422, json(&refused)),
@@ -772,7 +786,7 @@
         };
         Next::Reply(
             201,
-            json(&Accepted {
+            json(&AcceptedCluster {
                 cluster: self.cluster,
                 procs,
                 jobs,
@@ -809,7 +823,7 @@
                 for (access, spec, version) in self.next(context) {
                     let key = records::job_key(access.job());
                     conditions.push((key.clone(), *version));
-                    if self.act == Act::Remove {
+                    if self.action == ClusterAction::Remove {
                         let entry = Entry::removed(access, &authorization::ended_job(spec, wall_ms));
                         let record = EndedJobRecord::cancelled(&VisibleJob::from(access), Some(entry));
                         changes.push(Change::Delete { key });
@@ -826,7 +840,11 @@
 
     /// Keys that change with each job.
     fn changes_each(&self) -> usize {
-        if self.act == Act::Remove { 2 } else { 1 }
+        if self.action == ClusterAction::Remove {
+            2
+        } else {
+            1
+        }
     }
 
     /// The jobs that go into the next transaction.
@@ -862,11 +880,11 @@
                 };
                 self.left.clear();
                 self.not.clear();
-                if self.act != Act::Remove {
+                if self.action != ClusterAction::Remove {
                     // Those that were changed before are found again, as they were asked to be.
                     self.done = 0;
                 }
-                let mut seen = false;
+                let mut found_any = false;
                 for item in page.items {
                     let Ok(spec) = JobSpec::from_value(&item.value) else {
                         continue;
@@ -876,12 +894,12 @@
                         continue;
                     };
                     self.known = Some(true);
-                    seen |= self.sort(access, spec, item.version, context);
+                    found_any |= self.sort(access, spec, item.version, context);
                 }
                 if self.known.is_none() && self.done == 0 {
                     return no_cluster(self.target.cluster);
                 }
-                if let Some(proc) = self.target.proc.filter(|_| !seen) {
+                if let Some(proc) = self.target.proc.filter(|_| !found_any) {
                     return Next::Error(404, format!("{}.{proc} is not in the queue", self.target.cluster));
                 }
                 self.go_on(context)
@@ -908,7 +926,7 @@
                 return false;
             }
             if part.procs.count() > 1 {
-                self.not.push(Told {
+                self.not.push(ProcsOutcome {
                     procs: part.procs.text(),
                     verdict: "unchanged".to_owned(),
                     reason: format!(
@@ -919,9 +937,9 @@
                 return true;
             }
         }
-        match self.act {
-            Act::Remove => self.left.push((access, spec, version)),
-            Act::Hold => {
+        match self.action {
+            ClusterAction::Remove => self.left.push((access, spec, version)),
+            ClusterAction::Hold => {
                 if part.holds.iter().any(|hold| hold.why == Why::User) {
                     self.done += procs_of(&spec);
                     return true;
@@ -933,7 +951,7 @@
                 });
                 self.left.push((access, with_part(spec, part), version));
             }
-            Act::Release => self.release(access, spec, &part, version, context),
+            ClusterAction::Release => self.release(access, spec, &part, version, context),
         }
         true
     }
@@ -946,11 +964,11 @@
             .condor
             .as_ref()
             .and_then(|condor| condor.default_team.as_deref());
-        let spec = released(&spec, &settings.deployment, default_team).unwrap_or(spec);
+        let spec = without_obsolete_holds(&spec, &settings.deployment, default_team).unwrap_or(spec);
         let mut now = spec.condor.as_deref().unwrap_or(part).clone();
         now.holds.retain(|hold| hold.why != Why::User);
         if let Some(reason) = now.held() {
-            self.not.push(Told {
+            self.not.push(ProcsOutcome {
                 procs: now.procs.text(),
                 verdict: "held".to_owned(),
                 reason,
@@ -965,7 +983,7 @@
 
     fn go_on(&self, context: &Context<'_>) -> Next {
         if self.left.is_empty() {
-            let body = json(&Changed {
+            let body = json(&ChangeSummary {
                 cluster: self.target.cluster,
                 procs: self.done,
                 not: self.not.clone(),
@@ -1092,7 +1110,7 @@
                     let access = authorization::access(&spec, asks, settings).ok()?;
                     let held = spec.condor.as_ref()?.held().is_some();
                     let state = if held { "held" } else { "live" };
-                    Some(past(&access, spec.tasks, state, None))
+                    Some(history_job(&access, spec.tasks, state, None))
                 });
                 found.jobs = live.collect();
                 Next::Call(Step::ReadEnded)
@@ -1122,12 +1140,12 @@
                         Ending::Done => "completed",
                         Ending::Cancelled => "removed",
                     };
-                    Some(past(&access, ended.tasks, state, entry.cloned()))
+                    Some(history_job(&access, ended.tasks, state, entry.cloned()))
                 });
-                let ended: Vec<Past> = ended.collect();
+                let ended: Vec<HistoryJob> = ended.collect();
                 found
                     .jobs
-                    .retain(|live| ended.iter().all(|past| past.job != live.job));
+                    .retain(|live| ended.iter().all(|ended_job| ended_job.job != live.job));
                 found.jobs.extend(ended);
                 found.jobs.sort_by(|a, b| a.job.cmp(&b.job));
                 let unknown = found.clusters.iter().all(|record| record.teams.is_empty());
@@ -1147,9 +1165,9 @@
 }
 
 /// One job for display, to whom the gate let through to it.
-fn past(access: &Access, tasks: u32, state: &str, entry: Option<Entry>) -> Past {
-    Past {
-        seen: Seen::with(access),
+fn history_job(access: &Access, tasks: u32, state: &str, entry: Option<Entry>) -> HistoryJob {
+    HistoryJob {
+        access_proof: AccessProof::from_access(access),
         job: access.job().to_string(),
         tasks,
         state: state.to_owned(),
--- a/crates/controller/src/condor/cluster_api/tests.rs
+++ b/crates/controller/src/condor/cluster_api/tests.rs
@@ -13,7 +13,7 @@
     };
     assert_eq!(
         route("POST", "/clusters/7.3/hold"),
-        Ok(Route::Change(target, Act::Hold))
+        Ok(Route::Change(target, ClusterAction::Hold))
     );
     assert_eq!(route("POST", "/clusters/7.3/keep"), Err(404));
     assert_eq!(parse_target("99999999999"), None);
--- a/crates/controller/src/condor/mod.rs
+++ b/crates/controller/src/condor/mod.rs
@@ -4,7 +4,7 @@
 mod cluster_api;
 mod plan;
 
-pub use cluster_api::{Act, Context, Desk, Route, Target, parse_target, route};
+pub use cluster_api::{ClusterAction, Context, Route, SubmitFileService, Target, parse_target, route};
 
 use crate::model::{JobId, JobSpec};
 use crate::protocol::MachineType;
@@ -24,7 +24,7 @@
 
 /// What the numbers of jobs of submit files begin with; twenty digits in all, the most that
 /// an id has. Users' own ids of that form are refused where submit files are served.
-const RESERVED: &str = "wk-99";
+const JOB_ID_PREFIX: &str = "wk-99";
 
 /// Digits of a cluster's number in an id.
 const CLUSTER_DIGITS: usize = 10;
@@ -38,18 +38,18 @@
 /// The id of a cluster's job.
 pub fn job_id(cluster: u64, index: u32) -> JobId {
     JobId(Arc::from(format!(
-        "{RESERVED}{cluster:0CLUSTER_DIGITS$}{index:0INDEX_DIGITS$}"
+        "{JOB_ID_PREFIX}{cluster:0CLUSTER_DIGITS$}{index:0INDEX_DIGITS$}"
     )))
 }
 
 /// Whether an id is of the form that submit files' jobs have.
 pub fn is_reserved(id: &JobId) -> bool {
-    id.0.starts_with(RESERVED) && id.0.len() == RESERVED.len() + CLUSTER_DIGITS + INDEX_DIGITS
+    id.0.starts_with(JOB_ID_PREFIX) && id.0.len() == JOB_ID_PREFIX.len() + CLUSTER_DIGITS + INDEX_DIGITS
 }
 
 /// Prefix of the keys of a cluster's live, or ended, jobs.
 pub fn jobs_prefix(prefix: &str, cluster: u64) -> String {
-    format!("{prefix}{RESERVED}{cluster:0CLUSTER_DIGITS$}")
+    format!("{prefix}{JOB_ID_PREFIX}{cluster:0CLUSTER_DIGITS$}")
 }
 
 /// Key that stands while a cluster is being recorded.
@@ -58,7 +58,7 @@
 }
 
 /// The cluster of such a key.
-pub fn parse_open(key: &str) -> Option<u64> {
+pub fn parse_open_key(key: &str) -> Option<u64> {
     key.strip_prefix(records::JOB_PREFIX)?
         .strip_prefix(OPEN)?
         .parse()
@@ -105,7 +105,11 @@
 
 /// The job without those of its holds that the settings in force no longer call for; `None`
 /// if they call for all of them.
-pub fn released(spec: &JobSpec, deployment: &Deployment, default_team: Option<&str>) -> Option<JobSpec> {
+pub fn without_obsolete_holds(
+    spec: &JobSpec,
+    deployment: &Deployment,
+    default_team: Option<&str>,
+) -> Option<JobSpec> {
     let part = spec.condor.as_ref()?;
     part.holds.iter().find(|hold| hold.why != Why::User)?;
     let named = if spec.team.is_empty() {
@@ -153,23 +157,23 @@
 /// Marks what was told to somebody whom the gate let through to the job: nothing else makes one
 /// here. Read back by a client, it says nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen(());
+pub struct AccessProof(());
 
-impl Seen {
-    pub fn with(_access: &Access) -> Seen {
-        Seen(())
+impl AccessProof {
+    pub fn from_access(_access: &Access) -> AccessProof {
+        AccessProof(())
     }
 
-    fn by_client() -> Seen {
-        Seen(())
+    fn unchecked() -> AccessProof {
+        AccessProof(())
     }
 }
 
 /// A live job of a submit file, for display.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QueueRow {
-    #[serde(skip, default = "Seen::by_client")]
-    pub seen: Seen,
+    #[serde(skip, default = "AccessProof::unchecked")]
+    pub access_proof: AccessProof,
     pub job: String,
     pub cluster: u64,
     pub procs: String,
@@ -201,20 +205,20 @@
 
 /// What a submitter is told of an accepted cluster.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedCluster {
     pub cluster: u64,
     pub procs: u32,
     pub jobs: u32,
     /// Procs that wait for a reason, with it.
     #[serde(default)]
-    pub held: Vec<Told>,
+    pub held: Vec<ProcsOutcome>,
     #[serde(default)]
     pub notes: Vec<String>,
 }
 
 /// What became of some procs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ProcsOutcome {
     pub procs: String,
     pub verdict: String,
     pub reason: String,
@@ -222,28 +226,28 @@
 
 /// A file that is not taken, as a whole.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Refused {
+pub struct SubmitRejection {
     pub error: String,
     #[serde(default)]
-    pub refused: Vec<Told>,
+    pub refused: Vec<ProcsOutcome>,
 }
 
 /// What came of holding, releasing or removing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct ChangeSummary {
     pub cluster: u64,
     /// Procs that are as they were asked to be.
     pub procs: u32,
     /// Those that are not, and why.
     #[serde(default)]
-    pub not: Vec<Told>,
+    pub not: Vec<ProcsOutcome>,
 }
 
 /// One job of a cluster, live or over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Past {
-    #[serde(skip, default = "Seen::by_client")]
-    pub seen: Seen,
+pub struct HistoryJob {
+    #[serde(skip, default = "AccessProof::unchecked")]
+    pub access_proof: AccessProof,
     pub job: String,
     /// Its tasks, or those that were done when it ended.
     pub tasks: u32,
@@ -259,7 +263,7 @@
     pub clusters: Vec<ClusterRecord>,
     /// Of a single cluster.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub jobs: Vec<Past>,
+    pub jobs: Vec<HistoryJob>,
     /// The asking team's book, where no cluster is named.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub book: Option<TeamHistory>,
--- a/crates/controller/src/condor/plan.rs
+++ b/crates/controller/src/condor/plan.rs
@@ -1,6 +1,6 @@
 //! From a submission to the jobs that it becomes.
 
-use super::{Refused, Told, job_id};
+use super::{ProcsOutcome, SubmitRejection, job_id};
 use crate::constants::{MAX_DURATION_S, MAX_NAME_BYTES, MAX_VALUE_SHARE};
 use crate::model::{JobSpec, Resources};
 use crate::protocol::{Priority, Shape};
@@ -18,7 +18,7 @@
 pub struct Plan {
     pub jobs: Vec<JobSpec>,
     pub procs: u32,
-    pub held: Vec<Told>,
+    pub held: Vec<ProcsOutcome>,
     pub notes: Vec<String>,
 }
 
@@ -47,8 +47,8 @@
     site: &Site,
     submitted_ms: u64,
     value_kb: f64,
-) -> Result<Plan, Refused> {
-    let refused = |error: String| Refused {
+) -> Result<Plan, SubmitRejection> {
+    let refused = |error: String| SubmitRejection {
         error,
         refused: Vec::new(),
     };
@@ -69,7 +69,7 @@
         matches!(verdict, Verdict::Refused | Verdict::Never)
     });
     if let Some(first) = bad.first() {
-        return Err(Refused {
+        return Err(SubmitRejection {
             error: format!("procs {}: {}", first.procs, first.reason),
             refused: bad,
         });
@@ -118,7 +118,7 @@
 }
 
 /// Procs with some verdicts and their reasons.
-fn told(judged: &Judged, which: impl Fn(Verdict) -> bool) -> Vec<Told> {
+fn told(judged: &Judged, which: impl Fn(Verdict) -> bool) -> Vec<ProcsOutcome> {
     let mut found = Vec::new();
     for (at, outcome) in judged.outcomes.iter().enumerate() {
         if found.len() >= REASONS_SHOWN {
@@ -127,7 +127,7 @@
         if which(outcome.verdict) {
             let procs = (0u32..).zip(&judged.of).filter(|(_, of)| **of as usize == at);
             let procs: Vec<u32> = procs.map(|(proc, _)| proc).collect();
-            found.push(Told {
+            found.push(ProcsOutcome {
                 procs: Procs::new(&procs).text(),
                 verdict: format!("{:?}", outcome.verdict).to_lowercase(),
                 reason: outcome.reason.clone().unwrap_or_default(),
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -93,7 +93,7 @@
     fn apply_event(&mut self, event: protocol::WatchEvent, io: &Io) {
         match event {
             protocol::WatchEvent::Put { key, value, version } => {
-                let read = match condor::parse_open(&key) {
+                let read = match condor::parse_open_key(&key) {
                     Some(cluster) => self.on_cluster_open(cluster, &value, version),
                     None => JobSpec::from_value(&value).map(|spec| self.on_job_accepted(spec, version, io)),
                 };
@@ -102,7 +102,7 @@
                 }
             }
             protocol::WatchEvent::Delete { key } => {
-                if let Some(cluster) = condor::parse_open(&key) {
+                if let Some(cluster) = condor::parse_open_key(&key) {
                     self.on_cluster_closed(cluster);
                 } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
                     self.on_job_ended(&JobId(Arc::from(job)), io.now);
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -212,7 +212,7 @@
         settings: &Settings,
         io: &mut Io,
     ) -> Result<(), RecordError> {
-        if let Some(cluster) = condor::parse_open(&item.key) {
+        if let Some(cluster) = condor::parse_open_key(&item.key) {
             self.on_cluster_open(cluster, &item.value, item.version)
         } else if item.key.starts_with(records::JOB_PREFIX) {
             self.adopt_job(item, io)
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -4,7 +4,7 @@
 
 use super::LeaderTerm;
 use super::calls::TermCall;
-use crate::condor::{self, QueueRow, RowState, Seen};
+use crate::condor::{self, AccessProof, QueueRow, RowState};
 use crate::constants::{CLUSTER_CHECK_MS, CLUSTER_OPEN_TIMEOUT_MS, MAX_KIND_SETS};
 use crate::io::{Io, json};
 use crate::job_api::authorization;
@@ -136,7 +136,7 @@
             let deployment = &settings.deployment;
             let default_team = condor.default_team.as_deref();
             let released = self.jobs.values().find_map(|job| {
-                let spec = condor::released(&job.spec, deployment, default_team)?;
+                let spec = condor::without_obsolete_holds(&job.spec, deployment, default_team)?;
                 Some((spec, job.version))
             });
             // Only one per update: such releases are rare, and starts have priority.
@@ -227,7 +227,7 @@
                 .unwrap_or((0, 0));
             let held_by_limit = part.holds.iter().any(|hold| hold.why != Why::User);
             Some(QueueRow {
-                seen: Seen::with(&access),
+                access_proof: AccessProof::from_access(&access),
                 waits: LeaderTerm::wait_reason(job, &blocked, now).text().to_owned(),
                 job: job.spec.id.to_string(),
                 cluster: part.cluster,
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -3,7 +3,7 @@
 
 mod routing;
 
-use crate::condor::{self, Context, Desk};
+use crate::condor::{self, Context, SubmitFileService};
 use crate::constants::{
     CLOUD_RETRY_MS, ENDED_JOB_CACHE_SIZE, HEARTBEAT_MAX_AGE_MS, HEARTBEAT_MS, MACHINE_TYPES_INTERVAL_MS,
     RETRY_AFTER_S, SECOND_MS, STATE_PROBE_MS, STATE_TIMEOUT_MS, STATE_UNHEALTHY_AFTER_MS,
@@ -75,7 +75,7 @@
     election: Election,
     term: Option<LeaderTerm>,
     job_api: JobApi,
-    submit_files: Desk,
+    submit_files: SubmitFileService,
     machine_types: MachineTypes,
     machine_type_list: Vec<MachineType>,
     machine_types_due_at: Timestamp,
@@ -108,7 +108,7 @@
     pub fn new(settings: Settings, seed: u64, now: Timestamp, wall_ms: u64) -> Node {
         let mut io = Io::new(&settings, seed, now, wall_ms);
         let incarnation: u64 = io.rng.random();
-        let submit_files = Desk::new(&settings, now);
+        let submit_files = SubmitFileService::new(&settings, now);
         let mut members: Vec<String> = settings.peers.iter().map(|peer| peer.node.clone()).collect();
         members.push(settings.node.clone());
         members.sort();
@@ -208,9 +208,9 @@
         let context = Context {
             settings: &self.settings,
             types: &self.machine_type_list,
-            certain: self.machine_types_confirmed,
+            types_confirmed: self.machine_types_confirmed,
         };
-        self.submit_files.settle(&context, &mut self.io);
+        self.submit_files.run_due_work(&context, &mut self.io);
         let peers = self.peer_view();
         if let Some(term) = &mut self.term {
             let event = term.run_due_work(
@@ -319,7 +319,7 @@
         let context = Context {
             settings: &self.settings,
             types: &self.machine_type_list,
-            certain: self.machine_types_confirmed,
+            types_confirmed: self.machine_types_confirmed,
         };
         let io = &mut self.io;
         match route {
@@ -558,9 +558,12 @@
         let context = Context {
             settings: &self.settings,
             types: &self.machine_type_list,
-            certain: self.machine_types_confirmed,
+            types_confirmed: self.machine_types_confirmed,
         };
-        if self.submit_files.answered(call, outcome, &context, &mut self.io) {
+        if self
+            .submit_files
+            .handle_response(call, outcome, &context, &mut self.io)
+        {
             self.record_state_response(outcome);
             return;
         }
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -7,7 +7,7 @@
     Bundle, CondorSettings, Judged, Matching, Recorder, Site, Submission, SubmitError, Verdict,
 };
 use indigopath_controller::condor::{
-    Accepted, Changed, History, QueueList, QueueRow, Refused, RowState, parse_target,
+    AcceptedCluster, ChangeSummary, History, QueueList, QueueRow, RowState, SubmitRejection, parse_target,
 };
 use indigopath_controller::constants::MAX_SUBMIT_BODY_BYTES;
 use indigopath_controller::protocol::{MachineTypeList, paths};
@@ -188,7 +188,7 @@
         let until = Instant::now() + Duration::from_secs(self.wait);
         let mut told = String::new();
         loop {
-            match nodes.post::<Accepted>(paths::CLUSTERS, &body) {
+            match nodes.post::<AcceptedCluster>(paths::CLUSTERS, &body) {
                 Ok(accepted) => return self.accepted(&accepted, nodes),
                 // The same again, under the same key, is never a second cluster.
                 Err(ClientError::NoAnswer(problem)) if Instant::now() < until => {
@@ -199,7 +199,7 @@
                     std::thread::sleep(Duration::from_millis(RETRY_MS));
                 }
                 Err(ClientError::Refused(status, body)) => {
-                    let refused: Result<Refused, _> = serde_json::from_str(&body);
+                    let refused: Result<SubmitRejection, _> = serde_json::from_str(&body);
                     match refused {
                         Ok(refused) if !refused.refused.is_empty() => {
                             for told in &refused.refused {
@@ -221,7 +221,7 @@
         }
     }
 
-    fn accepted(&self, accepted: &Accepted, nodes: &Nodes) -> Result<ExitCode, CondorError> {
+    fn accepted(&self, accepted: &AcceptedCluster, nodes: &Nodes) -> Result<ExitCode, CondorError> {
         for note in &accepted.notes {
             eprintln!("{note}");
         }
@@ -420,7 +420,7 @@
     }
     let mut code = ExitCode::SUCCESS;
     for id in &ids.ids {
-        let changed: Changed = nodes.post(&format!("{}/{id}/{act}", paths::CLUSTERS), "")?;
+        let changed: ChangeSummary = nodes.post(&format!("{}/{id}/{act}", paths::CLUSTERS), "")?;
         for not in &changed.not {
             eprintln!(
                 "{}.{} {}: {}",
