--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -1,11 +1,11 @@
-//! Teams' accounts in a leader's term. Every end carries its entry in its own record; the books are
-//! pages of these, many to a value, written behind the ends in the order of their revisions. They
-//! can lack what is not written yet, and never say what is not so: whoever leads next reads how
-//! far they go and the ends since. Once in a term they are compared with a reading of all ended
-//! jobs at a bounded pace.
+//! Accounting of ended jobs by team. The record of each ended job contains its accounting entry;
+//! the accounts are pages of these entries, many to a value, written after the records in the order
+//! of their revisions. The accounts may therefore be behind the records but never contradict them,
+//! and a new leader reads how far they go and follows the records since. Once per term the accounts
+//! are compared with a scan of all ended jobs, which runs at a bounded rate.
 //!
-//! One call at a time: what a page of a reading says, and what the changes say, then never
-//! overlap in a way that matters.
+//! Only one call is in flight at a time, so that pages of the scan and changes from the watch do
+//! not interleave in a way that could miss or duplicate entries.
 
 use super::LeaderTerm;
 use super::calls::TermCall;
@@ -27,68 +27,74 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// A call about books.
+/// A call to the state service for accounting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum BookCall {
-    /// A page of the books' own records.
+pub(super) enum AccountingCall {
+    /// A page of the accounting records.
     Load,
-    /// The ends since.
+    /// The changes of the records of ended jobs.
     Changes,
-    /// A page of ended jobs.
+    /// A page of the records of ended jobs.
     Scan,
     Write {
         head: bool,
     },
 }
 
-/// Where a reading of all ended jobs stands.
+/// Progress of a scan of all ended jobs.
 #[derive(Debug, Default)]
-struct Scan {
-    after: Option<String>,
-    /// `None` until its first page is answered.
+struct EndedJobScan {
+    after_key: Option<String>,
+    /// `None` until the first page is received.
     rebuild: Option<Rebuild>,
     read_all: bool,
-    /// The books lack ends that nobody tells any more: they are replaced by the reading.
-    behind: bool,
+    /// The accounts lack entries that the watch no longer delivers, so the result of the scan
+    /// replaces them.
+    replaces_accounts: bool,
 }
 
-/// Who waits for what, as the last pass left it.
-pub(super) struct Blocked<'a> {
-    units: HashSet<&'a JobId>,
-    machines: HashSet<&'a JobId>,
+/// Jobs that lacked units or machines in the last pass.
+pub(super) struct BlockedJobs<'a> {
+    lacking_units: HashSet<&'a JobId>,
+    lacking_machines: HashSet<&'a JobId>,
 }
 
-/// Teams' accounts, and how far they have been read, followed, checked and written.
+/// The teams' accounts, and the state of reading, following, verifying and writing them.
 #[derive(Debug)]
-pub(super) struct TermBooks {
-    books: JobAccounting,
+pub(super) struct Accounting {
+    job_accounting: JobAccounting,
     page_bytes: usize,
-    /// JobAccounting' records are still being read, after this key.
-    loading: Option<Option<String>>,
-    /// Some of them cannot be used.
-    broken: bool,
-    /// A later build keeps them: this one leaves them alone.
-    off: bool,
-    busy: bool,
+    /// Accounting records are still being loaded, from after this key.
+    load_after: Option<Option<String>>,
+    /// Some accounting records cannot be used.
+    records_invalid: bool,
+    /// The accounting records are of a later version and are left unchanged.
+    suspended: bool,
+    call_in_flight: bool,
     head_version: u64,
-    /// Changes up to this revision were told.
-    followed: u64,
-    /// Something ended since the changes were last asked for.
-    ended: bool,
+    /// All changes up to this revision have been received.
+    followed_revision: u64,
+    /// Jobs have ended since changes were last requested.
+    has_new_ends: bool,
     follow_at: Timestamp,
     write_at: Timestamp,
     scan_at: Timestamp,
-    scan: Option<Scan>,
-    checked: bool,
+    scan: Option<EndedJobScan>,
+    verified: bool,
     differences: u64,
-    /// Since when attempts have been seen running.
-    runs: HashMap<(TaskId, u64), Timestamp>,
-    /// What this leader saw of jobs that were cancelled, until their ends are told.
-    accounts: HashMap<JobId, ExecutionStats>,
+    /// Times at which attempts were first seen running.
+    run_starts: HashMap<(TaskId, u64), Timestamp>,
+    /// Statistics that this leader collected of cancelled jobs, until the watch delivers their
+    /// ends.
+    cancelled_job_stats: HashMap<JobId, ExecutionStats>,
 }
 
-/// What the record of an ended job says for the books.
-fn end_of(key: &str, value: &serde_json::Value, version: u64) -> Option<(Position, Option<Entry>)> {
+/// Extracts the position and the accounting entry from the record of an ended job.
+fn parse_ended_record(
+    key: &str,
+    value: &serde_json::Value,
+    version: u64,
+) -> Option<(Position, Option<Entry>)> {
     let job = key.strip_prefix(records::ENDED_JOB_PREFIX)?;
     let position = Position {
         revision: version,
@@ -99,60 +105,63 @@
     Some((position, ended.ok().and_then(|ended| ended.entry().cloned())))
 }
 
-impl TermBooks {
-    /// Nothing is read from the records yet.
-    pub(super) fn new(settings: &Settings) -> TermBooks {
+impl Accounting {
+    /// Creates the state of a new leader, which has not loaded any records.
+    pub(super) fn new(settings: &Settings) -> Accounting {
         let page_bytes = (settings.deployment.state.value_kb * 1024.0 * MAX_VALUE_SHARE) as usize;
-        TermBooks {
-            books: JobAccounting::new(page_bytes),
+        Accounting {
+            job_accounting: JobAccounting::new(page_bytes),
             page_bytes,
-            loading: Some(None),
-            broken: false,
-            off: false,
-            busy: false,
+            load_after: Some(None),
+            records_invalid: false,
+            suspended: false,
+            call_in_flight: false,
             head_version: 0,
-            followed: 0,
-            ended: true,
+            followed_revision: 0,
+            has_new_ends: true,
             follow_at: 0,
             write_at: 0,
             scan_at: 0,
             scan: None,
-            checked: false,
+            verified: false,
             differences: 0,
-            runs: HashMap::new(),
-            accounts: HashMap::new(),
+            run_starts: HashMap::new(),
+            cancelled_job_stats: HashMap::new(),
         }
     }
 
-    /// Nobody knows what is on record: it is read again, and checked again.
+    /// Discards everything, because the state of the records is unknown: they are loaded and
+    /// verified again.
     fn reload(&mut self, now: Timestamp) {
-        self.books = JobAccounting::new(self.page_bytes);
-        self.loading = Some(None);
-        self.broken = false;
+        self.job_accounting = JobAccounting::new(self.page_bytes);
+        self.load_after = Some(None);
+        self.records_invalid = false;
         self.head_version = 0;
-        // What was told and not written is told again.
-        self.followed = 0;
+        // Changes that were received but not written are requested again.
+        self.followed_revision = 0;
         self.scan = None;
-        self.checked = false;
-        self.ended = true;
+        self.verified = false;
+        self.has_new_ends = true;
         self.follow_at = now + WRITE_RETRY_MS;
     }
 
-    /// The account of a job that is over, for its end's entry.
-    pub(super) fn over(&mut self, id: &JobId, account: &ExecutionStats) {
-        self.ended = true;
-        if self.accounts.len() < MAX_CANCELLED_ACCOUNTS && *account != ExecutionStats::default() {
-            self.accounts.insert(id.clone(), account.clone());
+    /// Keeps the statistics of a job that ended, for its accounting entry.
+    pub(super) fn on_job_ended(&mut self, id: &JobId, account: &ExecutionStats) {
+        self.has_new_ends = true;
+        if self.cancelled_job_stats.len() < MAX_CANCELLED_ACCOUNTS && *account != ExecutionStats::default() {
+            self.cancelled_job_stats.insert(id.clone(), account.clone());
         }
     }
 
-    /// Where the changes are asked for from: one revision may have several ends, of which some
-    /// are written.
-    fn from(&self) -> u64 {
-        self.followed.max(self.books.at().revision.saturating_sub(1))
+    /// The revision from which to request changes. One revision may contain several ends of which
+    /// only some are written, so the last written revision is included.
+    fn watch_revision(&self) -> u64 {
+        self.followed_revision
+            .max(self.job_accounting.at().revision.saturating_sub(1))
     }
 
-    fn loaded(&mut self, outcome: &Outcome, now: Timestamp) {
+    /// Handles a page of the accounting records.
+    fn on_records_page(&mut self, outcome: &Outcome, now: Timestamp) {
         let Some(page) = outcome.read::<protocol::StoredPage>(&[200]) else {
             self.follow_at = now + SECOND_MS;
             return;
@@ -161,57 +170,62 @@
             if item.key == HEAD_KEY {
                 self.head_version = item.version;
             }
-            match self.books.read(&item.key, &item.value) {
+            match self.job_accounting.read(&item.key, &item.value) {
                 Ok(()) => (),
                 Err(problem @ indigopath_accounting::RecordError::Later(_)) => {
                     log::error!("accounting suspended key={}: {problem}", item.key);
-                    self.off = true;
+                    self.suspended = true;
                 }
                 Err(problem) => {
                     log::error!("accounting rebuild began key={}: {problem}", item.key);
-                    self.broken = true;
+                    self.records_invalid = true;
                 }
             }
         }
         let last = page.items.last().map(|item| item.key.clone());
-        self.loading = last.filter(|_| page.has_more).map(Some);
-        if self.loading.is_none() && self.head_version == 0 && self.books.totals().next().is_some() {
+        self.load_after = last.filter(|_| page.has_more).map(Some);
+        if self.load_after.is_none()
+            && self.head_version == 0
+            && self.job_accounting.totals().next().is_some()
+        {
             log::error!("accounting rebuild began: its position is missing");
-            self.broken = true;
+            self.records_invalid = true;
         }
-        if self.loading.is_none() && self.broken {
-            self.fall_behind();
+        if self.load_after.is_none() && self.records_invalid {
+            self.begin_rebuild();
         }
     }
 
-    /// Ends are missing that no change tells any more.
-    fn fall_behind(&mut self) {
-        self.scan = Some(Scan {
-            behind: true,
-            ..Scan::default()
+    /// Starts a scan that replaces the accounts, because the watch no longer delivers some of the
+    /// ends.
+    fn begin_rebuild(&mut self) {
+        self.scan = Some(EndedJobScan {
+            replaces_accounts: true,
+            ..EndedJobScan::default()
         });
     }
 
-    fn told(&mut self, outcome: &Outcome, now: Timestamp) {
+    /// Handles changes of the records of ended jobs.
+    fn on_changes(&mut self, outcome: &Outcome, now: Timestamp) {
         self.follow_at = now + ACCOUNTING_FOLLOW_MS;
         if outcome.status() == Some(410) {
             log::info!("accounting rebuild began: the changes since its position are compacted");
-            self.fall_behind();
+            self.begin_rebuild();
             return;
         }
         let Some(changes) = outcome.read::<protocol::WatchResponse>(&[200]) else {
             self.follow_at = now + SECOND_MS;
             return;
         };
-        self.ended = false;
+        self.has_new_ends = false;
         let mut ends: Vec<(Position, Option<Entry>)> = Vec::new();
         for event in changes.events {
             if let protocol::WatchEvent::Put { key, value, version } = event {
-                let Some((position, mut entry)) = end_of(&key, &value, version) else {
+                let Some((position, mut entry)) = parse_ended_record(&key, &value, version) else {
                     continue;
                 };
-                // Who cancelled it did not know what it had run.
-                if let Some(account) = self.accounts.remove(&*position.job)
+                // The node that cancelled the job did not know its execution statistics.
+                if let Some(account) = self.cancelled_job_stats.remove(&*position.job)
                     && let Some(entry) = entry
                         .as_mut()
                         .filter(|entry| entry.stats == ExecutionStats::default())
@@ -224,43 +238,44 @@
         ends.sort_by(|(a, _), (b, _)| a.cmp(b));
         for (position, entry) in ends {
             let scan = self.scan.as_mut();
-            let behind = scan.as_ref().is_some_and(|scan| scan.behind);
+            let replaces_accounts = scan.as_ref().is_some_and(|scan| scan.replaces_accounts);
             let rebuild = scan.and_then(|scan| scan.rebuild.as_mut());
-            if behind {
-                if let Some(rebuild) = rebuild.filter(|_| position > *self.books.at()) {
+            if replaces_accounts {
+                if let Some(rebuild) = rebuild.filter(|_| position > *self.job_accounting.at()) {
                     rebuild.note(position.clone(), entry);
-                    self.books.skip_to(position);
+                    self.job_accounting.skip_to(position);
                 }
-            } else if self.books.append(position.clone(), entry.clone())
+            } else if self.job_accounting.append(position.clone(), entry.clone())
                 && let Some(rebuild) = rebuild
             {
                 rebuild.note(position, entry);
             }
         }
-        self.followed = self.followed.max(changes.revision);
-        if changes.revision >= self.books.at().revision + ACCOUNTING_QUIET_CHANGES {
-            self.books.quiet_until(changes.revision);
+        self.followed_revision = self.followed_revision.max(changes.revision);
+        if changes.revision >= self.job_accounting.at().revision + ACCOUNTING_QUIET_CHANGES {
+            self.job_accounting.quiet_until(changes.revision);
         }
-        if !self.checked && self.scan.is_none() {
-            self.scan = Some(Scan::default());
+        if !self.verified && self.scan.is_none() {
+            self.scan = Some(EndedJobScan::default());
         }
     }
 
-    fn scanned(&mut self, outcome: &Outcome, now: Timestamp) {
+    /// Handles a page of the scan of ended jobs.
+    fn on_scan_page(&mut self, outcome: &Outcome, now: Timestamp) {
         self.scan_at = now + ACCOUNTING_SCAN_MS;
         let Some(mut scan) = self.scan.take() else { return };
         if let Some(page) = outcome.read::<protocol::StoredPage>(&[200]) {
             if scan.rebuild.is_none() {
                 scan.rebuild = Some(Rebuild::begin(page.revision));
-                if scan.behind {
-                    self.books.skip_to(Position::end_of(page.revision));
-                    self.followed = page.revision;
+                if scan.replaces_accounts {
+                    self.job_accounting.skip_to(Position::end_of(page.revision));
+                    self.followed_revision = page.revision;
                 }
             }
-            scan.after = page.items.last().map(|item| item.key.clone());
-            scan.read_all = !page.has_more || scan.after.is_none();
+            scan.after_key = page.items.last().map(|item| item.key.clone());
+            scan.read_all = !page.has_more || scan.after_key.is_none();
             for item in &page.items {
-                let end = end_of(&item.key, &item.value, item.version);
+                let end = parse_ended_record(&item.key, &item.value, item.version);
                 if let Some((position, entry)) = end
                     && let Some(rebuild) = &mut scan.rebuild
                 {
@@ -268,66 +283,74 @@
                 }
             }
             if scan.read_all {
-                // What ended until the reading began must have been told as well.
-                self.ended = true;
+                // Ends up to the start of the scan must have been received from the watch as well.
+                self.has_new_ends = true;
                 self.follow_at = now;
             }
         }
         self.scan = Some(scan);
     }
 
-    /// Compares, once all ended jobs are read and all changes until then are told.
-    fn compare(&mut self) {
-        let done = self.scan.as_ref().is_some_and(|scan| {
-            let upto = scan.rebuild.as_ref().map(Rebuild::upto);
-            scan.read_all && upto.is_some_and(|upto| self.followed >= upto)
+    /// Compares the accounts with the scan once the scan is complete and all changes up to its
+    /// revision have been received.
+    fn verify_when_scanned(&mut self) {
+        let complete = self.scan.as_ref().is_some_and(|scan| {
+            let scan_revision = scan.rebuild.as_ref().map(Rebuild::upto);
+            scan.read_all && scan_revision.is_some_and(|revision| self.followed_revision >= revision)
         });
-        if !done || self.books.writing() {
+        if !complete || self.job_accounting.writing() {
             return;
         }
         let Some(scan) = self.scan.take() else { return };
         let Some(rebuild) = scan.rebuild else { return };
-        self.checked = true;
-        let read = rebuild.read;
-        if scan.behind {
-            self.books.adopt(rebuild);
-            log::info!("accounting rebuilt ended_jobs={read}");
+        self.verified = true;
+        let ended_jobs = rebuild.read;
+        if scan.replaces_accounts {
+            self.job_accounting.adopt(rebuild);
+            log::info!("accounting rebuilt ended_jobs={ended_jobs}");
             return;
         }
-        let differences = self.books.repair(rebuild);
-        for one in &differences {
+        let differences = self.job_accounting.repair(rebuild);
+        for difference in &differences {
             log::error!(
                 "accounting repaired key={} day={} done={} cancelled={} recorded_done={} recorded_cancelled={}",
-                one.key,
-                one.day,
-                one.account.done,
-                one.account.cancelled,
-                one.records.done,
-                one.records.cancelled
+                difference.key,
+                difference.day,
+                difference.account.done,
+                difference.account.cancelled,
+                difference.records.done,
+                difference.records.cancelled
             );
         }
         self.differences += differences.len() as u64;
         log::info!(
-            "accounting verified ended_jobs={read} differences={}",
+            "accounting verified ended_jobs={ended_jobs} differences={}",
             differences.len()
         );
     }
 }
 
 impl LeaderTerm {
-    /// Does what is due for the books, after all else: nobody waits for them.
-    pub(super) fn look_at_books(&mut self, settings: &Settings, io: &mut Io) {
+    /// Sends the next accounting call that is due. Runs after everything else, because nothing
+    /// waits for accounting.
+    pub(super) fn update_accounting(&mut self, settings: &Settings, io: &mut Io) {
         let token = self.token();
-        let books = &mut self.accounting;
-        if books.off || books.busy {
+        let accounting = &mut self.accounting;
+        if accounting.suspended || accounting.call_in_flight {
             return;
         }
-        books.compare();
+        accounting.verify_when_scanned();
         let now = io.now;
-        let behind = books.scan.as_ref().is_some_and(|scan| scan.behind);
-        let begins = books.scan.as_ref().is_some_and(|scan| scan.rebuild.is_none());
-        let (method, path, body, call) = if let Some(after) = &books.loading {
-            if now < books.follow_at {
+        let replaces_accounts = accounting
+            .scan
+            .as_ref()
+            .is_some_and(|scan| scan.replaces_accounts);
+        let not_started = accounting
+            .scan
+            .as_ref()
+            .is_some_and(|scan| scan.rebuild.is_none());
+        let (method, path, body, call) = if let Some(after) = &accounting.load_after {
+            if now < accounting.follow_at {
                 return;
             }
             let path = paths::page(
@@ -335,32 +358,32 @@
                 after.as_deref(),
                 ACCOUNTING_PAGE_ITEMS,
             );
-            (Method::Get, path, Vec::new(), BookCall::Load)
-        } else if let Some(scan) = books
+            (Method::Get, path, Vec::new(), AccountingCall::Load)
+        } else if let Some(scan) = accounting
             .scan
             .as_ref()
-            .filter(|scan| !scan.read_all && now >= books.scan_at)
+            .filter(|scan| !scan.read_all && now >= accounting.scan_at)
         {
             let path = paths::page(
                 records::ENDED_JOB_PREFIX,
-                scan.after.as_deref(),
+                scan.after_key.as_deref(),
                 ACCOUNTING_SCAN_ITEMS,
             );
-            (Method::Get, path, Vec::new(), BookCall::Scan)
-        } else if now >= books.follow_at
-            && (books.ended || now >= books.follow_at + ACCOUNTING_IDLE_MS)
-            && books.books.has_room()
-            && !(behind && begins)
+            (Method::Get, path, Vec::new(), AccountingCall::Scan)
+        } else if now >= accounting.follow_at
+            && (accounting.has_new_ends || now >= accounting.follow_at + ACCOUNTING_IDLE_MS)
+            && accounting.job_accounting.has_room()
+            && !(replaces_accounts && not_started)
         {
-            let path = paths::watch(records::ENDED_JOB_PREFIX, books.from(), 0);
-            (Method::Get, path, Vec::new(), BookCall::Changes)
-        } else if now >= books.write_at && !behind {
-            let most = settings
+            let path = paths::watch(records::ENDED_JOB_PREFIX, accounting.watch_revision(), 0);
+            (Method::Get, path, Vec::new(), AccountingCall::Changes)
+        } else if now >= accounting.write_at && !replaces_accounts {
+            let max_changes = settings
                 .deployment
                 .state
                 .txn_ops
                 .min(io.write_budget.available(now));
-            let Some(changes) = books.books.write(most, MAX_TXN_BYTES) else {
+            let Some(changes) = accounting.job_accounting.write(max_changes, MAX_TXN_BYTES) else {
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
@@ -380,16 +403,16 @@
             let body = protocol::Transaction {
                 conditions: vec![
                     condition(records::LEADER_KEY, token),
-                    condition(HEAD_KEY, books.head_version),
+                    condition(HEAD_KEY, accounting.head_version),
                 ],
                 changes: changes.collect(),
             };
             let path = paths::TRANSACTION.to_owned();
-            (Method::Post, path, json(&body), BookCall::Write { head })
+            (Method::Post, path, json(&body), AccountingCall::Write { head })
         } else {
             return;
         };
-        self.accounting.busy = true;
+        self.accounting.call_in_flight = true;
         self.state_call(
             method,
             path,
@@ -400,57 +423,62 @@
         );
     }
 
-    /// Follows the answer to a call about accounts.
-    pub(super) fn books_answered(&mut self, call: BookCall, outcome: &Outcome, now: Timestamp) {
-        let books = &mut self.accounting;
-        books.busy = false;
+    /// Handles the response to an accounting call.
+    pub(super) fn handle_accounting_response(
+        &mut self,
+        call: AccountingCall,
+        outcome: &Outcome,
+        now: Timestamp,
+    ) {
+        let accounting = &mut self.accounting;
+        accounting.call_in_flight = false;
         match call {
-            BookCall::Load => books.loaded(outcome, now),
-            BookCall::Changes => books.told(outcome, now),
-            BookCall::Scan => books.scanned(outcome, now),
-            BookCall::Write { head } => {
-                // What waits for more than one write goes on at once.
-                let more = books.books.pending() > ACCOUNTING_BATCH;
-                books.write_at = now + if more { SECOND_MS } else { ACCOUNTING_WRITE_MS };
+            AccountingCall::Load => accounting.on_records_page(outcome, now),
+            AccountingCall::Changes => accounting.on_changes(outcome, now),
+            AccountingCall::Scan => accounting.on_scan_page(outcome, now),
+            AccountingCall::Write { head } => {
+                // If more entries are pending than fit into one write, the next write follows soon.
+                let more = accounting.job_accounting.pending() > ACCOUNTING_BATCH;
+                accounting.write_at = now + if more { SECOND_MS } else { ACCOUNTING_WRITE_MS };
                 let answer = outcome.read::<protocol::TransactionResponse>(&[200]);
                 match (answer, outcome.status()) {
                     (Some(answer), _) => {
-                        books.books.written();
+                        accounting.job_accounting.written();
                         if head {
-                            books.head_version = answer.revision;
+                            accounting.head_version = answer.revision;
                         }
                     }
-                    _ if outcome.is_safe_to_retry() => books.books.refused(),
+                    _ if outcome.is_safe_to_retry() => accounting.job_accounting.refused(),
                     (_, Some(409)) => {
                         let failed = outcome
                             .read::<protocol::TransactionResponse>(&[409])
                             .map(|answer| answer.failed)
                             .unwrap_or_default();
-                        // The leader's own renewal may have been between.
+                        // The leader may have renewed its own record in between.
                         if failed == [records::LEADER_KEY] {
-                            books.books.refused();
+                            accounting.job_accounting.refused();
                         } else {
-                            books.reload(now);
+                            accounting.reload(now);
                         }
                     }
-                    // It may have been carried out, or may still be: then its condition on the
-                    // head fails it, or the next one.
-                    _ => books.reload(now),
+                    // The write may have been applied or may still be: then the condition on the
+                    // head record makes it or the next write fail.
+                    _ => accounting.reload(now),
                 }
             }
         }
     }
 
-    /// Jobs that found no units, and no machine, in the last pass.
-    pub(super) fn blocked(&self) -> Blocked<'_> {
-        Blocked {
-            units: self
+    /// Jobs that lacked units or machines in the last pass.
+    pub(super) fn blocked_jobs(&self) -> BlockedJobs<'_> {
+        BlockedJobs {
+            lacking_units: self
                 .counted_resources
-                .short
+                .unsatisfied
                 .iter()
-                .map(|short| &short.job)
+                .map(|demand| &demand.job)
                 .collect(),
-            machines: self
+            lacking_machines: self
                 .scheduler
                 .unplaced()
                 .iter()
@@ -460,7 +488,7 @@
     }
 
     /// What a live job waits for.
-    pub(super) fn waits_for(job: &Job, blocked: &Blocked<'_>, now: Timestamp) -> WaitReason {
+    pub(super) fn wait_reason(job: &Job, blocked: &BlockedJobs<'_>, now: Timestamp) -> WaitReason {
         let id = &job.spec.id;
         if job.waiting.is_empty() {
             WaitReason::Nothing
@@ -473,73 +501,80 @@
             WaitReason::Held
         } else if job.parked {
             WaitReason::Recording
-        } else if blocked.units.contains(id) {
+        } else if blocked.lacking_units.contains(id) {
             WaitReason::Units
         } else if now < job.backoff_until {
             WaitReason::Retry
-        } else if blocked.machines.contains(id) {
+        } else if blocked.lacking_machines.contains(id) {
             WaitReason::Machines
         } else {
             WaitReason::Turn
         }
     }
 
-    /// Each team's live jobs in the order of their acceptance, with what each waits for.
+    /// Each team's live jobs in the order of acceptance, with what each waits for.
     pub fn queues(&self, now: Timestamp) -> BTreeMap<Team, Queue> {
         let mut jobs: Vec<&Job> = self.jobs.values().collect();
         jobs.sort_by_key(|job| (job.spec.submitted_ms, &job.spec.id));
-        let blocked = self.blocked();
+        let blocked = self.blocked_jobs();
         let mut queues: BTreeMap<Team, Queue> = BTreeMap::new();
         for job in jobs {
             let queue = queues.entry(Team::named(&job.spec.team)).or_default();
-            queue.push(job.spec.id.0.clone(), LeaderTerm::waits_for(job, &blocked, now));
+            queue.push(job.spec.id.0.clone(), LeaderTerm::wait_reason(job, &blocked, now));
         }
         queues
     }
 
-    /// How the books stand, for metrics.
-    pub fn book_standing(&self, now: Timestamp) -> AccountingGauges {
-        let books = &self.accounting;
+    /// State of accounting, for metrics.
+    pub fn accounting_gauges(&self, now: Timestamp) -> AccountingGauges {
+        let accounting = &self.accounting;
         AccountingGauges {
             waiting: self.queues(now),
-            ended: books
-                .books
+            ended: accounting
+                .job_accounting
                 .totals()
-                .map(|(team, tally)| (team.clone(), tally))
+                .map(|(team, totals)| (team.clone(), totals))
                 .collect(),
-            pending: books.books.pending() as u64,
-            unowned: books.books.unowned(),
-            differences: books.differences,
-            checked: books.checked,
-            suspended: books.off,
+            pending: accounting.job_accounting.pending() as u64,
+            unowned: accounting.job_accounting.unowned(),
+            differences: accounting.differences,
+            checked: accounting.verified,
+            suspended: accounting.suspended,
         }
     }
 
-    /// An attempt runs.
-    pub(super) fn note_run(&mut self, task: &TaskId, number: u64, now: Timestamp) {
-        if self.accounting.runs.len() < MAX_TRACKED_RUNS {
-            self.accounting.runs.insert((task.clone(), number), now);
+    /// Records that an attempt runs.
+    pub(super) fn record_run_start(&mut self, task: &TaskId, number: u64, now: Timestamp) {
+        if self.accounting.run_starts.len() < MAX_TRACKED_RUNS {
+            self.accounting.run_starts.insert((task.clone(), number), now);
         }
     }
 
-    /// An attempt is over: what it ran counts for nothing where `why` says so. Of work that
-    /// saves, what lies before the last save does; it is taken to be at regular intervals.
-    pub(super) fn note_end(&mut self, task: &TaskId, number: u64, why: Option<LossCause>, now: Timestamp) {
-        let Some(since) = self.accounting.runs.remove(&(task.clone(), number)) else {
+    /// Records the end of an attempt. `cause` says why its work is lost, if it is. Of a job that
+    /// saves checkpoints only the work since the last one is lost; saves are assumed to be at
+    /// regular intervals.
+    pub(super) fn record_run_end(
+        &mut self,
+        task: &TaskId,
+        number: u64,
+        cause: Option<LossCause>,
+        now: Timestamp,
+    ) {
+        let Some(since) = self.accounting.run_starts.remove(&(task.clone(), number)) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(why) = why.filter(|_| job.spec.shape != Shape::Service) else {
+        let Some(cause) = cause.filter(|_| job.spec.shape != Shape::Service) else {
             return;
         };
         let ran_s = now.saturating_sub(since) as f64 / SECOND_MS as f64;
-        let lost_s = match (job.spec.writes_checkpoints(), why) {
+        let lost_s = match (job.spec.writes_checkpoints(), cause) {
             (true, LossCause::Stopped) => 0.0,
             (true, _) => ran_s.min(job.spec.checkpoint_s),
             (false, _) => ran_s,
         };
-        job.execution_stats.lose(why, lost_s);
+        job.execution_stats.lose(cause, lost_s);
     }
 }
--- a/crates/controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/controller/src/leader/autoscaling/scale_in.rs
@@ -118,10 +118,10 @@
     ) -> Vec<(MachineId, ScaleInReason)> {
         let can_release_unreachable = self.can_release_unreachable_machines(peers, now);
         let retained = self.retained_machines(&settings.deployment, now);
-        let mut idle = IdleSurplus {
+        let mut idle_surplus = IdleSurplus {
             now,
             idle_ms: (settings.operator.idle_return_s * SECOND_MS as f64) as u64,
-            image_holders: self.kept_for_weights(types, settings),
+            image_holders: self.machines_kept_for_images(types, settings),
             wanted: &self.autoscaler.wanted,
             idle_by_kind: self.idle_by_kind(),
         };
@@ -137,9 +137,9 @@
             let surplus_idle = machine.is_up()
                 && machine.synced
                 && machine.is_empty()
-                && !idle.image_holders.contains(&machine.id)
-                && !self.protection_windows.kept.contains_key(&machine.id)
-                && idle.select(machine);
+                && !idle_surplus.image_holders.contains(&machine.id)
+                && !self.protection_windows.reserved.contains_key(&machine.id)
+                && idle_surplus.select(machine);
             let unusable = machine.is_up()
                 && machine.is_empty()
                 && (is_faulty(machine) || machine.reclaim_notice_until.is_some());
@@ -180,11 +180,11 @@
         machine.releasing = true;
         machine.release_recorded = false;
         self.writer.queue_machine(machine);
-        self.image_locality.goes(machine, settings);
+        self.image_locality.on_machine_releasing(machine, settings);
         if !std::mem::replace(&mut machine.release_logged, true) {
             log::info!("scale-in requested machine={id}: {}", reason.text());
             if reason == ScaleInReason::Unreachable {
-                self.image_locality.lost();
+                self.image_locality.on_machine_lost();
             }
         }
     }
@@ -197,7 +197,9 @@
     fn send_releases(&mut self, permit: Permit, io: &mut Io) {
         let mut machine_ids: Vec<MachineId> = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.releasing || machine.release_in_flight || machine_ids.len() >= MAX_MACHINES_PER_RELEASE
+            if !machine.releasing
+                || machine.release_in_flight
+                || machine_ids.len() >= MAX_MACHINES_PER_RELEASE
             {
                 continue;
             }
@@ -265,7 +267,7 @@
                 self.writer.remove_machine(&machine);
                 let changes = machine.clear();
                 self.apply_changes_from_shard(&id, machine.shard, changes, io);
-                self.remember_clients(&machine);
+                self.remember_licence_clients(&machine);
                 self.scheduler.request_pass();
             }
             return;
--- a/crates/controller/src/leader/calls.rs
+++ b/crates/controller/src/leader/calls.rs
@@ -1,7 +1,7 @@
 //! Calls that a leader makes during its term. Responses that arrive after the term are dropped.
 
 use super::LeaderTerm;
-use super::accounting::BookCall;
+use super::accounting::AccountingCall;
 use super::direct_commands::DirectCall;
 use crate::constants::STATE_TIMEOUT_MS;
 use crate::io::{Io, Method};
@@ -44,7 +44,7 @@
     /// Changes the records of a submitted cluster. The record watch delivers the result.
     SubmitCluster,
     /// Reads or writes the accounts of teams.
-    Accounting(BookCall),
+    Accounting(AccountingCall),
 }
 
 impl LeaderTerm {
@@ -55,21 +55,21 @@
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
-        kind: TermCall,
+        term_call: TermCall,
         io: &mut Io,
     ) {
         let call = io.state_call(method, path, body, timeout_ms);
-        self.calls.insert(call, kind);
+        self.calls.insert(call, term_call);
     }
 
     /// Reads from the state service with the default timeout.
-    pub(super) fn read_state(&mut self, path: String, kind: TermCall, io: &mut Io) {
-        self.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS, kind, io);
+    pub(super) fn read_state(&mut self, path: String, term_call: TermCall, io: &mut Io) {
+        self.state_call(Method::Get, path, Vec::new(), STATE_TIMEOUT_MS, term_call, io);
     }
 
     /// Sends a transaction to the state service.
-    pub(super) fn transact(&mut self, body: Vec<u8>, kind: TermCall, io: &mut Io) {
+    pub(super) fn transact(&mut self, body: Vec<u8>, term_call: TermCall, io: &mut Io) {
         let path = paths::TRANSACTION.to_owned();
-        self.state_call(Method::Post, path, body, STATE_TIMEOUT_MS, kind, io);
+        self.state_call(Method::Post, path, body, STATE_TIMEOUT_MS, term_call, io);
     }
 }
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -33,11 +33,11 @@
     pub(super) fn send_due_write(&mut self, election: &Election, settings: &Settings, io: &mut Io) {
         if let Some(key) = self.writer.next_reread(io.now) {
             let path = paths::key(&key);
-            let kind = TermCall::Reread {
+            let term_call = TermCall::Reread {
                 key,
                 end_notices: self.jobs.end_notices(),
             };
-            self.read_state(path, kind, io);
+            self.read_state(path, term_call, io);
             return;
         }
         if !self.writer.can_send(io.now) {
@@ -53,7 +53,7 @@
             self.transact(body, TermCall::Transaction, io);
             return;
         }
-        self.queue_shifts(io.now);
+        self.queue_protection_windows(io.now);
         let max_ops = settings
             .deployment
             .state
@@ -125,7 +125,7 @@
             return None;
         }
         self.writer.requeue(&units, io.now);
-        self.protection_windows.failed(&units);
+        self.protection_windows.on_write_failed(&units);
         match outcome {
             Outcome::Answer { status: 409, .. } => {
                 let failed_keys = outcome
@@ -171,7 +171,7 @@
         match key.strip_prefix(records::JOB_PREFIX) {
             // Another controller cancelled the job. Only jobs of a submitted cluster can change before
             // they end, when they are held or released.
-            Some(job) if !self.may_change(job) => self.job_over(&JobId(Arc::from(job)), now),
+            Some(job) if !self.job_record_may_change(job) => self.on_job_ended(&JobId(Arc::from(job)), now),
             _ => self.writer.queue_reread(key),
         }
     }
@@ -184,17 +184,17 @@
                 self.writer.token = revision;
             }
             WriteUnit::Shards {
-                shards: numbers,
-                planned_starts: planned,
-                releases: returns,
+                shards,
+                planned_starts,
+                releases,
             } => {
-                self.writer.on_shards_written(&numbers, revision);
-                for id in returns {
+                self.writer.on_shards_written(&shards, revision);
+                for id in releases {
                     if let Some(machine) = self.machines.get_mut(&id) {
                         machine.release_recorded = machine.releasing;
                     }
                 }
-                for start in planned {
+                for start in planned_starts {
                     if let Some(attempt) = self
                         .machines
                         .get_mut(&start.machine)
@@ -224,7 +224,7 @@
             }
             WriteUnit::ProtectionWindows { number, deleted } => {
                 self.protection_windows
-                    .ledger
+                    .window_state
                     .written(number, if deleted { 0 } else { revision });
             }
             WriteUnit::ObsoleteKey { .. } => (),
@@ -239,7 +239,7 @@
     }
 
     /// Handles the response to the write of the machine types.
-    pub(super) fn handle_types_stored(&mut self, outcome: &Outcome) {
+    pub(super) fn handle_store_types_response(&mut self, outcome: &Outcome) {
         self.persistence.types_stored = outcome.status() == Some(200);
     }
 
@@ -269,7 +269,7 @@
         }
         let team = self.jobs.get(&job).map_or("", |job| &job.spec.team);
         let team = Team::named(team);
-        self.job_over(&job, now);
+        self.on_job_ended(&job, now);
         self.writer.recently_finished.push((job, team));
     }
 
@@ -302,10 +302,10 @@
         } else if let Some(job) = key.strip_prefix(records::JOB_PREFIX) {
             let spec = item.as_ref().map(|item| JobSpec::from_value(&item.value));
             match spec {
-                _ if version == 0 => self.job_over(&JobId(Arc::from(job)), io.now),
+                _ if version == 0 => self.on_job_ended(&JobId(Arc::from(job)), io.now),
                 Some(Ok(spec)) => {
                     let job = spec.id.clone();
-                    self.job_accepted(spec, version, io);
+                    self.on_job_accepted(spec, version, io);
                     self.on_job_reread(&job, end_notices);
                 }
                 Some(Err(error)) => log::error!("record ignored key={key}: {error}"),
@@ -316,7 +316,7 @@
         } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &key) {
             self.writer.set_completed_tasks_version(number, version);
         } else if let Some(number) = records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &key) {
-            self.protection_windows.ledger.found(number, version);
+            self.protection_windows.window_state.found(number, version);
         }
         None
     }
