--- a/crates/accounting/src/access.rs
+++ b/crates/accounting/src/access.rs
@@ -38,7 +38,7 @@
 
 impl Owner {
     /// The owner that the record of an accepted job names.
-    pub fn on_record(job: &Arc<str>, team: &str) -> Owner {
+    pub fn from_record(job: &Arc<str>, team: &str) -> Owner {
         Owner {
             job: job.clone(),
             team: Team::named(team),
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// The job belongs to another team.
-    pub fn stated(owner: &Owner, team: &Team) -> Result<Access, Hidden> {
+    pub fn for_team(owner: &Owner, team: &Team) -> Result<Access, Hidden> {
         if owner.team == *team {
             Ok(Access { owner: owner.clone() })
         } else {
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// The settings do not show them.
-    pub fn shown_to_all(owner: &Owner, shown: bool) -> Result<Access, Hidden> {
+    pub fn for_any_team(owner: &Owner, shown: bool) -> Result<Access, Hidden> {
         if shown {
             Ok(Access { owner: owner.clone() })
         } else {
@@ -94,7 +94,7 @@
     }
 
     /// Access for the service itself, which ends a job once all of its tasks are done.
-    pub fn of_service(owner: &Owner) -> Access {
+    pub fn for_service(owner: &Owner) -> Access {
         Access { owner: owner.clone() }
     }
 
@@ -114,28 +114,28 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VisibleJob {
     job: Arc<str>,
-    progress: bool,
+    shows_progress: bool,
 }
 
 impl VisibleJob {
     /// For a `GET` of the state, or a withdrawal: the answer includes the progress.
-    pub fn by_protocol(job: &Arc<str>) -> VisibleJob {
+    pub fn for_protocol(job: &Arc<str>) -> VisibleJob {
         VisibleJob {
             job: job.clone(),
-            progress: true,
+            shows_progress: true,
         }
     }
 
     /// For a repeated submission. By the platform's rules, an accepted id is answered with its
     /// state, whoever sends it. Other teams than the owner, and all where the owner is not known
     /// here, get no more than that.
-    pub fn repeated(job: &Arc<str>, owner: Option<&Owner>, stated: Option<&Team>) -> VisibleJob {
+    pub fn for_resubmission(job: &Arc<str>, owner: Option<&Owner>, stated: Option<&Team>) -> VisibleJob {
         let own = owner
             .zip(stated)
-            .is_some_and(|(owner, team)| owner.job == *job && Access::stated(owner, team).is_ok());
+            .is_some_and(|(owner, team)| owner.job == *job && Access::for_team(owner, team).is_ok());
         VisibleJob {
             job: job.clone(),
-            progress: own,
+            shows_progress: own,
         }
     }
 
@@ -145,14 +145,14 @@
     }
 
     /// Whether the numbers of done and running tasks may be shown.
-    pub fn progress(&self) -> bool {
-        self.progress
+    pub fn shows_progress(&self) -> bool {
+        self.shows_progress
     }
 }
 
 impl From<&Access> for VisibleJob {
     fn from(access: &Access) -> VisibleJob {
-        VisibleJob::by_protocol(access.job())
+        VisibleJob::for_protocol(access.job())
     }
 }
 
--- a/crates/accounting/src/constants.rs
+++ b/crates/accounting/src/constants.rs
@@ -2,11 +2,11 @@
 
 /// Ended jobs on one page of a team's history. About 100 bytes each: a full page is some 6 KiB,
 /// below any `value_kb` that the platform sets, and is written anew with each batch of ends.
-pub const PAGE_ENTRIES: usize = 64;
+pub const ENTRIES_PER_PAGE: usize = 64;
 
 /// Pages of a team's history that are kept entry by entry; older ones become totals. 512 ends are
 /// what a user looks through; a leader holds 100 KiB for a team and reads nine keys.
-pub const PAGES_KEPT: usize = 8;
+pub const MAX_PAGES: usize = 8;
 
 /// Rows of totals, by day and class, that a team's account keeps. About 70 bytes each: 8 KiB.
 pub const MAX_TOTALS_ROWS: usize = 120;
@@ -24,11 +24,11 @@
 pub const CHANGES_PER_END: usize = 3;
 
 /// Bytes that an entry takes on a page beside its names, at most.
-pub const ENTRY_BYTES: usize = 130;
+pub const ENTRY_OVERHEAD_BYTES: usize = 130;
 
 /// Bytes that an entry usually takes on a page at most, with the names of its job and class: the
 /// size by which a batch of pages is estimated.
-pub const PAGE_ENTRY_BYTES: usize = 170;
+pub const TYPICAL_ENTRY_BYTES: usize = 170;
 
 /// Bytes that a row of totals takes, at most.
 pub const TOTALS_ROW_BYTES: usize = 75;
@@ -54,4 +54,4 @@
 pub const MAX_LANE_WEIGHT: u64 = 16;
 
 /// Least loss of work that is counted, in s: losses are rounded to whole seconds.
-pub const LEAST_LOSS_S: f64 = 0.5;
+pub const MIN_LOSS_S: f64 = 0.5;
--- a/crates/accounting/src/entry.rs
+++ b/crates/accounting/src/entry.rs
@@ -1,7 +1,7 @@
 //! The accounting entry of an ended job.
 
 use crate::access::{Access, Owner, Team, VisibleJob};
-use crate::constants::{CHECKSUM_BITS, DAY_MS, LEAST_LOSS_S};
+use crate::constants::{CHECKSUM_BITS, DAY_MS, MIN_LOSS_S};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 
 impl EndedBy {
     /// Whether the job finished, rather than was cancelled.
-    pub fn done(self) -> bool {
+    pub fn is_finished(self) -> bool {
         self == EndedBy::Finished
     }
 }
@@ -58,21 +58,21 @@
 
 impl ExecutionStats {
     /// Counts one more attempt.
-    pub fn attempt(&mut self) {
+    pub fn record_attempt(&mut self) {
         let before = self.attempts.unwrap_or(0);
         self.attempts = Some(before.saturating_add(1));
     }
 
     /// Counts lost seconds of work. Less than half a second is not counted.
-    pub fn lose(&mut self, cause: LossCause, seconds: f64) {
-        if seconds >= LEAST_LOSS_S {
+    pub fn record_loss(&mut self, cause: LossCause, seconds: f64) {
+        if seconds >= MIN_LOSS_S {
             let lost = self.lost.entry(cause).or_default();
             *lost = lost.saturating_add(seconds.round() as u32);
         }
     }
 
     /// Seconds lost by all causes.
-    pub fn lost_s(&self) -> u64 {
+    pub fn total_lost_s(&self) -> u64 {
         self.lost.values().map(|seconds| u64::from(*seconds)).sum()
     }
 }
@@ -88,7 +88,7 @@
     #[serde(rename = "c")]
     pub class: Arc<str>,
     #[serde(rename = "b")]
-    by: EndedBy,
+    ended_by: EndedBy,
     /// Time of day of the acceptance, in ms since 1970.
     #[serde(rename = "a")]
     pub accepted_ms: u64,
@@ -119,12 +119,12 @@
 impl Entry {
     /// The entry of a job that the service ends, as all of its tasks are done.
     pub fn finished(access: &Access, ended: &EndedJob<'_>, stats: ExecutionStats) -> Entry {
-        Entry::of(access.owner(), EndedBy::Finished, ended, stats)
+        Entry::new(access.owner(), EndedBy::Finished, ended, stats)
     }
 
     /// The entry of a submit file's job that its user removes.
     pub fn removed(access: &Access, ended: &EndedJob<'_>) -> Entry {
-        Entry::of(access.owner(), EndedBy::Removed, ended, ExecutionStats::default())
+        Entry::new(access.owner(), EndedBy::Removed, ended, ExecutionStats::default())
     }
 
     /// The entry of a job that a user withdraws by the protocol. As the protocol names no team, the
@@ -132,19 +132,24 @@
     /// `owner` are of different jobs.
     pub fn withdrawn(visible: &VisibleJob, owner: &Owner, ended: &EndedJob<'_>) -> Option<Entry> {
         (visible.job() == owner.job())
-            .then(|| Entry::of(owner, EndedBy::Withdrawn, ended, ExecutionStats::default()))
+            .then(|| Entry::new(owner, EndedBy::Withdrawn, ended, ExecutionStats::default()))
     }
 
-    fn of(owner: &Owner, by: EndedBy, ended: &EndedJob<'_>, stats: ExecutionStats) -> Entry {
-        Entry::read(owner.team().clone(), by, ended, stats)
+    fn new(owner: &Owner, ended_by: EndedBy, ended: &EndedJob<'_>, stats: ExecutionStats) -> Entry {
+        Entry::from_parts(owner.team().clone(), ended_by, ended, stats)
     }
 
     /// The entry as a page states it.
-    pub(crate) fn read(team: Team, by: EndedBy, ended: &EndedJob<'_>, stats: ExecutionStats) -> Entry {
+    pub(crate) fn from_parts(
+        team: Team,
+        ended_by: EndedBy,
+        ended: &EndedJob<'_>,
+        stats: ExecutionStats,
+    ) -> Entry {
         Entry {
             team,
             class: Arc::from(ended.class),
-            by,
+            ended_by,
             accepted_ms: ended.accepted_ms,
             ended_ms: ended.ended_ms,
             tasks: ended.tasks,
@@ -158,8 +163,8 @@
     }
 
     /// By whom, or how, the job ended.
-    pub fn by(&self) -> EndedBy {
-        self.by
+    pub fn ended_by(&self) -> EndedBy {
+        self.ended_by
     }
 
     /// The day of the end, counted from 1970.
@@ -169,7 +174,7 @@
 
     /// A number that differs from end to end, so that its sum tells sets of ends apart.
     pub(crate) fn checksum(&self, job: &str) -> u64 {
-        let bytes = job.bytes().chain([u8::from(self.by.done())]);
+        let bytes = job.bytes().chain([u8::from(self.ended_by.is_finished())]);
         digest(bytes) & ((1 << CHECKSUM_BITS) - 1)
     }
 }
--- a/crates/accounting/src/fair.rs
+++ b/crates/accounting/src/fair.rs
@@ -22,11 +22,11 @@
 
 /// The queue was full: an item was refused, or another one was evicted for it.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Full<T> {
+pub enum QueueFull<T> {
     /// The item was not taken, as no other team has more than its share of the queue.
-    Refused(T),
+    Rejected(T),
     /// The item was taken, and the newest item of the team with most items by weight was evicted.
-    GaveUp(Team, T),
+    Evicted(Team, T),
 }
 
 /// Queues of many teams as one, served by weighted deficit round robin. Unused shares are lent, and
@@ -50,9 +50,9 @@
 pub struct FairQueue<T> {
     lanes: BTreeMap<Team, Lane<T>>,
     /// Teams that have just begun to send, which are served first.
-    new: VecDeque<Team>,
+    new_teams: VecDeque<Team>,
     /// Teams that have had their first turn, in the order of their next one.
-    old: VecDeque<Team>,
+    served_teams: VecDeque<Team>,
     len: usize,
     capacity: usize,
 }
@@ -62,8 +62,8 @@
     pub fn new(capacity: usize) -> FairQueue<T> {
         FairQueue {
             lanes: BTreeMap::new(),
-            new: VecDeque::new(),
-            old: VecDeque::new(),
+            new_teams: VecDeque::new(),
+            served_teams: VecDeque::new(),
             len: 0,
             capacity,
         }
@@ -80,7 +80,7 @@
     }
 
     /// The number of items of a team that wait.
-    pub fn waiting(&self, team: &Team) -> usize {
+    pub fn waiting_items(&self, team: &Team) -> usize {
         self.lanes.get(team).map_or(0, |lane| lane.items.len())
     }
 
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// The queue is full: either the item comes back, or another that was evicted for it.
-    pub fn push(&mut self, team: &Team, weight: u64, cost: u64, item: T) -> Result<(), Full<T>> {
+    pub fn push(&mut self, team: &Team, weight: u64, cost: u64, item: T) -> Result<(), QueueFull<T>> {
         let weight = weight.clamp(1, MAX_LANE_WEIGHT);
         let mut evicted = None;
         if self.len >= self.capacity {
@@ -96,11 +96,11 @@
                 .longest_lane()
                 .filter(|longest| self.is_over_share(longest, team, weight))
             else {
-                return Err(Full::Refused(item));
+                return Err(QueueFull::Rejected(item));
             };
             evicted = self.evict_newest(longest);
         }
-        let lane = self.lane_of(team, weight);
+        let lane = self.lane_mut(team, weight);
         lane.weight = weight;
         lane.items.push_back(QueuedItem {
             cost: cost.clamp(1, MAX_ITEM_COST),
@@ -108,7 +108,7 @@
         });
         self.len += 1;
         match evicted {
-            Some((team, item)) => Err(Full::GaveUp(team, item)),
+            Some((team, item)) => Err(QueueFull::Evicted(team, item)),
             None => Ok(()),
         }
     }
@@ -129,7 +129,7 @@
 
     /// Whether the lane of `longest` has more items by weight than `team` would have with one more.
     fn is_over_share(&self, longest: &Team, team: &Team, weight: u64) -> bool {
-        let own = self.waiting(team) as u64 + 1;
+        let own = self.waiting_items(team) as u64 + 1;
         self.lanes
             .get(longest)
             .is_some_and(|lane| lane.items.len() as u64 * weight > own * lane.weight)
@@ -142,9 +142,9 @@
     }
 
     /// The lane of a team, which begins as a new one if the team has none.
-    fn lane_of(&mut self, team: &Team, weight: u64) -> &mut Lane<T> {
+    fn lane_mut(&mut self, team: &Team, weight: u64) -> &mut Lane<T> {
         if !self.lanes.contains_key(team) {
-            self.new.push_back(team.clone());
+            self.new_teams.push_back(team.clone());
         }
         self.lanes.entry(team.clone()).or_insert_with(|| Lane {
             items: VecDeque::new(),
@@ -154,7 +154,7 @@
     }
 
     /// The number of items of the team that has most of them waiting.
-    pub fn longest(&self) -> usize {
+    pub fn longest_lane_length(&self) -> usize {
         self.lanes
             .values()
             .map(|lane| lane.items.len())
@@ -164,8 +164,8 @@
 
     /// Whether the next item is of a team that has just begun to send. Capacity may be reserved for
     /// such items, as they are few and soon served.
-    pub fn begins(&self) -> bool {
-        let mut lanes = self.new.iter().filter_map(|team| self.lanes.get(team));
+    pub fn next_is_new_team(&self) -> bool {
+        let mut lanes = self.new_teams.iter().filter_map(|team| self.lanes.get(team));
         lanes.any(|lane| lane.credit > 0 && !lane.items.is_empty())
     }
 
@@ -173,13 +173,17 @@
     pub fn pop(&mut self) -> Option<(Team, T)> {
         if self.len == 0 {
             self.lanes.clear();
-            self.new.clear();
-            self.old.clear();
+            self.new_teams.clear();
+            self.served_teams.clear();
             return None;
         }
         loop {
-            let first = !self.new.is_empty();
-            let list = if first { &mut self.new } else { &mut self.old };
+            let first = !self.new_teams.is_empty();
+            let list = if first {
+                &mut self.new_teams
+            } else {
+                &mut self.served_teams
+            };
             let team = list.front()?.clone();
             let Some(lane) = self.lanes.get_mut(&team) else {
                 list.pop_front();
@@ -188,7 +192,7 @@
             if lane.credit <= 0 {
                 lane.credit += (lane.weight * QUANTUM) as i64;
                 list.pop_front();
-                self.old.push_back(team);
+                self.served_teams.push_back(team);
                 continue;
             }
             let Some(next) = lane.items.pop_front() else {
@@ -196,7 +200,7 @@
                 if first {
                     // It stays for a round: otherwise it could come back as a new one at once, and
                     // be served before all others forever.
-                    self.old.push_back(team);
+                    self.served_teams.push_back(team);
                 } else {
                     self.lanes.remove(&team);
                 }
@@ -209,7 +213,7 @@
     }
 
     /// Removes the items that are to wait no longer, in no particular order.
-    pub fn take_if(&mut self, mut expired: impl FnMut(&T) -> bool) -> Vec<(Team, T)> {
+    pub fn take_expired(&mut self, mut expired: impl FnMut(&T) -> bool) -> Vec<(Team, T)> {
         let mut taken = Vec::new();
         for (team, lane) in &mut self.lanes {
             // The oldest come first, so that most checks end at the first item.
--- a/crates/accounting/src/fair/tests.rs
+++ b/crates/accounting/src/fair/tests.rs
@@ -72,8 +72,8 @@
             if push {
                 match queue.push(&who, 1 + at as u64, cost, number) {
                     Ok(()) => waiting.entry(who).or_default().push_back(number),
-                    Err(Full::Refused(back)) => prop_assert_eq!(back, number),
-                    Err(Full::GaveUp(other, newest)) => {
+                    Err(QueueFull::Rejected(back)) => prop_assert_eq!(back, number),
+                    Err(QueueFull::Evicted(other, newest)) => {
                         let gone = waiting.entry(other).or_default().pop_back();
                         prop_assert_eq!(gone, Some(newest));
                         waiting.entry(who).or_default().push_back(number);
@@ -92,7 +92,7 @@
             let all: usize = waiting.values().map(VecDeque::len).sum();
             prop_assert_eq!(all, queue.len());
             prop_assert!(queue.len() <= most);
-            prop_assert!(queue.lanes.len() <= 5 && queue.new.len() + queue.old.len() <= 5);
+            prop_assert!(queue.lanes.len() <= 5 && queue.new_teams.len() + queue.served_teams.len() <= 5);
         }
     }
 }
@@ -103,14 +103,20 @@
     for item in 0..10 {
         queue.push(&team(0), 1, 1, item).unwrap();
     }
-    assert_eq!(queue.push(&team(0), 1, 1, 10), Err(Full::Refused(10)));
+    assert_eq!(queue.push(&team(0), 1, 1, 10), Err(QueueFull::Rejected(10)));
     queue.pop();
     queue.push(&team(0), 1, 1, 10).unwrap();
-    assert!(!queue.begins());
-    assert_eq!(queue.push(&team(1), 1, 1, 77), Err(Full::GaveUp(team(0), 10)));
-    assert!(queue.begins());
-    assert_eq!((queue.waiting(&team(0)), queue.waiting(&team(1))), (9, 1));
-    assert_eq!(queue.take_if(|item| *item < 3).len(), 2);
+    assert!(!queue.next_is_new_team());
+    assert_eq!(
+        queue.push(&team(1), 1, 1, 77),
+        Err(QueueFull::Evicted(team(0), 10))
+    );
+    assert!(queue.next_is_new_team());
+    assert_eq!(
+        (queue.waiting_items(&team(0)), queue.waiting_items(&team(1))),
+        (9, 1)
+    );
+    assert_eq!(queue.take_expired(|item| *item < 3).len(), 2);
     assert_eq!(queue.len(), 8);
 }
 
--- a/crates/accounting/src/job_accounting.rs
+++ b/crates/accounting/src/job_accounting.rs
@@ -1,7 +1,7 @@
 //! The accounts of all teams, and the writes that bring their records up to date.
 
 use crate::access::Team;
-use crate::constants::{CHANGES_PER_END, MAX_PENDING_ENDS, PAGE_ENTRIES, PAGE_ENTRY_BYTES};
+use crate::constants::{CHANGES_PER_END, ENTRIES_PER_PAGE, MAX_PENDING_ENDS, TYPICAL_ENTRY_BYTES};
 use crate::entry::Entry;
 use crate::position::Position;
 use crate::records::{HEAD_KEY, Head, Record, RecordError, encode, parse, part_key};
@@ -30,7 +30,7 @@
     /// The accounts that change, as they are after the write.
     accounts: BTreeMap<Team, TeamAccount>,
     /// How many pending ends it contains.
-    taken: usize,
+    pending_taken: usize,
     head: Head,
     parts: BTreeSet<TeamPart>,
     includes_head: bool,
@@ -47,7 +47,7 @@
     /// Parts that a repair changed and that are not written yet.
     repaired: BTreeSet<TeamPart>,
     /// The head changed without an end.
-    head_due: bool,
+    head_changed: bool,
     page_bytes: usize,
 }
 
@@ -60,7 +60,7 @@
             pending: VecDeque::new(),
             staged: None,
             repaired: BTreeSet::new(),
-            head_due: false,
+            head_changed: false,
             page_bytes,
         }
     }
@@ -70,7 +70,7 @@
     /// # Errors
     /// The record cannot be used. The accounts are then to be built again from the records of ended
     /// jobs, or left alone if a later build wrote it.
-    pub fn read(&mut self, key: &str, value: &Value) -> Result<(), RecordError> {
+    pub fn load_record(&mut self, key: &str, value: &Value) -> Result<(), RecordError> {
         match parse(key, value)? {
             Record::Head(head) => self.head = head,
             Record::Page { team, number, page } => {
@@ -82,19 +82,19 @@
     }
 
     /// The position of the last end that was added.
-    pub fn at(&self) -> &Position {
+    pub fn last_position(&self) -> &Position {
         self.pending
             .back()
-            .map_or(&self.head.at, |(position, _)| position)
+            .map_or(&self.head.position, |(position, _)| position)
     }
 
     /// Whether there is room for more pending ends.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.pending.len() < MAX_PENDING_ENDS
     }
 
     /// The number of ends that are not written yet.
-    pub fn pending(&self) -> usize {
+    pub fn pending_ends(&self) -> usize {
         self.pending.len()
     }
 
@@ -106,7 +106,7 @@
     /// Adds an end if it comes after all that were added, so that each is counted once. An end
     /// without an entry is one whose record names no owner.
     pub fn append(&mut self, position: Position, entry: Option<Entry>) -> bool {
-        if position <= *self.at() {
+        if position <= *self.last_position() {
             return false;
         }
         self.pending.push_back((position, entry.map(Arc::new)));
@@ -115,7 +115,7 @@
 
     /// The changes of the next write, which fit into one transaction of `max_changes` changes and
     /// `max_bytes` bytes. `None` if there is nothing to write or a write is under way.
-    pub fn write(&mut self, max_changes: usize, max_bytes: usize) -> Option<Vec<RecordChange>> {
+    pub fn begin_write(&mut self, max_changes: usize, max_bytes: usize) -> Option<Vec<RecordChange>> {
         if self.staged.is_some() || max_changes <= CHANGES_PER_END {
             return None;
         }
@@ -124,7 +124,7 @@
         } else {
             self.stage_repaired(max_changes, max_bytes)
         };
-        if staged.taken == 0 && staged.parts.is_empty() && !self.head_due {
+        if staged.pending_taken == 0 && staged.parts.is_empty() && !self.head_changed {
             return None;
         }
         let mut changes: Vec<RecordChange> = staged
@@ -148,7 +148,7 @@
     fn empty_write(&self) -> StagedWrite {
         StagedWrite {
             accounts: BTreeMap::new(),
-            taken: 0,
+            pending_taken: 0,
             head: self.head.clone(),
             parts: BTreeSet::new(),
             includes_head: false,
@@ -175,8 +175,8 @@
             if too_many || too_large && !staged.parts.is_empty() {
                 break;
             }
-            staged.taken += 1;
-            staged.head.at = position.clone();
+            staged.pending_taken += 1;
+            staged.head.position = position.clone();
             let Some(entry) = entry else {
                 staged.head.unowned += 1;
                 continue;
@@ -209,36 +209,36 @@
 
     /// Bytes of a page, at most.
     fn max_page_bytes(&self) -> usize {
-        self.page_bytes.clamp(1, PAGE_ENTRIES * PAGE_ENTRY_BYTES)
+        self.page_bytes.clamp(1, ENTRIES_PER_PAGE * TYPICAL_ENTRY_BYTES)
     }
 
     /// The write was carried out.
-    pub fn written(&mut self) {
+    pub fn on_written(&mut self) {
         if let Some(staged) = self.staged.take() {
-            self.pending.drain(..staged.taken);
+            self.pending.drain(..staged.pending_taken);
             self.accounts.extend(staged.accounts);
             self.head = staged.head;
             self.repaired.retain(|part| !staged.parts.contains(part));
-            self.head_due &= !staged.includes_head;
+            self.head_changed &= !staged.includes_head;
         }
     }
 
     /// The write was certainly not carried out: what it contained is pending again.
-    pub fn refused(&mut self) {
+    pub fn on_rejected(&mut self) {
         self.staged = None;
     }
 
     /// No end but those added happened up to this revision. This is recorded, so that a successor
     /// need not ask for changes that the state service no longer keeps.
-    pub fn quiet_until(&mut self, revision: u64) {
-        if self.pending.is_empty() && self.staged.is_none() && revision > self.head.at.revision {
-            self.head.at = Position::end_of(revision);
-            self.head_due = true;
+    pub fn advance_to(&mut self, revision: u64) {
+        if self.pending.is_empty() && self.staged.is_none() && revision > self.head.position.revision {
+            self.head.position = Position::after_revision(revision);
+            self.head_changed = true;
         }
     }
 
     /// Whether a write is under way.
-    pub fn writing(&self) -> bool {
+    pub fn is_writing(&self) -> bool {
         self.staged.is_some()
     }
 
--- a/crates/accounting/src/job_accounting/repair.rs
+++ b/crates/accounting/src/job_accounting/repair.rs
@@ -2,7 +2,7 @@
 
 use super::{JobAccounting, TeamPart};
 use crate::access::Team;
-use crate::constants::{PAGE_ENTRIES, PAGES_KEPT};
+use crate::constants::{ENTRIES_PER_PAGE, MAX_PAGES};
 use crate::entry::Entry;
 use crate::position::Position;
 use crate::records::{HEAD_KEY, team_key_prefix};
@@ -28,7 +28,7 @@
     /// Replaces the accounts that differ from the records of ended jobs, and returns the
     /// differences. `rebuild` must contain the ends that were added since its reading began.
     pub fn repair(&mut self, rebuild: Rebuild) -> Vec<Difference> {
-        let upto = rebuild.upto;
+        let upto = rebuild.scan_revision;
         let rebuilt = rebuild.finish(self.page_bytes);
         let current = self.with_pending();
         let mut differences = self.replace_different(&current, &rebuilt);
@@ -38,11 +38,11 @@
         if !differences.is_empty() {
             self.add_pending_to_others();
             // Whatever the accounts lacked, they contain all that the reading did.
-            let at = self.at().clone().max(Position::end_of(upto));
+            let at = self.last_position().clone().max(Position::after_revision(upto));
             self.pending.clear();
-            self.head.at = at;
+            self.head.position = at;
             self.head.unowned = rebuilt.unowned;
-            self.head_due = true;
+            self.head_changed = true;
         }
         differences
     }
@@ -107,11 +107,11 @@
     /// Skips ends up to this position, which go to a rebuild that will replace the accounts.
     pub fn skip_to(&mut self, position: Position) {
         self.pending.clear();
-        self.head.at = self.head.at.clone().max(position);
+        self.head.position = self.head.position.clone().max(position);
     }
 
     /// Replaces all accounts by rebuilt ones, where those on record are known to lack ends.
-    pub fn adopt(&mut self, rebuild: Rebuild) {
+    pub fn replace_with(&mut self, rebuild: Rebuild) {
         let rebuilt = rebuild.finish(self.page_bytes);
         for (team, account) in self.accounts.iter().chain(&rebuilt.by_team) {
             let parts = account.parts();
@@ -119,7 +119,7 @@
         }
         self.accounts = rebuilt.by_team;
         self.head.unowned = rebuilt.unowned;
-        self.head_due = true;
+        self.head_changed = true;
     }
 }
 
@@ -154,14 +154,14 @@
 fn differences_of(team: &Team, account: &TeamAccount, records: &TeamAccount) -> Vec<Difference> {
     // Days that one of the two has folded are compared as one.
     let first = first_whole_day(account).max(first_whole_day(records));
-    let account_days = fold_before(account.days(), first);
-    let records_days = fold_before(records.days(), first);
+    let account_days = fold_before(account.totals_by_day(), first);
+    let records_days = fold_before(records.totals_by_day(), first);
     let days: BTreeSet<u32> = account_days.keys().chain(records_days.keys()).copied().collect();
     let totals_of = |days: &BTreeMap<u32, JobTotals>, day| days.get(&day).copied().unwrap_or_default();
     let differences = days.into_iter().filter_map(|day| {
         let account = totals_of(&account_days, day);
         let records = totals_of(&records_days, day);
-        (!account.same_ends(&records)).then(|| Difference {
+        (!account.has_same_jobs(&records)).then(|| Difference {
             key: team_key_prefix(team),
             day,
             account,
@@ -176,7 +176,7 @@
     if !account.totals.is_folded() {
         return 1;
     }
-    let first = account.days().keys().copied().find(|day| *day > 0);
+    let first = account.totals_by_day().keys().copied().find(|day| *day > 0);
     first.unwrap_or(u32::MAX)
 }
 
@@ -193,42 +193,42 @@
 #[derive(Debug)]
 pub struct Rebuild {
     /// Ends up to this revision come from the reading, later ones from the changes.
-    upto: u64,
+    scan_revision: u64,
     recent: BTreeMap<Team, BTreeMap<Position, Arc<Entry>>>,
     totals: BTreeMap<Team, TotalsByDay>,
     unowned: u64,
     /// The number of records read.
-    pub read: u64,
+    pub records_read: u64,
 }
 
 impl Rebuild {
     /// Begins a reading whose first page was answered at this revision.
-    pub fn begin(upto: u64) -> Rebuild {
+    pub fn new(scan_revision: u64) -> Rebuild {
         Rebuild {
-            upto,
+            scan_revision,
             recent: BTreeMap::new(),
             totals: BTreeMap::new(),
             unowned: 0,
-            read: 0,
+            records_read: 0,
         }
     }
 
     /// The revision up to which ends come from the reading.
-    pub fn upto(&self) -> u64 {
-        self.upto
+    pub fn scan_revision(&self) -> u64 {
+        self.scan_revision
     }
 
     /// Adds a record that was read.
-    pub fn record(&mut self, position: Position, entry: Option<Entry>) {
-        self.read += 1;
-        if position.revision <= self.upto {
+    pub fn add_scanned(&mut self, position: Position, entry: Option<Entry>) {
+        self.records_read += 1;
+        if position.revision <= self.scan_revision {
             self.add(position, entry);
         }
     }
 
     /// Adds an end that was added to the accounts while the records were read.
-    pub fn note(&mut self, position: Position, entry: Option<Entry>) {
-        if position.revision > self.upto {
+    pub fn add_appended(&mut self, position: Position, entry: Option<Entry>) {
+        if position.revision > self.scan_revision {
             self.add(position, entry);
         }
     }
@@ -241,7 +241,7 @@
         let team = entry.team().clone();
         let recent = self.recent.entry(team.clone()).or_default();
         recent.insert(position, Arc::new(entry));
-        if recent.len() > PAGES_KEPT * PAGE_ENTRIES
+        if recent.len() > MAX_PAGES * ENTRIES_PER_PAGE
             && let Some((position, entry)) = recent.pop_first()
         {
             let totals = self.totals.entry(team).or_default();
--- a/crates/accounting/src/job_accounting/tests.rs
+++ b/crates/accounting/src/job_accounting/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::access::{Access, Owner};
-use crate::constants::{DAY_MS, MAX_TEAM_KEY_BYTES, MAX_TOTALS_ROWS, PAGES_KEPT};
+use crate::constants::{DAY_MS, MAX_PAGES, MAX_TEAM_KEY_BYTES, MAX_TOTALS_ROWS};
 use crate::entry::{EndedJob, ExecutionStats};
 use crate::history::{TeamHistory, read_history};
 use crate::records::team_key;
@@ -9,14 +9,14 @@
 const BYTES: usize = 14_000;
 
 fn entry(job: &str, team: &str, class: &str, day: u64) -> Entry {
-    let owner = Owner::on_record(&Arc::from(job), team);
+    let owner = Owner::from_record(&Arc::from(job), team);
     let ended = EndedJob {
         class,
         accepted_ms: day * DAY_MS,
         ended_ms: day * DAY_MS + 1,
         tasks: 3,
     };
-    Entry::finished(&Access::of_service(&owner), &ended, ExecutionStats::default())
+    Entry::finished(&Access::for_service(&owner), &ended, ExecutionStats::default())
 }
 
 fn position(revision: u64) -> Position {
@@ -49,17 +49,17 @@
     fn load(&self) -> JobAccounting {
         let mut accounting = JobAccounting::new(BYTES);
         for (key, value) in &self.0 {
-            accounting.read(key, value).unwrap();
+            accounting.load_record(key, value).unwrap();
         }
         accounting
     }
 }
 
 fn flush(accounting: &mut JobAccounting, store: &mut Store) {
-    while let Some(changes) = accounting.write(12, 56_000) {
+    while let Some(changes) = accounting.begin_write(12, 56_000) {
         assert!(changes.len() <= 12);
         store.apply(changes);
-        accounting.written();
+        accounting.on_written();
     }
 }
 
@@ -83,14 +83,14 @@
                 }
             }
             next = (next + count).min(teams.len());
-            if let Some(changes) = accounting.write(12, 56_000)
+            if let Some(changes) = accounting.begin_write(12, 56_000)
                 && carried_out
             {
                 store.apply(changes);
             }
             // The leader ends. Its successor reads what was written, and the rest again.
             accounting = store.load();
-            let written = accounting.at().revision as usize;
+            let written = accounting.last_position().revision as usize;
             for (at, team) in teams.iter().enumerate().take(next).skip(written) {
                 end(&mut accounting, at as u64 + 1, &format!("t{team}"));
             }
@@ -105,13 +105,13 @@
                 None => (0, None),
             };
             prop_assert_eq!(total.map_or(0, |(_, tally)| tally.done), ended);
-            prop_assert!(pages <= PAGES_KEPT);
+            prop_assert!(pages <= MAX_PAGES);
         }
-        let mut rebuild = Rebuild::begin(u64::MAX);
+        let mut rebuild = Rebuild::new(u64::MAX);
         for (at, team) in teams.iter().enumerate().rev() {
             let at = position(at as u64 + 1);
             let entry = entry(&at.job, &format!("t{team}"), "batch", 1 + at.revision / 400);
-            rebuild.record(at, Some(entry));
+            rebuild.add_scanned(at, Some(entry));
         }
         let mut read = store.load();
         prop_assert_eq!(read.repair(rebuild), Vec::new());
@@ -120,9 +120,9 @@
     #[test]
     fn no_record_panics(key in "b/[a-z~%]{0,4}/?[0-9~]{0,3}", text in ".{0,60}", form in 0u16..3) {
         let mut accounting = JobAccounting::new(BYTES);
-        let _ = accounting.read(&key, &Value::String(text));
+        let _ = accounting.load_record(&key, &Value::String(text));
         let cut = serde_json::json!({ "v": form, "team": "a", "classes": [], "lines": [["wk-1", 3, "x", 1, 2, 3, {}]] });
-        prop_assert!(accounting.read("b/a/0000000000", &cut).is_err());
+        prop_assert!(accounting.load_record("b/a/0000000000", &cut).is_err());
     }
 }
 
@@ -143,17 +143,17 @@
     let page = store.0["b/blue/0000000001"].clone();
     store.0.insert("b/blue/0000000002".to_owned(), page);
     let mut accounting = store.load();
-    let mut rebuild = Rebuild::begin(200);
+    let mut rebuild = Rebuild::new(200);
     for revision in (1..=200).rev() {
         let at = position(revision);
         let team = if revision % 2 == 0 { "red" } else { "blue" };
         let entry = entry(&at.job, team, "batch", 1);
-        rebuild.record(at, Some(entry));
+        rebuild.add_scanned(at, Some(entry));
     }
     // One ends while the records are read, and is noted.
     end(&mut accounting, 201, "red");
     let late = position(201);
-    rebuild.note(late.clone(), Some(entry(&late.job, "red", "batch", 1)));
+    rebuild.add_appended(late.clone(), Some(entry(&late.job, "red", "batch", 1)));
     let told = accounting.repair(rebuild);
     let keys: Vec<&str> = told.iter().map(|one| one.key.as_str()).collect();
     assert_eq!(keys, ["b/blue/", "b/red/"]);
@@ -162,7 +162,7 @@
     let read = store.load();
     let totals: Vec<u64> = read.totals().map(|(_, tally)| tally.done).collect();
     assert_eq!(totals, [100, 101]);
-    assert_eq!(read.at().revision, 201);
+    assert_eq!(read.last_position().revision, 201);
     assert!(!store.0.contains_key("b/blue/0000000002"));
 }
 
@@ -175,12 +175,12 @@
         // A class of its own for each job, and seven jobs a day.
         let entry = entry(&at.job, "red", &format!("class-{revision}"), 1 + revision / 7);
         assert!(accounting.append(at, Some(entry)));
-        if !accounting.has_room() {
+        if !accounting.has_capacity() {
             flush(&mut accounting, &mut store);
         }
     }
     flush(&mut accounting, &mut store);
-    assert_eq!(store.0.len(), PAGES_KEPT + 2);
+    assert_eq!(store.0.len(), MAX_PAGES + 2);
     assert!(
         store
             .0
@@ -201,7 +201,7 @@
 fn records_of_others_and_of_later_builds_are_told_apart() {
     let mut accounting = JobAccounting::new(BYTES);
     end(&mut accounting, 1, "red team/é");
-    let changes = accounting.write(12, 56_000).unwrap();
+    let changes = accounting.begin_write(12, 56_000).unwrap();
     let (key, value) = changes[0].clone();
     assert_eq!(key, "b/red%20team%2f%c3%a9/0000000000");
     let value = value.unwrap();
@@ -214,12 +214,15 @@
     );
     // In another team's place.
     assert!(matches!(
-        accounting.read("b/blue/0000000000", &value),
+        accounting.load_record("b/blue/0000000000", &value),
         Err(RecordError::Unreadable(_))
     ));
     let mut later = value;
     later["v"] = 2.into();
-    assert_eq!(accounting.read(&key, &later), Err(RecordError::Later(2)));
+    assert_eq!(
+        accounting.load_record(&key, &later),
+        Err(RecordError::NewerFormat(2))
+    );
     assert!(team_key(&Team::named(&"é".repeat(64))).len() <= MAX_TEAM_KEY_BYTES);
 }
 
@@ -234,22 +237,22 @@
     // The changes from 101 to 300 are told no longer; a reading begins at 300.
     let mut accounting = store.load();
     accounting.skip_to(position(300));
-    let mut rebuild = Rebuild::begin(300);
+    let mut rebuild = Rebuild::new(300);
     for revision in 1..=301 {
         let at = position(revision);
         let entry = entry(&at.job, if revision < 250 { "blue" } else { "green" }, "batch", 1);
         if revision <= 300 {
-            rebuild.record(at, Some(entry));
+            rebuild.add_scanned(at, Some(entry));
         } else {
-            rebuild.note(at.clone(), Some(entry));
+            rebuild.add_appended(at.clone(), Some(entry));
             accounting.skip_to(at);
         }
     }
-    accounting.adopt(rebuild);
+    accounting.replace_with(rebuild);
     flush(&mut accounting, &mut store);
     let read = store.load();
     let totals: Vec<u64> = read.totals().map(|(_, tally)| tally.done).collect();
-    assert_eq!((totals, read.at().revision), (vec![249, 52], 301));
+    assert_eq!((totals, read.last_position().revision), (vec![249, 52], 301));
 }
 
 #[test]
--- a/crates/accounting/src/lib.rs
+++ b/crates/accounting/src/lib.rs
@@ -7,21 +7,21 @@
 //! use std::sync::Arc;
 //!
 //! // The owner of a job is recorded when the job is accepted.
-//! let owner = Owner::on_record(&Arc::from("wk-7"), "red");
+//! let owner = Owner::from_record(&Arc::from("wk-7"), "red");
 //! // A request of another team finds nothing, one of the owner gets access.
-//! assert!(Access::stated(&owner, &Team::named("blue")).is_err());
-//! let access = Access::stated(&owner, &Team::named("red")).expect("the job is red's");
+//! assert!(Access::for_team(&owner, &Team::named("blue")).is_err());
+//! let access = Access::for_team(&owner, &Team::named("red")).expect("the job is red's");
 //! assert_eq!(&**access.job(), "wk-7");
 //!
 //! // The record of its end contains an entry, which is added to the accounts in the order of ends.
 //! let ended = EndedJob { class: "batch", accepted_ms: 1_000, ended_ms: 61_000, tasks: 4 };
-//! let entry = Entry::finished(&Access::of_service(&owner), &ended, ExecutionStats::default());
+//! let entry = Entry::finished(&Access::for_service(&owner), &ended, ExecutionStats::default());
 //! let mut accounting = JobAccounting::new(14_000);
 //! let position = Position { revision: 412, job: Arc::from("wk-7") };
 //! assert!(accounting.append(position.clone(), Some(entry.clone())));
 //! // Delivered twice, it is counted once.
 //! assert!(!accounting.append(position, Some(entry)));
-//! let changes = accounting.write(12, 56_000).expect("a page and the head");
+//! let changes = accounting.begin_write(12, 56_000).expect("a page and the head");
 //! assert_eq!(changes[0].0, "b/red/0000000000");
 //! ```
 //!
@@ -48,7 +48,7 @@
 pub use access::{Access, Hidden, Owner, Team, VisibleJob};
 pub use constants::MAX_LANE_WEIGHT;
 pub use entry::{EndedBy, EndedJob, Entry, ExecutionStats, LossCause, LostSeconds};
-pub use fair::{FairQueue, Full};
+pub use fair::{FairQueue, QueueFull};
 pub use history::{OlderJobs, TeamHistory, read_history};
 pub use job_accounting::{Difference, JobAccounting, Rebuild, RecordChange};
 pub use position::Position;
--- a/crates/accounting/src/position.rs
+++ b/crates/accounting/src/position.rs
@@ -15,7 +15,7 @@
 
 impl Position {
     /// The position after all ends of a revision.
-    pub fn end_of(revision: u64) -> Position {
+    pub fn after_revision(revision: u64) -> Position {
         Position {
             revision,
             // Sorts after the id of every job.
--- a/crates/accounting/src/queue.rs
+++ b/crates/accounting/src/queue.rs
@@ -36,7 +36,7 @@
     ];
 
     /// The name in metrics and answers.
-    pub fn text(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             WaitReason::Nothing => "nothing",
             WaitReason::Held => "held",
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct QueuedJob {
     job: Arc<str>,
-    waits_for: WaitReason,
+    wait_reason: WaitReason,
 }
 
 /// A team's live jobs in the order in which they are served.
@@ -63,20 +63,20 @@
 
 impl Queue {
     /// Adds the next job.
-    pub fn push(&mut self, job: Arc<str>, waits_for: WaitReason) {
-        self.jobs.push(QueuedJob { job, waits_for });
+    pub fn push(&mut self, job: Arc<str>, wait_reason: WaitReason) {
+        self.jobs.push(QueuedJob { job, wait_reason });
     }
 
     /// The jobs in order.
-    pub fn lines(&self) -> impl Iterator<Item = (&Arc<str>, WaitReason)> {
-        self.jobs.iter().map(|queued| (&queued.job, queued.waits_for))
+    pub fn jobs(&self) -> impl Iterator<Item = (&Arc<str>, WaitReason)> {
+        self.jobs.iter().map(|queued| (&queued.job, queued.wait_reason))
     }
 
     /// How many jobs wait for this.
-    pub fn waiting(&self, reason: WaitReason) -> usize {
+    pub fn count_waiting(&self, reason: WaitReason) -> usize {
         self.jobs
             .iter()
-            .filter(|queued| queued.waits_for == reason)
+            .filter(|queued| queued.wait_reason == reason)
             .count()
     }
 }
--- a/crates/accounting/src/records.rs
+++ b/crates/accounting/src/records.rs
@@ -19,7 +19,7 @@
 pub const HEAD_KEY: &str = "b/~";
 
 /// Version of the form that this build writes.
-const FORM: u16 = 1;
+const FORMAT_VERSION: u16 = 1;
 
 /// The last part of the key of a team's totals.
 const TOTALS_KEY_PART: &str = "~";
@@ -35,7 +35,7 @@
     Unreadable(String),
     /// A later build wrote it; this build must leave all accounts alone.
     #[error("a later build wrote it, in form {0}")]
-    Later(u16),
+    NewerFormat(u16),
 }
 
 fn unreadable(problem: &str) -> RecordError {
@@ -46,9 +46,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Head {
     #[serde(rename = "v")]
-    form: u16,
+    format: u16,
     /// The position of the last end that the accounts contain.
-    pub(crate) at: Position,
+    pub(crate) position: Position,
     /// Ends whose records name no owner.
     pub(crate) unowned: u64,
 }
@@ -57,7 +57,7 @@
     /// The head of accounts that contain nothing yet.
     pub(crate) fn new() -> Head {
         Head {
-            form: FORM,
+            format: FORMAT_VERSION,
             ..Head::default()
         }
     }
@@ -110,7 +110,7 @@
 #[derive(Serialize, Deserialize)]
 struct TotalsRecord {
     #[serde(rename = "v")]
-    form: u16,
+    format: u16,
     team: Team,
     classes: Vec<Arc<str>>,
     rows: Vec<TotalsRow>,
@@ -123,12 +123,12 @@
 struct PageEntryForm(Arc<str>, usize, EndedBy, u64, u64, u32, ExecutionStats);
 
 impl PageEntryForm {
-    fn of(line: &PageEntry, classes: &mut ClassTable) -> PageEntryForm {
+    fn new(line: &PageEntry, classes: &mut ClassTable) -> PageEntryForm {
         let PageEntry { job, entry } = line;
         PageEntryForm(
             job.clone(),
             classes.index_of(&entry.class),
-            entry.by(),
+            entry.ended_by(),
             entry.accepted_ms,
             entry.ended_ms,
             entry.tasks,
@@ -136,7 +136,7 @@
         )
     }
 
-    fn read(self, team: &Team, classes: &ClassTable) -> Result<PageEntry, RecordError> {
+    fn into_entry(self, team: &Team, classes: &ClassTable) -> Result<PageEntry, RecordError> {
         let PageEntryForm(job, class, by, accepted_ms, ended_ms, tasks, stats) = self;
         let ended = EndedJob {
             class: &classes.get(class)?,
@@ -144,7 +144,7 @@
             ended_ms,
             tasks,
         };
-        let entry = Arc::new(Entry::read(team.clone(), by, &ended, stats));
+        let entry = Arc::new(Entry::from_parts(team.clone(), by, &ended, stats));
         Ok(PageEntry { job, entry })
     }
 }
@@ -152,7 +152,7 @@
 #[derive(Serialize, Deserialize)]
 struct PageRecord {
     #[serde(rename = "v")]
-    form: u16,
+    format: u16,
     team: Team,
     classes: Vec<Arc<str>>,
     lines: Vec<PageEntryForm>,
@@ -189,10 +189,10 @@
     let mut classes = ClassTable::default();
     let lines = page
         .iter()
-        .map(|line| PageEntryForm::of(line, &mut classes))
+        .map(|line| PageEntryForm::new(line, &mut classes))
         .collect();
     let record = PageRecord {
-        form: FORM,
+        format: FORMAT_VERSION,
         team: team.clone(),
         classes: classes.0,
         lines,
@@ -216,7 +216,7 @@
         })
         .collect();
     let record = TotalsRecord {
-        form: FORM,
+        format: FORMAT_VERSION,
         team: team.clone(),
         classes: classes.0,
         rows,
@@ -279,23 +279,23 @@
     },
 }
 
-fn check_form(value: &Value) -> Result<(), RecordError> {
+fn check_format(value: &Value) -> Result<(), RecordError> {
     match value.get("v").and_then(Value::as_u64) {
-        Some(form) if form <= u64::from(FORM) => Ok(()),
-        Some(form) => Err(RecordError::Later(form.min(u64::from(u16::MAX)) as u16)),
+        Some(form) if form <= u64::from(FORMAT_VERSION) => Ok(()),
+        Some(form) => Err(RecordError::NewerFormat(form.min(u64::from(u16::MAX)) as u16)),
         None => Err(unreadable("it has no form")),
     }
 }
 
-fn read_as<T: for<'a> Deserialize<'a>>(value: &Value) -> Result<T, RecordError> {
+fn deserialize<T: for<'a> Deserialize<'a>>(value: &Value) -> Result<T, RecordError> {
     T::deserialize(value).map_err(|error| RecordError::Unreadable(error.to_string()))
 }
 
 /// Parses the record under a key.
 pub(crate) fn parse(key: &str, value: &Value) -> Result<Record, RecordError> {
-    check_form(value)?;
+    check_format(value)?;
     if key == HEAD_KEY {
-        return Ok(Record::Head(read_as(value)?));
+        return Ok(Record::Head(deserialize(value)?));
     }
     let (_, part) = key.rsplit_once('/').ok_or_else(|| unreadable("a strange key"))?;
     let (team, record) = if part == TOTALS_KEY_PART {
@@ -312,7 +312,7 @@
 }
 
 fn parse_totals(value: &Value) -> Result<(Team, Record), RecordError> {
-    let record: TotalsRecord = read_as(value)?;
+    let record: TotalsRecord = deserialize(value)?;
     let classes = ClassTable(record.classes);
     let mut totals = TotalsByDay::default();
     for row in record.rows {
@@ -323,12 +323,12 @@
 }
 
 fn parse_page(number: u32, value: &Value) -> Result<(Team, Record), RecordError> {
-    let record: PageRecord = read_as(value)?;
+    let record: PageRecord = deserialize(value)?;
     let classes = ClassTable(record.classes);
     let team = record.team;
     let lines = record.lines.into_iter();
     let page = lines
-        .map(|line| line.read(&team, &classes))
+        .map(|line| line.into_entry(&team, &classes))
         .collect::<Result<Page, _>>()?;
     Ok((team.clone(), Record::Page { team, number, page }))
 }
--- a/crates/accounting/src/team_account.rs
+++ b/crates/accounting/src/team_account.rs
@@ -1,6 +1,6 @@
 //! The ended jobs of one team: pages of the latest entries, and totals of older ones.
 
-use crate::constants::{ENTRY_BYTES, PAGE_ENTRIES, PAGES_KEPT};
+use crate::constants::{ENTRIES_PER_PAGE, ENTRY_OVERHEAD_BYTES, MAX_PAGES};
 use crate::entry::Entry;
 use crate::totals::{JobTotals, TotalsByDay};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
 impl PageEntry {
     /// Bytes that the entry takes in a record, at most.
     fn bytes(&self) -> usize {
-        ENTRY_BYTES + self.job.len() + self.entry.class.len()
+        ENTRY_OVERHEAD_BYTES + self.job.len() + self.entry.class.len()
     }
 }
 
@@ -55,7 +55,7 @@
         let number = self.page_for(&line, page_bytes);
         self.pages.entry(number).or_default().push(line);
         touched.insert(AccountPart::Page(number));
-        while self.pages.len() > PAGES_KEPT
+        while self.pages.len() > MAX_PAGES
             && let Some((oldest, page)) = self.pages.pop_first()
         {
             for line in page {
@@ -72,7 +72,7 @@
             return 0;
         };
         let bytes: usize = page.iter().map(PageEntry::bytes).sum();
-        let full = page.len() >= PAGE_ENTRIES || bytes + line.bytes() > page_bytes;
+        let full = page.len() >= ENTRIES_PER_PAGE || bytes + line.bytes() > page_bytes;
         *number + u32::from(full)
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Totals by the day of the end, over pages and older entries.
-    pub(crate) fn days(&self) -> BTreeMap<u32, JobTotals> {
+    pub(crate) fn totals_by_day(&self) -> BTreeMap<u32, JobTotals> {
         let mut days: BTreeMap<u32, JobTotals> = BTreeMap::new();
         for ((day, _), totals) in &self.totals.0 {
             days.entry(*day).or_default().merge(totals);
@@ -99,7 +99,7 @@
     /// Totals over all ended jobs.
     pub(crate) fn total(&self) -> JobTotals {
         let mut total = JobTotals::default();
-        for totals in self.days().values() {
+        for totals in self.totals_by_day().values() {
             total.merge(totals);
         }
         total
--- a/crates/accounting/src/totals.rs
+++ b/crates/accounting/src/totals.rs
@@ -25,11 +25,11 @@
 impl JobTotals {
     pub(crate) fn add(&mut self, job: &str, entry: &Entry) {
         self.merge(&JobTotals {
-            done: u64::from(entry.by().done()),
-            cancelled: u64::from(!entry.by().done()),
+            done: u64::from(entry.ended_by().is_finished()),
+            cancelled: u64::from(!entry.ended_by().is_finished()),
             tasks: u64::from(entry.tasks),
             attempts: u64::from(entry.stats.attempts.unwrap_or(0)),
-            lost_s: entry.stats.lost_s(),
+            lost_s: entry.stats.total_lost_s(),
             checksum: entry.checksum(job),
         });
     }
@@ -45,7 +45,7 @@
 
     /// Whether both are over the same ends. Attempts and lost work may differ: only the last leader
     /// that ran a job knows them.
-    pub(crate) fn same_ends(&self, other: &JobTotals) -> bool {
+    pub(crate) fn has_same_jobs(&self, other: &JobTotals) -> bool {
         (self.done, self.cancelled, self.tasks, self.checksum)
             == (other.done, other.cancelled, other.tasks, other.checksum)
     }
--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -1116,8 +1116,8 @@
                         None => return None,
                     };
                     let owner =
-                        Owner::on_record(&id, authorization::requesting_team(Some(team), settings).name());
-                    let access = Access::stated(&owner, asks).ok()?;
+                        Owner::from_record(&id, authorization::requesting_team(Some(team), settings).name());
+                    let access = Access::for_team(&owner, asks).ok()?;
                     let state = match ended.end {
                         Ending::Done => "completed",
                         Ending::Cancelled => "removed",
--- a/crates/controller/src/job_api/authorization.rs
+++ b/crates/controller/src/job_api/authorization.rs
@@ -31,7 +31,7 @@
 
 /// The owner recorded for a job.
 pub fn job_owner(spec: &JobSpec) -> Owner {
-    Owner::on_record(&spec.id.0, &spec.team)
+    Owner::from_record(&spec.id.0, &spec.team)
 }
 
 /// Permission of the requesting team to see and change a job.
@@ -40,7 +40,7 @@
 /// Another team owns the job.
 pub fn access(spec: &JobSpec, requester: &Team, settings: &Settings) -> Result<Access, Hidden> {
     let team = resolve_team(&spec.team, settings);
-    Access::stated(&Owner::on_record(&spec.id.0, team.name()), requester)
+    Access::for_team(&Owner::from_record(&spec.id.0, team.name()), requester)
 }
 
 /// Whether the name `team` resolves to the requesting team.
--- a/crates/controller/src/job_api/cancel.rs
+++ b/crates/controller/src/job_api/cancel.rs
@@ -43,7 +43,7 @@
         };
         // The protocol names no team here: anyone who knows the id may cancel the job, and the
         // accounting entry goes to the owner's team.
-        let visible = VisibleJob::by_protocol(&pending.job.0);
+        let visible = VisibleJob::for_protocol(&pending.job.0);
         let entry = spec.and_then(|spec| {
             let owner = authorization::job_owner(spec);
             let ended = authorization::ended_job(spec, io.wall_ms);
--- a/crates/controller/src/job_api/poll.rs
+++ b/crates/controller/src/job_api/poll.rs
@@ -142,7 +142,7 @@
         let all_hold = outcome.status() == Some(200);
         for poll in polls {
             if all_hold {
-                let visible = VisibleJob::by_protocol(&poll.job.0);
+                let visible = VisibleJob::for_protocol(&poll.job.0);
                 self.reply_live(poll.request, &visible, counts, io);
                 continue;
             }
--- a/crates/controller/src/job_api/reply.rs
+++ b/crates/controller/src/job_api/reply.rs
@@ -30,14 +30,14 @@
 
 /// What the requester may see of a job; `team` is the owner, if it is known.
 pub(super) fn visible_job(job: &JobId, kind: &JobRequest, team: Option<&Team>) -> VisibleJob {
-    let owner = team.map(|team| Owner::on_record(&job.0, team.name()));
+    let owner = team.map(|team| Owner::from_record(&job.0, team.name()));
     match kind {
-        JobRequest::Poll | JobRequest::Cancel => VisibleJob::by_protocol(&job.0),
+        JobRequest::Poll | JobRequest::Cancel => VisibleJob::for_protocol(&job.0),
         JobRequest::Submit(spec) => {
             let stated = Team::named(&spec.team);
-            VisibleJob::repeated(&job.0, owner.as_ref(), Some(&stated))
+            VisibleJob::for_resubmission(&job.0, owner.as_ref(), Some(&stated))
         }
-        JobRequest::Refused(_) => VisibleJob::repeated(&job.0, owner.as_ref(), None),
+        JobRequest::Refused(_) => VisibleJob::for_resubmission(&job.0, owner.as_ref(), None),
     }
 }
 
--- a/crates/controller/src/job_api/submit.rs
+++ b/crates/controller/src/job_api/submit.rs
@@ -60,7 +60,7 @@
             self.read_again(request, io);
         } else {
             self.pending.remove(request);
-            let visible = VisibleJob::by_protocol(&spec.id.0);
+            let visible = VisibleJob::for_protocol(&spec.id.0);
             let response = JobStatusResponse::of(&visible, JobStatus::Pending, None, None);
             io.reply_until(request, 201, &response, call_sent_at + LIVE_READ_MAX_AGE_MS);
         }
--- a/crates/controller/src/job_api/throttle.rs
+++ b/crates/controller/src/job_api/throttle.rs
@@ -12,7 +12,7 @@
 use crate::model::{JobId, Timestamp};
 use crate::settings::Settings;
 use crate::token_bucket::TokenBucket;
-use indigopath_accounting::{FairQueue, Full, Team};
+use indigopath_accounting::{FairQueue, QueueFull, Team};
 use std::collections::BTreeMap;
 
 /// An item of a fair queue that can be rejected.
@@ -76,15 +76,15 @@
         let weight = self.weights.get(team.name()).copied().unwrap_or(1);
         match queue.push(team, weight, 1, item) {
             Ok(()) => (),
-            Err(Full::Refused(item)) => self.reject(team, item.request(), io),
-            Err(Full::GaveUp(other, item)) => self.reject(&other, item.request(), io),
+            Err(QueueFull::Rejected(item)) => self.reject(team, item.request(), io),
+            Err(QueueFull::Evicted(other, item)) => self.reject(&other, item.request(), io),
         }
     }
 
     /// Rejects requests that have waited too long, while their users still wait for a response.
     pub(super) fn reject_expired<T: Queueable>(&mut self, queue: &mut FairQueue<T>, io: &mut Io) {
         let now = io.now;
-        for (team, item) in queue.take_if(|item| now > item.received_at() + MAX_QUEUE_WAIT_MS) {
+        for (team, item) in queue.take_expired(|item| now > item.received_at() + MAX_QUEUE_WAIT_MS) {
             self.reject(&team, item.request(), io);
         }
     }
@@ -146,13 +146,13 @@
         }
         // Part of the budget is reserved for teams that send requests only occasionally, so that they
         // need not wait until the budget used up by others is refilled.
-        let reserve = if self.writes.begins() {
+        let reserve = if self.writes.next_is_new_team() {
             0.0
         } else {
             NEW_TEAM_RESERVE
         };
         // Requests of many teams may use all that the leader leaves; a flood of one team may not.
-        let is_flood = self.writes.longest() > FLOOD_QUEUE_LENGTH;
+        let is_flood = self.writes.longest_lane_length() > FLOOD_QUEUE_LENGTH;
         if is_flood && !self.write_budget.has_available(1.0, reserve, io.now) {
             return None;
         }
--- a/crates/controller/src/leader/accounting.rs
+++ b/crates/controller/src/leader/accounting.rs
@@ -157,7 +157,7 @@
     /// only some are written, so the last written revision is included.
     fn watch_revision(&self) -> u64 {
         self.followed_revision
-            .max(self.job_accounting.at().revision.saturating_sub(1))
+            .max(self.job_accounting.last_position().revision.saturating_sub(1))
     }
 
     /// Handles a page of the accounting records.
@@ -170,9 +170,9 @@
             if item.key == HEAD_KEY {
                 self.head_version = item.version;
             }
-            match self.job_accounting.read(&item.key, &item.value) {
+            match self.job_accounting.load_record(&item.key, &item.value) {
                 Ok(()) => (),
-                Err(problem @ indigopath_accounting::RecordError::Later(_)) => {
+                Err(problem @ indigopath_accounting::RecordError::NewerFormat(_)) => {
                     log::error!("accounting suspended key={}: {problem}", item.key);
                     self.suspended = true;
                 }
@@ -241,19 +241,19 @@
             let replaces_accounts = scan.as_ref().is_some_and(|scan| scan.replaces_accounts);
             let rebuild = scan.and_then(|scan| scan.rebuild.as_mut());
             if replaces_accounts {
-                if let Some(rebuild) = rebuild.filter(|_| position > *self.job_accounting.at()) {
-                    rebuild.note(position.clone(), entry);
+                if let Some(rebuild) = rebuild.filter(|_| position > *self.job_accounting.last_position()) {
+                    rebuild.add_appended(position.clone(), entry);
                     self.job_accounting.skip_to(position);
                 }
             } else if self.job_accounting.append(position.clone(), entry.clone())
                 && let Some(rebuild) = rebuild
             {
-                rebuild.note(position, entry);
+                rebuild.add_appended(position, entry);
             }
         }
         self.followed_revision = self.followed_revision.max(changes.revision);
-        if changes.revision >= self.job_accounting.at().revision + ACCOUNTING_QUIET_CHANGES {
-            self.job_accounting.quiet_until(changes.revision);
+        if changes.revision >= self.job_accounting.last_position().revision + ACCOUNTING_QUIET_CHANGES {
+            self.job_accounting.advance_to(changes.revision);
         }
         if !self.verified && self.scan.is_none() {
             self.scan = Some(EndedJobScan::default());
@@ -266,9 +266,10 @@
         let Some(mut scan) = self.scan.take() else { return };
         if let Some(page) = outcome.read::<protocol::StoredPage>(&[200]) {
             if scan.rebuild.is_none() {
-                scan.rebuild = Some(Rebuild::begin(page.revision));
+                scan.rebuild = Some(Rebuild::new(page.revision));
                 if scan.replaces_accounts {
-                    self.job_accounting.skip_to(Position::end_of(page.revision));
+                    self.job_accounting
+                        .skip_to(Position::after_revision(page.revision));
                     self.followed_revision = page.revision;
                 }
             }
@@ -279,7 +280,7 @@
                 if let Some((position, entry)) = end
                     && let Some(rebuild) = &mut scan.rebuild
                 {
-                    rebuild.record(position, entry);
+                    rebuild.add_scanned(position, entry);
                 }
             }
             if scan.read_all {
@@ -295,18 +296,18 @@
     /// revision have been received.
     fn verify_when_scanned(&mut self) {
         let complete = self.scan.as_ref().is_some_and(|scan| {
-            let scan_revision = scan.rebuild.as_ref().map(Rebuild::upto);
+            let scan_revision = scan.rebuild.as_ref().map(Rebuild::scan_revision);
             scan.read_all && scan_revision.is_some_and(|revision| self.followed_revision >= revision)
         });
-        if !complete || self.job_accounting.writing() {
+        if !complete || self.job_accounting.is_writing() {
             return;
         }
         let Some(scan) = self.scan.take() else { return };
         let Some(rebuild) = scan.rebuild else { return };
         self.verified = true;
-        let ended_jobs = rebuild.read;
+        let ended_jobs = rebuild.records_read;
         if scan.replaces_accounts {
-            self.job_accounting.adopt(rebuild);
+            self.job_accounting.replace_with(rebuild);
             log::info!("accounting rebuilt ended_jobs={ended_jobs}");
             return;
         }
@@ -372,7 +373,7 @@
             (Method::Get, path, Vec::new(), AccountingCall::Scan)
         } else if now >= accounting.follow_at
             && (accounting.has_new_ends || now >= accounting.follow_at + ACCOUNTING_IDLE_MS)
-            && accounting.job_accounting.has_room()
+            && accounting.job_accounting.has_capacity()
             && !(replaces_accounts && not_started)
         {
             let path = paths::watch(records::ENDED_JOB_PREFIX, accounting.watch_revision(), 0);
@@ -383,7 +384,7 @@
                 .state
                 .txn_ops
                 .min(io.write_budget.available(now));
-            let Some(changes) = accounting.job_accounting.write(max_changes, MAX_TXN_BYTES) else {
+            let Some(changes) = accounting.job_accounting.begin_write(max_changes, MAX_TXN_BYTES) else {
                 return;
             };
             let head = changes.iter().any(|(key, _)| key == HEAD_KEY);
@@ -438,17 +439,17 @@
             AccountingCall::Scan => accounting.on_scan_page(outcome, now),
             AccountingCall::Write { head } => {
                 // If more entries are pending than fit into one write, the next write follows soon.
-                let more = accounting.job_accounting.pending() > ACCOUNTING_BATCH;
+                let more = accounting.job_accounting.pending_ends() > ACCOUNTING_BATCH;
                 accounting.write_at = now + if more { SECOND_MS } else { ACCOUNTING_WRITE_MS };
                 let answer = outcome.read::<protocol::TransactionResponse>(&[200]);
                 match (answer, outcome.status()) {
                     (Some(answer), _) => {
-                        accounting.job_accounting.written();
+                        accounting.job_accounting.on_written();
                         if head {
                             accounting.head_version = answer.revision;
                         }
                     }
-                    _ if outcome.is_safe_to_retry() => accounting.job_accounting.refused(),
+                    _ if outcome.is_safe_to_retry() => accounting.job_accounting.on_rejected(),
                     (_, Some(409)) => {
                         let failed = outcome
                             .read::<protocol::TransactionResponse>(&[409])
@@ -456,7 +457,7 @@
                             .unwrap_or_default();
                         // The leader may have renewed its own record in between.
                         if failed == [records::LEADER_KEY] {
-                            accounting.job_accounting.refused();
+                            accounting.job_accounting.on_rejected();
                         } else {
                             accounting.reload(now);
                         }
@@ -535,7 +536,7 @@
                 .totals()
                 .map(|(team, totals)| (team.clone(), totals))
                 .collect(),
-            pending: accounting.job_accounting.pending() as u64,
+            pending: accounting.job_accounting.pending_ends() as u64,
             unowned: accounting.job_accounting.unowned(),
             differences: accounting.differences,
             checked: accounting.verified,
@@ -575,6 +576,6 @@
             (true, _) => ran_s.min(job.spec.checkpoint_s),
             (false, _) => ran_s,
         };
-        job.execution_stats.lose(cause, lost_s);
+        job.execution_stats.record_loss(cause, lost_s);
     }
 }
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -106,10 +106,10 @@
         let mut holders = Vec::new();
         for machine in self.machines.values() {
             for attempt in machine.attempts.iter().filter(|attempt| attempt.holds_units()) {
-                let owner = Owner::on_record(&attempt.task.job.0, &attempt.team);
+                let owner = Owner::from_record(&attempt.task.job.0, &attempt.team);
                 let access = match requesting_team {
-                    Some(team) => Access::stated(&owner, team),
-                    None => Access::shown_to_all(&owner, settings.operator.show_holders),
+                    Some(team) => Access::for_team(&owner, team),
+                    None => Access::for_any_team(&owner, settings.operator.show_holders),
                 };
                 if access.is_err() {
                     continue;
@@ -156,7 +156,7 @@
     ) -> Option<Explanation> {
         let job = self.jobs.get(id)?;
         let shown = settings.operator.show_holders && team.is_none();
-        let access = Access::shown_to_all(&authorization::job_owner(&job.spec), shown).or_else(|_| {
+        let access = Access::for_any_team(&authorization::job_owner(&job.spec), shown).or_else(|_| {
             authorization::access(
                 &job.spec,
                 &authorization::requesting_team(team, settings),
--- a/crates/controller/src/leader/persistence.rs
+++ b/crates/controller/src/leader/persistence.rs
@@ -202,7 +202,7 @@
                     {
                         attempt.durable = true;
                         if let Some(job) = self.jobs.get_mut(&start.task.job) {
-                            job.execution_stats.attempt();
+                            job.execution_stats.record_attempt();
                         }
                         self.commands.mark_due(start.machine);
                     }
@@ -225,7 +225,7 @@
             WriteUnit::ProtectionWindows { number, deleted } => {
                 self.protection_windows
                     .window_state
-                    .written(number, if deleted { 0 } else { revision });
+                    .on_written(number, if deleted { 0 } else { revision });
             }
             WriteUnit::ObsoleteKey { .. } => (),
         }
@@ -316,7 +316,9 @@
         } else if let Some(number) = records::parse_numbered_key(records::COMPLETED_TASKS_PREFIX, &key) {
             self.writer.set_completed_tasks_version(number, version);
         } else if let Some(number) = records::parse_numbered_key(records::PROTECTION_WINDOWS_PREFIX, &key) {
-            self.protection_windows.window_state.found(number, version);
+            self.protection_windows
+                .window_state
+                .on_version_read(number, version);
         }
         None
     }
--- a/crates/controller/src/leader/protection_windows.rs
+++ b/crates/controller/src/leader/protection_windows.rs
@@ -12,7 +12,7 @@
 use crate::settings::Settings;
 use crate::storage::batch_writer::WriteUnit;
 use indigopath_protection_windows::{
-    CloseReason, Event, Service, ShiftStatus, Standing, Timetable, WindowState,
+    CloseReason, Event, Service, Standing, Timetable, WindowState, WindowStatus,
 };
 use std::collections::{BTreeMap, HashMap};
 
@@ -82,7 +82,7 @@
     pub(super) fn on_write_failed(&mut self, units: &[WriteUnit]) {
         for unit in units {
             if let WriteUnit::ProtectionWindows { number, .. } = unit {
-                self.window_state.failed(*number);
+                self.window_state.on_write_failed(*number);
             }
         }
     }
@@ -91,10 +91,10 @@
 impl LeaderTerm {
     /// Restores a record of windows and standings.
     pub(super) fn restore_protection_windows(&mut self, number: u32, item: &StoredItem, io: &mut Io) {
-        let read = self
-            .protection_windows
-            .window_state
-            .adopt(number, &item.value.to_string(), item.version);
+        let read =
+            self.protection_windows
+                .window_state
+                .restore(number, &item.value.to_string(), item.version);
         if let Err(problem) = read {
             let text = format!(
                 "protection windows: record {} is not changed, {problem}: until it can be read or is deleted, \
@@ -108,7 +108,7 @@
     /// Queues changed records for the next transaction.
     pub(super) fn queue_protection_windows(&mut self, now: Timestamp) {
         if self.protection_windows.is_enabled() && self.writer.protection_window_writes.is_empty() {
-            self.writer.protection_window_writes = self.protection_windows.window_state.due(now);
+            self.writer.protection_window_writes = self.protection_windows.window_state.due_writes(now);
         }
     }
 
@@ -133,20 +133,20 @@
             team: &job.spec.team,
             submitted_ms: job.spec.submitted_ms,
         });
-        let events = self.protection_windows.window_state.look(io.wall_ms, services);
+        let events = self.protection_windows.window_state.update(io.wall_ms, services);
         let standings: BTreeMap<JobId, Standing> = self
             .protection_windows
             .window_state
             .standings()
             .map(|(id, standing)| (JobId(id.clone()), standing))
             .collect();
-        let spares = self.protection_windows.window_state.spares();
+        let spares = self.protection_windows.window_state.spare_shares();
         let spare_share = |spec: &JobSpec| {
             let covering = spares.iter().filter(|spare| {
-                let shift = self.protection_windows.timetable.get(&spare.shift);
-                shift.is_some_and(|shift| shift.covers(&spec.class, &spec.team))
+                let schedule = self.protection_windows.timetable.get(&spare.schedule);
+                schedule.is_some_and(|schedule| schedule.covers(&spec.class, &spec.team))
             });
-            covering.map(|spare| spare.part).fold(0.0, f64::max)
+            covering.map(|spare| spare.share).fold(0.0, f64::max)
         };
         let spare = if spares.is_empty() {
             Vec::new()
@@ -167,36 +167,40 @@
     fn report_window_event(&mut self, event: Event, io: &mut Io) {
         let warning = match event {
             Event::Opened {
-                shift,
+                schedule,
                 day,
                 closes_ms,
             } => {
                 self.protection_windows.warned_large = false;
                 self.protection_windows.warned_unplaced = false;
-                log::info!("protection window opened window={shift} day={day} until_ms={closes_ms}");
+                log::info!("protection window opened window={schedule} day={day} until_ms={closes_ms}");
                 return;
             }
-            Event::Closed { shift, day, why } => {
-                let why = match why {
-                    CloseReason::Over => "it is over",
+            Event::Closed {
+                schedule,
+                day,
+                reason,
+            } => {
+                let why = match reason {
+                    CloseReason::Ended => "it is over",
                     CloseReason::NoWindow => "the settings have no window on that day",
                 };
-                log::info!("protection window closed window={shift} day={day}: {why}");
+                log::info!("protection window closed window={schedule} day={day}: {why}");
                 return;
             }
-            Event::ClockOff { by_ms } => format!(
-                "protection windows: this node's clock is {by_ms} ms behind the clock under which the record was \
+            Event::ClockBehind { behind_ms } => format!(
+                "protection windows: this node's clock is {behind_ms} ms behind the clock under which the record was \
                  written, more than deployment.skew_ms allows: recorded windows are not changed"
             ),
-            Event::NotInSettings { shift, closes_ms } => format!(
-                "shift={shift} is recorded as open but is not in this node's settings: recorded services stay \
+            Event::NotInSettings { schedule, closes_ms } => format!(
+                "shift={schedule} is recorded as open but is not in this node's settings: recorded services stay \
                  protected until {closes_ms} ms, and no others"
             ),
-            Event::TooLarge { most } => format!(
-                "protection windows: they do not fit into a value of {most} bytes: they are not recorded, and \
+            Event::TooLarge { max_bytes } => format!(
+                "protection windows: they do not fit into a value of {max_bytes} bytes: they are not recorded, and \
                  follow each leader's clock"
             ),
-            Event::Unplaced { services } => format!(
+            Event::PositionsExhausted { services } => format!(
                 "protection windows: {services} services are protected without a recorded place: there are too many"
             ),
         };
@@ -251,7 +255,7 @@
     }
 
     /// Status of the protection windows.
-    pub fn protection_window_status(&self, wall_ms: u64) -> Vec<ShiftStatus> {
+    pub fn protection_window_status(&self, wall_ms: u64) -> Vec<WindowStatus> {
         if self.protection_windows.is_enabled() {
             self.protection_windows.window_state.status(wall_ms)
         } else {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -186,7 +186,7 @@
                     attempt.stop = Some(Stop::requested(0.0, now));
                     continue;
                 };
-                job.execution_stats.attempt();
+                job.execution_stats.record_attempt();
                 job.waiting.remove(&attempt.task.index);
                 attempt.image = Some(job.spec.image.clone());
                 attempt.image_gb = job.spec.image_gb;
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -228,7 +228,7 @@
             let held_by_limit = part.holds.iter().any(|hold| hold.why != Why::User);
             Some(QueueRow {
                 seen: Seen::with(&access),
-                waits: LeaderTerm::wait_reason(job, &blocked, now).text().to_owned(),
+                waits: LeaderTerm::wait_reason(job, &blocked, now).as_str().to_owned(),
                 job: job.spec.id.to_string(),
                 cluster: part.cluster,
                 procs: part.procs.text(),
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -10,7 +10,7 @@
 use indigopath_connection_limits::{ConnectionClass, PerClass, ShortageCounts};
 use indigopath_counted_resources::status::CountStatus;
 use indigopath_fencing::{GuardedOperation, HeldLease};
-use indigopath_protection_windows::ShiftStatus;
+use indigopath_protection_windows::WindowStatus;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -79,7 +79,7 @@
     /// Only while the node leads.
     pub accounting: Option<AccountingGauges>,
     /// Status of the protection windows.
-    pub protection_windows: Vec<ShiftStatus>,
+    pub protection_windows: Vec<WindowStatus>,
     /// Spare capacity for replicas that protection windows request, and that is reserved.
     pub spare_replicas: (u32, u32),
 }
@@ -509,7 +509,7 @@
         self.spare_replicas.clear();
         for status in &gauges.protection_windows {
             let labels = ProtectionWindowLabels {
-                shift: status.shift.to_string(),
+                shift: status.schedule.to_string(),
             };
             let until_s = status.until_ms.unwrap_or(0) / 1_000;
             for (family, value) in [
@@ -597,10 +597,10 @@
         let Some(stats) = &gauges.accounting else { return };
         for (team, queue) in &stats.waiting {
             for what in WaitReason::ALL {
-                let labels = labels_for(team, what.text());
+                let labels = labels_for(team, what.as_str());
                 self.accounting_queue
                     .get_or_create(&labels)
-                    .set(gauge_value(queue.waiting(what)));
+                    .set(gauge_value(queue.count_waiting(what)));
             }
         }
         for (team, totals) in &stats.ended {
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -42,8 +42,8 @@
         throttled: Vec::new(),
         accounting: None,
         served_shares: vec![(ShareOwner::Class("batch".to_owned()), 0.5)],
-        protection_windows: vec![ShiftStatus {
-            shift: "trading".into(),
+        protection_windows: vec![WindowStatus {
+            schedule: "trading".into(),
             open: true,
             until_ms: Some(1_796_104_800_000),
             services: 3,
--- a/crates/controller/src/protocol.rs
+++ b/crates/controller/src/protocol.rs
@@ -135,8 +135,8 @@
         JobStatusResponse {
             id: permission.job(),
             status,
-            done: done.filter(|_| permission.progress()),
-            running: running.filter(|_| permission.progress()),
+            done: done.filter(|_| permission.shows_progress()),
+            running: running.filter(|_| permission.shows_progress()),
         }
     }
 }
--- a/crates/controller/src/storage/batch_writer.rs
+++ b/crates/controller/src/storage/batch_writer.rs
@@ -55,7 +55,7 @@
     /// Launch requests to be recorded.
     pub launches_to_record: BTreeSet<String>,
     /// Values of protection windows to be written.
-    pub protection_window_writes: Vec<indigopath_protection_windows::Write>,
+    pub protection_window_writes: Vec<indigopath_protection_windows::ValueWrite>,
     /// Keys to be deleted.
     pub obsolete_keys: BTreeSet<String>,
     /// Jobs recorded as done since this was last emptied, with their teams.
@@ -311,13 +311,13 @@
                 key: key.clone(),
                 version: write.version,
             };
-            let change = match write.text.clone().map(RawValue::from_string) {
+            let change = match write.value.clone().map(RawValue::from_string) {
                 Some(Ok(value)) => put_text(key, value),
                 _ => Change::Delete { key },
             };
             let unit = WriteUnit::ProtectionWindows {
                 number: write.number,
-                deleted: write.text.is_none(),
+                deleted: write.value.is_none(),
             };
             if transaction.is_full() || !transaction.add(unit, vec![unchanged], vec![change]) {
                 self.protection_window_writes.push(write);
@@ -402,7 +402,7 @@
 
 fn write_finished_job(transaction: &mut TransactionBuilder, id: &JobId, job: &Job, wall_ms: u64) -> bool {
     let key = keys::job_key(&id.0);
-    let access = Access::of_service(&authorization::job_owner(&job.spec));
+    let access = Access::for_service(&authorization::job_owner(&job.spec));
     let ended = authorization::ended_job(&job.spec, wall_ms);
     let record = EndedJobRecord::done(Entry::finished(&access, &ended, job.execution_stats.clone()));
     let changes = vec![
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -95,10 +95,10 @@
     for stored in records().iter().filter(|stored| stored.key.starts_with("b/")) {
         let value: Value = serde_json::from_str(stored.value.get()).unwrap();
         let mut books = JobAccounting::new(14_000);
-        books.read(&stored.key, &value).unwrap();
+        books.load_record(&stored.key, &value).unwrap();
         let Some(team) = value["team"].as_str() else {
             assert_eq!(
-                books.at().revision,
+                books.last_position().revision,
                 value["at"]["revision"].as_u64().unwrap(),
                 "{}",
                 stored.key
@@ -113,7 +113,7 @@
             assert_eq!(**job, *line[0].as_str().unwrap());
             assert_eq!(entry.accepted_ms, line[3].as_u64().unwrap());
             assert_eq!(entry.ended_ms, line[4].as_u64().unwrap());
-            assert_eq!(serde_json::to_value(entry.by()).unwrap(), line[2]);
+            assert_eq!(serde_json::to_value(entry.ended_by()).unwrap(), line[2]);
             assert_eq!(serde_json::to_value(&entry.stats).unwrap(), line[6]);
         }
         assert_eq!(
@@ -139,7 +139,7 @@
             14_000,
         );
         let number = stored.key["t/".len()..].parse().unwrap();
-        ledger.adopt(number, stored.value.get(), 1).unwrap();
+        ledger.restore(number, stored.value.get(), 1).unwrap();
     }
     assert_eq!(stored.len(), 3);
 }
--- a/crates/protection_windows/src/definition.rs
+++ b/crates/protection_windows/src/definition.rs
@@ -1,7 +1,7 @@
 //! Operators' definitions of shifts, and their checks.
 
-use crate::constants::{MAX_LEAD_S, MAX_NAME, MAX_RANK, MAX_SHIFTS};
-use crate::timetable::{Shift, Timetable};
+use crate::constants::{MAX_LEAD_S, MAX_NAME_BYTES, MAX_RANK, MAX_SCHEDULES};
+use crate::timetable::{Timetable, WindowSchedule};
 use crate::{Day, Name};
 use jiff::civil::{Time, Weekday};
 use jiff::tz::TimeZone;
@@ -72,20 +72,20 @@
     definitions: &Definitions,
     is_team: impl Fn(&str) -> bool,
 ) -> Result<Timetable, DefinitionError> {
-    if definitions.len() > MAX_SHIFTS {
+    if definitions.len() > MAX_SCHEDULES {
         return Err(DefinitionError {
             field: "shift".to_owned(),
-            problem: format!("more than {MAX_SHIFTS} are defined"),
+            problem: format!("more than {MAX_SCHEDULES} are defined"),
         });
     }
-    let shifts = definitions.iter().map(|(name, definition)| {
-        let shift = shift(name, definition, &is_team).map_err(|found| DefinitionError {
+    let schedules = definitions.iter().map(|(name, definition)| {
+        let schedule = check_definition(name, definition, &is_team).map_err(|found| DefinitionError {
             field: format!("shift.{name}{}", found.field),
             problem: found.problem,
         })?;
-        Ok((name.clone(), Arc::new(shift)))
+        Ok((name.clone(), Arc::new(schedule)))
     });
-    Ok(Timetable::of(shifts.collect::<Result<_, _>>()?))
+    Ok(Timetable::new(schedules.collect::<Result<_, _>>()?))
 }
 
 /// A field of a definition that cannot be used.
@@ -106,49 +106,53 @@
 
 /// Checks the definition of one shift. The first field that cannot be used is reported, in the
 /// order of the checks.
-fn shift(name: &str, definition: &Definition, is_team: impl Fn(&str) -> bool) -> Result<Shift, FieldProblem> {
+fn check_definition(
+    name: &str,
+    definition: &Definition,
+    is_team: impl Fn(&str) -> bool,
+) -> Result<WindowSchedule, FieldProblem> {
     check_name(name)?;
-    let zone = TimeZone::get(&definition.time_zone).map_err(|_| {
+    let time_zone = TimeZone::get(&definition.time_zone).map_err(|_| {
         let problem = format!("there is no time zone {}", definition.time_zone);
         FieldProblem::new(".time_zone", problem)
     })?;
-    let days = days(definition)?;
-    let closed = closed_days(definition)?;
+    let days = parse_days(definition)?;
+    let closed_days = parse_closed_days(definition)?;
     let (from, _) = parse_time(".from", &definition.from)?;
     let (to, end_of_day) = parse_time(".to", &definition.to)?;
     if definition.from == "24:00" {
-        return Err(FieldProblem::new(".from", no_time(&definition.from)));
+        return Err(FieldProblem::new(".from", invalid_time(&definition.from)));
     }
     check_classes(definition)?;
     check_teams(definition, is_team)?;
-    let rank = rank(definition)?;
+    let rank = check_rank(definition)?;
     check_numbers(definition)?;
-    Ok(Shift {
-        zone,
+    Ok(WindowSchedule {
+        time_zone,
         days,
         from,
         to,
         overnight: end_of_day || to <= from,
-        closed,
+        closed_days,
         classes: definition.classes.iter().cloned().collect(),
         teams: definition.teams.clone().map(BTreeSet::from_iter),
         rank,
         lead_ms: (definition.lead_s * 1_000.0) as u64,
-        spare: definition.spare,
+        spare_share: definition.spare,
     })
 }
 
 fn check_name(name: &str) -> Result<(), FieldProblem> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    if (1..=MAX_NAME).contains(&name.len()) && name.bytes().all(is_allowed) {
+    if (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed) {
         return Ok(());
     }
-    let problem = format!("a name has 1 to {MAX_NAME} letters, digits, dots, dashes or underscores");
+    let problem = format!("a name has 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes or underscores");
     Err(FieldProblem::new("", problem))
 }
 
 /// Days of the week, counted from Monday as 0.
-fn days(definition: &Definition) -> Result<BTreeSet<i8>, FieldProblem> {
+fn parse_days(definition: &Definition) -> Result<BTreeSet<i8>, FieldProblem> {
     let Some(names) = &definition.days else {
         return Ok((0..7).collect());
     };
@@ -164,7 +168,7 @@
     days.collect()
 }
 
-fn closed_days(definition: &Definition) -> Result<BTreeSet<Day>, FieldProblem> {
+fn parse_closed_days(definition: &Definition) -> Result<BTreeSet<Day>, FieldProblem> {
     let days = definition.closed.iter().map(|day| {
         let date = (day.len() == 10).then(|| day.parse::<Day>().ok()).flatten();
         date.ok_or_else(|| FieldProblem::new(".closed", format!("{day} is no day, as 2026-12-25 is")))
@@ -174,7 +178,7 @@
 
 /// A time of day, and whether it is the one at a day's end.
 fn parse_time(field: &'static str, text: &str) -> Result<(Time, bool), FieldProblem> {
-    time(text).ok_or_else(|| FieldProblem::new(field, no_time(text)))
+    parse_time_of_day(text).ok_or_else(|| FieldProblem::new(field, invalid_time(text)))
 }
 
 fn check_classes(definition: &Definition) -> Result<(), FieldProblem> {
@@ -201,7 +205,7 @@
     }
 }
 
-fn rank(definition: &Definition) -> Result<u16, FieldProblem> {
+fn check_rank(definition: &Definition) -> Result<u16, FieldProblem> {
     let rank = u16::try_from(definition.rank).ok();
     let rank = rank.filter(|rank| i64::from(*rank) <= MAX_RANK);
     rank.ok_or_else(|| {
@@ -211,24 +215,24 @@
 }
 
 fn check_numbers(definition: &Definition) -> Result<(), FieldProblem> {
-    let within = |value: f64, most: f64| value.is_finite() && (0.0..=most).contains(&value);
-    if !within(definition.lead_s, MAX_LEAD_S) {
+    let is_within = |value: f64, max: f64| value.is_finite() && (0.0..=max).contains(&value);
+    if !is_within(definition.lead_s, MAX_LEAD_S) {
         let problem = format!("must be between 0 and {MAX_LEAD_S} s, is {}", definition.lead_s);
         return Err(FieldProblem::new(".lead_s", problem));
     }
-    if !within(definition.spare, 1.0) {
+    if !is_within(definition.spare, 1.0) {
         let problem = format!("must be between 0 and 1, is {}", definition.spare);
         return Err(FieldProblem::new(".spare", problem));
     }
     Ok(())
 }
 
-fn no_time(text: &str) -> String {
+fn invalid_time(text: &str) -> String {
     format!("{text} is no time of day, as 06:00 is")
 }
 
 /// A time of day, and whether it is the one at a day's end.
-fn time(text: &str) -> Option<(Time, bool)> {
+fn parse_time_of_day(text: &str) -> Option<(Time, bool)> {
     let (hour, minute) = text.split_once(':')?;
     let number = |digits: &str| {
         let plain = digits.len() == 2 && digits.bytes().all(|byte| byte.is_ascii_digit());
--- a/crates/protection_windows/src/lib.rs
+++ b/crates/protection_windows/src/lib.rs
@@ -12,7 +12,7 @@
 //! // Tuesday, 1 December 2026, noon in Perth.
 //! let noon_ms = 1_796_097_600_000;
 //! let till = Service { id: "wk-000412", class: "live", team: "red", submitted_ms: 0 };
-//! state.look(noon_ms, [till]);
+//! state.update(noon_ms, [till]);
 //! assert_eq!(state.standing("wk-000412").map(|standing| standing.rank), Some(1));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
@@ -41,9 +41,9 @@
 mod window_state;
 
 pub use definition::{Definition, DefinitionError, Definitions, check, unknown_classes};
-pub use event::{CloseReason, Event, Service, ShiftStatus, Spare, Standing, Write};
+pub use event::{CloseReason, Event, Service, SpareShare, Standing, ValueWrite, WindowStatus};
 pub use record::RecordError;
-pub use timetable::{Shift, Timetable, Window};
+pub use timetable::{Timetable, Window, WindowSchedule};
 pub use window_state::WindowState;
 
 /// The day, by the local calendar, on which a window opens.
--- a/crates/protection_windows/src/record.rs
+++ b/crates/protection_windows/src/record.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// Version of the form that this build writes.
-const FORM: u16 = 1;
+const FORMAT_VERSION: u16 = 1;
 
 /// A value that cannot be used. All values are then left as they are.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -17,14 +17,14 @@
     Unreadable(String),
     /// A later build wrote it, in this form.
     #[error("a later build wrote it, in form {0}")]
-    Later(u16),
+    NewerFormat(u16),
 }
 
 /// A window that is open.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct OpenEntry {
     #[serde(rename = "s")]
-    pub shift: Name,
+    pub schedule: Name,
     /// The day on which it opened.
     #[serde(rename = "d")]
     pub day: String,
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ClosedEntry {
     #[serde(rename = "s")]
-    pub shift: Name,
+    pub schedule: Name,
     #[serde(rename = "d")]
     pub day: String,
     /// By the clock of the leader that closed it.
@@ -52,7 +52,7 @@
 
 /// Value 0.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Windows {
+pub(crate) struct WindowsRecord {
     /// Time of day of the leader that wrote it: none that follows goes back behind it.
     #[serde(rename = "at")]
     pub at_ms: u64,
@@ -73,63 +73,67 @@
     pub job: Name,
     pub rank: u16,
     /// Its place in the order.
-    pub place: u64,
+    pub position: u64,
     /// Index of the shift among the value's shifts.
-    pub shift: usize,
+    pub schedule: usize,
 }
 
 impl From<ServiceEntryForm> for ServiceEntry {
-    fn from((job, rank, place, shift): ServiceEntryForm) -> ServiceEntry {
+    fn from((job, rank, position, schedule): ServiceEntryForm) -> ServiceEntry {
         ServiceEntry {
             job,
             rank,
-            place,
-            shift,
+            position,
+            schedule,
         }
     }
 }
 
 impl From<ServiceEntry> for ServiceEntryForm {
     fn from(entry: ServiceEntry) -> ServiceEntryForm {
-        (entry.job, entry.rank, entry.place, entry.shift)
+        (entry.job, entry.rank, entry.position, entry.schedule)
     }
 }
 
 /// Values 1 and up.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Services {
+pub(crate) struct ServicesRecord {
     #[serde(rename = "s")]
-    pub shifts: Vec<Name>,
+    pub schedules: Vec<Name>,
     #[serde(rename = "j")]
     pub services: Vec<ServiceEntry>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Formed<T> {
+struct Versioned<T> {
     #[serde(rename = "v")]
-    form: u16,
+    format: u16,
     #[serde(flatten)]
     value: T,
 }
 
 pub(crate) fn encode<T: Serialize>(value: T) -> String {
     // Plain data fails only on maps whose keys are no strings, and there is none.
-    serde_json::to_string(&Formed { form: FORM, value }).unwrap_or_default()
+    serde_json::to_string(&Versioned {
+        format: FORMAT_VERSION,
+        value,
+    })
+    .unwrap_or_default()
 }
 
 pub(crate) fn decode<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, RecordError> {
     #[derive(Deserialize)]
-    struct Only {
+    struct VersionOnly {
         #[serde(rename = "v")]
-        form: u16,
+        format: u16,
     }
     let unreadable = |error: serde_json::Error| RecordError::Unreadable(error.to_string());
-    let only: Only = serde_json::from_str(text).map_err(unreadable)?;
-    if only.form > FORM {
-        return Err(RecordError::Later(only.form));
+    let version: VersionOnly = serde_json::from_str(text).map_err(unreadable)?;
+    if version.format > FORMAT_VERSION {
+        return Err(RecordError::NewerFormat(version.format));
     }
-    let formed: Formed<T> = serde_json::from_str(text).map_err(unreadable)?;
-    Ok(formed.value)
+    let versioned: Versioned<T> = serde_json::from_str(text).map_err(unreadable)?;
+    Ok(versioned.value)
 }
 
 #[cfg(test)]
--- a/crates/protection_windows/src/record/tests.rs
+++ b/crates/protection_windows/src/record/tests.rs
@@ -2,22 +2,22 @@
 
 #[test]
 fn later_forms_are_told_from_broken_ones() {
-    let text = encode(Services {
-        shifts: vec!["trading".into()],
+    let text = encode(ServicesRecord {
+        schedules: vec!["trading".into()],
         services: vec![ServiceEntry {
             job: "wk-1".into(),
             rank: 1,
-            place: 7,
-            shift: 0,
+            position: 7,
+            schedule: 0,
         }],
     });
-    assert_eq!(decode::<Services>(&text).unwrap().services[0].place, 7);
+    assert_eq!(decode::<ServicesRecord>(&text).unwrap().services[0].position, 7);
     assert_eq!(
-        decode::<Services>(r#"{"v":2,"all":"new"}"#),
-        Err(RecordError::Later(2))
+        decode::<ServicesRecord>(r#"{"v":2,"all":"new"}"#),
+        Err(RecordError::NewerFormat(2))
     );
     for end in 0..text.len() {
-        let cut = decode::<Services>(&text[..end]);
+        let cut = decode::<ServicesRecord>(&text[..end]);
         assert!(matches!(cut, Err(RecordError::Unreadable(_))), "{cut:?}");
     }
 }
--- a/crates/protection_windows/src/timetable/tests.rs
+++ b/crates/protection_windows/src/timetable/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::check;
 
-fn shift(zone: &str, from: &str, to: &str, more: &str) -> Shift {
+fn shift(zone: &str, from: &str, to: &str, more: &str) -> WindowSchedule {
     let text = format!(
         r#"{{ "s": {{ "time_zone": "{zone}", "from": "{from}", "to": "{to}",
                 "classes": ["live"], "rank": 1{more} }} }}"#
@@ -14,8 +14,8 @@
     text.parse::<Timestamp>().unwrap().as_millisecond() as u64
 }
 
-fn window(shift: &Shift, day: &str) -> Option<(u64, u64)> {
-    let window = shift.window(day.parse().unwrap())?;
+fn window(shift: &WindowSchedule, day: &str) -> Option<(u64, u64)> {
+    let window = shift.window_on(day.parse().unwrap())?;
     Some((window.opens_ms, window.closes_ms))
 }
 
@@ -28,7 +28,7 @@
         r#", "days": ["thu", "fri"], "closed": ["2026-12-25"], "lead_s": 120"#,
     );
     // The evening of a day that is open goes on into one that is closed.
-    let eve = night.window("2026-12-24".parse().unwrap()).unwrap();
+    let eve = night.window_on("2026-12-24".parse().unwrap()).unwrap();
     assert_eq!(eve.opens_ms, ms("2026-12-24T12:00:00Z"));
     assert_eq!(eve.ready_ms, ms("2026-12-24T11:58:00Z"));
     assert_eq!(eve.closes_ms, ms("2026-12-24T20:00:00Z"));
@@ -41,7 +41,7 @@
     let (opens, closes) = window(&always, "2026-12-25").unwrap();
     assert_eq!(closes - opens, 24 * 3_600_000);
     assert_eq!(
-        night.next(ms("2026-12-25T01:00:00Z")).map(|next| next.day),
+        night.next_window(ms("2026-12-25T01:00:00Z")).map(|next| next.day),
         Some("2026-12-31".parse().unwrap()),
     );
 }
@@ -96,9 +96,12 @@
             let shift = shift(zone, from, to, r#", "lead_s": 3600"#);
             let mut day: Day = "2026-01-01".parse().unwrap();
             while day.year() == 2026 {
-                if let Some(window) = shift.window(day) {
+                if let Some(window) = shift.window_on(day) {
                     for at in [window.ready_ms, window.opens_ms, window.closes_ms] {
-                        assert!(shift.around(at).any(|other| other == window), "{zone} {window:?}");
+                        assert!(
+                            shift.windows_near(at).any(|other| other == window),
+                            "{zone} {window:?}"
+                        );
                     }
                 }
                 day = day.tomorrow().unwrap();
--- a/crates/protection_windows/src/window_state.rs
+++ b/crates/protection_windows/src/window_state.rs
@@ -28,8 +28,8 @@
 use self::storage::{Page, SentWindows};
 use self::windows::{ClosedWindow, OpenWindow, WindowKey};
 use crate::Name;
-use crate::constants::RELEASE_MS;
-use crate::event::{Event, Service, ShiftStatus, Spare, Standing};
+use crate::constants::SPARE_RELEASE_MS;
+use crate::event::{Event, Service, SpareShare, Standing, WindowStatus};
 use crate::timetable::Timetable;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -37,47 +37,47 @@
 #[derive(Debug)]
 pub struct WindowState {
     timetable: Timetable,
-    bound_ms: u64,
-    page_bytes: usize,
+    max_clock_difference_ms: u64,
+    max_value_bytes: usize,
     windows: BTreeMap<WindowKey, OpenWindow>,
     /// The latest window of each shift that is over.
     closed: BTreeMap<Name, ClosedWindow>,
     services: HashMap<Name, ProtectedService>,
-    next_place: u64,
+    next_position: u64,
     pages: BTreeMap<u32, Page>,
     sent: SentWindows,
     /// The latest time of day at which anything was decided.
-    floor_ms: u64,
+    min_time_ms: u64,
     /// A value could not be read, or is too large: nothing is written.
-    locked: bool,
+    writes_disabled: bool,
     /// The first update is done.
-    looked: bool,
+    is_updated: bool,
     /// Operators are to be told that a value is too large.
-    too_large: bool,
-    told_missing: BTreeSet<Name>,
-    told_unplaced: bool,
+    report_too_large: bool,
+    reported_missing: BTreeSet<Name>,
+    reported_exhausted: bool,
 }
 
 impl WindowState {
     /// A state that has read no record yet. `bound_ms`: by how much two leaders' times of day
     /// differ at most. `page_bytes`: most bytes of a value.
-    pub fn new(timetable: Timetable, bound_ms: u64, page_bytes: usize) -> WindowState {
+    pub fn new(timetable: Timetable, max_clock_difference_ms: u64, max_value_bytes: usize) -> WindowState {
         WindowState {
             timetable,
-            bound_ms,
-            page_bytes,
+            max_clock_difference_ms,
+            max_value_bytes,
             windows: BTreeMap::new(),
             closed: BTreeMap::new(),
             services: HashMap::new(),
-            next_place: 1,
+            next_position: 1,
             pages: BTreeMap::new(),
             sent: SentWindows::default(),
-            floor_ms: 0,
-            locked: false,
-            looked: false,
-            too_large: false,
-            told_missing: BTreeSet::new(),
-            told_unplaced: false,
+            min_time_ms: 0,
+            writes_disabled: false,
+            is_updated: false,
+            report_too_large: false,
+            reported_missing: BTreeSet::new(),
+            reported_exhausted: false,
         }
     }
 
@@ -93,17 +93,21 @@
 
     /// Compares the clock with the windows, and the windows with the live services. To be called
     /// about twice a second with all live services.
-    pub fn look<'a>(&mut self, wall_ms: u64, services: impl IntoIterator<Item = Service<'a>>) -> Vec<Event> {
+    pub fn update<'a>(
+        &mut self,
+        wall_ms: u64,
+        services: impl IntoIterator<Item = Service<'a>>,
+    ) -> Vec<Event> {
         let mut events = Vec::new();
         if self.is_empty() && self.closed.is_empty() {
             return events;
         }
-        if std::mem::take(&mut self.too_large) {
+        if std::mem::take(&mut self.report_too_large) {
             events.push(Event::TooLarge {
-                most: self.page_bytes,
+                max_bytes: self.max_value_bytes,
             });
         }
-        let time = self.time(wall_ms, &mut events);
+        let time = self.decision_time(wall_ms, &mut events);
         let mut changed = self.open_windows(time, &mut events);
         changed |= self.close_windows(time, &mut events);
         self.activate_windows(time);
@@ -111,30 +115,30 @@
             self.write_by(0, 0);
         }
         if !self.windows.is_empty() || !self.services.is_empty() {
-            self.rank_services(services, &mut events);
+            self.update_services(services, &mut events);
         }
         events
     }
 
     /// The time of day to go by: never behind that on record, unless the clocks differ by more than
     /// the bound.
-    fn time(&mut self, wall_ms: u64, events: &mut Vec<Event>) -> u64 {
-        let behind_ms = self.floor_ms.saturating_sub(wall_ms);
-        if behind_ms > self.bound_ms {
-            events.push(Event::ClockOff { by_ms: behind_ms });
-            self.floor_ms = wall_ms;
+    fn decision_time(&mut self, wall_ms: u64, events: &mut Vec<Event>) -> u64 {
+        let lag_ms = self.min_time_ms.saturating_sub(wall_ms);
+        if lag_ms > self.max_clock_difference_ms {
+            events.push(Event::ClockBehind { behind_ms: lag_ms });
+            self.min_time_ms = wall_ms;
         }
-        self.floor_ms = self.floor_ms.max(wall_ms);
-        self.floor_ms
+        self.min_time_ms = self.min_time_ms.max(wall_ms);
+        self.min_time_ms
     }
 
     /// The standing of a job's service, if it is protected.
     pub fn standing(&self, job: &str) -> Option<Standing> {
         let service = self.services.get(job)?;
-        let place = service.place.filter(|_| service.on_record).unwrap_or(u64::MAX);
+        let position = service.position.filter(|_| service.on_record).unwrap_or(u64::MAX);
         Some(Standing {
             rank: service.rank,
-            place,
+            position,
         })
     }
 
@@ -145,13 +149,16 @@
     }
 
     /// Capacity that shifts keep free, as of the last update.
-    pub fn spares(&self) -> Vec<Spare> {
-        let shifts = self.timetable.iter().filter(|(_, shift)| shift.spare > 0.0);
-        let spares = shifts.filter_map(|(name, shift)| {
-            let left = self.spare_left(name);
-            (left > 0.0).then(|| Spare {
-                shift: name.clone(),
-                part: shift.spare * left,
+    pub fn spare_shares(&self) -> Vec<SpareShare> {
+        let schedules = self
+            .timetable
+            .iter()
+            .filter(|(_, schedule)| schedule.spare_share > 0.0);
+        let spares = schedules.filter_map(|(name, schedule)| {
+            let left = self.remaining_spare(name);
+            (left > 0.0).then(|| SpareShare {
+                schedule: name.clone(),
+                share: schedule.spare_share * left,
             })
         });
         spares.collect()
@@ -159,35 +166,43 @@
 
     /// The part of a shift's spare capacity that is kept: all while a window is open, and less and
     /// less after its end.
-    fn spare_left(&self, shift: &Name) -> f64 {
-        if self.active_window(shift).is_some() {
+    fn remaining_spare(&self, schedule: &Name) -> f64 {
+        if self.active_window(schedule).is_some() {
             return 1.0;
         }
-        self.closed.get(shift).map_or(0.0, |closed| {
-            let since_ms = self.floor_ms.saturating_sub(closed.at_ms).min(RELEASE_MS);
-            1.0 - since_ms as f64 / RELEASE_MS as f64
+        self.closed.get(schedule).map_or(0.0, |closed| {
+            let since_ms = self
+                .min_time_ms
+                .saturating_sub(closed.at_ms)
+                .min(SPARE_RELEASE_MS);
+            1.0 - since_ms as f64 / SPARE_RELEASE_MS as f64
         })
     }
 
-    fn active_window(&self, shift: &Name) -> Option<&OpenWindow> {
+    fn active_window(&self, schedule: &Name) -> Option<&OpenWindow> {
         let mut windows = self.windows.iter();
-        let active = windows.find(|(key, window)| key.shift == *shift && window.active);
+        let active = windows.find(|(key, window)| key.schedule == *schedule && window.active);
         active.map(|(_, window)| window)
     }
 
     /// The status of each shift at this time of day, including those that are only on record.
-    pub fn status(&self, wall_ms: u64) -> Vec<ShiftStatus> {
+    pub fn status(&self, wall_ms: u64) -> Vec<WindowStatus> {
         let mut names: BTreeSet<&Name> = self.timetable.iter().map(|(name, _)| name).collect();
-        names.extend(self.windows.keys().map(|key| &key.shift));
+        names.extend(self.windows.keys().map(|key| &key.schedule));
         let status = names.into_iter().map(|name| {
             let open = self.active_window(name);
-            let next = || self.timetable.get(name)?.next(wall_ms).map(|next| next.opens_ms);
+            let next = || {
+                self.timetable
+                    .get(name)?
+                    .next_window(wall_ms)
+                    .map(|next| next.opens_ms)
+            };
             let services = self.services.values();
-            ShiftStatus {
-                shift: name.clone(),
+            WindowStatus {
+                schedule: name.clone(),
                 open: open.is_some(),
                 until_ms: open.map(|window| window.closes_ms).or_else(next),
-                services: services.filter(|service| service.shift == *name).count(),
+                services: services.filter(|service| service.schedule == *name).count(),
             }
         });
         status.collect()
--- a/crates/protection_windows/src/window_state/services.rs
+++ b/crates/protection_windows/src/window_state/services.rs
@@ -3,23 +3,23 @@
 use super::WindowState;
 use super::storage::Page;
 use crate::Name;
-use crate::constants::{ENTRY_BYTES, MAX_SERVICES, PAGE_BYTES, STALE_MS};
+use crate::constants::{ENTRY_OVERHEAD_BYTES, MAX_SERVICES, STALE_REWRITE_DELAY_MS, VALUE_OVERHEAD_BYTES};
 use crate::event::{Event, Service};
 use std::collections::BTreeSet;
 
 #[derive(Debug, Clone)]
 pub(super) struct ProtectedService {
     pub(super) rank: u16,
-    pub(super) shift: Name,
+    pub(super) schedule: Name,
     /// `None` where there is no room on record.
-    pub(super) place: Option<u64>,
+    pub(super) position: Option<u64>,
     /// Number of the value in which it is recorded.
     pub(super) page: u32,
     pub(super) on_record: bool,
 }
 
 /// A shift with an active window.
-struct ActiveShift {
+struct ActiveSchedule {
     name: Name,
     rank: u16,
 }
@@ -31,96 +31,96 @@
     submitted_ms: u64,
     id: Name,
     rank: u16,
-    shift: Name,
+    schedule: Name,
 }
 
 /// What an update found among the live services.
 #[derive(Default)]
-struct Found {
-    /// Services that are protected.
-    live: BTreeSet<Name>,
+struct ServiceScan {
+    /// ServicesRecord that are protected.
+    protected: BTreeSet<Name>,
     new: Vec<NewService>,
     /// Numbers of values whose services changed.
-    changed: Vec<u32>,
+    changed_pages: Vec<u32>,
 }
 
 /// Bytes that the entry of a service takes in a value, at most.
 pub(super) fn entry_bytes(id: &str) -> usize {
-    id.len() + ENTRY_BYTES
+    id.len() + ENTRY_OVERHEAD_BYTES
 }
 
 impl WindowState {
     /// Brings the protected services in line with the active windows and the live services.
-    pub(super) fn rank_services<'a>(
+    pub(super) fn update_services<'a>(
         &mut self,
         services: impl IntoIterator<Item = Service<'a>>,
         events: &mut Vec<Event>,
     ) {
-        let Found {
-            live,
+        let ServiceScan {
+            protected,
             new,
-            mut changed,
-        } = self.find_protected(services);
-        self.drop_unprotected(&live);
-        let unplaced = self.place_new(new, &mut changed);
-        for number in changed {
+            mut changed_pages,
+        } = self.scan_services(services);
+        self.drop_unprotected(&protected);
+        let unplaced = self.assign_positions(new, &mut changed_pages);
+        for number in changed_pages {
             self.write_by(number, 0);
         }
-        if unplaced > 0 && !std::mem::replace(&mut self.told_unplaced, true) {
-            events.push(Event::Unplaced { services: unplaced });
+        if unplaced > 0 && !std::mem::replace(&mut self.reported_exhausted, true) {
+            events.push(Event::PositionsExhausted { services: unplaced });
         }
     }
 
-    fn active_shifts(&self) -> Vec<ActiveShift> {
+    fn active_schedules(&self) -> Vec<ActiveSchedule> {
         let active = self.windows.iter().filter(|(_, window)| window.active);
         active
-            .map(|(key, window)| ActiveShift {
-                name: key.shift.clone(),
+            .map(|(key, window)| ActiveSchedule {
+                name: key.schedule.clone(),
                 rank: window.rank,
             })
             .collect()
     }
 
     /// Whether an active shift protects a service.
-    fn protects(&self, shift: &ActiveShift, service: &Service<'_>) -> bool {
-        match self.timetable.get(&shift.name) {
+    fn protects(&self, schedule: &ActiveSchedule, service: &Service<'_>) -> bool {
+        match self.timetable.get(&schedule.name) {
             Some(defined) => defined.covers(service.class, service.team),
             // Only the record says which services such a shift protects.
             None => self
                 .services
                 .get(service.id)
-                .is_some_and(|known| known.shift == shift.name),
+                .is_some_and(|known| known.schedule == schedule.name),
         }
     }
 
     /// Finds the services that are protected, and updates those that were before.
-    fn find_protected<'a>(&mut self, services: impl IntoIterator<Item = Service<'a>>) -> Found {
-        let active = self.active_shifts();
-        let mut found = Found::default();
+    fn scan_services<'a>(&mut self, services: impl IntoIterator<Item = Service<'a>>) -> ServiceScan {
+        let active = self.active_schedules();
+        let mut found = ServiceScan::default();
         for service in services {
-            let protecting = active.iter().filter(|shift| self.protects(shift, &service));
-            let Some(best) = protecting.min_by_key(|shift| shift.rank) else {
+            let protecting = active.iter().filter(|schedule| self.protects(schedule, &service));
+            let Some(best) = protecting.min_by_key(|schedule| schedule.rank) else {
                 continue;
             };
             match self.services.get_mut(service.id) {
                 Some(known) => {
-                    if known.rank != best.rank || known.shift != best.name {
+                    if known.rank != best.rank || known.schedule != best.name {
                         known.rank = best.rank;
-                        known.shift = best.name.clone();
-                        found.changed.push(known.page);
+                        known.schedule = best.name.clone();
+                        found.changed_pages.push(known.page);
                     }
                     if let Some((id, _)) = self.services.get_key_value(service.id) {
-                        found.live.insert(id.clone());
+                        found.protected.insert(id.clone());
                     }
                 }
                 None => {
                     let id = Name::from(service.id);
-                    found.live.insert(id.clone());
+                    found.protected.insert(id.clone());
                     found.new.push(NewService {
                         submitted_ms: service.submitted_ms,
                         id,
                         rank: best.rank,
-                        shift: best.name.clone(),
+                        schedule: best.name.clone(),
                     });
                 }
             }
@@ -133,7 +133,7 @@
         let mut dropped = Vec::new();
         self.services.retain(|id, service| {
             let stays = live.contains(id);
-            if !stays && service.place.is_some() {
+            if !stays && service.position.is_some() {
                 dropped.push((service.page, entry_bytes(id)));
             }
             stays
@@ -142,26 +142,26 @@
             if let Some(page) = self.pages.get_mut(&number) {
                 page.bytes = page.bytes.saturating_sub(bytes);
             }
-            self.note_stale(number);
+            self.schedule_stale_rewrite(number);
         }
     }
 
     /// Gives new services their places; returns how many get none.
-    fn place_new(&mut self, mut new: Vec<NewService>, changed: &mut Vec<u32>) -> usize {
+    fn assign_positions(&mut self, mut new: Vec<NewService>, changed: &mut Vec<u32>) -> usize {
         new.sort_unstable();
         let mut unplaced = 0;
         for service in new {
             let mut protected = ProtectedService {
                 rank: service.rank,
-                shift: service.shift,
-                place: None,
+                schedule: service.schedule,
+                position: None,
                 page: 0,
                 on_record: false,
             };
             if self.services.len() < MAX_SERVICES {
                 protected.page = self.page_for(&service.id);
-                protected.place = Some(self.next_place);
-                self.next_place += 1;
+                protected.position = Some(self.next_position);
+                self.next_position += 1;
                 changed.push(protected.page);
             } else {
                 unplaced += 1;
@@ -172,12 +172,12 @@
     }
 
     /// A value names services that are over. It may do so for a while, unless it names no others.
-    fn note_stale(&mut self, number: u32) {
+    fn schedule_stale_rewrite(&mut self, number: u32) {
         let page = self.pages.entry(number).or_default();
         let due = if page.bytes == 0 {
             0
         } else {
-            page.tried_at.unwrap_or(0) + STALE_MS
+            page.tried_at.unwrap_or(0) + STALE_REWRITE_DELAY_MS
         };
         self.write_by(number, due);
     }
@@ -186,7 +186,7 @@
     fn page_for(&mut self, id: &str) -> u32 {
         let bytes = entry_bytes(id);
         let names: usize = self.timetable.iter().map(|(name, _)| name.len() + 3).sum();
-        let most = self.page_bytes.saturating_sub(PAGE_BYTES + names);
+        let most = self.max_value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES + names);
         let has_room = |page: &Page| page.bytes + bytes <= most;
         let mut pages = self.pages.iter();
         let found = pages.find(|(number, page)| **number > 0 && has_room(page));
--- a/crates/protection_windows/src/window_state/storage.rs
+++ b/crates/protection_windows/src/window_state/storage.rs
@@ -2,10 +2,10 @@
 
 use super::WindowState;
 use super::services::{ProtectedService, entry_bytes};
-use super::windows::{ClosedWindow, OpenWindow, Stage, WindowKey, note_closed};
-use crate::constants::WRITE_GAP_MS;
-use crate::event::Write;
-use crate::record::{self, ClosedEntry, OpenEntry, RecordError, ServiceEntry, Services, Windows};
+use super::windows::{ClosedWindow, OpenWindow, Stage, WindowKey, record_closed};
+use crate::constants::MIN_WRITE_INTERVAL_MS;
+use crate::event::ValueWrite;
+use crate::record::{self, ClosedEntry, OpenEntry, RecordError, ServiceEntry, ServicesRecord, WindowsRecord};
 use crate::{Day, Name};
 
 /// Number of the value that contains the windows; the others contain services.
@@ -25,12 +25,12 @@
 
 impl Page {
     /// Whether the last write was too short ago for another one.
-    fn written_lately(&self, now: u64) -> bool {
-        self.tried_at.is_some_and(|at| now < at + WRITE_GAP_MS)
+    fn was_written_recently(&self, now: u64) -> bool {
+        self.tried_at.is_some_and(|at| now < at + MIN_WRITE_INTERVAL_MS)
     }
 
     fn is_ready(&self, now: u64) -> bool {
-        !self.in_flight && self.due.is_some_and(|due| now >= due) && !self.written_lately(now)
+        !self.in_flight && self.due.is_some_and(|due| now >= due) && !self.was_written_recently(now)
     }
 }
 
@@ -47,23 +47,23 @@
 
 impl WindowState {
     /// Reads a value that a former leader wrote. All are read before the first
-    /// [`WindowState::look`].
+    /// [`WindowState::update`].
     ///
     /// # Errors
     /// The value cannot be read. Nothing is written in this term, so that it is not lost.
-    pub fn adopt(&mut self, number: u32, text: &str, version: u64) -> Result<(), RecordError> {
+    pub fn restore(&mut self, number: u32, text: &str, version: u64) -> Result<(), RecordError> {
         self.pages.entry(number).or_default().version = version;
         let read = if number == WINDOWS_PAGE {
-            record::decode(text).map(|windows| self.adopt_windows(windows))
+            record::decode(text).map(|windows| self.restore_windows(windows))
         } else {
-            record::decode(text).map(|services| self.adopt_services(number, services))
+            record::decode(text).map(|services| self.restore_services(number, services))
         };
-        self.locked |= read.is_err();
+        self.writes_disabled |= read.is_err();
         read
     }
 
-    fn adopt_windows(&mut self, windows: Windows) {
-        self.floor_ms = self.floor_ms.max(windows.at_ms);
+    fn restore_windows(&mut self, windows: WindowsRecord) {
+        self.min_time_ms = self.min_time_ms.max(windows.at_ms);
         for entry in windows.open {
             let Some(day) = parse_day(&entry.day) else {
                 continue;
@@ -76,30 +76,30 @@
                 rank: entry.rank,
                 active: true,
             };
-            let shift = entry.shift;
-            self.windows.insert(WindowKey { shift, day }, window);
+            let schedule = entry.schedule;
+            self.windows.insert(WindowKey { schedule, day }, window);
         }
         for entry in windows.closed {
             if let Some(day) = parse_day(&entry.day) {
                 let at_ms = entry.at_ms;
-                self.closed.insert(entry.shift, ClosedWindow { day, at_ms });
+                self.closed.insert(entry.schedule, ClosedWindow { day, at_ms });
             }
         }
     }
 
-    fn adopt_services(&mut self, number: u32, services: Services) {
+    fn restore_services(&mut self, number: u32, services: ServicesRecord) {
         for entry in services.services {
-            let Some(shift) = services.shifts.get(entry.shift) else {
+            let Some(schedule) = services.schedules.get(entry.schedule) else {
                 continue;
             };
-            self.next_place = self.next_place.max(entry.place.saturating_add(1));
+            self.next_position = self.next_position.max(entry.position.saturating_add(1));
             if let Some(page) = self.pages.get_mut(&number) {
                 page.bytes += entry_bytes(&entry.job);
             }
             let service = ProtectedService {
                 rank: entry.rank,
-                shift: shift.clone(),
-                place: Some(entry.place),
+                schedule: schedule.clone(),
+                position: Some(entry.position),
                 page: number,
                 on_record: true,
             };
@@ -113,35 +113,38 @@
     /// The values that are to be written now. Each is in flight until it is reported as
     /// [`WindowState::written`], [`WindowState::failed`] or [`WindowState::found`]. `now`: ms of the
     /// monotonic clock.
-    pub fn due(&mut self, now: u64) -> Vec<Write> {
+    pub fn due_writes(&mut self, now: u64) -> Vec<ValueWrite> {
         let mut writes = Vec::new();
-        if self.locked || self.pages.is_empty() {
+        if self.writes_disabled || self.pages.is_empty() {
             return writes;
         }
         for number in self.due_pages(now) {
-            let text = if number == WINDOWS_PAGE {
+            let value = if number == WINDOWS_PAGE {
                 self.encode_windows()
             } else {
                 self.encode_services(number)
             };
-            if text.as_ref().is_some_and(|text| text.len() > self.page_bytes) {
+            if value
+                .as_ref()
+                .is_some_and(|value| value.len() > self.max_value_bytes)
+            {
                 // The state service would refuse it with all that is written in one transaction.
-                self.locked = true;
-                self.too_large = true;
+                self.writes_disabled = true;
+                self.report_too_large = true;
                 return Vec::new();
             }
             let Some(page) = self.pages.get_mut(&number) else {
                 continue;
             };
             page.due = None;
-            if text.is_none() && page.version == 0 {
+            if value.is_none() && page.version == 0 {
                 continue;
             }
             page.in_flight = true;
             page.tried_at = Some(now);
-            writes.push(Write {
+            writes.push(ValueWrite {
                 number,
-                text,
+                value,
                 version: page.version,
             });
         }
@@ -155,7 +158,7 @@
         let services_written = self
             .pages
             .iter()
-            .any(|(number, page)| *number != WINDOWS_PAGE && page.written_lately(now));
+            .any(|(number, page)| *number != WINDOWS_PAGE && page.was_written_recently(now));
         let first_of_services = numbers.iter().find(|number| **number != WINDOWS_PAGE).copied();
         numbers.retain(|number| {
             *number == WINDOWS_PAGE || !services_written && Some(*number) == first_of_services
@@ -165,23 +168,23 @@
 
     fn encode_windows(&mut self) -> Option<String> {
         self.sent = SentWindows::default();
-        let mut record = Windows {
-            at_ms: self.floor_ms,
-            ..Windows::default()
+        let mut record = WindowsRecord {
+            at_ms: self.min_time_ms,
+            ..WindowsRecord::default()
         };
         let mut closed = self.closed.clone();
         for (key, window) in &self.windows {
             match window.stage {
                 Stage::Closing => {
                     self.sent.closing.push(key.clone());
-                    note_closed(&mut closed, key, self.floor_ms);
+                    record_closed(&mut closed, key, self.min_time_ms);
                     continue;
                 }
                 Stage::Opening => self.sent.opening.push(key.clone()),
                 Stage::Open => (),
             }
             record.open.push(OpenEntry {
-                shift: key.shift.clone(),
+                schedule: key.schedule.clone(),
                 day: key.day.to_string(),
                 opened_ms: window.opened_ms,
                 closes_ms: window.closes_ms,
@@ -190,8 +193,8 @@
         }
         record.closed = closed
             .into_iter()
-            .map(|(shift, window)| ClosedEntry {
-                shift,
+            .map(|(schedule, window)| ClosedEntry {
+                schedule,
                 day: window.day.to_string(),
                 at_ms: window.at_ms,
             })
@@ -205,36 +208,39 @@
             .services
             .iter()
             .filter(|(_, service)| service.page == number)
-            .filter_map(|(id, service)| Some((service.place?, id, service)))
+            .filter_map(|(id, service)| Some((service.position?, id, service)))
             .collect();
         // The services are in an unordered map: without this, the value would differ from run to run.
-        entries.sort_unstable_by_key(|(place, _, _)| *place);
-        let mut record = Services::default();
-        for (place, id, service) in entries {
-            let known = record.shifts.iter().position(|shift| *shift == service.shift);
-            let shift = known.unwrap_or_else(|| {
-                record.shifts.push(service.shift.clone());
-                record.shifts.len() - 1
+        entries.sort_unstable_by_key(|(position, _, _)| *position);
+        let mut record = ServicesRecord::default();
+        for (position, id, service) in entries {
+            let known = record
+                .schedules
+                .iter()
+                .position(|schedule| *schedule == service.schedule);
+            let schedule = known.unwrap_or_else(|| {
+                record.schedules.push(service.schedule.clone());
+                record.schedules.len() - 1
             });
             record.services.push(ServiceEntry {
                 job: id.clone(),
                 rank: service.rank,
-                place,
-                shift,
+                position,
+                schedule,
             });
         }
         (!record.services.is_empty()).then(|| record::encode(record))
     }
 
     /// A value was written, under this version; 0 if it was deleted.
-    pub fn written(&mut self, number: u32, version: u64) {
+    pub fn on_written(&mut self, number: u32, version: u64) {
         let Some(page) = self.pages.get_mut(&number) else {
             return;
         };
         page.version = version;
         page.in_flight = false;
         if number == WINDOWS_PAGE {
-            self.windows_written();
+            self.on_windows_written();
             return;
         }
         // What changed since is written with the next write.
@@ -244,7 +250,7 @@
         }
     }
 
-    fn windows_written(&mut self) {
+    fn on_windows_written(&mut self) {
         let sent = std::mem::take(&mut self.sent);
         for key in sent.opening {
             if let Some(window) = self.windows.get_mut(&key)
@@ -255,12 +261,12 @@
         }
         for key in sent.closing {
             self.windows.remove(&key);
-            note_closed(&mut self.closed, &key, self.floor_ms);
+            record_closed(&mut self.closed, &key, self.min_time_ms);
         }
     }
 
     /// A value was not, or may not have been, written.
-    pub fn failed(&mut self, number: u32) {
+    pub fn on_write_failed(&mut self, number: u32) {
         if let Some(page) = self.pages.get_mut(&number) {
             page.in_flight = false;
             page.due = Some(0);
@@ -272,8 +278,8 @@
 
     /// A value was read back with this version after a write in doubt. As nobody but this leader
     /// writes it, it contains what was to be written, or what was there before.
-    pub fn found(&mut self, number: u32, version: u64) {
-        self.failed(number);
+    pub fn on_version_read(&mut self, number: u32, version: u64) {
+        self.on_write_failed(number);
         if let Some(page) = self.pages.get_mut(&number) {
             page.version = version;
         }
--- a/crates/protection_windows/src/window_state/tests.rs
+++ b/crates/protection_windows/src/window_state/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::check;
-use crate::event::{CloseReason, Write};
+use crate::event::{CloseReason, ValueWrite};
 use proptest::prelude::*;
 
 /// By how much two clocks differ at most, in ms.
@@ -36,11 +36,11 @@
 struct Store(BTreeMap<u32, (String, u64)>, u64);
 
 impl Store {
-    fn write(&mut self, write: &Write) -> u64 {
+    fn write(&mut self, write: &ValueWrite) -> u64 {
         let have = self.0.get(&write.number).map_or(0, |(_, version)| *version);
         assert_eq!(have, write.version, "a write on another version");
         self.1 += 1;
-        match &write.text {
+        match &write.value {
             Some(text) => {
                 self.0.insert(write.number, (text.clone(), self.1));
                 self.1
@@ -53,16 +53,16 @@
     }
 
     fn write_all(&mut self, state: &mut WindowState, now: u64) {
-        for write in state.due(now) {
+        for write in state.due_writes(now) {
             let version = self.write(&write);
-            state.written(write.number, version);
+            state.on_written(write.number, version);
         }
     }
 
     fn successor(&self, timetable: &Timetable) -> WindowState {
         let mut state = WindowState::new(timetable.clone(), BOUND_MS, 16_000);
         for (number, (text, version)) in &self.0 {
-            state.adopt(*number, text, *version).unwrap();
+            state.restore(*number, text, *version).unwrap();
         }
         state
     }
@@ -75,15 +75,15 @@
     let mut first = store.successor(&timetable);
     let opens = at("2026-12-01T05:59:00Z");
     // Written before anybody's clock has it; nobody acts on it until it is.
-    first.look(opens - 2 * BOUND_MS, [service("wk-1", 0)]);
-    first.look(opens - BOUND_MS, [service("wk-1", 0)]);
+    first.update(opens - 2 * BOUND_MS, [service("wk-1", 0)]);
+    first.update(opens - BOUND_MS, [service("wk-1", 0)]);
     assert_eq!(first.standing("wk-1"), None);
     store.write_all(&mut first, 0);
-    first.look(opens - BOUND_MS, [service("wk-1", 0)]);
+    first.update(opens - BOUND_MS, [service("wk-1", 0)]);
     assert_eq!(first.standing("wk-1").map(|standing| standing.rank), Some(1));
 
     let mut second = store.successor(&timetable);
-    let events = second.look(opens - BOUND_MS - 900, [service("wk-1", 0)]);
+    let events = second.update(opens - BOUND_MS - 900, [service("wk-1", 0)]);
     assert_eq!(
         events,
         [],
@@ -92,16 +92,16 @@
     assert!(second.standing("wk-1").is_some());
 
     let closes = at("2026-12-01T22:00:00Z") + BOUND_MS;
-    second.look(closes, [service("wk-1", 0)]);
+    second.update(closes, [service("wk-1", 0)]);
     assert!(
         second.standing("wk-1").is_some(),
         "closed in memory, open on record"
     );
     store.write_all(&mut second, 100_000);
-    second.look(closes, [service("wk-1", 0)]);
+    second.update(closes, [service("wk-1", 0)]);
     assert_eq!(second.standing("wk-1"), None);
     let mut third = store.successor(&timetable);
-    let events = third.look(closes - 900, [service("wk-1", 0)]);
+    let events = third.update(closes - 900, [service("wk-1", 0)]);
     assert_eq!(events, [], "it is over, whatever the clock says");
     assert_eq!(third.standing("wk-1"), None);
 }
@@ -112,12 +112,12 @@
     let ready = at("2026-12-01T05:59:00Z");
     let closes = at("2026-12-01T22:00:00Z");
     let mut protects = |wall_ms, written: bool| {
-        state.look(wall_ms, [service("wk-1", 0)]);
-        for write in state.due(wall_ms) {
+        state.update(wall_ms, [service("wk-1", 0)]);
+        for write in state.due_writes(wall_ms) {
             if written {
-                state.written(write.number, 1);
+                state.on_written(write.number, 1);
             } else {
-                state.failed(write.number);
+                state.on_write_failed(write.number);
             }
         }
         state.standing("wk-1").is_some()
@@ -132,7 +132,7 @@
     assert!(!protects(closes + HOUR_MS + 4_000, true));
     // Whoever takes over in doubt protects what another may have begun to.
     let mut successor = WindowState::new(trading(""), BOUND_MS, 16_000);
-    successor.look(ready - BOUND_MS, [service("wk-1", 0)]);
+    successor.update(ready - BOUND_MS, [service("wk-1", 0)]);
     assert!(successor.standing("wk-1").is_some());
 }
 
@@ -158,31 +158,31 @@
         ..service(id, submitted_ms)
     };
     let eight = at("2026-12-01T08:00:00Z");
-    state.look(eight, [service("wk-1", 20)]);
+    state.update(eight, [service("wk-1", 20)]);
     store.write_all(&mut state, 0);
-    state.look(eight, [service("wk-1", 20)]);
+    state.update(eight, [service("wk-1", 20)]);
     store.write_all(&mut state, 2_000);
     // Older ones that are heard of later come after it.
     let all = [blue("wk-3", 5), blue("wk-2", 10), service("wk-1", 20)];
-    state.look(eight, all);
+    state.update(eight, all);
     store.write_all(&mut state, 4_000);
     assert_eq!(order(&state), ["wk-1", "wk-3", "wk-2"]);
     let mut state = store.successor(&timetable);
-    state.look(eight, all);
+    state.update(eight, all);
     assert_eq!(order(&state), ["wk-1", "wk-3", "wk-2"]);
     // The best rank of several holds, and the order within a rank is the same after it.
-    state.look(at("2026-12-01T12:00:00Z"), all);
+    state.update(at("2026-12-01T12:00:00Z"), all);
     store.write_all(&mut state, 6_000);
     assert_eq!(order(&state), ["wk-3", "wk-2", "wk-1"]);
     let after = at("2026-12-01T13:00:05Z");
     for turn in 0..4 {
-        state.look(after, all);
+        state.update(after, all);
         store.write_all(&mut state, 8_000 + turn * 2_000);
     }
     assert_eq!(order(&state), ["wk-1", "wk-3", "wk-2"]);
     let night = at("2026-12-01T22:00:05Z");
     for turn in 0..4 {
-        state.look(night, all);
+        state.update(night, all);
         store.write_all(&mut state, 20_000 + turn * 2_000);
     }
     assert!(state.protects_nothing());
@@ -207,11 +207,11 @@
         ),
     ] {
         let mut state = WindowState::new(trading(""), BOUND_MS, 16_000);
-        assert_eq!(state.adopt(0, text, 7).unwrap_err().to_string(), error);
-        state.look(ready, [service("wk-1", 0)]);
-        assert_eq!(state.due(0), [], "nothing is written over it");
+        assert_eq!(state.restore(0, text, 7).unwrap_err().to_string(), error);
+        state.update(ready, [service("wk-1", 0)]);
+        assert_eq!(state.due_writes(0), [], "nothing is written over it");
         let standing = state.standing("wk-1").unwrap();
-        assert_eq!(standing.place, u64::MAX, "protected by the clock, in no order");
+        assert_eq!(standing.position, u64::MAX, "protected by the clock, in no order");
     }
 }
 
@@ -221,7 +221,7 @@
     let mut first = store.successor(&trading(""));
     let eight = at("2026-12-01T08:00:00Z");
     for turn in 0..2 {
-        first.look(eight, [service("wk-1", 0)]);
+        first.update(eight, [service("wk-1", 0)]);
         store.write_all(&mut first, turn * 2_000);
     }
     let other = timetable(
@@ -229,27 +229,27 @@
     );
     let mut second = store.successor(&other);
     let both = [service("wk-1", 0), service("wk-2", 0)];
-    let events = second.look(eight, both);
+    let events = second.update(eight, both);
     let closes_ms = at("2026-12-01T22:00:00Z");
     let shift: Name = "trading".into();
     assert_eq!(
         events,
         [Event::NotInSettings {
-            shift: shift.clone(),
+            schedule: shift.clone(),
             closes_ms
         }]
     );
     assert_eq!(second.standing("wk-1").map(|standing| standing.rank), Some(1));
     assert_eq!(second.standing("wk-2"), None);
-    assert_eq!(second.spares(), []);
+    assert_eq!(second.spare_shares(), []);
     // Who knows it takes it up as it was.
     let mut third = store.successor(&trading(""));
-    assert_eq!(third.look(eight, both), []);
+    assert_eq!(third.update(eight, both), []);
     assert_eq!(third.standing("wk-1"), first.standing("wk-1"));
     // It ends by the record.
-    let events = second.look(closes_ms + BOUND_MS, both);
+    let events = second.update(closes_ms + BOUND_MS, both);
     assert!(events.iter().any(
-        |event| matches!(event, Event::Closed { shift: over, why: CloseReason::Over, .. } if *over == shift)
+        |event| matches!(event, Event::Closed { schedule: over, reason: CloseReason::Ended, .. } if *over == shift)
     ));
 }
 
@@ -263,24 +263,24 @@
     let mut state = store.successor(&long);
     let half_past_six = at("2026-12-01T06:30:00Z");
     for turn in 0..2 {
-        state.look(half_past_six, [service("wk-1", 0)]);
+        state.update(half_past_six, [service("wk-1", 0)]);
         store.write_all(&mut state, turn * 2_000);
     }
     let mut state = store.successor(&short);
     assert_eq!(
-        state.look(half_past_six, [service("wk-1", 0)]),
+        state.update(half_past_six, [service("wk-1", 0)]),
         [],
         "it has begun"
     );
     assert!(state.standing("wk-1").is_some());
     let nine = at("2026-12-01T21:00:00Z");
     for turn in 0..2 {
-        state.look(nine, [service("wk-1", 0)]);
+        state.update(nine, [service("wk-1", 0)]);
         store.write_all(&mut state, 10_000 + turn * 2_000);
     }
     assert_eq!(state.standing("wk-1"), None);
     let mut state = store.successor(&long);
-    state.look(nine, [service("wk-1", 0)]);
+    state.update(nine, [service("wk-1", 0)]);
     assert_eq!(
         state.standing("wk-1"),
         None,
@@ -290,15 +290,15 @@
     let mut store = Store::default();
     let mut state = store.successor(&long);
     for turn in 0..2 {
-        state.look(nine, [service("wk-1", 0)]);
+        state.update(nine, [service("wk-1", 0)]);
         store.write_all(&mut state, turn * 2_000);
     }
     let mut state = store.successor(&trading(r#", "closed": ["2026-12-01"]"#));
-    let events = state.look(nine, [service("wk-1", 0)]);
+    let events = state.update(nine, [service("wk-1", 0)]);
     assert!(matches!(
         events[..],
         [Event::Closed {
-            why: CloseReason::NoWindow,
+            reason: CloseReason::NoWindow,
             ..
         }]
     ));
@@ -309,15 +309,15 @@
     let mut store = Store::default();
     let mut state = store.successor(&trading(""));
     let night = at("2026-12-01T22:10:00Z");
-    state.look(at("2026-12-01T21:00:00Z"), []);
+    state.update(at("2026-12-01T21:00:00Z"), []);
     store.write_all(&mut state, 0);
-    state.look(night, []);
+    state.update(night, []);
     store.write_all(&mut state, 2_000);
     let mut state = store.successor(&trading(""));
     let an_hour_back = night - HOUR_MS;
-    let events = state.look(an_hour_back, [service("wk-1", 0)]);
-    assert_eq!(events, [Event::ClockOff { by_ms: HOUR_MS }]);
-    assert_eq!(state.look(an_hour_back + 500, [service("wk-1", 0)]), []);
+    let events = state.update(an_hour_back, [service("wk-1", 0)]);
+    assert_eq!(events, [Event::ClockBehind { behind_ms: HOUR_MS }]);
+    assert_eq!(state.update(an_hour_back + 500, [service("wk-1", 0)]), []);
     assert_eq!(state.standing("wk-1"), None);
 }
 
@@ -330,11 +330,11 @@
     let eight = at("2026-12-01T08:00:00Z");
     let mut writes = 0;
     for turn in 0..100 {
-        state.look(eight + turn * 500, all());
-        for write in state.due(turn * 500) {
-            assert!(write.text.as_ref().unwrap().len() <= 16_000);
+        state.update(eight + turn * 500, all());
+        for write in state.due_writes(turn * 500) {
+            assert!(write.value.as_ref().unwrap().len() <= 16_000);
             let version = store.write(&write);
-            state.written(write.number, version);
+            state.on_written(write.number, version);
             writes += 1;
         }
     }
@@ -349,19 +349,19 @@
         assert_eq!(successor.standing(id), state.standing(id));
     }
     // One service's end is no reason to write at once.
-    state.look(eight + 50_000, all().skip(1));
-    assert_eq!(state.due(50_000), []);
-    assert_eq!(state.due(200_000).len(), 1);
+    state.update(eight + 50_000, all().skip(1));
+    assert_eq!(state.due_writes(50_000), []);
+    assert_eq!(state.due_writes(200_000).len(), 1);
 }
 
 #[test]
 fn a_value_that_is_too_large_is_not_written() {
     let mut state = WindowState::new(trading(""), BOUND_MS, 100);
     let eight = at("2026-12-01T08:00:00Z");
-    state.look(eight, [service("wk-1", 0)]);
-    assert_eq!(state.due(0), []);
-    let events = state.look(eight, [service("wk-1", 0)]);
-    assert_eq!(events, [Event::TooLarge { most: 100 }]);
+    state.update(eight, [service("wk-1", 0)]);
+    assert_eq!(state.due_writes(0), []);
+    let events = state.update(eight, [service("wk-1", 0)]);
+    assert_eq!(events, [Event::TooLarge { max_bytes: 100 }]);
     assert!(state.standing("wk-1").is_some());
 }
 
@@ -407,7 +407,7 @@
         let begin = if closing {
             let mut state = store.successor(&timetable);
             for turn in 0..2 {
-                state.look(closes - HOUR_MS, [service("wk-1", 0)]);
+                state.update(closes - HOUR_MS, [service("wk-1", 0)]);
                 store.write_all(&mut state, turn * 2_000);
             }
             closes - 3_000
@@ -427,8 +427,8 @@
                 // The older of two is heard of later.
                 let late = service("wk-0", 0);
                 let services = std::iter::once(service("wk-1", 10)).chain((time > begin + 6_000).then_some(late));
-                let events = state.look(wall, services);
-                let clock_off = events.iter().any(|event| matches!(event, Event::ClockOff { .. }));
+                let events = state.update(wall, services);
+                let clock_off = events.iter().any(|event| matches!(event, Event::ClockBehind { .. }));
                 prop_assert!(!clock_off);
                 let first = state.standing("wk-1");
                 let on_record = |what: &str| store.0.get(&0).is_some_and(|(text, _)| text.contains(what));
@@ -440,22 +440,22 @@
                 let early = time + BOUND_MS / 2 + BOUND_MS < ready;
                 prop_assert!(first.is_none() || !early, "too early at {}", time);
                 if let (Some(one), Some(other)) = (first, state.standing("wk-0"))
-                    && one.place.min(other.place) < u64::MAX
+                    && one.position.min(other.position) < u64::MAX
                 {
-                    let before = one.place < other.place;
+                    let before = one.position < other.position;
                     prop_assert!(order.is_none_or(|order| order == before), "the order has changed");
                     order = Some(before);
                 }
-                for write in state.due(time) {
+                for write in state.due_writes(time) {
                     match fates.next().unwrap() {
                         Fate::Written => {
                             let version = store.write(&write);
-                            state.written(write.number, version);
+                            state.on_written(write.number, version);
                         }
-                        Fate::Refused => state.failed(write.number),
+                        Fate::Refused => state.on_write_failed(write.number),
                         Fate::AnswerLost => {
                             let version = store.write(&write);
-                            state.found(write.number, version);
+                            state.on_version_read(write.number, version);
                         }
                     }
                 }
--- a/crates/protection_windows/src/window_state/windows.rs
+++ b/crates/protection_windows/src/window_state/windows.rs
@@ -1,16 +1,16 @@
 //! Opening and closing of windows by the clock.
 
 use super::WindowState;
-use crate::constants::{CLOSED_KEPT_DAYS, DAY_MS};
+use crate::constants::{CLOSED_WINDOW_RETENTION_DAYS, DAY_MS};
 use crate::event::{CloseReason, Event};
-use crate::timetable::{Shift, Window};
+use crate::timetable::{Window, WindowSchedule};
 use crate::{Day, Name};
 use std::collections::BTreeMap;
 
 /// A window of a shift, by the day on which it opens.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WindowKey {
-    pub(super) shift: Name,
+    pub(super) schedule: Name,
     pub(super) day: Day,
 }
 
@@ -45,11 +45,13 @@
 }
 
 /// Notes that a window was closed, unless a later one of the shift was.
-pub(super) fn note_closed(closed: &mut BTreeMap<Name, ClosedWindow>, key: &WindowKey, at_ms: u64) {
-    let later = closed.get(&key.shift).is_some_and(|latest| latest.day >= key.day);
+pub(super) fn record_closed(closed: &mut BTreeMap<Name, ClosedWindow>, key: &WindowKey, at_ms: u64) {
+    let later = closed
+        .get(&key.schedule)
+        .is_some_and(|latest| latest.day >= key.day);
     if !later {
         let window = ClosedWindow { day: key.day, at_ms };
-        closed.insert(key.shift.clone(), window);
+        closed.insert(key.schedule.clone(), window);
     }
 }
 
@@ -58,9 +60,9 @@
     pub(super) fn open_windows(&mut self, time: u64, events: &mut Vec<Event>) -> bool {
         let mut changed = false;
         let timetable = self.timetable.clone();
-        for (name, shift) in timetable.iter() {
-            for window in shift.around(time) {
-                changed |= self.open_window(name, shift, window, time, events);
+        for (name, schedule) in timetable.iter() {
+            for window in schedule.windows_near(time) {
+                changed |= self.open_window(name, schedule, window, time, events);
             }
         }
         changed
@@ -69,21 +71,21 @@
     fn open_window(
         &mut self,
         name: &Name,
-        shift: &Shift,
+        schedule: &WindowSchedule,
         window: Window,
         time: u64,
         events: &mut Vec<Event>,
     ) -> bool {
         let key = WindowKey {
-            shift: name.clone(),
+            schedule: name.clone(),
             day: window.day,
         };
         if let Some(open) = self.windows.get_mut(&key) {
             // The settings in force say when it ends; the record says that it has begun.
-            let same = open.closes_ms == window.closes_ms && open.rank == shift.rank;
+            let same = open.closes_ms == window.closes_ms && open.rank == schedule.rank;
             open.closes_ms = window.closes_ms;
             open.ready_ms = Some(window.ready_ms);
-            open.rank = shift.rank;
+            open.rank = schedule.rank;
             return !same;
         }
         let over = self
@@ -98,13 +100,13 @@
             opened_ms: time,
             ready_ms: Some(window.ready_ms),
             closes_ms: window.closes_ms,
-            rank: shift.rank,
+            rank: schedule.rank,
             // At the first update, a former leader may have begun to protect.
-            active: !self.looked,
+            active: !self.is_updated,
         };
         self.windows.insert(key, open);
         events.push(Event::Opened {
-            shift: name.clone(),
+            schedule: name.clone(),
             day: window.day,
             closes_ms: window.closes_ms,
         });
@@ -113,7 +115,8 @@
 
     /// Whether the window is open by some clock within the bound.
     fn may_be_open(&self, window: &Window, time: u64) -> bool {
-        time + self.bound_ms >= window.ready_ms && time < window.closes_ms + self.bound_ms
+        time + self.max_clock_difference_ms >= window.ready_ms
+            && time < window.closes_ms + self.max_clock_difference_ms
     }
 
     /// Closes windows whose end has come; returns whether anything changed that is on record.
@@ -121,17 +124,17 @@
         let mut changed = false;
         let mut gone = Vec::new();
         for (key, window) in &mut self.windows {
-            let shift = self.timetable.get(&key.shift);
-            if shift.is_none() && self.told_missing.insert(key.shift.clone()) {
+            let schedule = self.timetable.get(&key.schedule);
+            if schedule.is_none() && self.reported_missing.insert(key.schedule.clone()) {
                 events.push(Event::NotInSettings {
-                    shift: key.shift.clone(),
+                    schedule: key.schedule.clone(),
                     closes_ms: window.closes_ms,
                 });
             }
-            let why = if shift.is_some_and(|shift| shift.window(key.day).is_none()) {
+            let reason = if schedule.is_some_and(|schedule| schedule.window_on(key.day).is_none()) {
                 CloseReason::NoWindow
-            } else if time >= window.closes_ms + self.bound_ms {
-                CloseReason::Over
+            } else if time >= window.closes_ms + self.max_clock_difference_ms {
+                CloseReason::Ended
             } else {
                 continue;
             };
@@ -139,26 +142,26 @@
                 window.stage = Stage::Closing;
                 changed = true;
                 events.push(Event::Closed {
-                    shift: key.shift.clone(),
+                    schedule: key.schedule.clone(),
                     day: key.day,
-                    why,
+                    reason,
                 });
-            } else if self.locked {
+            } else if self.writes_disabled {
                 // Nothing is written any more, so the end will never be on record.
                 gone.push(key.clone());
             }
         }
         for key in gone {
             self.windows.remove(&key);
-            note_closed(&mut self.closed, &key, time);
+            record_closed(&mut self.closed, &key, time);
             changed = true;
         }
-        self.forget_closed(time) || changed
+        self.drop_old_closed(time) || changed
     }
 
     /// Forgets windows that were closed days ago; returns whether there were any.
-    fn forget_closed(&mut self, time: u64) -> bool {
-        let kept_from = i64::try_from(time).unwrap_or(0) - CLOSED_KEPT_DAYS * DAY_MS;
+    fn drop_old_closed(&mut self, time: u64) -> bool {
+        let kept_from = i64::try_from(time).unwrap_or(0) - CLOSED_WINDOW_RETENTION_DAYS * DAY_MS;
         let before = self.closed.len();
         self.closed
             .retain(|_, closed| i64::try_from(closed.at_ms).unwrap_or(i64::MAX) >= kept_from);
@@ -171,6 +174,6 @@
             let begun = window.ready_ms.is_some_and(|ready| time >= ready);
             window.active |= window.stage == Stage::Open || window.stage == Stage::Opening && begun;
         }
-        self.looked = true;
+        self.is_updated = true;
     }
 }
--- a/crates/simulator/src/accounting_checks.rs
+++ b/crates/simulator/src/accounting_checks.rs
@@ -103,10 +103,10 @@
             return Ok(());
         }
         let mut books = read(state)?;
-        let mut rebuild = Rebuild::begin(u64::MAX);
+        let mut rebuild = Rebuild::new(u64::MAX);
         for (position, entry) in ended {
-            if position <= *books.at() {
-                rebuild.record(position, entry);
+            if position <= *books.last_position() {
+                rebuild.add_scanned(position, entry);
             }
         }
         match books.repair(rebuild).first() {
@@ -151,7 +151,7 @@
     let mut books = JobAccounting::new(VALUE_BYTES);
     for (key, value, _) in state.records("b/") {
         books
-            .read(key, value)
+            .load_record(key, value)
             .map_err(|problem| format!("{key}: {problem}"))?;
     }
     Ok(books)
--- a/crates/simulator/src/window_checks.rs
+++ b/crates/simulator/src/window_checks.rs
@@ -64,10 +64,9 @@
         if facts.shape != "daemon" || !facts.accepted || facts.withdrawn_at.is_some() {
             return None;
         }
-        let shifts =
-            self.guarded.timetable.iter().filter(|(_, shift)| {
-                shift.covers(&facts.class, &facts.team) && shift.at(self.wall()).is_some()
-            });
+        let shifts = self.guarded.timetable.iter().filter(|(_, shift)| {
+            shift.covers(&facts.class, &facts.team) && shift.window_at(self.wall()).is_some()
+        });
         shifts.map(|(_, shift)| shift.rank()).min()
     }
 
