--- a/crates/counted_resources/src/licence.rs
+++ b/crates/counted_resources/src/licence.rs
@@ -41,14 +41,15 @@
     TooLong,
 }
 
-static FEATURE: LazyLock<Option<Regex>> = LazyLock::new(|| Regex::new(r"^Users of (\S+):\s*(.*)$").ok());
-static TOTAL: LazyLock<Option<Regex>> = LazyLock::new(|| {
+static FEATURE_LINE: LazyLock<Option<Regex>> = LazyLock::new(|| Regex::new(r"^Users of (\S+):\s*(.*)$").ok());
+static TOTALS: LazyLock<Option<Regex>> = LazyLock::new(|| {
     Regex::new(r"\(Total of (\d+) licenses? issued;\s+Total of (\d+) licenses? in use\)").ok()
 });
-static SEAT: LazyLock<Option<Regex>> = LazyLock::new(|| {
+static CLIENT_LINE: LazyLock<Option<Regex>> = LazyLock::new(|| {
     Regex::new(r"^\s+\S+ (\S+) .*\(v[^)]*\) \([^)]*/\d+ \d+\), start [^,]*(?:, (\d+) licenses?)?").ok()
 });
-static RESERVED: LazyLock<Option<Regex>> = LazyLock::new(|| Regex::new(r"^\s+(\d+) RESERVATIONs? for ").ok());
+static RESERVATION_LINE: LazyLock<Option<Regex>> =
+    LazyLock::new(|| Regex::new(r"^\s+(\d+) RESERVATIONs? for ").ok());
 
 /// Parses the usage of one feature from the output of `lmstat -a`.
 ///
@@ -56,8 +57,8 @@
 /// The text does not contain the feature, is too long, or has no total for the feature because
 /// the licence is uncounted or the vendor daemon is down.
 pub fn parse_usage(text: &str, feature: &str) -> Result<Usage, UsageParseError> {
-    let (Some(is_feature), Some(is_total), Some(is_seat), Some(is_reserved)) =
-        (&*FEATURE, &*TOTAL, &*SEAT, &*RESERVED)
+    let (Some(feature_line), Some(totals_pattern), Some(client_line), Some(reservation_line)) =
+        (&*FEATURE_LINE, &*TOTALS, &*CLIENT_LINE, &*RESERVATION_LINE)
     else {
         return Err(UsageParseError::Absent);
     };
@@ -66,15 +67,15 @@
         if number >= MAX_SERVER_ANSWER_LINES {
             return Err(UsageParseError::TooLong);
         }
-        if let Some(found) = is_feature.captures(line) {
+        if let Some(header) = feature_line.captures(line) {
             if usage.is_some() {
                 break;
             }
-            if &found[1] != feature {
+            if &header[1] != feature {
                 continue;
             }
-            let Some(totals) = is_total.captures(&found[2]) else {
-                let uncounted = found[2].contains("ncounted");
+            let Some(totals) = totals_pattern.captures(&header[2]) else {
+                let uncounted = header[2].contains("ncounted");
                 return Err(UsageParseError::NoTotal(if uncounted {
                     "its seats are not counted"
                 } else {
@@ -87,16 +88,16 @@
                 seats: Vec::new(),
             });
         } else if let Some(usage) = &mut usage {
-            if let Some(seat) = is_seat.captures(line) {
-                let units = seat
+            if let Some(client) = client_line.captures(line) {
+                let units = client
                     .get(2)
                     .map_or(1, |units| units.as_str().parse().unwrap_or(u32::MAX));
-                usage.seats.push((seat[1].to_owned(), units));
-            } else if let Some(reserved) = is_reserved.captures(line) {
+                usage.seats.push((client[1].to_owned(), units));
+            } else if let Some(reservation) = reservation_line.captures(line) {
                 // A reservation has no host; its seats are set aside for outside clients.
                 usage
                     .seats
-                    .push((String::new(), reserved[1].parse().unwrap_or(u32::MAX)));
+                    .push((String::new(), reservation[1].parse().unwrap_or(u32::MAX)));
             }
         }
     }
--- a/crates/counted_resources/src/unit_ledger.rs
+++ b/crates/counted_resources/src/unit_ledger.rs
@@ -228,9 +228,7 @@
     /// if no team has a share, because then no units may be taken back.
     pub fn borrowed(&self, team: &str) -> u32 {
         match self.team(team) {
-            Some(team_usage) if self.has_shares() => {
-                (team_usage.used - team_usage.releasing).saturating_sub(team_usage.share)
-            }
+            Some(usage) if self.has_shares() => (usage.used - usage.releasing).saturating_sub(usage.share),
             _ => 0,
         }
     }
@@ -238,12 +236,12 @@
     /// Units that a request may take: reserved units only if it finishes in time. `requester` is
     /// called only if units are reserved.
     fn available_to(&self, requester: impl FnOnce() -> Requester) -> u32 {
-        let open = self.free().saturating_sub(self.claimed);
+        let available = self.free().saturating_sub(self.claimed);
         match self.reservation {
             Some(reservation) if !requester().finishes_within(reservation.ready_s) => {
-                open.saturating_sub(reservation.units)
+                available.saturating_sub(reservation.units)
             }
-            _ => open,
+            _ => available,
         }
     }
 
@@ -276,11 +274,11 @@
     fn ready_s(&mut self, units: u32) -> f64 {
         self.expected_releases.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut free = u64::from(self.free());
-        for (left_s, ended) in &self.expected_releases {
+        for (left_s, released) in &self.expected_releases {
             if free >= u64::from(units) {
                 return *left_s;
             }
-            free += u64::from(*ended);
+            free += u64::from(*released);
         }
         if free >= u64::from(units) {
             self.expected_releases.last().map_or(0.0, |(left_s, _)| *left_s)
@@ -342,7 +340,7 @@
 #[derive(Debug, Default)]
 pub struct UnitLedger<'a> {
     pools: Vec<Pool<'a>>,
-    index: FxHashMap<&'a str, usize>,
+    index_by_name: FxHashMap<&'a str, usize>,
     policy: ReservationPolicy,
 }
 
@@ -356,7 +354,7 @@
     pub fn with_policy(definitions: &'a Definitions, policy: ReservationPolicy) -> UnitLedger<'a> {
         let mut book = UnitLedger {
             pools: Vec::with_capacity(definitions.len()),
-            index: FxHashMap::with_capacity_and_hasher(definitions.len(), Default::default()),
+            index_by_name: FxHashMap::with_capacity_and_hasher(definitions.len(), Default::default()),
             policy,
         };
         for (name, definition) in definitions {
@@ -393,11 +391,11 @@
 
     /// Index of the pool of a counted resource, which is created if there is none.
     fn pool(&mut self, name: &'a str, definition: Option<&'a Definition>) -> usize {
-        if let Some(index) = self.index.get(name) {
+        if let Some(index) = self.index_by_name.get(name) {
             return *index;
         }
         self.pools.push(Pool::new(name, definition));
-        self.index.insert(name, self.pools.len() - 1);
+        self.index_by_name.insert(name, self.pools.len() - 1);
         self.pools.len() - 1
     }
 
@@ -408,7 +406,7 @@
 
     /// The pool of one counted resource.
     pub fn get(&self, count: &str) -> Option<&Pool<'a>> {
-        self.index.get(count).map(|index| &self.pools[*index])
+        self.index_by_name.get(count).map(|index| &self.pools[*index])
     }
 
     /// Records the units of an attempt that may be on a machine. `left_s` is its remaining run time
@@ -447,10 +445,10 @@
     /// one that is neither defined nor held. A pass checks thousands of jobs one after the other,
     /// and their demands are scattered in memory; this way each is read only once.
     pub fn single_count(&self, demand: &Demand) -> Option<SingleCount> {
-        let mut parts = demand.iter();
-        let (name, units) = parts.next()?;
-        let index = u32::try_from(*self.index.get(&**name)?).ok()?;
-        parts.next().is_none().then_some(SingleCount { index, units })
+        let mut entries = demand.iter();
+        let (name, units) = entries.next()?;
+        let index = u32::try_from(*self.index_by_name.get(&**name)?).ok()?;
+        entries.next().is_none().then_some(SingleCount { index, units })
     }
 
     /// The pool of a single-count demand.
@@ -490,12 +488,12 @@
 
     /// How many of at most `max_tasks` tasks can get their units now.
     pub fn available(&self, demand: &Demand, max_tasks: u32, requester: &Requester) -> u32 {
-        let mut room = max_tasks;
+        let mut tasks = max_tasks;
         for (name, units) in demand.iter() {
-            let open = self.get(name).map_or(0, |pool| pool.available_to(|| *requester));
-            room = room.min(open / units.max(1));
+            let available = self.get(name).map_or(0, |pool| pool.available_to(|| *requester));
+            tasks = tasks.min(available / units.max(1));
         }
-        room
+        tasks
     }
 
     /// How many of at most `max_tasks` tasks that lack machines would have units once machines are
@@ -503,11 +501,11 @@
     pub fn available_later(&mut self, demand: &Demand, max_tasks: u32) -> u32 {
         let mut count = max_tasks;
         for (name, units) in demand.iter() {
-            let open = self.get(name).map_or(0, Pool::unpromised);
-            count = count.min(open / units.max(1));
+            let available = self.get(name).map_or(0, Pool::unpromised);
+            count = count.min(available / units.max(1));
         }
         for (name, units) in demand.iter() {
-            if let Some(index) = self.index.get(&**name) {
+            if let Some(index) = self.index_by_name.get(&**name) {
                 self.pools[*index].promised += units * count;
             }
         }
@@ -517,7 +515,7 @@
     /// Records the units of a task that starts in this pass.
     pub fn allocate(&mut self, team: &'a str, demand: &Demand, left_s: f64) {
         for (name, units) in demand.iter() {
-            let Some(index) = self.index.get(&**name) else {
+            let Some(index) = self.index_by_name.get(&**name) else {
                 continue;
             };
             self.pools[*index].hold(team, units, left_s, false);
@@ -527,16 +525,16 @@
     /// How many of at most `max_tasks` tasks the team may still run within its shares. `None` if no
     /// team has a share of any of these counted resources.
     pub fn tasks_within_share(&self, team: &str, demand: &Demand, max_tasks: u32) -> Option<u32> {
-        let mut owed = max_tasks;
-        let mut shared = false;
+        let mut tasks = max_tasks;
+        let mut has_shares = false;
         for (name, units) in demand.iter() {
             let Some(pool) = self.get(name).filter(|pool| pool.has_shares()) else {
                 continue;
             };
-            shared = true;
-            owed = owed.min(pool.unused_share(team) / units.max(1));
+            has_shares = true;
+            tasks = tasks.min(pool.unused_share(team) / units.max(1));
         }
-        shared.then_some(owed)
+        has_shares.then_some(tasks)
     }
 
     /// Handles a request for `concurrent_tasks` tasks, which start together or not at all, that
@@ -550,7 +548,7 @@
     ) -> (Option<Shortage>, bool) {
         let mut shortage = None;
         for (name, units) in demand.iter() {
-            let Some(index) = self.index.get(&**name) else {
+            let Some(index) = self.index_by_name.get(&**name) else {
                 shortage = Some(Shortage {
                     count: name.clone(),
                     reason: ShortageReason::Undefined,
@@ -580,7 +578,7 @@
         }
         let mut latest_ready_s: f64 = 0.0;
         for (name, units) in demand.iter() {
-            if let Some(index) = self.index.get(&**name) {
+            if let Some(index) = self.index_by_name.get(&**name) {
                 latest_ready_s = latest_ready_s.max(self.pools[*index].ready_s(units.saturating_mul(tasks)));
             }
         }
@@ -591,7 +589,7 @@
         };
         let mut reserved_any = false;
         for (name, units) in demand.iter() {
-            if let Some(index) = self.index.get(&**name)
+            if let Some(index) = self.index_by_name.get(&**name)
                 && self.pools[*index].reservation.is_none()
             {
                 reserved_any = true;
@@ -616,7 +614,7 @@
     pub fn deficit(&mut self, demand: &Demand, tasks: u32) -> Option<Deficit> {
         let mut deficit = Deficit::default();
         for (name, units) in demand.iter() {
-            let pool = &mut self.pools[*self.index.get(&**name)?];
+            let pool = &mut self.pools[*self.index_by_name.get(&**name)?];
             if pool.closed.is_some() || pool.excess() > 0 {
                 return None;
             }
@@ -640,7 +638,7 @@
     /// it again while waiting for the other, and repeat this forever.
     pub fn claim(&mut self, demand: &Demand, tasks: u32) {
         for (name, units) in demand.iter() {
-            if let Some(index) = self.index.get(&**name) {
+            if let Some(index) = self.index_by_name.get(&**name) {
                 let pool = &mut self.pools[*index];
                 pool.claimed = pool.claimed.saturating_add(units.saturating_mul(tasks));
             }
@@ -651,7 +649,7 @@
     /// Units of theirs that it does not need are available to other requests.
     pub fn record_stops(&mut self, team: &str, demand: &Demand, missing: &mut [(Name, u32)]) {
         for (name, units) in demand.iter() {
-            let Some(index) = self.index.get(&**name) else {
+            let Some(index) = self.index_by_name.get(&**name) else {
                 continue;
             };
             let pool = &mut self.pools[*index];
--- a/crates/counted_resources/src/unit_ledger/tests.rs
+++ b/crates/counted_resources/src/unit_ledger/tests.rs
@@ -193,9 +193,8 @@
     unit_ledger.allocate("red", &one, 1.0);
     unit_ledger.allocate("blue", &one, 1.0);
     assert_eq!(unit_ledger.tasks_within_share("red", &one, 9), Some(1));
-    let borrowed = |unit_ledger: &UnitLedger<'_>| {
-        ["blue", "red"].map(|team| unit_ledger.get("seat").unwrap().borrowed(team))
-    };
+    let borrowed =
+        |ledger: &UnitLedger<'_>| ["blue", "red"].map(|team| ledger.get("seat").unwrap().borrowed(team));
     assert_eq!(borrowed(&unit_ledger), [1, 0]);
     // Units already being released are not taken back a second time.
     unit_ledger.record_stops("blue", &one, &mut []);
