--- a/crates/accounting/src/constants.rs
+++ b/crates/accounting/src/constants.rs
@@ -1,57 +1,61 @@
-//! Every constant of this package, with unit and reason.
+//! Limits and sizes of the accounts and of the fair queue.
 
-/// Ended jobs on one page of a team's history. About 100 bytes each: a full page is some 6 KiB,
-/// below any `value_kb` that the platform sets, and is written anew with each batch of ends.
+/// Ended jobs per page of a team's history. At about 100 bytes each, a full page takes some 6 KiB,
+/// which is below any `value_kb` that the platform sets. A page is rewritten with each batch of
+/// ended jobs.
 pub const ENTRIES_PER_PAGE: usize = 64;
 
-/// Pages of a team's history that are kept entry by entry; older ones become totals. 512 ends are
-/// what a user looks through; a leader holds 100 KiB for a team and reads nine keys.
+/// Maximum number of pages in a team's history; older pages are folded into totals. Users rarely
+/// look beyond 512 ended jobs. A team's account takes 100 KiB of the leader's memory and nine keys.
 pub const MAX_PAGES: usize = 8;
 
-/// Rows of totals, by day and class, that a team's account keeps. About 70 bytes each: 8 KiB.
+/// Maximum rows of totals, by day and class, in a team's account. About 70 bytes each, 8 KiB in
+/// total.
 pub const MAX_TOTALS_ROWS: usize = 120;
 
-/// Classes for which totals are kept apart; later ones are counted together. Users name classes,
-/// and an account must stay bounded whatever they name.
+/// Maximum number of classes with separate totals; further classes are counted together. Users
+/// choose class names freely, and the size of an account must stay bounded.
 pub const MAX_TOTALS_CLASSES: usize = 16;
 
-/// Ends that were read and are not on a page yet; a reader waits while there are so many. At
-/// some 300 bytes each, 600 KiB.
+/// Maximum number of ended jobs that are not yet written to a page; at this limit no more are read.
+/// At some 300 bytes each, they take 600 KiB.
 pub const MAX_PENDING_ENDS: usize = 2_000;
 
-/// Changes that one end may need: its page, a page that is deleted, and the totals that take up
-/// its entries.
+/// Record changes that one ended job may require: its page, a deleted page, and the totals into
+/// which the deleted page is folded.
 pub const CHANGES_PER_END: usize = 3;
 
-/// Bytes that an entry takes on a page beside its names, at most.
+/// Maximum bytes of an entry on a page, without the names of its job and class.
 pub const ENTRY_OVERHEAD_BYTES: usize = 130;
 
-/// Bytes that an entry usually takes on a page at most, with the names of its job and class: the
-/// size by which a batch of pages is estimated.
+/// Bytes that most entries on a page do not exceed, including the names of job and class. Used to
+/// estimate the size of a batch of pages.
 pub const TYPICAL_ENTRY_BYTES: usize = 170;
 
-/// Bytes that a row of totals takes, at most.
+/// Maximum bytes of a row of totals.
 pub const TOTALS_ROW_BYTES: usize = 75;
 
-/// Length, in bytes, up to which a team's name stands in keys as it is (escaped); a longer one
-/// ends in a digest of the whole. The platform's keys have at most 200 bytes.
+/// Maximum bytes of an escaped team name in a key; longer names are truncated and end in a digest
+/// of the whole name. The platform limits keys to 200 bytes.
 pub const MAX_TEAM_KEY_BYTES: usize = 120;
 
-/// A day in ms.
+/// Milliseconds per day.
 pub const DAY_MS: u64 = 86_400_000;
 
-/// Bits of the checksum that tells totals over different jobs apart. JSON numbers are exact to 53.
+/// Bits of the checksum that distinguishes totals over different jobs. JSON numbers are exact up to
+/// 53 bits.
 pub const CHECKSUM_BITS: u32 = 52;
 
-/// What a lane of weight 1 may use in one turn, in units of cost. One request costs one: a
-/// smaller quantum would only make empty rounds, a larger one longer waits.
+/// Cost that a lane of weight 1 may consume per turn. A request costs 1: a smaller quantum would
+/// produce empty rounds, a larger one longer waits.
 pub const QUANTUM: u64 = 1;
 
-/// Largest cost of one item; more counts as this, so that no item blocks its lane forever.
+/// Maximum cost of one item; higher costs are clamped, so that no item blocks its lane
+/// indefinitely.
 pub const MAX_ITEM_COST: u64 = 64;
 
-/// Largest weight of a lane, which bounds how long a round is for the others.
+/// Maximum weight of a lane, which bounds the length of a round for the other lanes.
 pub const MAX_LANE_WEIGHT: u64 = 16;
 
-/// Least loss of work that is counted, in s: losses are rounded to whole seconds.
+/// Minimum loss of work that is counted, in s. Losses are rounded to whole seconds.
 pub const MIN_LOSS_S: f64 = 0.5;
--- a/crates/accounting/src/history.rs
+++ b/crates/accounting/src/history.rs
@@ -8,24 +8,24 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// The serialized form of [`OlderJobs`]: its fields in their order.
+/// The serialized form of [`OlderJobs`]: a tuple of its fields in order.
 type OlderJobsForm = (u32, Arc<str>, u64, u64, u64, u64);
 
-/// Totals over ended jobs that are too old to be kept one by one.
+/// Totals over ended jobs that are too old for separate entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "OlderJobsForm", into = "OlderJobsForm")]
 pub struct OlderJobs {
-    /// Day of the ends, counted from 1970; 0 for all earlier days.
+    /// Day on which the jobs ended, in days since the Unix epoch; 0 for all earlier days.
     pub day: u32,
-    /// Class of the jobs; empty for all classes that are not kept apart.
+    /// Class of the jobs; empty for all classes without separate totals.
     pub class: Arc<str>,
     /// Jobs that finished.
     pub done: u64,
     /// Jobs that were cancelled.
     pub cancelled: u64,
-    /// Attempts of their tasks, at least.
+    /// Lower bound on the attempts of their tasks.
     pub attempts: u64,
-    /// Seconds of work lost, at least.
+    /// Lower bound on the seconds of lost work.
     pub lost_s: u64,
 }
 
@@ -56,16 +56,16 @@
     }
 }
 
-/// The latest ended jobs of a team, and totals over the older ones.
+/// The latest ended jobs of a team, and totals over older ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamHistory {
-    /// Jobs and their entries, the latest last.
+    /// Job ids and entries, latest last.
     pub ended: Vec<(Arc<str>, Entry)>,
     /// Totals over older jobs.
     pub older: Vec<OlderJobs>,
 }
 
-/// Reads the records of one team's account for display. Records of other teams are left out.
+/// Reads the records of one team's account for display. Records of other teams are skipped.
 ///
 /// # Errors
 /// One of the records cannot be used.
@@ -76,8 +76,10 @@
             Record::Page {
                 team: owner, page, ..
             } if owner == *team => {
-                let lines = page.into_iter().map(|line| (line.job, (*line.entry).clone()));
-                history.ended.extend(lines);
+                let entries = page
+                    .into_iter()
+                    .map(|page_entry| (page_entry.job, (*page_entry.entry).clone()));
+                history.ended.extend(entries);
             }
             Record::Totals { team: owner, totals } if owner == *team => {
                 history.older = older_jobs(totals);
--- a/crates/accounting/src/position.rs
+++ b/crates/accounting/src/position.rs
@@ -1,10 +1,10 @@
-//! The order of ends.
+//! The order in which jobs ended.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The position of a job's end among all ends: by the revision that recorded it, and by job where
-/// one revision recorded several.
+/// The position of an ended job in the order of ends: by the revision at which the end was
+/// recorded, then by job id, as one revision may record several.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
     /// Revision of the state service.
@@ -14,7 +14,7 @@
 }
 
 impl Position {
-    /// The position after all ends of a revision.
+    /// The position after all jobs that ended at a revision.
     pub fn after_revision(revision: u64) -> Position {
         Position {
             revision,
--- a/crates/accounting/src/queue.rs
+++ b/crates/accounting/src/queue.rs
@@ -1,25 +1,25 @@
-//! A team's queue of live jobs, and what each of them waits for.
+//! A team's queue of live jobs and the reason why each job waits.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a live job waits for.
+/// Why a live job waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WaitReason {
-    /// Nothing: all its tasks are done or on machines.
+    /// It does not wait: all its tasks are done or on machines.
     Nothing,
-    /// To be released: its user, or a limit, holds it.
+    /// It is held by its user or by a limit.
     Held,
-    /// The records of its submit file to be written.
+    /// The records of its submit file are not written yet.
     Recording,
-    /// Its next attempt, after it failed on several machines.
+    /// It backs off after failures on several machines.
     Retry,
-    /// Units of a counted resource.
+    /// It needs units of a counted resource.
     Units,
-    /// Machines.
+    /// It needs machines.
     Machines,
-    /// Its turn, or its team's limit.
+    /// Other jobs are ahead of it, or its team is at its limit.
     Turn,
 }
 
@@ -35,7 +35,7 @@
         WaitReason::Turn,
     ];
 
-    /// The name in metrics and answers.
+    /// The name in metrics and responses.
     pub fn as_str(self) -> &'static str {
         match self {
             WaitReason::Nothing => "nothing",
@@ -55,24 +55,24 @@
     wait_reason: WaitReason,
 }
 
-/// A team's live jobs in the order in which they are served.
+/// A team's live jobs in scheduling order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Queue {
     jobs: Vec<QueuedJob>,
 }
 
 impl Queue {
-    /// Adds the next job.
+    /// Appends a job.
     pub fn push(&mut self, job: Arc<str>, wait_reason: WaitReason) {
         self.jobs.push(QueuedJob { job, wait_reason });
     }
 
-    /// The jobs in order.
+    /// The jobs and their wait reasons, in order.
     pub fn jobs(&self) -> impl Iterator<Item = (&Arc<str>, WaitReason)> {
         self.jobs.iter().map(|queued| (&queued.job, queued.wait_reason))
     }
 
-    /// How many jobs wait for this.
+    /// The number of jobs that wait for this reason.
     pub fn count_waiting(&self, reason: WaitReason) -> usize {
         self.jobs
             .iter()
--- a/crates/accounting/src/team_account.rs
+++ b/crates/accounting/src/team_account.rs
@@ -14,19 +14,19 @@
 }
 
 impl PageEntry {
-    /// Bytes that the entry takes in a record, at most.
+    /// Maximum bytes of the entry in a record.
     fn bytes(&self) -> usize {
         ENTRY_OVERHEAD_BYTES + self.job.len() + self.entry.class.len()
     }
 }
 
-/// The entries of one page, the latest last.
+/// The entries of one page, latest last.
 pub(crate) type Page = Vec<PageEntry>;
 
-/// A part of an account that has a record of its own.
+/// A part of an account that is stored as a separate record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum AccountPart {
-    /// The page of this number.
+    /// The page with this number.
     Page(u32),
     /// The totals over the entries of older pages.
     Totals,
@@ -40,40 +40,40 @@
 }
 
 impl TeamAccount {
-    /// Adds an end, and notes in `touched` which records it changes.
+    /// Adds an ended job, and adds the parts that this changes to `changed_parts`.
     pub(crate) fn add(
         &mut self,
         job: &Arc<str>,
         entry: &Arc<Entry>,
         page_bytes: usize,
-        touched: &mut BTreeSet<AccountPart>,
+        changed_parts: &mut BTreeSet<AccountPart>,
     ) {
-        let line = PageEntry {
+        let page_entry = PageEntry {
             job: job.clone(),
             entry: entry.clone(),
         };
-        let number = self.page_for(&line, page_bytes);
-        self.pages.entry(number).or_default().push(line);
-        touched.insert(AccountPart::Page(number));
+        let number = self.page_for(&page_entry, page_bytes);
+        self.pages.entry(number).or_default().push(page_entry);
+        changed_parts.insert(AccountPart::Page(number));
         while self.pages.len() > MAX_PAGES
             && let Some((oldest, page)) = self.pages.pop_first()
         {
-            for line in page {
-                self.totals.add(&line.job, &line.entry, page_bytes);
+            for page_entry in page {
+                self.totals.add(&page_entry.job, &page_entry.entry, page_bytes);
             }
-            touched.insert(AccountPart::Page(oldest));
-            touched.insert(AccountPart::Totals);
+            changed_parts.insert(AccountPart::Page(oldest));
+            changed_parts.insert(AccountPart::Totals);
         }
     }
 
-    /// The number of the page that takes the next entry: the last one, or a new one if that is full.
-    fn page_for(&self, line: &PageEntry, page_bytes: usize) -> u32 {
+    /// The number of the page for the next entry: the last page, or a new one if that is full.
+    fn page_for(&self, page_entry: &PageEntry, page_bytes: usize) -> u32 {
         let Some((number, page)) = self.pages.last_key_value() else {
             return 0;
         };
         let bytes: usize = page.iter().map(PageEntry::bytes).sum();
-        let full = page.len() >= ENTRIES_PER_PAGE || bytes + line.bytes() > page_bytes;
-        *number + u32::from(full)
+        let is_full = page.len() >= ENTRIES_PER_PAGE || bytes + page_entry.bytes() > page_bytes;
+        *number + u32::from(is_full)
     }
 
     /// All parts of the account.
@@ -82,16 +82,16 @@
         pages.chain([AccountPart::Totals])
     }
 
-    /// Totals by the day of the end, over pages and older entries.
+    /// Totals by day on which jobs ended, over pages and older entries.
     pub(crate) fn totals_by_day(&self) -> BTreeMap<u32, JobTotals> {
         let mut days: BTreeMap<u32, JobTotals> = BTreeMap::new();
         for ((day, _), totals) in &self.totals.0 {
             days.entry(*day).or_default().merge(totals);
         }
-        for line in self.pages.values().flatten() {
-            days.entry(line.entry.day())
+        for page_entry in self.pages.values().flatten() {
+            days.entry(page_entry.entry.day())
                 .or_default()
-                .add(&line.job, &line.entry);
+                .add(&page_entry.job, &page_entry.entry);
         }
         days
     }
--- a/crates/accounting/src/totals.rs
+++ b/crates/accounting/src/totals.rs
@@ -12,13 +12,13 @@
     pub done: u64,
     /// Jobs that were cancelled.
     pub cancelled: u64,
-    /// Tasks of all these jobs.
+    /// Tasks of these jobs.
     pub tasks: u64,
-    /// Attempts of their tasks, at least.
+    /// Lower bound on the attempts of their tasks.
     pub attempts: u64,
-    /// Seconds of work lost, at least.
+    /// Lower bound on the seconds of lost work.
     pub lost_s: u64,
-    /// Sum of the jobs' checksums, which tells totals over different jobs apart.
+    /// Sum of the jobs' checksums, which distinguishes totals over different jobs.
     pub(crate) checksum: u64,
 }
 
@@ -43,16 +43,16 @@
         self.checksum = self.checksum.wrapping_add(other.checksum) & ((1 << CHECKSUM_BITS) - 1);
     }
 
-    /// Whether both are over the same ends. Attempts and lost work may differ: only the last leader
-    /// that ran a job knows them.
+    /// Whether both cover the same ended jobs. Attempts and lost work may differ: only the last
+    /// leader that ran a job knows them.
     pub(crate) fn has_same_jobs(&self, other: &JobTotals) -> bool {
         (self.done, self.cancelled, self.tasks, self.checksum)
             == (other.done, other.cancelled, other.tasks, other.checksum)
     }
 }
 
-/// Totals by day and class. Day 0 stands for all days older than those kept, the empty class for
-/// all classes that are not kept apart.
+/// Totals by day and class. Day 0 contains all older days, and the empty class contains all classes
+/// without separate totals.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct TotalsByDay(pub(crate) BTreeMap<(u32, Arc<str>), JobTotals>);
 
@@ -73,7 +73,7 @@
         self.fold(max_bytes);
     }
 
-    /// Folds the oldest days into day 0 until the rest fits into a record.
+    /// Folds the oldest days into day 0 until the totals fit into a record.
     pub(crate) fn fold(&mut self, max_bytes: usize) {
         while self.0.len() > MAX_TOTALS_ROWS || self.bytes() > max_bytes {
             let oldest = self.0.keys().map(|(day, _)| *day).find(|day| *day > 0);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Bytes that the totals take in a record, at most.
+    /// Maximum bytes of the totals in a record.
     pub(crate) fn bytes(&self) -> usize {
         let classes: BTreeSet<&Arc<str>> = self.0.keys().map(|(_, class)| class).collect();
         let class_bytes: usize = classes.iter().map(|class| class.len() + 3).sum();
