--- a/crates/accounting/src/access.rs
+++ b/crates/accounting/src/access.rs
@@ -1,4 +1,5 @@
-//! Access to jobs: the values that code must hold to show a job to a user or to change it.
+//! Access control for jobs: the permissions that code must hold to show a job to a user or to
+//! change it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,7 +12,7 @@
 pub struct Team(Arc<str>);
 
 impl Team {
-    /// The team of this name.
+    /// Creates the team with this name.
     pub fn named(name: &str) -> Team {
         Team(Arc::from(name))
     }
@@ -28,8 +29,8 @@
     }
 }
 
-/// The owner of a job, as recorded when the job was accepted. It never changes, so neither part
-/// can be set.
+/// The owner of a job, as recorded when the job was accepted. The owner never changes, so there are
+/// no setters.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Owner {
     job: Arc<str>,
@@ -37,7 +38,7 @@
 }
 
 impl Owner {
-    /// The owner that the record of an accepted job names.
+    /// Creates the owner that is named in the record of an accepted job.
     pub fn from_record(job: &Arc<str>, team: &str) -> Owner {
         Owner {
             job: job.clone(),
@@ -45,30 +46,30 @@
         }
     }
 
-    /// The job.
+    /// The id of the job.
     pub fn job(&self) -> &Arc<str> {
         &self.job
     }
 
-    /// The team that owns it.
+    /// The team that owns the job.
     pub fn team(&self) -> &Team {
         &self.team
     }
 }
 
-/// The job belongs to another team: the request is answered as if the job did not exist.
+/// The job belongs to another team. The request is answered as if the job did not exist.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("no such job")]
 pub struct Hidden;
 
-/// Permission to see all of one job and to change it. Only the three constructors below make one.
+/// Permission to read and change a job. It can be created only by the three constructors below.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Access {
     owner: Owner,
 }
 
 impl Access {
-    /// Access for a request that states a team, which must be the owner.
+    /// Grants access to a request that names a team, which must own the job.
     ///
     /// # Errors
     /// The job belongs to another team.
@@ -80,25 +81,25 @@
         }
     }
 
-    /// Access for any request, where the operators' settings show the jobs of all teams to every
-    /// client that reaches the node. `shown` is that setting.
+    /// Grants access to any request if the operators' settings show the jobs of all teams to every
+    /// client that reaches the node. `enabled` is that setting.
     ///
     /// # Errors
-    /// The settings do not show them.
-    pub fn for_any_team(owner: &Owner, shown: bool) -> Result<Access, Hidden> {
-        if shown {
+    /// The setting is disabled.
+    pub fn for_any_team(owner: &Owner, enabled: bool) -> Result<Access, Hidden> {
+        if enabled {
             Ok(Access { owner: owner.clone() })
         } else {
             Err(Hidden)
         }
     }
 
-    /// Access for the service itself, which ends a job once all of its tasks are done.
+    /// Grants access to the service itself, which ends a job once all of its tasks are done.
     pub fn for_service(owner: &Owner) -> Access {
         Access { owner: owner.clone() }
     }
 
-    /// The job that may be seen and changed.
+    /// The id of the job that may be read and changed.
     pub fn job(&self) -> &Arc<str> {
         &self.owner.job
     }
@@ -109,8 +110,9 @@
     }
 }
 
-/// Permission to report the state of one job by the protocol and to withdraw it, where requests of
-/// the protocol name no team. Neither the team nor the content of the job can be shown with it.
+/// Permission to report the state of a job through the protocol and to cancel it. Requests of the
+/// protocol name no team, so this permission reveals neither the team nor the content of the
+/// job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VisibleJob {
     job: Arc<str>,
@@ -118,7 +120,7 @@
 }
 
 impl VisibleJob {
-    /// For a `GET` of the state, or a withdrawal: the answer includes the progress.
+    /// For a `GET` of the state or a cancellation: the response includes the progress.
     pub fn for_protocol(job: &Arc<str>) -> VisibleJob {
         VisibleJob {
             job: job.clone(),
@@ -126,25 +128,25 @@
         }
     }
 
-    /// For a repeated submission. By the platform's rules, an accepted id is answered with its
-    /// state, whoever sends it. Other teams than the owner, and all where the owner is not known
-    /// here, get no more than that.
-    pub fn for_resubmission(job: &Arc<str>, owner: Option<&Owner>, stated: Option<&Team>) -> VisibleJob {
-        let own = owner
-            .zip(stated)
+    /// For a repeated submission. The platform requires that an accepted id is answered with its
+    /// state, whoever submits it. The progress is included only if the submitting team is known to
+    /// own the job.
+    pub fn for_resubmission(job: &Arc<str>, owner: Option<&Owner>, submitter: Option<&Team>) -> VisibleJob {
+        let is_owner = owner
+            .zip(submitter)
             .is_some_and(|(owner, team)| owner.job == *job && Access::for_team(owner, team).is_ok());
         VisibleJob {
             job: job.clone(),
-            shows_progress: own,
+            shows_progress: is_owner,
         }
     }
 
-    /// The job.
+    /// The id of the job.
     pub fn job(&self) -> &Arc<str> {
         &self.job
     }
 
-    /// Whether the numbers of done and running tasks may be shown.
+    /// Whether the response may contain the numbers of done and running tasks.
     pub fn shows_progress(&self) -> bool {
         self.shows_progress
     }
--- a/crates/accounting/src/access/tests.rs
+++ b/crates/accounting/src/access/tests.rs
@@ -3,19 +3,19 @@
 
 proptest! {
     #[test]
-    fn only_the_owner_sees_a_job(owner in "[a-c]{1,2}", asks in "[a-c]{1,2}") {
+    fn only_the_owner_gets_access(owner in "[a-c]{1,2}", requester in "[a-c]{1,2}") {
         let job: Arc<str> = Arc::from("wk-1");
-        let on_record = Owner::from_record(&job, &owner);
-        let team = Team::named(&asks);
-        let access = Access::for_team(&on_record, &team);
-        prop_assert_eq!(access.is_ok(), owner == asks);
-        let visible = VisibleJob::for_resubmission(&job, Some(&on_record), Some(&team));
-        prop_assert_eq!(visible.shows_progress(), owner == asks);
+        let recorded_owner = Owner::from_record(&job, &owner);
+        let team = Team::named(&requester);
+        let access = Access::for_team(&recorded_owner, &team);
+        prop_assert_eq!(access.is_ok(), owner == requester);
+        let visible = VisibleJob::for_resubmission(&job, Some(&recorded_owner), Some(&team));
+        prop_assert_eq!(visible.shows_progress(), owner == requester);
     }
 }
 
 #[test]
-fn who_is_not_known_is_told_the_state_alone() {
+fn progress_is_hidden_if_the_owner_is_unknown() {
     let job: Arc<str> = Arc::from("wk-1");
     let other = Owner::from_record(&Arc::from("wk-2"), "red");
     let red = Team::named("red");
--- a/crates/accounting/src/fair.rs
+++ b/crates/accounting/src/fair.rs
@@ -1,4 +1,4 @@
-//! A queue with a fair share for each team: the requests of a team that floods it wait behind each
+//! A queue with a fair share for each team: requests of a team that floods the queue delay only each
 //! other.
 
 use crate::access::Team;
@@ -16,23 +16,24 @@
 struct Lane<T> {
     items: VecDeque<QueuedItem<T>>,
     weight: u64,
-    /// What it may still use in this turn; negative if its last item cost more.
+    /// Cost that the lane may still consume in this turn; negative if its last item exceeded it.
     credit: i64,
 }
 
-/// The queue was full: an item was refused, or another one was evicted for it.
+/// The queue was full: the item was rejected, or another item was evicted in its favour.
 #[derive(Debug, PartialEq, Eq)]
 pub enum QueueFull<T> {
-    /// The item was not taken, as no other team has more than its share of the queue.
+    /// The item was rejected, as no other team has more than its share of the queue.
     Rejected(T),
-    /// The item was taken, and the newest item of the team with most items by weight was evicted.
+    /// The item was accepted, and the newest item of the team with the most items by weight was
+    /// evicted.
     Evicted(Team, T),
 }
 
-/// Queues of many teams as one, served by weighted deficit round robin. Unused shares are lent, and
-/// the capacity is bounded and shared as well. A team that begins to send has one turn at once,
-/// ahead of those that send all the time; none of these waits for more than one such turn of every
-/// other team.
+/// A queue over the items of many teams, served by weighted deficit round robin. Unused shares go
+/// to the other teams. The capacity is bounded and shared in the same proportions. A team that
+/// starts to send gets its first turn ahead of teams that send continuously; these wait for at most
+/// one such turn of every other team.
 ///
 /// ```
 /// use indigopath_accounting::{FairQueue, Team};
@@ -49,16 +50,16 @@
 #[derive(Debug)]
 pub struct FairQueue<T> {
     lanes: BTreeMap<Team, Lane<T>>,
-    /// Teams that have just begun to send, which are served first.
+    /// Teams that have just started to send, which are served first.
     new_teams: VecDeque<Team>,
-    /// Teams that have had their first turn, in the order of their next one.
+    /// Teams that have had their first turn, in the order of their next turns.
     served_teams: VecDeque<Team>,
     len: usize,
     capacity: usize,
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue with room for so many items.
+    /// Creates an empty queue with this maximum number of items.
     pub fn new(capacity: usize) -> FairQueue<T> {
         FairQueue {
             lanes: BTreeMap::new(),
@@ -69,25 +70,26 @@
         }
     }
 
-    /// The number of items that wait.
+    /// The number of waiting items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no item waits.
+    /// Whether no items are waiting.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The number of items of a team that wait.
+    /// The number of waiting items of a team.
     pub fn waiting_items(&self, team: &Team) -> usize {
         self.lanes.get(team).map_or(0, |lane| lane.items.len())
     }
 
-    /// Adds an item that costs so much of what is shared.
+    /// Adds an item with a cost in units of the shared resource.
     ///
     /// # Errors
-    /// The queue is full: either the item comes back, or another that was evicted for it.
+    /// The queue is full: returns either the rejected item, or the one that was evicted in its
+    /// favour.
     pub fn push(&mut self, team: &Team, weight: u64, cost: u64, item: T) -> Result<(), QueueFull<T>> {
         let weight = weight.clamp(1, MAX_LANE_WEIGHT);
         let mut evicted = None;
@@ -113,13 +115,13 @@
         }
     }
 
-    /// The team that has most items waiting by weight.
+    /// The team with the most waiting items by weight.
     fn longest_lane(&self) -> Option<Team> {
         self.lanes
             .iter()
             .filter(|(_, lane)| !lane.items.is_empty())
             .max_by(|(_, left), (_, right)| {
-                // left / left weight against right / right weight, without a division.
+                // Compares length divided by weight, without a division.
                 let left_share = left.items.len() as u64 * right.weight;
                 let right_share = right.items.len() as u64 * left.weight;
                 left_share.cmp(&right_share)
@@ -127,12 +129,13 @@
             .map(|(team, _)| team.clone())
     }
 
-    /// Whether the lane of `longest` has more items by weight than `team` would have with one more.
+    /// Whether the lane of `longest` has more items by weight than `team` would have with one more
+    /// item.
     fn is_over_share(&self, longest: &Team, team: &Team, weight: u64) -> bool {
-        let own = self.waiting_items(team) as u64 + 1;
+        let own_length = self.waiting_items(team) as u64 + 1;
         self.lanes
             .get(longest)
-            .is_some_and(|lane| lane.items.len() as u64 * weight > own * lane.weight)
+            .is_some_and(|lane| lane.items.len() as u64 * weight > own_length * lane.weight)
     }
 
     fn evict_newest(&mut self, team: Team) -> Option<(Team, T)> {
@@ -141,7 +144,7 @@
         Some((team, newest.item))
     }
 
-    /// The lane of a team, which begins as a new one if the team has none.
+    /// The lane of a team. Creates a lane and marks the team as new if it has none.
     fn lane_mut(&mut self, team: &Team, weight: u64) -> &mut Lane<T> {
         if !self.lanes.contains_key(team) {
             self.new_teams.push_back(team.clone());
@@ -153,7 +156,7 @@
         })
     }
 
-    /// The number of items of the team that has most of them waiting.
+    /// The number of items in the longest lane.
     pub fn longest_lane_length(&self) -> usize {
         self.lanes
             .values()
@@ -162,14 +165,14 @@
             .unwrap_or(0)
     }
 
-    /// Whether the next item is of a team that has just begun to send. Capacity may be reserved for
-    /// such items, as they are few and soon served.
+    /// Whether the next item belongs to a team that has just started to send. Capacity may be
+    /// reserved for such items, as they are few and quickly served.
     pub fn next_is_new_team(&self) -> bool {
         let mut lanes = self.new_teams.iter().filter_map(|team| self.lanes.get(team));
         lanes.any(|lane| lane.credit > 0 && !lane.items.is_empty())
     }
 
-    /// The next item, if any waits.
+    /// Removes and returns the next item.
     pub fn pop(&mut self) -> Option<(Team, T)> {
         if self.len == 0 {
             self.lanes.clear();
@@ -178,8 +181,8 @@
             return None;
         }
         loop {
-            let first = !self.new_teams.is_empty();
-            let list = if first {
+            let is_new = !self.new_teams.is_empty();
+            let list = if is_new {
                 &mut self.new_teams
             } else {
                 &mut self.served_teams
@@ -197,9 +200,9 @@
             }
             let Some(next) = lane.items.pop_front() else {
                 list.pop_front();
-                if first {
-                    // It stays for a round: otherwise it could come back as a new one at once, and
-                    // be served before all others forever.
+                if is_new {
+                    // An empty lane is kept for one round. Otherwise the team could return as a new
+                    // one immediately and always be served before all others.
                     self.served_teams.push_back(team);
                 } else {
                     self.lanes.remove(&team);
@@ -212,17 +215,17 @@
         }
     }
 
-    /// Removes the items that are to wait no longer, in no particular order.
+    /// Removes and returns expired items, in no particular order between teams.
     pub fn take_expired(&mut self, mut expired: impl FnMut(&T) -> bool) -> Vec<(Team, T)> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for (team, lane) in &mut self.lanes {
-            // The oldest come first, so that most checks end at the first item.
+            // Items are ordered by age, so checking stops at the first that has not expired.
             while lane.items.front().is_some_and(|queued| expired(&queued.item)) {
-                taken.extend(lane.items.pop_front().map(|queued| (team.clone(), queued.item)));
+                removed.extend(lane.items.pop_front().map(|queued| (team.clone(), queued.item)));
             }
         }
-        self.len -= taken.len();
-        taken
+        self.len -= removed.len();
+        removed
     }
 }
 
--- a/crates/accounting/src/fair/tests.rs
+++ b/crates/accounting/src/fair/tests.rs
@@ -6,13 +6,13 @@
 }
 
 proptest! {
-    /// While a team has work, it gets its share by weight of what is served, up to one turn
-    /// and one item of each team.
+    /// A team with waiting items is served in proportion to its weight, up to one turn and one item
+    /// of each team.
     #[test]
     fn no_team_gets_less_than_its_share(
         weights in proptest::collection::vec(1u64..=4, 2..6),
         costs in proptest::collection::vec(1u64..=5, 600),
-        from in 0usize..100,
+        first_counted in 0usize..100,
     ) {
         let mut queue = FairQueue::new(100_000);
         for (at, weight) in weights.iter().enumerate() {
@@ -23,24 +23,24 @@
         let mut served = vec![0u64; weights.len()];
         for turn in 0..300 {
             let (_, (at, item)) = queue.pop().unwrap();
-            if turn >= from {
+            if turn >= first_counted {
                 served[at] += costs[item];
             }
         }
-        let all: u64 = weights.iter().sum();
+        let total_weight: u64 = weights.iter().sum();
         let total: u64 = served.iter().sum();
         for (at, weight) in weights.iter().enumerate() {
-            let share = total * weight / all;
+            let share = total * weight / total_weight;
             let slack = 2 * weight * QUANTUM + 5 + weights.len() as u64 * 6;
             prop_assert!(served[at] + slack >= share, "{served:?} {weights:?}");
         }
     }
 
-    /// What a team asks for while others flood is served after at most one turn of each.
+    /// A request of a team is served after at most one turn of each team that floods the queue.
     #[test]
     fn the_wait_behind_floods_is_bounded(
         floods in proptest::collection::vec(1u64..=MAX_LANE_WEIGHT, 1..8),
-        before in 0usize..200,
+        served_before in 0usize..200,
         cost in 1u64..=8,
     ) {
         let mut queue = FairQueue::new(100_000);
@@ -49,56 +49,56 @@
                 queue.push(&team(at), *weight, cost, false).unwrap();
             }
         }
-        for _ in 0..before {
+        for _ in 0..served_before {
             queue.pop();
         }
         queue.push(&Team::named("quiet"), 1, 1, true).unwrap();
         let bound: u64 = floods.iter().map(|weight| weight.div_ceil(cost) + 1).sum();
-        let waits = (0..=bound).take_while(|_| queue.pop().is_some_and(|(_, quiet)| !quiet)).count();
+        let waits = (0..=bound).take_while(|_| queue.pop().is_some_and(|(_, is_quiet)| !is_quiet)).count();
         prop_assert!(waits as u64 <= bound, "{waits} {bound}");
     }
 
-    /// Whatever comes: items of a team keep their order, nothing is lost or twice, something is
-    /// served while anything waits, and the room is never exceeded.
+    /// For any sequence of operations, the items of a team keep their order, none is lost or
+    /// duplicated, an item is served whenever one waits, and the capacity is never exceeded.
     #[test]
-    fn it_conserves_work_and_memory(
-        acts in proptest::collection::vec((0usize..5, 1u64..9, any::<bool>()), 0..400),
-        most in 1usize..40,
+    fn items_are_conserved_and_memory_is_bounded(
+        operations in proptest::collection::vec((0usize..5, 1u64..9, any::<bool>()), 0..400),
+        capacity in 1usize..40,
     ) {
-        let mut queue = FairQueue::new(most);
+        let mut queue = FairQueue::new(capacity);
         let mut waiting: BTreeMap<Team, VecDeque<usize>> = BTreeMap::new();
-        for (number, (at, cost, push)) in acts.into_iter().enumerate() {
-            let who = team(at);
+        for (number, (at, cost, push)) in operations.into_iter().enumerate() {
+            let sender = team(at);
             if push {
-                match queue.push(&who, 1 + at as u64, cost, number) {
-                    Ok(()) => waiting.entry(who).or_default().push_back(number),
-                    Err(QueueFull::Rejected(back)) => prop_assert_eq!(back, number),
+                match queue.push(&sender, 1 + at as u64, cost, number) {
+                    Ok(()) => waiting.entry(sender).or_default().push_back(number),
+                    Err(QueueFull::Rejected(rejected)) => prop_assert_eq!(rejected, number),
                     Err(QueueFull::Evicted(other, newest)) => {
-                        let gone = waiting.entry(other).or_default().pop_back();
-                        prop_assert_eq!(gone, Some(newest));
-                        waiting.entry(who).or_default().push_back(number);
+                        let evicted = waiting.entry(other).or_default().pop_back();
+                        prop_assert_eq!(evicted, Some(newest));
+                        waiting.entry(sender).or_default().push_back(number);
                     }
                 }
             } else {
-                let all: usize = waiting.values().map(VecDeque::len).sum();
+                let total: usize = waiting.values().map(VecDeque::len).sum();
                 match queue.pop() {
-                    None => prop_assert_eq!(all, 0),
-                    Some((who, item)) => {
-                        let next = waiting.entry(who).or_default().pop_front();
+                    None => prop_assert_eq!(total, 0),
+                    Some((sender, item)) => {
+                        let next = waiting.entry(sender).or_default().pop_front();
                         prop_assert_eq!(next, Some(item));
                     }
                 }
             }
-            let all: usize = waiting.values().map(VecDeque::len).sum();
-            prop_assert_eq!(all, queue.len());
-            prop_assert!(queue.len() <= most);
+            let total: usize = waiting.values().map(VecDeque::len).sum();
+            prop_assert_eq!(total, queue.len());
+            prop_assert!(queue.len() <= capacity);
             prop_assert!(queue.lanes.len() <= 5 && queue.new_teams.len() + queue.served_teams.len() <= 5);
         }
     }
 }
 
 #[test]
-fn a_flood_that_fills_the_room_makes_room() {
+fn a_team_that_fills_the_queue_is_evicted_from() {
     let mut queue = FairQueue::new(10);
     for item in 0..10 {
         queue.push(&team(0), 1, 1, item).unwrap();
@@ -120,10 +120,10 @@
     assert_eq!(queue.len(), 8);
 }
 
-// Without the round that an empty lane stays for, a team that asks for one thing at a time
-// would be new each time, and nobody else would ever be served.
+// If empty lanes were not kept for a round, a team that sends one request at a time would count as
+// new each time, and no other team would ever be served.
 #[test]
-fn one_request_at_a_time_does_not_overtake_for_ever() {
+fn single_requests_do_not_starve_other_teams() {
     let mut queue = FairQueue::new(100);
     for item in 0..5 {
         queue.push(&team(0), 1, 1, item).unwrap();
@@ -131,7 +131,7 @@
     let mut served = 0;
     for _ in 0..10 {
         let _ = queue.push(&team(1), 1, 1, 100);
-        served += usize::from(queue.pop().is_some_and(|(who, _)| who == team(0)));
+        served += usize::from(queue.pop().is_some_and(|(sender, _)| sender == team(0)));
     }
     assert!(served >= 4, "{served}");
 }
--- a/crates/accounting/src/job_accounting.rs
+++ b/crates/accounting/src/job_accounting.rs
@@ -1,4 +1,4 @@
-//! The accounts of all teams, and the writes that bring their records up to date.
+//! The accounts of all teams, and the writes that update their records.
 
 use crate::access::Team;
 use crate::constants::{CHANGES_PER_END, ENTRIES_PER_PAGE, MAX_PENDING_ENDS, TYPICAL_ENTRY_BYTES};
@@ -15,44 +15,44 @@
 
 pub use repair::{Difference, Rebuild};
 
-/// One change of the accounts' records: the key, and the value to put, or `None` to delete the key.
+/// A change of an accounting record: the key, and the value to put or `None` to delete the key.
 pub type RecordChange = (String, Option<Value>);
 
-/// An end that is not written yet; without an entry if its record names no owner.
+/// An ended job that is not written yet; without an entry if its record names no owner.
 type PendingEnd = (Position, Option<Arc<Entry>>);
 
 /// A part of a team's account.
 type TeamPart = (Team, AccountPart);
 
-/// A write that is under way.
+/// A write in flight.
 #[derive(Debug)]
 struct StagedWrite {
-    /// The accounts that change, as they are after the write.
+    /// The changed accounts, as they are after the write.
     accounts: BTreeMap<Team, TeamAccount>,
-    /// How many pending ends it contains.
+    /// Number of pending ends that the write contains.
     pending_taken: usize,
     head: Head,
     parts: BTreeSet<TeamPart>,
     includes_head: bool,
 }
 
-/// The accounts of all teams, as one leader keeps them: what is on record, and the ends that wait
-/// to be written.
+/// The accounts of all teams, as held by the leader: the recorded accounts, and the ended jobs that
+/// are not written yet.
 #[derive(Debug)]
 pub struct JobAccounting {
     accounts: BTreeMap<Team, TeamAccount>,
     head: Head,
     pending: VecDeque<PendingEnd>,
     staged: Option<StagedWrite>,
-    /// Parts that a repair changed and that are not written yet.
+    /// Parts that were changed by a repair and are not written yet.
     repaired: BTreeSet<TeamPart>,
-    /// The head changed without an end.
+    /// The head changed without a pending end.
     head_changed: bool,
     page_bytes: usize,
 }
 
 impl JobAccounting {
-    /// Empty accounts, whose records take at most `page_bytes` bytes each.
+    /// Creates empty accounts whose records take at most `page_bytes` bytes each.
     pub fn new(page_bytes: usize) -> JobAccounting {
         JobAccounting {
             accounts: BTreeMap::new(),
@@ -68,8 +68,8 @@
     /// Loads a record.
     ///
     /// # Errors
-    /// The record cannot be used. The accounts are then to be built again from the records of ended
-    /// jobs, or left alone if a later build wrote it.
+    /// The record cannot be used. The accounts must then be rebuilt from the records of ended jobs,
+    /// or left unchanged if a newer build wrote the record.
     pub fn load_record(&mut self, key: &str, value: &Value) -> Result<(), RecordError> {
         match parse(key, value)? {
             Record::Head(head) => self.head = head,
@@ -81,30 +81,30 @@
         Ok(())
     }
 
-    /// The position of the last end that was added.
+    /// The position of the last ended job that was appended.
     pub fn last_position(&self) -> &Position {
         self.pending
             .back()
             .map_or(&self.head.position, |(position, _)| position)
     }
 
-    /// Whether there is room for more pending ends.
+    /// Whether more ended jobs can be appended.
     pub fn has_capacity(&self) -> bool {
         self.pending.len() < MAX_PENDING_ENDS
     }
 
-    /// The number of ends that are not written yet.
+    /// The number of ended jobs that are not written yet.
     pub fn pending_ends(&self) -> usize {
         self.pending.len()
     }
 
-    /// The number of ends whose records name no owner.
+    /// The number of ended jobs whose records name no owner.
     pub fn unowned(&self) -> u64 {
         self.head.unowned
     }
 
-    /// Adds an end if it comes after all that were added, so that each is counted once. An end
-    /// without an entry is one whose record names no owner.
+    /// Appends an ended job if its position is after all appended ones, so that each is counted
+    /// once. `entry` is `None` if the record names no owner. Returns whether it was appended.
     pub fn append(&mut self, position: Position, entry: Option<Entry>) -> bool {
         if position <= *self.last_position() {
             return false;
@@ -113,8 +113,9 @@
         true
     }
 
-    /// The changes of the next write, which fit into one transaction of `max_changes` changes and
-    /// `max_bytes` bytes. `None` if there is nothing to write or a write is under way.
+    /// Begins the next write and returns its changes, which fit into one transaction of
+    /// `max_changes` changes and `max_bytes` bytes. Returns `None` if there is nothing to write or a
+    /// write is in flight.
     pub fn begin_write(&mut self, max_changes: usize, max_bytes: usize) -> Option<Vec<RecordChange>> {
         if self.staged.is_some() || max_changes <= CHANGES_PER_END {
             return None;
@@ -136,7 +137,8 @@
                 (part_key(team, *part), value)
             })
             .collect();
-        // Until the last part of a repaired account is written, the head says that it is not.
+        // The head is written with the last repaired part, so that an incomplete repair is not
+        // recorded as complete.
         staged.includes_head = self.repaired.iter().all(|part| staged.parts.contains(part));
         if staged.includes_head {
             changes.push((HEAD_KEY.to_owned(), serde_json::to_value(&staged.head).ok()));
@@ -155,18 +157,18 @@
         }
     }
 
-    /// As many repaired parts as fit. A repaired account is written whole before new ends are
-    /// added to it.
+    /// Stages as many repaired parts as fit. Repaired accounts are written completely before new
+    /// ends are added to them.
     fn stage_repaired(&self, max_changes: usize, max_bytes: usize) -> StagedWrite {
-        let fitting = (max_bytes / self.max_page_bytes()).max(1);
-        let parts = self.repaired.iter().take(fitting.min(max_changes - 1));
+        let max_parts = (max_bytes / self.max_page_bytes()).max(1);
+        let parts = self.repaired.iter().take(max_parts.min(max_changes - 1));
         StagedWrite {
             parts: parts.cloned().collect(),
             ..self.empty_write()
         }
     }
 
-    /// As many pending ends as fit.
+    /// Stages as many pending ends as fit.
     fn stage_pending(&self, max_changes: usize, max_bytes: usize) -> StagedWrite {
         let mut staged = self.empty_write();
         for (position, entry) in &self.pending {
@@ -195,7 +197,7 @@
         staged
     }
 
-    /// Bytes that the staged parts take, at most.
+    /// Maximum bytes of the staged parts.
     fn staged_bytes(&self, staged: &StagedWrite) -> usize {
         let bytes = staged.parts.iter().map(|(team, part)| {
             let account = staged.accounts.get(team);
@@ -207,12 +209,12 @@
         bytes.sum()
     }
 
-    /// Bytes of a page, at most.
+    /// Maximum bytes of a page.
     fn max_page_bytes(&self) -> usize {
         self.page_bytes.clamp(1, ENTRIES_PER_PAGE * TYPICAL_ENTRY_BYTES)
     }
 
-    /// The write was carried out.
+    /// The write in flight was executed.
     pub fn on_written(&mut self) {
         if let Some(staged) = self.staged.take() {
             self.pending.drain(..staged.pending_taken);
@@ -223,13 +225,14 @@
         }
     }
 
-    /// The write was certainly not carried out: what it contained is pending again.
+    /// The write in flight was definitely not executed: its changes are pending again.
     pub fn on_rejected(&mut self) {
         self.staged = None;
     }
 
-    /// No end but those added happened up to this revision. This is recorded, so that a successor
-    /// need not ask for changes that the state service no longer keeps.
+    /// Advances the position to this revision, up to which no jobs ended other than those appended.
+    /// This is recorded, so that the next leader does not request changes that the state service no
+    /// longer keeps.
     pub fn advance_to(&mut self, revision: u64) {
         if self.pending.is_empty() && self.staged.is_none() && revision > self.head.position.revision {
             self.head.position = Position::after_revision(revision);
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Whether a write is under way.
+    /// Whether a write is in flight.
     pub fn is_writing(&self) -> bool {
         self.staged.is_some()
     }
--- a/crates/accounting/src/job_accounting/repair.rs
+++ b/crates/accounting/src/job_accounting/repair.rs
@@ -1,4 +1,4 @@
-//! Comparison of the accounts with the records of ended jobs, and their repair.
+//! Verifies the accounts against the records of ended jobs and repairs differences.
 
 use super::{JobAccounting, TeamPart};
 use crate::access::Team;
@@ -14,19 +14,19 @@
 /// A day on which an account differs from the records of ended jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
-    /// Prefix of the account's keys, all of which are written again.
+    /// Prefix of the account's keys, all of which are rewritten.
     pub key: String,
-    /// Day, counted from 1970; 0 for all days that are folded.
+    /// Day, in days since the Unix epoch; 0 for all folded days.
     pub day: u32,
-    /// Totals by the account.
+    /// Totals according to the account.
     pub account: JobTotals,
-    /// Totals by the records of ended jobs.
+    /// Totals according to the records of ended jobs.
     pub records: JobTotals,
 }
 
 impl JobAccounting {
-    /// Replaces the accounts that differ from the records of ended jobs, and returns the
-    /// differences. `rebuild` must contain the ends that were added since its reading began.
+    /// Replaces accounts that differ from the records of ended jobs, and returns the differences.
+    /// `rebuild` must contain the ends that were appended since its scan started.
     pub fn repair(&mut self, rebuild: Rebuild) -> Vec<Difference> {
         let upto = rebuild.scan_revision;
         let rebuilt = rebuild.finish(self.page_bytes);
@@ -36,8 +36,8 @@
             differences.push(unowned_difference(current.unowned, rebuilt.unowned));
         }
         if !differences.is_empty() {
-            self.add_pending_to_others();
-            // Whatever the accounts lacked, they contain all that the reading did.
+            self.add_pending_to_unrepaired();
+            // The accounts now contain everything that the scan returned.
             let at = self.last_position().clone().max(Position::after_revision(upto));
             self.pending.clear();
             self.head.position = at;
@@ -62,8 +62,8 @@
         current
     }
 
-    /// Replaces each account that differs. All its keys are written again, and those that no
-    /// longer exist are deleted.
+    /// Replaces each account that differs. All its keys are rewritten, and keys that no longer exist
+    /// are deleted.
     fn replace_different(&mut self, current: &Accounts, rebuilt: &Accounts) -> Vec<Difference> {
         let empty = TeamAccount::default();
         let teams: BTreeSet<&Team> = current.by_team.keys().chain(rebuilt.by_team.keys()).collect();
@@ -76,8 +76,8 @@
                 continue;
             }
             differences.extend(found);
-            let on_record = self.accounts.get(team).unwrap_or(&empty);
-            let parts: Vec<TeamPart> = on_record
+            let recorded = self.accounts.get(team).unwrap_or(&empty);
+            let parts: Vec<TeamPart> = recorded
                 .parts()
                 .chain(records.parts())
                 .map(|part| (team.clone(), part))
@@ -88,8 +88,9 @@
         differences
     }
 
-    /// Adds the pending ends to the accounts that were not replaced: the others contain them.
-    fn add_pending_to_others(&mut self) {
+    /// Adds the pending ends to the accounts that were not replaced. The replaced accounts contain
+    /// them already.
+    fn add_pending_to_unrepaired(&mut self) {
         let replaced: BTreeSet<Team> = self.repaired.iter().map(|(team, _)| team.clone()).collect();
         for (position, entry) in &self.pending {
             let Some(entry) = entry.as_ref().filter(|entry| !replaced.contains(entry.team())) else {
@@ -104,13 +105,13 @@
         }
     }
 
-    /// Skips ends up to this position, which go to a rebuild that will replace the accounts.
+    /// Skips ends up to this position. They are added to a rebuild that will replace the accounts.
     pub fn skip_to(&mut self, position: Position) {
         self.pending.clear();
         self.head.position = self.head.position.clone().max(position);
     }
 
-    /// Replaces all accounts by rebuilt ones, where those on record are known to lack ends.
+    /// Replaces all accounts by rebuilt ones. Used if the recorded accounts are known to lack ends.
     pub fn replace_with(&mut self, rebuild: Rebuild) {
         let rebuilt = rebuild.finish(self.page_bytes);
         for (team, account) in self.accounts.iter().chain(&rebuilt.by_team) {
@@ -123,7 +124,7 @@
     }
 }
 
-/// The accounts of all teams, and the number of ends that are in none.
+/// The accounts of all teams, and the number of ended jobs without an owner.
 #[derive(Debug, Default)]
 struct Accounts {
     by_team: BTreeMap<Team, TeamAccount>,
@@ -137,7 +138,7 @@
     }
 }
 
-/// The difference in the number of ends whose records name no owner.
+/// The difference in the number of ended jobs whose records name no owner.
 fn unowned_difference(account: u64, records: u64) -> Difference {
     let totals = |cancelled| JobTotals {
         cancelled,
@@ -152,7 +153,7 @@
 }
 
 fn differences_of(team: &Team, account: &TeamAccount, records: &TeamAccount) -> Vec<Difference> {
-    // Days that one of the two has folded are compared as one.
+    // Days that are folded in either of the two are compared as one.
     let first = first_whole_day(account).max(first_whole_day(records));
     let account_days = fold_before(account.totals_by_day(), first);
     let records_days = fold_before(records.totals_by_day(), first);
@@ -171,7 +172,7 @@
     differences.collect()
 }
 
-/// The first day of an account that is certainly not folded.
+/// The first day of an account that is definitely not folded.
 fn first_whole_day(account: &TeamAccount) -> u32 {
     if !account.totals.is_folded() {
         return 1;
@@ -189,20 +190,21 @@
     folded
 }
 
-/// Accounts as the records of ended jobs say, which may be read in any order, in bounded memory.
+/// Accounts rebuilt from the records of ended jobs. The records may be read in any order, and
+/// memory use is bounded.
 #[derive(Debug)]
 pub struct Rebuild {
-    /// Ends up to this revision come from the reading, later ones from the changes.
+    /// Ends up to this revision come from the scan, later ones from the watch.
     scan_revision: u64,
     recent: BTreeMap<Team, BTreeMap<Position, Arc<Entry>>>,
     totals: BTreeMap<Team, TotalsByDay>,
     unowned: u64,
-    /// The number of records read.
+    /// Number of records that were read.
     pub records_read: u64,
 }
 
 impl Rebuild {
-    /// Begins a reading whose first page was answered at this revision.
+    /// Starts a rebuild from a scan whose first page was read at this revision.
     pub fn new(scan_revision: u64) -> Rebuild {
         Rebuild {
             scan_revision,
@@ -213,12 +215,12 @@
         }
     }
 
-    /// The revision up to which ends come from the reading.
+    /// The revision up to which ends come from the scan.
     pub fn scan_revision(&self) -> u64 {
         self.scan_revision
     }
 
-    /// Adds a record that was read.
+    /// Adds a record that the scan returned.
     pub fn add_scanned(&mut self, position: Position, entry: Option<Entry>) {
         self.records_read += 1;
         if position.revision <= self.scan_revision {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Adds an end that was added to the accounts while the records were read.
+    /// Adds an end that was appended to the accounts during the scan.
     pub fn add_appended(&mut self, position: Position, entry: Option<Entry>) {
         if position.revision > self.scan_revision {
             self.add(position, entry);
--- a/crates/accounting/src/job_accounting/tests.rs
+++ b/crates/accounting/src/job_accounting/tests.rs
@@ -6,7 +6,7 @@
 use crate::records::team_key;
 use proptest::prelude::*;
 
-const BYTES: usize = 14_000;
+const PAGE_BYTES: usize = 14_000;
 
 fn entry(job: &str, team: &str, class: &str, day: u64) -> Entry {
     let owner = Owner::from_record(&Arc::from(job), team);
@@ -32,7 +32,7 @@
     accounting.append(at, Some(entry))
 }
 
-/// The state service, as far as it matters.
+/// The part of the state service that accounting uses.
 #[derive(Default)]
 struct Store(BTreeMap<String, Value>);
 
@@ -47,7 +47,7 @@
     }
 
     fn load(&self) -> JobAccounting {
-        let mut accounting = JobAccounting::new(BYTES);
+        let mut accounting = JobAccounting::new(PAGE_BYTES);
         for (key, value) in &self.0 {
             accounting.load_record(key, value).unwrap();
         }
@@ -64,31 +64,32 @@
 }
 
 proptest! {
-    /// Leaders end before or after any write; the accounts of the last contain each end once.
+    /// Leaders fail before or after any write. The accounts of the last leader contain each ended job
+    /// exactly once.
     #[test]
-    fn each_end_stands_in_one_account_once(
+    fn each_end_is_counted_exactly_once(
         teams in proptest::collection::vec(0usize..4, 1..900),
-        ends in proptest::collection::vec((1usize..120, any::<bool>()), 0..12),
+        leader_terms in proptest::collection::vec((1usize..120, any::<bool>()), 0..12),
     ) {
         let mut store = Store::default();
         let mut accounting = store.load();
         let mut next = 0;
-        let mut ends = ends.into_iter();
+        let mut leader_terms = leader_terms.into_iter();
         while next < teams.len() {
-            let (count, carried_out) = ends.next().unwrap_or((teams.len(), true));
+            let (count, is_executed) = leader_terms.next().unwrap_or((teams.len(), true));
             for (at, team) in teams.iter().enumerate().skip(next).take(count) {
-                // Told twice, as a watch may.
+                // A watch may deliver an event twice.
                 for _ in 0..2 {
                     end(&mut accounting, at as u64 + 1, &format!("t{team}"));
                 }
             }
             next = (next + count).min(teams.len());
             if let Some(changes) = accounting.begin_write(12, 56_000)
-                && carried_out
+                && is_executed
             {
                 store.apply(changes);
             }
-            // The leader ends. Its successor reads what was written, and the rest again.
+            // The leader fails. Its successor loads what was written and receives the rest again.
             accounting = store.load();
             let written = accounting.last_position().revision as usize;
             for (at, team) in teams.iter().enumerate().take(next).skip(written) {
@@ -96,15 +97,15 @@
             }
             flush(&mut accounting, &mut store);
         }
-        let read = store.load();
-        for which in 0..4 {
-            let team = Team::named(&format!("t{which}"));
-            let ended = teams.iter().filter(|team| **team == which).count() as u64;
-            let (pages, total) = match read.accounts.get(&team) {
-                Some(account) => (account.pages.len(), read.totals().find(|(of, _)| **of == team)),
+        let loaded = store.load();
+        for number in 0..4 {
+            let team = Team::named(&format!("t{number}"));
+            let ended = teams.iter().filter(|team| **team == number).count() as u64;
+            let (pages, total) = match loaded.accounts.get(&team) {
+                Some(account) => (account.pages.len(), loaded.totals().find(|(owner, _)| **owner == team)),
                 None => (0, None),
             };
-            prop_assert_eq!(total.map_or(0, |(_, tally)| tally.done), ended);
+            prop_assert_eq!(total.map_or(0, |(_, totals)| totals.done), ended);
             prop_assert!(pages <= MAX_PAGES);
         }
         let mut rebuild = Rebuild::new(u64::MAX);
@@ -113,23 +114,23 @@
             let entry = entry(&at.job, &format!("t{team}"), "batch", 1 + at.revision / 400);
             rebuild.add_scanned(at, Some(entry));
         }
-        let mut read = store.load();
-        prop_assert_eq!(read.repair(rebuild), Vec::new());
+        let mut loaded = store.load();
+        prop_assert_eq!(loaded.repair(rebuild), Vec::new());
     }
 
     #[test]
-    fn no_record_panics(key in "b/[a-z~%]{0,4}/?[0-9~]{0,3}", text in ".{0,60}", form in 0u16..3) {
-        let mut accounting = JobAccounting::new(BYTES);
+    fn malformed_records_do_not_panic(key in "b/[a-z~%]{0,4}/?[0-9~]{0,3}", text in ".{0,60}", format in 0u16..3) {
+        let mut accounting = JobAccounting::new(PAGE_BYTES);
         let _ = accounting.load_record(&key, &Value::String(text));
-        let cut = serde_json::json!({ "v": form, "team": "a", "classes": [], "lines": [["wk-1", 3, "x", 1, 2, 3, {}]] });
-        prop_assert!(accounting.load_record("b/a/0000000000", &cut).is_err());
+        let truncated = serde_json::json!({ "v": format, "team": "a", "classes": [], "lines": [["wk-1", 3, "x", 1, 2, 3, {}]] });
+        prop_assert!(accounting.load_record("b/a/0000000000", &truncated).is_err());
     }
 }
 
 #[test]
 fn an_account_that_differs_is_repaired_from_the_records() {
     let mut store = Store::default();
-    let mut accounting = JobAccounting::new(BYTES);
+    let mut accounting = JobAccounting::new(PAGE_BYTES);
     for revision in 1..=200 {
         assert!(end(
             &mut accounting,
@@ -138,7 +139,7 @@
         ));
     }
     flush(&mut accounting, &mut store);
-    // A page is gone, and a job stands twice.
+    // One page is missing, and another is duplicated.
     store.0.remove("b/red/0000000000");
     let page = store.0["b/blue/0000000001"].clone();
     store.0.insert("b/blue/0000000002".to_owned(), page);
@@ -150,29 +151,35 @@
         let entry = entry(&at.job, team, "batch", 1);
         rebuild.add_scanned(at, Some(entry));
     }
-    // One ends while the records are read, and is noted.
+    // One job ends during the scan and is added to the rebuild.
     end(&mut accounting, 201, "red");
     let late = position(201);
     rebuild.add_appended(late.clone(), Some(entry(&late.job, "red", "batch", 1)));
-    let told = accounting.repair(rebuild);
-    let keys: Vec<&str> = told.iter().map(|one| one.key.as_str()).collect();
+    let differences = accounting.repair(rebuild);
+    let keys: Vec<&str> = differences
+        .iter()
+        .map(|difference| difference.key.as_str())
+        .collect();
     assert_eq!(keys, ["b/blue/", "b/red/"]);
-    assert_eq!((told[0].account.done, told[0].records.done), (136, 100));
+    assert_eq!(
+        (differences[0].account.done, differences[0].records.done),
+        (136, 100)
+    );
     flush(&mut accounting, &mut store);
-    let read = store.load();
-    let totals: Vec<u64> = read.totals().map(|(_, tally)| tally.done).collect();
+    let loaded = store.load();
+    let totals: Vec<u64> = loaded.totals().map(|(_, totals)| totals.done).collect();
     assert_eq!(totals, [100, 101]);
-    assert_eq!(read.last_position().revision, 201);
+    assert_eq!(loaded.last_position().revision, 201);
     assert!(!store.0.contains_key("b/blue/0000000002"));
 }
 
 #[test]
-fn old_pages_become_totals_that_stay_bounded() {
+fn old_pages_are_folded_into_bounded_totals() {
     let mut store = Store::default();
-    let mut accounting = JobAccounting::new(BYTES);
+    let mut accounting = JobAccounting::new(PAGE_BYTES);
     for revision in 1..=4_000 {
         let at = position(revision);
-        // A class of its own for each job, and seven jobs a day.
+        // Each job has a different class, and seven jobs end per day.
         let entry = entry(&at.job, "red", &format!("class-{revision}"), 1 + revision / 7);
         assert!(accounting.append(at, Some(entry)));
         if !accounting.has_capacity() {
@@ -185,7 +192,7 @@
         store
             .0
             .values()
-            .all(|value| value.to_string().len() <= BYTES + 2_000)
+            .all(|value| value.to_string().len() <= PAGE_BYTES + 2_000)
     );
     let totals = &store.load().accounts[&Team::named("red")].totals;
     assert!(totals.0.len() <= MAX_TOTALS_ROWS);
@@ -193,13 +200,13 @@
         .load()
         .totals()
         .next()
-        .map(|(_, tally)| (tally.done, tally.tasks));
+        .map(|(_, totals)| (totals.done, totals.tasks));
     assert_eq!(total, Some((4_000, 12_000)));
 }
 
 #[test]
-fn records_of_others_and_of_later_builds_are_told_apart() {
-    let mut accounting = JobAccounting::new(BYTES);
+fn records_of_other_teams_and_newer_builds_are_detected() {
+    let mut accounting = JobAccounting::new(PAGE_BYTES);
     end(&mut accounting, 1, "red team/é");
     let changes = accounting.begin_write(12, 56_000).unwrap();
     let (key, value) = changes[0].clone();
@@ -212,15 +219,15 @@
         read_history(&Team::named("blue"), &items).unwrap(),
         TeamHistory::default()
     );
-    // In another team's place.
+    // The record is stored under the key of another team.
     assert!(matches!(
         accounting.load_record("b/blue/0000000000", &value),
         Err(RecordError::Unreadable(_))
     ));
-    let mut later = value;
-    later["v"] = 2.into();
+    let mut newer = value;
+    newer["v"] = 2.into();
     assert_eq!(
-        accounting.load_record(&key, &later),
+        accounting.load_record(&key, &newer),
         Err(RecordError::NewerFormat(2))
     );
     assert!(team_key(&Team::named(&"é".repeat(64))).len() <= MAX_TEAM_KEY_BYTES);
@@ -229,12 +236,12 @@
 #[test]
 fn accounts_that_fell_behind_are_rebuilt() {
     let mut store = Store::default();
-    let mut accounting = JobAccounting::new(BYTES);
+    let mut accounting = JobAccounting::new(PAGE_BYTES);
     for revision in 1..=100 {
         end(&mut accounting, revision, "red");
     }
     flush(&mut accounting, &mut store);
-    // The changes from 101 to 300 are told no longer; a reading begins at 300.
+    // The changes from 101 to 300 are no longer available; a scan starts at 300.
     let mut accounting = store.load();
     accounting.skip_to(position(300));
     let mut rebuild = Rebuild::new(300);
@@ -250,17 +257,17 @@
     }
     accounting.replace_with(rebuild);
     flush(&mut accounting, &mut store);
-    let read = store.load();
-    let totals: Vec<u64> = read.totals().map(|(_, tally)| tally.done).collect();
-    assert_eq!((totals, read.last_position().revision), (vec![249, 52], 301));
+    let loaded = store.load();
+    let totals: Vec<u64> = loaded.totals().map(|(_, totals)| totals.done).collect();
+    assert_eq!((totals, loaded.last_position().revision), (vec![249, 52], 301));
 }
 
 #[test]
 fn an_end_without_an_owner_is_counted_in_no_account() {
-    let mut accounting = JobAccounting::new(BYTES);
+    let mut accounting = JobAccounting::new(PAGE_BYTES);
     let mut store = Store::default();
     assert!(accounting.append(position(1), None));
     flush(&mut accounting, &mut store);
-    let read = store.load();
-    assert_eq!((read.unowned(), read.totals().count()), (1, 0));
+    let loaded = store.load();
+    assert_eq!((loaded.unowned(), loaded.totals().count()), (1, 0));
 }
--- a/crates/accounting/src/records.rs
+++ b/crates/accounting/src/records.rs
@@ -1,5 +1,4 @@
-//! The records of accounts in the state service: their keys, their serialized form, and strict
-//! parsing.
+//! The accounting records in the state service: keys, serialized form, and strict parsing.
 
 use crate::access::Team;
 use crate::constants::MAX_TEAM_KEY_BYTES;
@@ -15,25 +14,25 @@
 /// Prefix of the keys of all accounts.
 pub const KEY_PREFIX: &str = "b/";
 
-/// Key of the record that says up to which end the accounts are written.
+/// Key of the record that contains the position up to which the accounts are written.
 pub const HEAD_KEY: &str = "b/~";
 
-/// Version of the form that this build writes.
+/// Version of the record format that this build writes.
 const FORMAT_VERSION: u16 = 1;
 
-/// The last part of the key of a team's totals.
+/// Last part of the key of a team's totals.
 const TOTALS_KEY_PART: &str = "~";
 
-/// Characters of a digest, and of the sign before it, at the end of a shortened team key.
+/// Length of the `%` and the digest at the end of a truncated team key.
 const KEY_DIGEST_BYTES: usize = 17;
 
-/// A record of an account that cannot be used.
+/// Why an accounting record cannot be used.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RecordError {
-    /// It is cut short, or was not written by any build.
+    /// It is truncated or otherwise malformed.
     #[error("unreadable: {0}")]
     Unreadable(String),
-    /// A later build wrote it; this build must leave all accounts alone.
+    /// A newer build wrote it. This build must not change any accounts.
     #[error("a later build wrote it, in form {0}")]
     NewerFormat(u16),
 }
@@ -47,14 +46,14 @@
 pub(crate) struct Head {
     #[serde(rename = "v")]
     format: u16,
-    /// The position of the last end that the accounts contain.
+    /// The position of the last ended job that the accounts contain.
     pub(crate) position: Position,
-    /// Ends whose records name no owner.
+    /// Number of ended jobs whose records name no owner.
     pub(crate) unowned: u64,
 }
 
 impl Head {
-    /// The head of accounts that contain nothing yet.
+    /// Creates the head of empty accounts.
     pub(crate) fn new() -> Head {
         Head {
             format: FORMAT_VERSION,
@@ -63,10 +62,10 @@
     }
 }
 
-/// The serialized form of a [`TotalsRow`]: its fields in their order.
+/// The serialized form of a [`TotalsRow`]: a tuple of its fields in order.
 type TotalsRowForm = (u32, usize, u64, u64, u64, u64, u64, u64);
 
-/// Totals of one day and class.
+/// Totals over one day and class.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(from = "TotalsRowForm", into = "TotalsRowForm")]
 struct TotalsRow {
@@ -117,14 +116,14 @@
 }
 
 /// The serialized form of an entry on a page: job, index of the class among the record's classes,
-/// by whom it ended, accepted, ended, tasks, stats.
+/// how it ended, time of acceptance, time of end, number of tasks, statistics.
 #[derive(Serialize, Deserialize)]
 #[serde(rename = "Line")]
 struct PageEntryForm(Arc<str>, usize, EndedBy, u64, u64, u32, ExecutionStats);
 
 impl PageEntryForm {
-    fn new(line: &PageEntry, classes: &mut ClassTable) -> PageEntryForm {
-        let PageEntry { job, entry } = line;
+    fn new(page_entry: &PageEntry, classes: &mut ClassTable) -> PageEntryForm {
+        let PageEntry { job, entry } = page_entry;
         PageEntryForm(
             job.clone(),
             classes.index_of(&entry.class),
@@ -137,14 +136,14 @@
     }
 
     fn into_entry(self, team: &Team, classes: &ClassTable) -> Result<PageEntry, RecordError> {
-        let PageEntryForm(job, class, by, accepted_ms, ended_ms, tasks, stats) = self;
+        let PageEntryForm(job, class, ended_by, accepted_ms, ended_ms, tasks, stats) = self;
         let ended = EndedJob {
             class: &classes.get(class)?,
             accepted_ms,
             ended_ms,
             tasks,
         };
-        let entry = Arc::new(Entry::from_parts(team.clone(), by, &ended, stats));
+        let entry = Arc::new(Entry::from_parts(team.clone(), ended_by, &ended, stats));
         Ok(PageEntry { job, entry })
     }
 }
@@ -158,7 +157,7 @@
     lines: Vec<PageEntryForm>,
 }
 
-/// The classes that a record names, to which its rows refer by index.
+/// The classes that a record contains. Its rows refer to them by index.
 #[derive(Default)]
 struct ClassTable(Vec<Arc<str>>);
 
@@ -177,7 +176,7 @@
     }
 }
 
-/// The value of the record of one part of an account; `None` if the part is empty.
+/// Encodes the record of one part of an account. Returns `None` if the part is empty.
 pub(crate) fn encode(account: &TeamAccount, team: &Team, part: AccountPart) -> Option<Value> {
     match part {
         AccountPart::Page(number) => encode_page(account.pages.get(&number)?, team),
@@ -189,7 +188,7 @@
     let mut classes = ClassTable::default();
     let lines = page
         .iter()
-        .map(|line| PageEntryForm::new(line, &mut classes))
+        .map(|page_entry| PageEntryForm::new(page_entry, &mut classes))
         .collect();
     let record = PageRecord {
         format: FORMAT_VERSION,
@@ -197,7 +196,7 @@
         classes: classes.0,
         lines,
     };
-    // Plain data fails only on maps whose keys are no strings, and there is none.
+    // Serializing plain data fails only for maps with keys that are not strings; there are none.
     serde_json::to_value(record).ok()
 }
 
@@ -224,8 +223,8 @@
     serde_json::to_value(record).ok()
 }
 
-/// A team's name as a part of keys. Letters, digits, `-`, `_` and `.` stand as they are, other
-/// bytes are escaped, and a long name ends in a digest of the whole.
+/// Escapes a team's name for use in keys. Letters, digits, `-`, `_` and `.` are kept, other bytes
+/// are escaped, and long names are truncated and end in a digest of the whole name.
 pub(crate) fn team_key(team: &Team) -> String {
     let mut key = String::new();
     for byte in team.name().bytes() {
@@ -259,11 +258,11 @@
 /// The content of a record.
 #[derive(Debug)]
 pub(crate) enum Record {
-    /// Up to which end the accounts are written.
+    /// The position up to which the accounts are written.
     Head(Head),
     /// A page of a team's account.
     Page {
-        /// Whose account it is.
+        /// The team that the account belongs to.
         team: Team,
         /// Number of the page.
         number: u32,
@@ -272,7 +271,7 @@
     },
     /// The totals of a team's account.
     Totals {
-        /// Whose account it is.
+        /// The team that the account belongs to.
         team: Team,
         /// Its totals.
         totals: TotalsByDay,
@@ -281,8 +280,8 @@
 
 fn check_format(value: &Value) -> Result<(), RecordError> {
     match value.get("v").and_then(Value::as_u64) {
-        Some(form) if form <= u64::from(FORMAT_VERSION) => Ok(()),
-        Some(form) => Err(RecordError::NewerFormat(form.min(u64::from(u16::MAX)) as u16)),
+        Some(format) if format <= u64::from(FORMAT_VERSION) => Ok(()),
+        Some(format) => Err(RecordError::NewerFormat(format.min(u64::from(u16::MAX)) as u16)),
         None => Err(unreadable("it has no form")),
     }
 }
@@ -328,7 +327,7 @@
     let team = record.team;
     let lines = record.lines.into_iter();
     let page = lines
-        .map(|line| line.into_entry(&team, &classes))
+        .map(|page_entry| page_entry.into_entry(&team, &classes))
         .collect::<Result<Page, _>>()?;
     Ok((team.clone(), Record::Page { team, number, page }))
 }
