--- a/crates/controller/src/allocations/image_fetches.rs
+++ b/crates/controller/src/allocations/image_fetches.rs
@@ -74,7 +74,7 @@
     pub(super) fn on_fetch_abandoned(&mut self, image: &Arc<str>) {
         let wanted = |attempt: &Attempt| !attempt.exited() && attempt.image.as_ref() == Some(image);
         if !self.attempts.iter().any(wanted) {
-            self.images.given_up(image);
+            self.images.remove(image);
         }
     }
 }
@@ -94,7 +94,7 @@
                 // The response to its start may report it as fetching even if the image is cached.
                 if !self.needs_image_fetch && now >= self.planned_at + IMAGE_MISS_AFTER_MS {
                     self.needs_image_fetch = true;
-                    images.missed();
+                    images.on_unexpected_miss();
                 }
                 return false;
             }
@@ -103,12 +103,12 @@
         };
         match self.reported_state {
             Some(TaskState::Fetching) if has_image => {
-                images.seen(image, self.image_gb);
+                images.on_image_seen(image, self.image_gb);
                 return self.needs_image_fetch && !self.from_previous_leader;
             }
             // A task started by a previous leader may have had it for a long time.
-            None if has_image && self.from_previous_leader => images.settle(),
-            None if has_image => images.seen(image, self.image_gb),
+            None if has_image && self.from_previous_leader => images.evict_excess(),
+            None if has_image => images.on_image_seen(image, self.image_gb),
             _ => (),
         }
         false
--- a/crates/controller/src/allocations/machine.rs
+++ b/crates/controller/src/allocations/machine.rs
@@ -172,7 +172,7 @@
             releasing: self.releasing,
             images: self
                 .images
-                .held()
+                .contents()
                 .map(|held| (held.image.clone(), held.gb))
                 .collect(),
             starts: self
--- a/crates/controller/src/leader/image_locality.rs
+++ b/crates/controller/src/leader/image_locality.rs
@@ -14,7 +14,7 @@
 use crate::scheduling::image_statistics::ImageStatistics;
 use crate::scheduling::placement::MachineTypes;
 use crate::settings::Settings;
-use indigopath_image_locality::{Fetched, Idle, ImageReplicas, Rates, WeightsError};
+use indigopath_image_locality::{FetchRates, FetchSample, IdleMachine, ImageReplicas, ImageSizeError};
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 pub struct ImageLocality {
     /// Whether placement takes the locality of images into account.
     pub enabled: bool,
-    pub rates: Rates,
+    pub rates: FetchRates,
     /// Rate at which replicas start with an image, per s, and the time of its last update.
     start_rates: HashMap<Arc<str>, (f64, Timestamp)>,
     updated_at: Timestamp,
@@ -47,7 +47,7 @@
         self.enabled
     }
 
-    fn rates(&self) -> &Rates {
+    fn rates(&self) -> &FetchRates {
         &self.rates
     }
 
@@ -99,8 +99,8 @@
     pub fn on_machine_releasing(&mut self, machine: &Machine, settings: &Settings) {
         let zones = &settings.deployment.zones;
         if let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) {
-            for held in machine.images.held() {
-                self.image_replicas.remove(&held.image, zone);
+            for cached in machine.images.contents() {
+                self.image_replicas.remove(&cached.image, zone);
             }
         }
     }
@@ -128,12 +128,12 @@
         // report.
         if nominal_s >= MIN_SAMPLED_FETCH_S {
             let took_s = took_ms as f64 / SECOND_MS as f64;
-            self.rates.learn(
+            self.rates.record(
                 machine_type,
-                Fetched {
+                FetchSample {
                     nominal_s,
-                    took_s,
-                    others,
+                    duration_s: took_s,
+                    concurrent_fetches: others,
                 },
             );
         }
@@ -166,7 +166,7 @@
             if machine.images.cache_gb() == f64::INFINITY
                 && let Some(machine_type) = types.get(&machine.machine_type)
             {
-                machine.images.sized(machine_type.cache_gb);
+                machine.images.set_cache_gb(machine_type.cache_gb);
             }
         }
         if now >= self.image_locality.image_replicas_at + IMAGE_COPIES_INTERVAL_MS
@@ -186,15 +186,15 @@
         let zones = &settings.deployment.zones;
         let live = self.jobs.values().filter(|job| job.spec.shape == Shape::Service);
         let live: HashSet<Arc<str>> = live.map(|job| job.spec.image.clone()).collect();
-        let mut image_replicas = ImageReplicas::of(live, zones.len());
+        let mut image_replicas = ImageReplicas::new(live, zones.len());
         let is_usable = |machine: &&Machine| machine.is_up() && !machine.releasing && !machine.unreachable;
         for machine in self.machines.values().filter(is_usable) {
             let Some(zone) = zones.iter().position(|zone| *zone == machine.zone) else {
                 continue;
             };
-            for held in machine.images.held() {
-                if machine.has_image(&held.image) {
-                    image_replicas.add(&held.image, zone);
+            for cached in machine.images.contents() {
+                if machine.has_image(&cached.image) {
+                    image_replicas.add(&cached.image, zone);
                 }
             }
         }
@@ -230,15 +230,15 @@
             }
             let images: Vec<Arc<str>> = machine
                 .images
-                .held()
-                .filter(|held| live(&held.image))
-                .map(|held| held.image.clone())
+                .contents()
+                .filter(|cached| live(&cached.image))
+                .map(|cached| cached.image.clone())
                 .collect();
             if let Some(zone) = zones.iter().position(|zone| *zone == machine.zone)
                 && !images.is_empty()
             {
                 names.push(machine.id.clone());
-                idle.push(Idle {
+                idle.push(IdleMachine {
                     zone,
                     images,
                     price: price(machine),
@@ -276,11 +276,11 @@
             let largest = allowed
                 .map(|machine_type| machine_type.cache_gb)
                 .fold(0.0, f64::max);
-            let Some(problem) = WeightsError::of(image, job.spec.image_gb, largest) else {
+            let Some(problem) = ImageSizeError::check(image, job.spec.image_gb, largest) else {
                 continue;
             };
             self.image_locality.size_warned_at.insert(image.clone(), io.now);
-            if problem.is_grave() {
+            if problem.exceeds_all_caches() {
                 io.effects
                     .push(Effect::Warning(format!("class={} {problem}", job.spec.class)));
             } else {
--- a/crates/controller/src/leader/scheduling_pass.rs
+++ b/crates/controller/src/leader/scheduling_pass.rs
@@ -177,8 +177,8 @@
         let cache_gb = types
             .get(&machine.machine_type)
             .map_or(0.0, |machine_type| machine_type.cache_gb);
-        machine.images.sized(cache_gb);
-        machine.images.asked(&job.spec.image, job.spec.image_gb);
+        machine.images.set_cache_gb(cache_gb);
+        machine.images.on_start_sent(&job.spec.image, job.spec.image_gb);
         if job.spec.shape == Shape::Service {
             self.image_locality
                 .on_replica_started(&job.spec.image, cached, now);
--- a/crates/controller/src/scheduling/image_statistics.rs
+++ b/crates/controller/src/scheduling/image_statistics.rs
@@ -1,6 +1,6 @@
 //! The statistics of image fetches and machine losses that placement uses, as measured by the leader.
 
-use indigopath_image_locality::Rates;
+use indigopath_image_locality::FetchRates;
 
 /// Measured statistics of image fetches and machine losses.
 pub trait ImageStatistics {
@@ -8,7 +8,7 @@
     fn is_enabled(&self) -> bool;
 
     /// Returns the measured fetch rates, by machine type.
-    fn rates(&self) -> &Rates;
+    fn rates(&self) -> &FetchRates;
 
     /// Returns the recent rate of replica starts with the image, per s.
     fn starts_per_s(&self, image: &str) -> f64;
--- a/crates/controller/src/scheduling/placement/bin_packing.rs
+++ b/crates/controller/src/scheduling/placement/bin_packing.rs
@@ -10,7 +10,7 @@
 use crate::constants::STARTS_PER_PASS;
 use crate::model::{Job, JobSpec, TaskId};
 use crate::protocol::Shape;
-use indigopath_image_locality::constants::BATCH_SECONDS;
+use indigopath_image_locality::constants::BATCH_S_PER_DOWNTIME_S;
 use std::iter::Peekable;
 
 /// Which machines the tasks of a queue entry may use.
@@ -107,7 +107,11 @@
         }
         if let Some(fetch) = capacity.fetching.iter_mut().find(|fetch| fetch.image == image) {
             let is_replica = spec.shape == Shape::Service;
-            fetch.waiting_replicas += if is_replica { 1.0 } else { 1.0 / BATCH_SECONDS };
+            fetch.waiting_replicas += if is_replica {
+                1.0
+            } else {
+                1.0 / BATCH_S_PER_DOWNTIME_S
+            };
         }
         image
     }
--- a/crates/controller/src/scheduling/placement/inventory.rs
+++ b/crates/controller/src/scheduling/placement/inventory.rs
@@ -77,7 +77,7 @@
     /// Returns the catalog numbers of the images that the machine has.
     fn cached_images(&mut self, machine: &'a Machine) -> Vec<u32> {
         let mut cached = Vec::new();
-        for image in machine.images.held() {
+        for image in machine.images.contents() {
             let number = self.images.intern(&image.image, image.gb);
             if let Some(image_info) = self.images.get_mut(number) {
                 image_info.size_gb = image.gb;
--- a/crates/controller/src/scheduling/placement/placement_cost.rs
+++ b/crates/controller/src/scheduling/placement/placement_cost.rs
@@ -4,14 +4,16 @@
 use crate::allocations::Attempt;
 use crate::constants::{MIN_REMAINING_FETCH_S, PREEMPT_FOR_IMAGE_MAX_S, PREEMPT_FOR_IMAGE_S, SECOND_MS};
 use crate::protocol::Shape;
-use indigopath_image_locality::constants::BATCH_SECONDS;
-use indigopath_image_locality::{CacheState, Choice, Cost, Evicted, Fetching, cost, waits_for_others};
+use indigopath_image_locality::constants::BATCH_S_PER_DOWNTIME_S;
+use indigopath_image_locality::{
+    CacheState, Candidate, Cost, EvictedImage, OngoingFetch, cost, should_defer_fetch,
+};
 
 /// Returns the weight of an attempt that waits for a fetch: 1 for a replica, less for another task.
 pub(super) fn fetch_weight(attempt: &Attempt) -> f64 {
     // Only tasks of services have no run-time estimate.
     if attempt.estimate_s > 0.0 {
-        1.0 / BATCH_SECONDS
+        1.0 / BATCH_S_PER_DOWNTIME_S
     } else {
         1.0
     }
@@ -32,8 +34,8 @@
             .fold(0.0, f64::max);
         let statistics = self.cluster.image_statistics;
         self.images.update_all(|name, image_info| {
-            let evicted = Evicted {
-                alone_s: image_info.size_gb * fetch_s_per_gb,
+            let evicted = EvictedImage {
+                uncontended_fetch_s: image_info.size_gb * fetch_s_per_gb,
                 starts_per_s: statistics.starts_per_s(name),
                 copies: image_info.copies,
             };
@@ -47,7 +49,7 @@
             self.cluster
                 .image_statistics
                 .rates()
-                .alone_s(&machine_type.name, machine_type.fetch_s(image_gb))
+                .uncontended_s(&machine_type.name, machine_type.fetch_s(image_gb))
         })
     }
 
@@ -63,15 +65,15 @@
         &self,
         requirements: &TaskRequirements<'_>,
         capacity: &MachineCapacity<'_>,
-    ) -> Vec<Fetching> {
+    ) -> Vec<OngoingFetch> {
         let other_fetches = capacity
             .fetching
             .iter()
             .filter(|fetch| Some(fetch.image) != requirements.image);
         other_fetches
-            .map(|fetch| Fetching {
-                left_s: self.fetch_remaining_s(capacity, fetch),
-                waiting: fetch.waiting_replicas,
+            .map(|fetch| OngoingFetch {
+                remaining_s: self.fetch_remaining_s(capacity, fetch),
+                waiting_replicas: fetch.waiting_replicas,
             })
             .collect()
     }
@@ -81,8 +83,8 @@
         &self,
         requirements: &TaskRequirements<'_>,
         machine_index: usize,
-        other_fetches: &'o [Fetching],
-    ) -> Choice<'o> {
+        other_fetches: &'o [OngoingFetch],
+    ) -> Candidate<'o> {
         let capacity = &self.capacities[machine_index];
         let image_gb = requirements.job.spec.image_gb;
         let has_image = requirements
@@ -94,36 +96,36 @@
         let type_name = capacity
             .machine_type
             .map_or("", |machine_type| &machine_type.name);
-        let mut choice = Choice {
+        let mut candidate = Candidate {
             // An image believed to be cached counts as cached, since the eviction order is known.
             cache_state: if has_image && own_fetch.is_none() {
                 CacheState::Certain
             } else {
                 CacheState::Absent
             },
-            alone_s: self.uncontended_fetch_s(capacity, image_gb),
-            under_way_s: own_fetch.map(|fetch| self.fetch_remaining_s(capacity, fetch)),
-            others: other_fetches,
+            uncontended_fetch_s: self.uncontended_fetch_s(capacity, image_gb),
+            own_fetch_remaining_s: own_fetch.map(|fetch| self.fetch_remaining_s(capacity, fetch)),
+            concurrent_fetches: other_fetches,
             sharing: self.cluster.image_statistics.rates().sharing(type_name),
-            evicts_s: if has_image {
+            eviction_cost_s: if has_image {
                 0.0
             } else {
                 self.eviction_cost_s(capacity, image_gb)
             },
-            ..Choice::default()
+            ..Candidate::default()
         };
         if requirements.job.spec.shape == Shape::Service {
             let running = capacity.running.iter();
             let copies = requirements
                 .image
                 .map_or(0, |image| self.images.get(image).copies);
-            choice.machine_loss = self.cluster.image_statistics.loss_rate(capacity.machine.spot);
-            choice.beside = running
+            candidate.machine_loss_rate = self.cluster.image_statistics.loss_rate(capacity.machine.spot);
+            candidate.replicas_on_machine = running
                 .filter(|running| running.attempt.task.job == requirements.job.spec.id)
                 .count() as u32;
-            choice.copy_elsewhere = copies > u32::from(has_image);
+            candidate.cached_on_other_machine = copies > u32::from(has_image);
         }
-        choice
+        candidate
     }
 
     /// Returns the cost of the machine for a task of the job, in s of replica downtime; for other tasks, in s
@@ -133,7 +135,7 @@
         let mut downtime = cost(&self.cost_inputs(requirements, machine_index, &other_fetches));
         let weight = downtime_weight(requirements);
         downtime.delay_s *= weight;
-        downtime.evict_s *= weight;
+        downtime.eviction_s *= weight;
         downtime
     }
 
@@ -179,7 +181,7 @@
         if !self.cluster.image_statistics.is_enabled() || requirements.job.spec.shape != Shape::Service {
             return PREEMPT_FOR_IMAGE_S;
         }
-        (self.downtime(requirements, machine_index).total_s() * BATCH_SECONDS)
+        (self.downtime(requirements, machine_index).total_s() * BATCH_S_PER_DOWNTIME_S)
             .clamp(PREEMPT_FOR_IMAGE_S, PREEMPT_FOR_IMAGE_MAX_S)
     }
 
@@ -193,7 +195,7 @@
             return false;
         }
         let other_fetches = self.other_fetches(requirements, &self.capacities[machine_index]);
-        waits_for_others(
+        should_defer_fetch(
             &self.cost_inputs(requirements, machine_index, &other_fetches),
             downtime_weight(requirements),
         )
@@ -204,7 +206,7 @@
 fn downtime_weight(requirements: &TaskRequirements<'_>) -> f64 {
     match requirements.job.spec.shape {
         Shape::Service => 1.0,
-        Shape::Array | Shape::Gang => BATCH_SECONDS,
+        Shape::Array | Shape::Gang => BATCH_S_PER_DOWNTIME_S,
     }
 }
 
--- a/crates/experiments/src/play.rs
+++ b/crates/experiments/src/play.rs
@@ -351,7 +351,7 @@
             let mut machine = Machine::new(id.clone(), "big".into(), "east".into(), false, 0);
             machine.synced = true;
             machine.last_heard_at = Some(0);
-            machine.images.seen(&Arc::from("img"), 1.0);
+            machine.images.on_image_seen(&Arc::from("img"), 1.0);
             (id, machine)
         });
         let truth = plan
--- a/crates/experiments/src/weights.rs
+++ b/crates/experiments/src/weights.rs
@@ -6,7 +6,9 @@
 mod plots;
 
 use clap::Parser;
-use indigopath_image_locality::{Cache, CacheState, Choice, Evicted, Fetching, Name, cost, waits_for_others};
+use indigopath_image_locality::{
+    Cache, CacheState, Candidate, EvictedImage, ImageName, OngoingFetch, cost, should_defer_fetch,
+};
 use lines::lines;
 use minijinja::{Environment, Value, context};
 use plots::PlotError;
@@ -106,7 +108,7 @@
 impl Machine {
     fn new(zone: usize, up_at: usize) -> Machine {
         let mut cache = Cache::empty();
-        cache.sized(CACHE_GB);
+        cache.set_cache_gb(CACHE_GB);
         Machine {
             up_at,
             zone,
@@ -132,7 +134,7 @@
 
 struct Day {
     way: Way,
-    names: Vec<Name>,
+    names: Vec<ImageName>,
     gb: Vec<f64>,
     machines: Vec<Machine>,
     /// Replicas that wait, by service.
@@ -149,13 +151,13 @@
             && machine.fetching.iter().all(|(other, _)| *other != image)
     }
 
-    fn others(&self, at: usize, image: usize) -> Vec<Fetching> {
+    fn others(&self, at: usize, image: usize) -> Vec<OngoingFetch> {
         let machine = &self.machines[at];
         let others = machine.fetching.iter().filter(|(other, _)| *other != image);
         others
-            .map(|(other, left)| Fetching {
-                left_s: *left,
-                waiting: machine
+            .map(|(other, left)| OngoingFetch {
+                remaining_s: *left,
+                waiting_replicas: machine
                     .tasks
                     .iter()
                     .filter(|task| !task.up && task.image == *other && task.service.is_some())
@@ -181,30 +183,30 @@
             let evicted_gb: f64 = evicts.map(|held| held.gb).sum();
             let beside = machine.tasks.iter().filter(|task| task.service.is_some());
             let beside = beside.filter(|task| task.service == service).count() as u32;
-            let choice = Choice {
+            let choice = Candidate {
                 cache_state: if held {
                     CacheState::Certain
                 } else {
                     CacheState::Absent
                 },
-                alone_s: self.gb[image],
-                under_way_s: own.map(|(_, left)| *left),
-                others: &others,
+                uncontended_fetch_s: self.gb[image],
+                own_fetch_remaining_s: own.map(|(_, left)| *left),
+                concurrent_fetches: &others,
                 sharing: 1.0,
-                evicts_s: if held || own.is_some() {
+                eviction_cost_s: if held || own.is_some() {
                     0.0
                 } else {
-                    Evicted {
-                        alone_s: evicted_gb,
+                    EvictedImage {
+                        uncontended_fetch_s: evicted_gb,
                         starts_per_s: self.starts as f64 / (self.now.max(1) * MODELS) as f64,
                         copies: (MACHINES / MODELS) as u32,
                     }
                     .cost_s()
                 },
-                machine_loss: 0.0008,
-                beside,
-                copy_elsewhere: copies > usize::from(held),
-                ..Choice::default()
+                machine_loss_rate: 0.0008,
+                replicas_on_machine: beside,
+                cached_on_other_machine: copies > usize::from(held),
+                ..Candidate::default()
             };
             let found = cost(&choice);
             let fullness = (ROOM - machine.tasks.len()) as f64 * 0.1;
@@ -215,7 +217,7 @@
                 Way::Mix => found.fetch_s + 5.0 * f64::from(beside) + 0.2 * evicted_gb + fullness,
             };
             let weight = if service.is_some() { 1.0 } else { 3.0 };
-            let waits = self.way == Way::Measure && waits_for_others(&choice, weight);
+            let waits = self.way == Way::Measure && should_defer_fetch(&choice, weight);
             if best.is_none_or(|(least, ..)| price < least) {
                 best = Some((price, at, waits));
             }
@@ -229,7 +231,7 @@
         if !held && machine.fetching.iter().all(|(other, _)| *other != image) {
             machine.fetching.push((image, self.gb[image]));
         }
-        machine.cache.asked(&self.names[image], self.gb[image]);
+        machine.cache.on_start_sent(&self.names[image], self.gb[image]);
         let ends_at = match service {
             Some(_) => usize::MAX,
             None => self.now + BATCH_S,
@@ -267,7 +269,7 @@
                 .collect();
             machine.fetching.retain(|(_, left)| *left > 0.0);
             for image in there {
-                machine.cache.seen(&self.names[image], self.gb[image]);
+                machine.cache.on_image_seen(&self.names[image], self.gb[image]);
                 for task in machine.tasks.iter_mut().filter(|task| task.image == image) {
                     task.up = true;
                 }
@@ -292,7 +294,9 @@
     let machines = (0..MACHINES).map(|number| Machine::new(number % ZONES, 30 + rng.random_range(0..45)));
     let mut day = Day {
         way,
-        names: (0..images).map(|image| Name::from(image.to_string())).collect(),
+        names: (0..images)
+            .map(|image| ImageName::from(image.to_string()))
+            .collect(),
         gb,
         machines: machines.collect(),
         waiting: vec![REPLICAS; SERVICES],
--- a/crates/image_locality/src/cache.rs
+++ b/crates/image_locality/src/cache.rs
@@ -1,29 +1,29 @@
-//! What one machine's cache holds, as far as can be told from outside.
+//! An estimate of the contents of a machine's image cache, based on task starts and reports.
 
-use crate::Name;
+use crate::ImageName;
 use std::collections::VecDeque;
 
-/// Whether an image lies on a machine.
+/// Whether an image is in the cache of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum CacheState {
-    /// It does not: all that the machine ever held is known, and this is not in it.
+    /// It is not: the contents are completely known and do not include it.
     #[default]
     Absent,
-    /// Nobody knows: the machine was up before anybody here heard of it.
+    /// Not known, for example because the machine was up before this process learned of it.
     Unknown,
-    /// It did when it was last heard of, and by the order of use nothing has pushed it out.
+    /// A record or an unconfirmed start says so, and by the order of use it has not been evicted.
     Likely,
-    /// A task was seen to have it, and nothing was fetched since that could push it out.
+    /// A task was observed to have it, and nothing fetched since could have evicted it.
     Certain,
 }
 
 impl CacheState {
-    /// The chance that it is there.
-    pub fn chance(self) -> f64 {
+    /// Returns the probability that the image is cached.
+    pub fn cached_probability(self) -> f64 {
         match self {
             CacheState::Absent => 0.0,
-            CacheState::Unknown => crate::constants::UNKNOWN_CHANCE,
-            CacheState::Likely => crate::constants::LIKELY_CHANCE,
+            CacheState::Unknown => crate::constants::UNKNOWN_CACHED_PROBABILITY,
+            CacheState::Likely => crate::constants::LIKELY_CACHED_PROBABILITY,
             CacheState::Certain => 1.0,
         }
     }
@@ -31,35 +31,35 @@
 
 /// One image in a cache.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
-    /// Its name.
-    pub image: Name,
-    /// Its size, in GB.
+pub struct CachedImage {
+    /// Name of the image.
+    pub image: ImageName,
+    /// Size of the image, in GB.
     pub gb: f64,
-    /// A task was seen to have it, since the last doubt about what is in the cache.
-    pub sure: bool,
+    /// Whether a task was observed to have it since the contents last became uncertain.
+    pub confirmed: bool,
 }
 
-/// The images on a machine, the latest used last. A worker keeps the most recently used as far
-/// as they fit; it tells nobody which those are, so this follows from starts and reports.
+/// The images on a machine, the most recently used last. A worker evicts the least recently used
+/// images. It doesn't report its cache contents, so they are inferred from starts and reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Cache {
-    held: VecDeque<Held>,
-    /// How much it holds, in GB.
+    cached: VecDeque<CachedImage>,
+    /// Capacity, in GB.
     cache_gb: f64,
-    /// Nothing else can be there.
+    /// Whether the cache is known to contain no other images.
     complete: bool,
 }
 
 impl Default for Cache {
-    /// Of a machine of which nothing is known.
+    /// Returns the cache of a machine of which nothing is known.
     fn default() -> Cache {
         Cache::from_record([])
     }
 }
 
 impl Cache {
-    /// Of a machine that has just booted.
+    /// Returns the cache of a machine that has just booted.
     pub fn empty() -> Cache {
         Cache {
             complete: true,
@@ -67,103 +67,105 @@
         }
     }
 
-    /// As a record has it, the latest used last: a former leader may have known better.
-    pub fn from_record(images: impl IntoIterator<Item = (Name, f64)>) -> Cache {
-        let held = images.into_iter().map(|(image, gb)| Held {
+    /// Returns the cache as recorded by a previous leader, the most recently used image last. The
+    /// contents count as unconfirmed, since the record may be out of date.
+    pub fn from_record(images: impl IntoIterator<Item = (ImageName, f64)>) -> Cache {
+        let cached = images.into_iter().map(|(image, gb)| CachedImage {
             image,
             gb,
-            sure: false,
+            confirmed: false,
         });
         Cache {
-            held: held.collect(),
+            cached: cached.collect(),
             cache_gb: f64::INFINITY,
             complete: false,
         }
     }
 
-    /// It holds so many GB. Before that is known, nothing is pushed out.
-    pub fn sized(&mut self, cache_gb: f64) {
+    /// Sets the capacity, in GB. Until it is known, nothing is evicted.
+    pub fn set_cache_gb(&mut self, cache_gb: f64) {
         self.cache_gb = cache_gb;
     }
 
-    /// How much it holds, in GB.
+    /// Returns the capacity in GB, infinite while it is unknown.
     pub fn cache_gb(&self) -> f64 {
         self.cache_gb
     }
 
-    /// What is thought to be there, or on its way, the latest used last.
-    pub fn held(&self) -> impl Iterator<Item = &Held> {
-        self.held.iter()
+    /// Returns the images presumed to be cached or being fetched, the most recently used last.
+    pub fn contents(&self) -> impl Iterator<Item = &CachedImage> {
+        self.cached.iter()
     }
 
-    /// Whether an image is there.
+    /// Returns whether an image is cached.
     pub fn cache_state(&self, image: &str) -> CacheState {
-        match self.held.iter().find(|held| &*held.image == image) {
-            Some(held) if held.sure => CacheState::Certain,
+        match self.cached.iter().find(|cached| &*cached.image == image) {
+            Some(cached) if cached.confirmed => CacheState::Certain,
             Some(_) => CacheState::Likely,
             None if self.complete => CacheState::Absent,
             None => CacheState::Unknown,
         }
     }
 
-    /// A start was sent that uses the image: unless it is given up, it will be the latest used.
-    /// What it pushes out stays until it is there.
-    pub fn asked(&mut self, image: &Name, gb: f64) {
-        let sure = self.cache_state(image) == CacheState::Certain;
-        self.touch(image, gb, sure);
+    /// Records that a task start with the image was sent, which makes it the most recently used
+    /// unless the start is abandoned. Nothing is evicted until the fetch completes.
+    pub fn on_start_sent(&mut self, image: &ImageName, gb: f64) {
+        let confirmed = self.cache_state(image) == CacheState::Certain;
+        self.touch(image, gb, confirmed);
     }
 
-    /// A task was seen to have the image now.
-    pub fn seen(&mut self, image: &Name, gb: f64) {
+    /// Records that a task was observed to have the image, and evicts what no longer fits.
+    pub fn on_image_seen(&mut self, image: &ImageName, gb: f64) {
         self.touch(image, gb, true);
-        self.settle();
+        self.evict_excess();
     }
 
-    /// Forgets what no longer fits, the longest unused first.
-    pub fn settle(&mut self) {
-        // The latest is there for as long as it is used, however large.
-        while self.held.len() > 1 && self.held.iter().map(|held| held.gb).sum::<f64>() > self.cache_gb {
-            self.held.pop_front();
+    /// Evicts what no longer fits, the least recently used first.
+    pub fn evict_excess(&mut self) {
+        // The most recently used image stays while it is in use, whatever its size.
+        while self.cached.len() > 1 && self.cached.iter().map(|cached| cached.gb).sum::<f64>() > self.cache_gb
+        {
+            self.cached.pop_front();
         }
     }
 
-    /// A task was seen to fetch an image that was thought to be there: the order is not what it
-    /// was thought to be, or something is there that nobody here knows of.
-    pub fn missed(&mut self) {
-        for held in &mut self.held {
-            held.sure = false;
+    /// Records that a task fetches an image that was presumed to be cached. The assumed order of use
+    /// is wrong, or the cache contains unknown images, so that all contents become uncertain.
+    pub fn on_unexpected_miss(&mut self) {
+        for cached in &mut self.cached {
+            cached.confirmed = false;
         }
         self.complete = false;
     }
 
-    /// Nobody waits for its fetch any more.
-    pub fn given_up(&mut self, image: &str) {
-        self.held.retain(|held| &*held.image != image);
+    /// Removes an image, for example because no task waits for its fetch any more.
+    pub fn remove(&mut self, image: &str) {
+        self.cached.retain(|cached| &*cached.image != image);
     }
 
-    /// What a fetch of so many GB would push out, the longest unused first.
-    pub fn evicted_by(&self, image: &str, gb: f64) -> impl Iterator<Item = &Held> {
-        let others = || self.held.iter().filter(move |held| &*held.image != image);
-        let there = self.held.len() > others().count();
-        let mut over = if there {
-            // It takes no more room than it has.
+    /// Returns the images that fetching `image` of `gb` GB would evict, the least recently used first.
+    pub fn evicted_by(&self, image: &str, gb: f64) -> impl Iterator<Item = &CachedImage> {
+        let others = || self.cached.iter().filter(move |cached| &*cached.image != image);
+        let is_cached = self.cached.len() > others().count();
+        let mut excess_gb = if is_cached {
+            // It is counted already.
             0.0
         } else {
-            others().map(|held| held.gb).sum::<f64>() + gb.max(0.0) - self.cache_gb
+            others().map(|cached| cached.gb).sum::<f64>() + gb.max(0.0) - self.cache_gb
         };
-        others().take_while(move |held| {
-            let goes = over > 0.0;
-            over -= held.gb;
-            goes
+        others().take_while(move |cached| {
+            let is_evicted = excess_gb > 0.0;
+            excess_gb -= cached.gb;
+            is_evicted
         })
     }
 
-    fn touch(&mut self, image: &Name, gb: f64, sure: bool) {
-        self.given_up(image);
-        self.held.push_back(Held {
+    fn touch(&mut self, image: &ImageName, gb: f64, confirmed: bool) {
+        self.remove(image);
+        self.cached.push_back(CachedImage {
             image: image.clone(),
             gb: gb.max(0.0),
-            sure,
+            confirmed,
         });
     }
 }
--- a/crates/image_locality/src/cost.rs
+++ b/crates/image_locality/src/cost.rs
@@ -1,125 +1,130 @@
-//! The measure: expected seconds in which replicas are not up.
+//! Placement costs as expected seconds of replica downtime.
 
 use crate::CacheState;
-use crate::constants::{BATCH_SECONDS, CROWD_SHARE, HORIZON_S, REPLACE_S};
+use crate::constants::{
+    BATCH_S_PER_DOWNTIME_S, HORIZON_S, REPLACEMENT_CONTENTION_SHARE, REPLACEMENT_DELAY_S,
+};
 
-/// A fetch under way on a machine.
+/// A fetch in progress on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Fetching {
-    /// What is left of it, in s, were it alone.
-    pub left_s: f64,
-    /// Replicas that wait for it; other tasks count for less.
-    pub waiting: f64,
+pub struct OngoingFetch {
+    /// Remaining duration without contention, in s.
+    pub remaining_s: f64,
+    /// Number of replicas that wait for it; other tasks count as fractions.
+    pub waiting_replicas: f64,
 }
 
-/// An image that a fetch would push out.
+/// An image that a fetch would evict.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Evicted {
-    /// What it takes to fetch it again, in s.
-    pub alone_s: f64,
-    /// Replicas started with it, per s, everywhere.
+pub struct EvictedImage {
+    /// Duration of fetching it again without contention, in s.
+    pub uncontended_fetch_s: f64,
+    /// Rate of replica starts with it on all machines, per s.
     pub starts_per_s: f64,
-    /// Machines that have it, this one among them.
+    /// Number of machines that have it, including this one.
     pub copies: u32,
 }
 
-impl Evicted {
-    /// Seconds in which replicas are not up, because this copy is gone.
+impl EvictedImage {
+    /// Returns the expected replica downtime due to the eviction of this copy, in s.
     pub fn cost_s(&self) -> f64 {
-        // Who needs it goes to one of the other copies first.
-        let here_per_s = self.starts_per_s / f64::from(self.copies.max(1)).powi(2);
-        self.alone_s * (here_per_s * HORIZON_S).min(1.0)
+        // A replica that needs the image is placed on a machine with one of the other copies first.
+        let local_starts_per_s = self.starts_per_s / f64::from(self.copies.max(1)).powi(2);
+        self.uncontended_fetch_s * (local_starts_per_s * HORIZON_S).min(1.0)
     }
 }
 
-/// What is known of one place for one replica.
+/// A machine on which a replica may be placed.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Choice<'a> {
-    /// Whether its image lies there.
+pub struct Candidate<'a> {
+    /// Whether the machine has the image of the replica.
     pub cache_state: CacheState,
-    /// What its fetch takes alone, in s.
-    pub alone_s: f64,
-    /// What is left of a fetch of it that is under way there, in s, were it alone.
-    pub under_way_s: Option<f64>,
-    /// The other fetches under way there.
-    pub others: &'a [Fetching],
-    /// How far fetches share the rate there: 0 not at all, 1 wholly.
+    /// Duration of fetching the image without contention, in s.
+    pub uncontended_fetch_s: f64,
+    /// Remaining duration, without contention, of a fetch of the image in progress on the machine, in s.
+    pub own_fetch_remaining_s: Option<f64>,
+    /// Fetches of other images in progress on the machine.
+    pub concurrent_fetches: &'a [OngoingFetch],
+    /// Degree to which concurrent fetches share the bandwidth: 0 not at all, 1 completely.
     pub sharing: f64,
-    /// What a fetch would push out, as [`Evicted::cost_s`] has it, summed.
-    pub evicts_s: f64,
-    /// Batch work that is stopped to make room, in s.
+    /// Sum of [`EvictedImage::cost_s`] of the images that a fetch would evict.
+    pub eviction_cost_s: f64,
+    /// Batch work lost to preemption, in s.
     pub lost_work_s: f64,
-    /// Losses of such a machine, per s.
-    pub machine_loss: f64,
-    /// Losses of its zone, per s.
-    pub zone_loss: f64,
+    /// Rate of losses of such a machine, per s.
+    pub machine_loss_rate: f64,
+    /// Rate of losses of its zone, per s.
+    pub zone_loss_rate: f64,
     /// Replicas of the same service on the machine.
-    pub beside: u32,
-    /// Replicas of the same service in its zone, those on the machine among them.
-    pub beside_in_zone: u32,
-    /// The image lies on another machine.
-    pub copy_elsewhere: bool,
-    /// It lies in another zone.
-    pub copy_in_other_zone: bool,
+    pub replicas_on_machine: u32,
+    /// Replicas of the same service in its zone, including those on the machine.
+    pub replicas_in_zone: u32,
+    /// Whether the image is cached on another machine.
+    pub cached_on_other_machine: bool,
+    /// Whether the image is cached in another zone.
+    pub cached_in_other_zone: bool,
 }
 
-/// What a place costs, by reason, in s in which a replica is not up.
+/// The cost of a placement by cause, in s of replica downtime.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Cost {
-    /// Until the image is there.
+    /// Waiting for the image.
     pub fetch_s: f64,
-    /// Others who wait for their images longer.
+    /// Delay of other fetches on the machine.
     pub delay_s: f64,
-    /// Loss of the machine or its zone.
+    /// Expected losses of the machine or its zone.
     pub loss_s: f64,
-    /// What is pushed out and fetched again.
-    pub evict_s: f64,
-    /// Batch work stopped.
-    pub stop_s: f64,
+    /// Fetching evicted images again.
+    pub eviction_s: f64,
+    /// Batch work lost to preemption.
+    pub preemption_s: f64,
 }
 
 impl Cost {
-    /// All of it.
+    /// Returns the sum of all costs.
     pub fn total_s(&self) -> f64 {
-        self.fetch_s + self.delay_s + self.loss_s + self.evict_s + self.stop_s
+        self.fetch_s + self.delay_s + self.loss_s + self.eviction_s + self.preemption_s
     }
 }
 
-/// What a place costs.
-pub fn cost(choice: &Choice<'_>) -> Cost {
-    let missing = 1.0 - choice.cache_state.chance();
-    // A rate that is shared by so many gives each the like of it. Of one that ends sooner, only
-    // its own part is shared.
-    let shared = |own_s: f64| {
-        let with = choice.others.iter().map(|other| other.left_s.max(0.0).min(own_s));
-        own_s + choice.sharing * with.sum::<f64>()
+/// Returns the cost of placing the replica on the machine.
+pub fn cost(candidate: &Candidate<'_>) -> Cost {
+    let miss_probability = 1.0 - candidate.cache_state.cached_probability();
+    // Each concurrent fetch gets an equal share of the bandwidth, until it completes.
+    let contended_s = |own_s: f64| {
+        let overlaps_s = candidate
+            .concurrent_fetches
+            .iter()
+            .map(|fetch| fetch.remaining_s.max(0.0).min(own_s));
+        own_s + candidate.sharing * overlaps_s.sum::<f64>()
     };
     let mut cost = Cost {
-        stop_s: choice.lost_work_s / BATCH_SECONDS,
+        preemption_s: candidate.lost_work_s / BATCH_S_PER_DOWNTIME_S,
         ..Cost::default()
     };
-    if let Some(left_s) = choice.under_way_s {
-        cost.fetch_s = shared(left_s.max(0.0));
-    } else if missing > 0.0 {
-        cost.fetch_s = missing * shared(choice.alone_s);
-        let delays = choice
-            .others
-            .iter()
-            .map(|other| other.waiting * other.left_s.max(0.0).min(choice.alone_s));
-        cost.delay_s = missing * choice.sharing * delays.sum::<f64>();
-        cost.evict_s = missing * choice.evicts_s;
+    if let Some(remaining_s) = candidate.own_fetch_remaining_s {
+        cost.fetch_s = contended_s(remaining_s.max(0.0));
+    } else if miss_probability > 0.0 {
+        cost.fetch_s = miss_probability * contended_s(candidate.uncontended_fetch_s);
+        let delays = candidate.concurrent_fetches.iter().map(|fetch| {
+            fetch.waiting_replicas * fetch.remaining_s.max(0.0).min(candidate.uncontended_fetch_s)
+        });
+        cost.delay_s = miss_probability * candidate.sharing * delays.sum::<f64>();
+        cost.eviction_s = miss_probability * candidate.eviction_cost_s;
     }
-    let replace_s = |lost: u32, copy: bool| {
-        let fetch_s = if copy {
-            choice.alone_s * (CROWD_SHARE * f64::from(lost)).min(1.0)
+    let replacement_s = |lost_replicas: u32, has_copy: bool| {
+        let fetch_s = if has_copy {
+            candidate.uncontended_fetch_s * (REPLACEMENT_CONTENTION_SHARE * f64::from(lost_replicas)).min(1.0)
         } else {
-            choice.alone_s
+            candidate.uncontended_fetch_s
         };
-        REPLACE_S + fetch_s
+        REPLACEMENT_DELAY_S + fetch_s
     };
-    let machine_s = choice.machine_loss * replace_s(choice.beside, choice.copy_elsewhere);
-    let zone_s = choice.zone_loss * replace_s(choice.beside_in_zone, choice.copy_in_other_zone);
-    cost.loss_s = HORIZON_S * (machine_s + zone_s);
+    let machine_loss_s = candidate.machine_loss_rate
+        * replacement_s(candidate.replicas_on_machine, candidate.cached_on_other_machine);
+    let zone_loss_s =
+        candidate.zone_loss_rate * replacement_s(candidate.replicas_in_zone, candidate.cached_in_other_zone);
+    cost.loss_s = HORIZON_S * (machine_loss_s + zone_loss_s);
     cost
 }
 
--- a/crates/image_locality/src/cost/tests.rs
+++ b/crates/image_locality/src/cost/tests.rs
@@ -1,78 +1,81 @@
 use super::*;
 use proptest::prelude::*;
 
-fn fetched() -> Choice<'static> {
-    Choice {
-        alone_s: 24.0,
+fn needs_fetch() -> Candidate<'static> {
+    Candidate {
+        uncontended_fetch_s: 24.0,
         sharing: 1.0,
-        ..Choice::default()
+        ..Candidate::default()
     }
 }
 
-fn there() -> Choice<'static> {
-    Choice {
+fn cached() -> Candidate<'static> {
+    Candidate {
         cache_state: CacheState::Certain,
-        ..fetched()
+        ..needs_fetch()
     }
 }
 
 #[test]
-fn a_fetch_beside_others_costs_both() {
-    let waiting = [Fetching {
-        left_s: 20.0,
-        waiting: 6.0,
+fn concurrent_fetches_delay_each_other() {
+    let fetches = [OngoingFetch {
+        remaining_s: 20.0,
+        waiting_replicas: 6.0,
     }];
-    let beside = Choice {
-        others: &waiting,
-        ..fetched()
+    let contended = Candidate {
+        concurrent_fetches: &fetches,
+        ..needs_fetch()
     };
-    let shared = cost(&beside);
+    let shared = cost(&contended);
     assert_eq!((shared.fetch_s, shared.delay_s), (44.0, 120.0));
-    let apart = cost(&Choice {
+    let apart = cost(&Candidate {
         sharing: 0.0,
-        ..beside
+        ..contended
     });
     assert_eq!((apart.fetch_s, apart.delay_s), (24.0, 0.0));
 }
 
 #[test]
-fn a_fetch_under_way_is_joined_without_cost_to_others() {
-    let waiting = [Fetching {
-        left_s: 20.0,
-        waiting: 6.0,
+fn joining_an_ongoing_fetch_costs_others_nothing() {
+    let fetches = [OngoingFetch {
+        remaining_s: 20.0,
+        waiting_replicas: 6.0,
     }];
-    let joined = cost(&Choice {
-        under_way_s: Some(10.0),
-        others: &waiting,
-        ..fetched()
+    let joined = cost(&Candidate {
+        own_fetch_remaining_s: Some(10.0),
+        concurrent_fetches: &fetches,
+        ..needs_fetch()
     });
     assert_eq!((joined.fetch_s, joined.delay_s), (20.0, 0.0));
 }
 
 #[test]
-fn without_a_copy_a_loss_costs_a_fetch() {
-    let alone = Choice {
-        machine_loss: 0.001,
-        ..there()
+fn without_another_copy_a_loss_costs_a_fetch() {
+    let sole_copy = Candidate {
+        machine_loss_rate: 0.001,
+        ..cached()
     };
-    let copied = Choice {
-        copy_elsewhere: true,
-        ..alone
+    let copied = Candidate {
+        cached_on_other_machine: true,
+        ..sole_copy
     };
-    assert!((cost(&alone).loss_s - 0.3 * 29.0).abs() < 1e-9);
+    assert!((cost(&sole_copy).loss_s - 0.3 * 29.0).abs() < 1e-9);
     assert!((cost(&copied).loss_s - 0.3 * 5.0).abs() < 1e-9);
-    let crowded = Choice { beside: 2, ..copied };
+    let crowded = Candidate {
+        replicas_on_machine: 2,
+        ..copied
+    };
     assert!((cost(&crowded).loss_s - 0.3 * 17.0).abs() < 1e-9);
-    let zone = Choice {
-        machine_loss: 0.0,
-        zone_loss: 0.001,
-        beside_in_zone: 2,
+    let zone = Candidate {
+        machine_loss_rate: 0.0,
+        zone_loss_rate: 0.001,
+        replicas_in_zone: 2,
         ..copied
     };
     assert!(
         cost(&zone).loss_s
-            > cost(&Choice {
-                copy_in_other_zone: true,
+            > cost(&Candidate {
+                cached_in_other_zone: true,
                 ..zone
             })
             .loss_s
@@ -80,44 +83,44 @@
 }
 
 #[test]
-fn what_nobody_needs_is_pushed_out_for_nothing() {
-    let needed = Evicted {
-        alone_s: 24.0,
+fn evicting_an_unused_image_costs_nothing() {
+    let needed = EvictedImage {
+        uncontended_fetch_s: 24.0,
         starts_per_s: 0.5,
         copies: 1,
     };
-    let often = Evicted { copies: 30, ..needed };
-    let useless = Evicted {
+    let widely_cached = EvictedImage { copies: 30, ..needed };
+    let unused = EvictedImage {
         starts_per_s: 0.0,
         ..needed
     };
     assert_eq!(needed.cost_s(), 24.0);
-    assert!(often.cost_s() < 5.0);
-    assert_eq!(useless.cost_s(), 0.0);
-    let fetches = Choice {
-        evicts_s: 24.0,
-        ..fetched()
+    assert!(widely_cached.cost_s() < 5.0);
+    assert_eq!(unused.cost_s(), 0.0);
+    let fetches = Candidate {
+        eviction_cost_s: 24.0,
+        ..needs_fetch()
     };
-    assert_eq!(cost(&fetches).evict_s, 24.0);
-    let none = Choice {
-        evicts_s: 24.0,
-        ..there()
+    assert_eq!(cost(&fetches).eviction_s, 24.0);
+    let none = Candidate {
+        eviction_cost_s: 24.0,
+        ..cached()
     };
-    assert_eq!(cost(&none).evict_s, 0.0, "what lies there pushes nothing out");
+    assert_eq!(cost(&none).eviction_s, 0.0, "a cached image evicts nothing");
 }
 
 #[test]
-fn stopping_a_little_beside_the_weights_is_better_than_a_fetch_elsewhere() {
-    let stopped = |lost_work_s| Choice {
+fn preempting_a_little_work_beside_the_image_is_cheaper_than_a_fetch_elsewhere() {
+    let stopped = |lost_work_s| Candidate {
         lost_work_s,
-        ..there()
+        ..cached()
     };
-    let elsewhere = cost(&fetched()).total_s();
+    let elsewhere = cost(&needs_fetch()).total_s();
     assert!(cost(&stopped(30.0)).total_s() < elsewhere);
     assert!(cost(&stopped(300.0)).total_s() > elsewhere);
 }
 
-fn some_choice() -> impl Strategy<Value = (f64, f64, Vec<(f64, f64)>, u32, bool, bool)> {
+fn candidate_parts() -> impl Strategy<Value = (f64, f64, Vec<(f64, f64)>, u32, bool, bool)> {
     (
         0.1..60.0,
         0.0..1.0,
@@ -129,42 +132,42 @@
 }
 
 proptest! {
-    // More doubt, more company, more losses or less copies never make a place better.
+    // Less certainty, more replicas on the machine, higher loss rates or fewer copies never lower the cost.
     #[test]
-    fn worse_is_never_cheaper((alone_s, sharing, others, beside, near, far) in some_choice()) {
-        let others: Vec<Fetching> = others
+    fn worse_is_never_cheaper((uncontended_fetch_s, sharing, others, replicas_on_machine, on_other_machine, in_other_zone) in candidate_parts()) {
+        let fetches: Vec<OngoingFetch> = others
             .into_iter()
-            .map(|(left_s, waiting)| Fetching { left_s, waiting })
+            .map(|(remaining_s, waiting_replicas)| OngoingFetch { remaining_s, waiting_replicas })
             .collect();
-        let base = Choice {
+        let base = Candidate {
             cache_state: CacheState::Likely,
-            alone_s,
+            uncontended_fetch_s,
             sharing,
-            others: &others,
-            machine_loss: 0.0005,
-            zone_loss: 0.0001,
-            beside,
-            beside_in_zone: beside,
-            copy_elsewhere: near,
-            copy_in_other_zone: far,
-            ..Choice::default()
+            concurrent_fetches: &fetches,
+            machine_loss_rate: 0.0005,
+            zone_loss_rate: 0.0001,
+            replicas_on_machine,
+            replicas_in_zone: replicas_on_machine,
+            cached_on_other_machine: on_other_machine,
+            cached_in_other_zone: in_other_zone,
+            ..Candidate::default()
         };
         let least = cost(&base).total_s();
         prop_assert!(least.is_finite() && least >= 0.0);
         let worse = [
-            Choice { cache_state: CacheState::Unknown, ..base },
-            Choice { cache_state: CacheState::Absent, ..base },
-            Choice { machine_loss: 0.001, ..base },
-            Choice { zone_loss: 0.001, ..base },
-            Choice { beside: beside + 1, ..base },
-            Choice { copy_elsewhere: false, ..base },
-            Choice { copy_in_other_zone: false, ..base },
-            Choice { lost_work_s: 10.0, ..base },
+            Candidate { cache_state: CacheState::Unknown, ..base },
+            Candidate { cache_state: CacheState::Absent, ..base },
+            Candidate { machine_loss_rate: 0.001, ..base },
+            Candidate { zone_loss_rate: 0.001, ..base },
+            Candidate { replicas_on_machine: replicas_on_machine + 1, ..base },
+            Candidate { cached_on_other_machine: false, ..base },
+            Candidate { cached_in_other_zone: false, ..base },
+            Candidate { lost_work_s: 10.0, ..base },
         ];
-        for choice in &worse {
-            prop_assert!(cost(choice).total_s() >= least - 1e-9, "{choice:?}");
+        for candidate in &worse {
+            prop_assert!(cost(candidate).total_s() >= least - 1e-9, "{candidate:?}");
         }
-        let alone = Choice { others: &[], ..base };
-        prop_assert!(cost(&alone).total_s() <= least + 1e-9);
+        let uncontended = Candidate { concurrent_fetches: &[], ..base };
+        prop_assert!(cost(&uncontended).total_s() <= least + 1e-9);
     }
 }
--- a/crates/image_locality/src/deferral/tests.rs
+++ b/crates/image_locality/src/deferral/tests.rs
@@ -1,51 +1,57 @@
 use super::*;
-use crate::{CacheState, Fetching};
+use crate::{CacheState, OngoingFetch};
 
-fn waits(alone_s: f64, sharing: f64, left_s: f64, waiting: f64) -> bool {
-    let others = [Fetching { left_s, waiting }];
-    let choice = Choice {
-        alone_s,
+fn defers(uncontended_fetch_s: f64, sharing: f64, remaining_s: f64, waiting_replicas: f64) -> bool {
+    let fetches = [OngoingFetch {
+        remaining_s,
+        waiting_replicas,
+    }];
+    let candidate = Candidate {
+        uncontended_fetch_s,
         sharing,
-        others: &others,
-        ..Choice::default()
+        concurrent_fetches: &fetches,
+        ..Candidate::default()
     };
-    waits_for_others(&choice, 1.0)
+    should_defer_fetch(&candidate, 1.0)
 }
 
 #[test]
-fn equal_fetches_go_one_after_the_other() {
-    assert!(waits(24.0, 1.0, 20.0, 1.0));
-    assert!(!waits(24.0, 0.0, 20.0, 8.0), "they are not shared");
-    assert!(!waits(24.0, 1.0, 20.0, 0.0), "nobody is held up");
-    assert!(!waits(24.0, 1.0, 1.0, 2.0), "it is all but there");
+fn equal_fetches_run_one_after_the_other() {
+    assert!(defers(24.0, 1.0, 20.0, 1.0));
+    assert!(!defers(24.0, 0.0, 20.0, 8.0), "the bandwidth is not shared");
+    assert!(
+        !defers(24.0, 1.0, 20.0, 0.0),
+        "no replica waits for the other fetch"
+    );
+    assert!(!defers(24.0, 1.0, 1.0, 2.0), "the other fetch is almost complete");
 }
 
 #[test]
-fn a_short_fetch_goes_beside_a_long_one_unless_many_wait_for_that() {
-    assert!(!waits(4.0, 1.0, 24.0, 1.0));
-    assert!(waits(4.0, 1.0, 24.0, 8.0));
+fn a_short_fetch_runs_beside_a_long_one_unless_many_replicas_wait_for_it() {
+    assert!(!defers(4.0, 1.0, 24.0, 1.0));
+    assert!(defers(4.0, 1.0, 24.0, 8.0));
 }
 
 #[test]
-fn what_is_there_or_on_its_way_does_not_wait() {
-    let others = [Fetching {
-        left_s: 20.0,
-        waiting: 8.0,
+fn a_cached_image_or_an_ongoing_fetch_is_not_deferred() {
+    let fetches = [OngoingFetch {
+        remaining_s: 20.0,
+        waiting_replicas: 8.0,
     }];
-    let fetched = Choice {
-        alone_s: 24.0,
+    let needs_fetch = Candidate {
+        uncontended_fetch_s: 24.0,
         sharing: 1.0,
-        others: &others,
-        ..Choice::default()
+        concurrent_fetches: &fetches,
+        ..Candidate::default()
     };
-    assert!(waits_for_others(&fetched, 1.0));
-    let there = Choice {
+    assert!(should_defer_fetch(&needs_fetch, 1.0));
+    let cached = Candidate {
         cache_state: CacheState::Certain,
-        ..fetched
+        ..needs_fetch
     };
-    let on_its_way = Choice {
-        under_way_s: Some(10.0),
-        ..fetched
+    let in_progress = Candidate {
+        own_fetch_remaining_s: Some(10.0),
+        ..needs_fetch
     };
-    assert!(!waits_for_others(&there, 1.0) && !waits_for_others(&on_its_way, 1.0));
+    assert!(!should_defer_fetch(&cached, 1.0) && !should_defer_fetch(&in_progress, 1.0));
 }
--- a/crates/image_locality/src/error.rs
+++ b/crates/image_locality/src/error.rs
@@ -1,53 +1,53 @@
-//! What is wrong with a model, for operators.
+//! Warnings about images that are too large for the machines' caches.
 
 use thiserror::Error;
 
-/// Weights that no cache of the machines allowed can keep. It is no ground to refuse their jobs:
-/// they are tried, and every start may fetch.
+/// An image that the caches of the allowed machine types cannot hold well. Its jobs are not rejected;
+/// they are placed, and every start may fetch the image.
 #[derive(Debug, Clone, PartialEq, Error)]
-pub enum WeightsError {
-    /// Larger than the largest cache.
+pub enum ImageSizeError {
+    /// The image is larger than the largest cache.
     #[error(
         "image {image} has {gb:.1} GB, more than the largest cache of {cache_gb:.1} GB: every start fetches it"
     )]
-    LargerThanCaches {
-        /// Its name.
+    ExceedsLargestCache {
+        /// Name of the image.
         image: String,
-        /// Its size, in GB.
+        /// Size of the image, in GB.
         gb: f64,
-        /// The largest cache that may take it, in GB.
+        /// Largest cache of the allowed machine types, in GB.
         cache_gb: f64,
     },
-    /// Half a cache or more: no machine keeps two of the kind.
+    /// The image takes more than half of the largest cache, so that no machine can hold two such images.
     #[error(
         "image {image} has {gb:.1} GB, over half of the largest cache of {cache_gb:.1} GB: no machine keeps two such"
     )]
-    OverHalfACache {
-        /// Its name.
+    ExceedsHalfOfCache {
+        /// Name of the image.
         image: String,
-        /// Its size, in GB.
+        /// Size of the image, in GB.
         gb: f64,
-        /// The largest cache that may take it, in GB.
+        /// Largest cache of the allowed machine types, in GB.
         cache_gb: f64,
     },
 }
 
-impl WeightsError {
-    /// What is wrong with an image of this size, where the largest cache holds `cache_gb`.
-    pub fn of(image: &str, gb: f64, cache_gb: f64) -> Option<WeightsError> {
+impl ImageSizeError {
+    /// Checks an image of this size against a largest cache of `cache_gb`.
+    pub fn check(image: &str, gb: f64, cache_gb: f64) -> Option<ImageSizeError> {
         let image = image.to_owned();
         if gb > cache_gb {
-            Some(WeightsError::LargerThanCaches { image, gb, cache_gb })
+            Some(ImageSizeError::ExceedsLargestCache { image, gb, cache_gb })
         } else if gb > cache_gb / 2.0 {
-            Some(WeightsError::OverHalfACache { image, gb, cache_gb })
+            Some(ImageSizeError::ExceedsHalfOfCache { image, gb, cache_gb })
         } else {
             None
         }
     }
 
-    /// No machine can keep it at all.
-    pub fn is_grave(&self) -> bool {
-        matches!(self, WeightsError::LargerThanCaches { .. })
+    /// Returns whether no machine can cache the image at all.
+    pub fn exceeds_all_caches(&self) -> bool {
+        matches!(self, ImageSizeError::ExceedsLargestCache { .. })
     }
 }
 
--- a/crates/image_locality/src/fetch_rates.rs
+++ b/crates/image_locality/src/fetch_rates.rs
@@ -1,78 +1,86 @@
-//! How long fetches take, learned by kind of machine.
+//! Fetch durations, measured by machine type.
 
-use crate::constants::{SHARING_PRIOR, SHARING_PRIOR_WEIGHT, SLOWNESS_LEAST, SLOWNESS_MOST, SLOWNESS_WEIGHT};
+use crate::constants::{MAX_SLOWDOWN, MIN_SLOWDOWN, SHARING_PRIOR, SHARING_PRIOR_WEIGHT, SLOWDOWN_SMOOTHING};
 use std::collections::HashMap;
 
-/// A fetch that was seen to its end.
+/// A completed fetch.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fetched {
-    /// What it takes alone by the cloud's figure, in s.
+pub struct FetchSample {
+    /// Duration of an uncontended fetch according to the cloud, in s.
     pub nominal_s: f64,
-    /// What it took, in s.
-    pub took_s: f64,
-    /// Other fetches on the machine meanwhile, on average.
-    pub others: f64,
+    /// Actual duration, in s.
+    pub duration_s: f64,
+    /// Average number of other fetches on the machine meanwhile.
+    pub concurrent_fetches: f64,
 }
 
-/// What is known of a kind's fetches.
+/// Measured rates of a machine type.
 #[derive(Debug, Clone, Copy)]
-struct Rate {
-    /// Real over nominal time, of fetches alone.
-    slowness: f64,
-    /// How far fetches at one time share the rate: 0 not at all, 1 wholly.
+struct FetchRate {
+    /// Ratio of actual to nominal duration of uncontended fetches.
+    slowdown: f64,
+    /// Degree to which concurrent fetches share the bandwidth: 0 not at all, 1 completely.
     sharing: f64,
-    /// Sum of the weights of what the sharing was learned from.
-    seen: f64,
+    /// Total weight of the samples that `sharing` is averaged over.
+    sharing_weight: f64,
 }
 
-impl Default for Rate {
-    fn default() -> Rate {
-        Rate {
-            slowness: 1.0,
+impl Default for FetchRate {
+    fn default() -> FetchRate {
+        FetchRate {
+            slowdown: 1.0,
             sharing: SHARING_PRIOR,
-            seen: SHARING_PRIOR_WEIGHT,
+            sharing_weight: SHARING_PRIOR_WEIGHT,
         }
     }
 }
 
-/// Fetch rates by kind of machine (its type's name). Before anything was seen, the cloud's
-/// figure holds, shared by all that is fetched at one time.
+/// Fetch rates by the name of the machine type. Before anything was measured, the cloud's figure
+/// applies, and concurrent fetches are assumed to share the bandwidth completely.
 #[derive(Debug, Clone, Default)]
-pub struct Rates {
-    kinds: HashMap<String, Rate>,
+pub struct FetchRates {
+    by_machine_type: HashMap<String, FetchRate>,
 }
 
-impl Rates {
-    /// A fetch ended on a machine of this kind.
-    pub fn learn(&mut self, kind: &str, fetched: Fetched) {
-        let usable = [fetched.nominal_s, fetched.took_s]
+impl FetchRates {
+    /// Records a fetch on a machine of this type; samples that are not finite and positive are ignored.
+    pub fn record(&mut self, machine_type: &str, sample: FetchSample) {
+        let is_valid = [sample.nominal_s, sample.duration_s]
             .iter()
             .all(|time| time.is_finite() && *time > 0.0);
-        if !usable || !fetched.others.is_finite() {
+        if !is_valid || !sample.concurrent_fetches.is_finite() {
             return;
         }
-        let rate = match self.kinds.get_mut(kind) {
+        let rate = match self.by_machine_type.get_mut(machine_type) {
             Some(rate) => rate,
-            None => self.kinds.entry(kind.to_owned()).or_default(),
+            None => self.by_machine_type.entry(machine_type.to_owned()).or_default(),
         };
-        let ratio = (fetched.took_s / fetched.nominal_s).clamp(SLOWNESS_LEAST, SLOWNESS_MOST);
-        if fetched.others < 0.1 {
-            rate.slowness += SLOWNESS_WEIGHT * (ratio - rate.slowness);
+        let ratio = (sample.duration_s / sample.nominal_s).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+        if sample.concurrent_fetches < 0.1 {
+            rate.slowdown += SLOWDOWN_SMOOTHING * (ratio - rate.slowdown);
             return;
         }
-        let sharing = ((ratio / rate.slowness - 1.0) / fetched.others).clamp(0.0, 1.0);
-        rate.seen += fetched.others.min(1.0);
-        rate.sharing += (sharing - rate.sharing) * fetched.others.min(1.0) / rate.seen;
+        let sharing = ((ratio / rate.slowdown - 1.0) / sample.concurrent_fetches).clamp(0.0, 1.0);
+        rate.sharing_weight += sample.concurrent_fetches.min(1.0);
+        rate.sharing += (sharing - rate.sharing) * sample.concurrent_fetches.min(1.0) / rate.sharing_weight;
     }
 
-    /// How far fetches at one time share the rate of such a machine: 0 not at all, 1 wholly.
-    pub fn sharing(&self, kind: &str) -> f64 {
-        self.kinds.get(kind).map_or(SHARING_PRIOR, |rate| rate.sharing)
+    /// Returns the degree to which concurrent fetches share the bandwidth of such a machine: 0 not at
+    /// all, 1 completely.
+    pub fn sharing(&self, machine_type: &str) -> f64 {
+        self.by_machine_type
+            .get(machine_type)
+            .map_or(SHARING_PRIOR, |rate| rate.sharing)
     }
 
-    /// What a fetch alone takes, in s, that takes `nominal_s` by the cloud's figure.
-    pub fn alone_s(&self, kind: &str, nominal_s: f64) -> f64 {
-        nominal_s * self.kinds.get(kind).map_or(1.0, |rate| rate.slowness)
+    /// Returns the duration, in s, of an uncontended fetch whose duration according to the cloud is
+    /// `nominal_s`.
+    pub fn uncontended_s(&self, machine_type: &str, nominal_s: f64) -> f64 {
+        nominal_s
+            * self
+                .by_machine_type
+                .get(machine_type)
+                .map_or(1.0, |rate| rate.slowdown)
     }
 }
 
