--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -3,7 +3,7 @@
 
 mod routing;
 
-use crate::condor::{self, Context, Desk};
+use crate::condor::{self, Context, SubmitFileService};
 use crate::constants::{
     CLOUD_RETRY_MS, ENDED_JOB_CACHE_SIZE, HEARTBEAT_MAX_AGE_MS, HEARTBEAT_MS, MACHINE_TYPES_INTERVAL_MS,
     RETRY_AFTER_S, SECOND_MS, STATE_PROBE_MS, STATE_TIMEOUT_MS, STATE_UNHEALTHY_AFTER_MS,
@@ -75,7 +75,7 @@
     election: Election,
     term: Option<LeaderTerm>,
     job_api: JobApi,
-    submit_files: Desk,
+    submit_files: SubmitFileService,
     machine_types: MachineTypes,
     machine_type_list: Vec<MachineType>,
     machine_types_due_at: Timestamp,
@@ -108,7 +108,7 @@
     pub fn new(settings: Settings, seed: u64, now: Timestamp, wall_ms: u64) -> Node {
         let mut io = Io::new(&settings, seed, now, wall_ms);
         let incarnation: u64 = io.rng.random();
-        let submit_files = Desk::new(&settings, now);
+        let submit_files = SubmitFileService::new(&settings, now);
         let mut members: Vec<String> = settings.peers.iter().map(|peer| peer.node.clone()).collect();
         members.push(settings.node.clone());
         members.sort();
@@ -208,9 +208,9 @@
         let context = Context {
             settings: &self.settings,
             types: &self.machine_type_list,
-            certain: self.machine_types_confirmed,
+            types_confirmed: self.machine_types_confirmed,
         };
-        self.submit_files.settle(&context, &mut self.io);
+        self.submit_files.run_due_work(&context, &mut self.io);
         let peers = self.peer_view();
         if let Some(term) = &mut self.term {
             let event = term.run_due_work(
@@ -319,7 +319,7 @@
         let context = Context {
             settings: &self.settings,
             types: &self.machine_type_list,
-            certain: self.machine_types_confirmed,
+            types_confirmed: self.machine_types_confirmed,
         };
         let io = &mut self.io;
         match route {
@@ -558,9 +558,12 @@
         let context = Context {
             settings: &self.settings,
             types: &self.machine_type_list,
-            certain: self.machine_types_confirmed,
+            types_confirmed: self.machine_types_confirmed,
         };
-        if self.submit_files.answered(call, outcome, &context, &mut self.io) {
+        if self
+            .submit_files
+            .handle_response(call, outcome, &context, &mut self.io)
+        {
             self.record_state_response(outcome);
             return;
         }
@@ -661,7 +664,7 @@
     fn set_machine_types(&mut self, list: protocol::MachineTypeList) {
         let machine_types: Vec<MachineType> = list.types.into_iter().filter(has_valid_amounts).collect();
         if machine_types.is_empty() {
-            log::error!("machine types rejected: the cloud names none that can be used");
+            log::error!("machine types rejected: the cloud offers no usable type");
             return;
         }
         self.machine_types = machine_types
@@ -763,7 +766,7 @@
                 }
                 if heartbeat.leads
                     && self.election.token().is_some_and(|own| heartbeat.token > own)
-                    && let Some(event) = self.election.depose("a sibling leads with a higher token")
+                    && let Some(event) = self.election.depose("a peer leads with a higher token")
                 {
                     self.on_election_event(event);
                 }
