--- a/crates/condor/benches/submit.rs
+++ b/crates/condor/benches/submit.rs
@@ -3,7 +3,8 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use indigopath_condor::{
-    CondorSettings, Declared, Files, Kinds, MachineType, Matching, Site, Submission, Verdict, judge, read,
+    CondorSettings, DeclaredValue, MachineKinds, MachineType, PathKind, Site, Submission, SubmitEnvironment,
+    Verdict, match_submission, read,
 };
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -17,16 +18,16 @@
 
 struct NoFiles;
 
-impl Files for NoFiles {
-    fn read(&self, path: &str) -> Result<String, String> {
+impl SubmitEnvironment for NoFiles {
+    fn read_file(&self, path: &str) -> Result<String, String> {
         Err(format!("there is no {path}"))
     }
 
-    fn matching(&self, _: &str, _: Matching) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, _: &str, _: PathKind) -> Result<Vec<String>, String> {
         Ok(Vec::new())
     }
 
-    fn variable(&self, _: &str) -> Option<String> {
+    fn env_var(&self, _: &str) -> Option<String> {
         None
     }
 }
@@ -44,8 +45,8 @@
         })
         .collect();
     let declared = BTreeMap::from([
-        ("OpSys".to_owned(), Declared::Str("LINUX".to_owned())),
-        ("Arch".to_owned(), Declared::Str("X86_64".to_owned())),
+        ("OpSys".to_owned(), DeclaredValue::Str("LINUX".to_owned())),
+        ("Arch".to_owned(), DeclaredValue::Str("X86_64".to_owned())),
     ]);
     let settings = CondorSettings {
         default_team: Some("vision".to_owned()),
@@ -57,7 +58,7 @@
         ..CondorSettings::default()
     };
     Site {
-        kinds: Kinds::new(&types, &["a".to_owned(), "b".to_owned()], &settings),
+        kinds: MachineKinds::new(&types, &["a".to_owned(), "b".to_owned()], &settings),
         settings,
         ..Site::default()
     }
@@ -119,10 +120,10 @@
     assert_eq!(site.kinds.all().len(), 40);
     let (procs, requirements) = (many_procs(), many_requirements());
     let submission = parsed(&procs);
-    let judged = judge(&submission, 1, 0, &site);
+    let judged = match_submission(&submission, 1, 0, &site);
     assert_eq!((submission.procs(), judged.outcomes.len()), (PROCS, 1));
     let different = parsed(&requirements);
-    let judged = judge(&different, 1, 0, &site);
+    let judged = match_submission(&different, 1, 0, &site);
     assert_eq!(judged.outcomes.len(), REQUIREMENTS);
     let matching = judged
         .outcomes
@@ -136,14 +137,14 @@
         "{PROCS} procs read in {:.0} ms (bar 1000), judged in {:.1} ms; {REQUIREMENTS} requirements against 40 kinds \
          in {:.1} ms (bar 100)",
         best_ms(|| drop(black_box(parsed(&procs)))),
-        best_ms(|| drop(black_box(judge(&submission, 1, 0, &site)))),
-        best_ms(|| drop(black_box(judge(&different, 1, 0, &site)))),
+        best_ms(|| drop(black_box(match_submission(&submission, 1, 0, &site)))),
+        best_ms(|| drop(black_box(match_submission(&different, 1, 0, &site)))),
     );
     criterion.bench_function("read 100,000 procs", |bench| {
         bench.iter(|| parsed(black_box(&procs)))
     });
     criterion.bench_function("judge 10,000 requirements", |bench| {
-        bench.iter(|| judge(black_box(&different), 1, 0, &site));
+        bench.iter(|| match_submission(black_box(&different), 1, 0, &site));
     });
 }
 
--- a/crates/condor/src/cluster.rs
+++ b/crates/condor/src/cluster.rs
@@ -3,15 +3,15 @@
 //!
 //! | key | value | written by |
 //! |---|---|---|
-//! | `n/cluster` | [`NumberRecord`]: the next number | whoever takes one |
-//! | `k/<key>` | [`KeyRecord`]: which cluster a submission became | the node that takes its number |
-//! | `j/~<cluster>` | [`OpenRecord`]: it is being recorded, and nothing of it starts | the same; gone once it is accepted |
+//! | `n/cluster` | [`NextClusterRecord`]: the next number | whoever takes one |
+//! | `k/<key>` | [`SubmissionKeyRecord`]: which cluster a submission became | the node that takes its number |
+//! | `j/~<cluster>` | [`OpenClusterRecord`]: it is being recorded, and nothing of it starts | the same; gone once it is accepted |
 //! | `c/<cluster>` | [`ClusterRecord`]: it is accepted | the node that accepts it |
 
-use crate::constants::{MAX_JOBS, MAX_OWNER};
-use crate::judge::{Judged, Outcome};
-use crate::site::Kinds;
-use crate::source::{Files, Matching};
+use crate::constants::{MAX_CLUSTER_JOBS, MAX_OWNER_BYTES};
+use crate::judge::{MatchResults, Outcome};
+use crate::site::MachineKinds;
+use crate::source::{PathKind, SubmitEnvironment};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
@@ -46,12 +46,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Matched {
     pub pattern: String,
-    pub what: Matching,
+    pub what: PathKind,
     pub paths: Vec<String>,
 }
 
 /// Longest key, in bytes.
-const MAX_KEY: usize = 64;
+const MAX_KEY_BYTES: usize = 64;
 
 impl Bundle {
     /// What is wrong with it, apart from its text.
@@ -63,11 +63,11 @@
             text.bytes()
                 .all(|byte| byte.is_ascii_alphanumeric() || b"-_.@".contains(&byte))
         };
-        if self.key.len() < 8 || self.key.len() > MAX_KEY || !plain(&self.key) {
-            return Err(format!("key must be 8 to {MAX_KEY} letters and digits"));
+        if self.key.len() < 8 || self.key.len() > MAX_KEY_BYTES || !plain(&self.key) {
+            return Err(format!("key must be 8 to {MAX_KEY_BYTES} letters and digits"));
         }
-        if self.owner.is_empty() || self.owner.len() > MAX_OWNER || !plain(&self.owner) {
-            return Err(format!("owner must be 1 to {MAX_OWNER} letters and digits"));
+        if self.owner.is_empty() || self.owner.len() > MAX_OWNER_BYTES || !plain(&self.owner) {
+            return Err(format!("owner must be 1 to {MAX_OWNER_BYTES} letters and digits"));
         }
         if self.file.is_empty() || self.file.len() > 4_096 {
             return Err("file must be a path".to_owned());
@@ -83,13 +83,13 @@
     }
 }
 
-impl Files for Bundle {
-    fn read(&self, path: &str) -> Result<String, String> {
+impl SubmitEnvironment for Bundle {
+    fn read_file(&self, path: &str) -> Result<String, String> {
         let text = self.reads.get(path).cloned();
         text.ok_or_else(|| "there is no such file, or it was not sent along".to_owned())
     }
 
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
         let found = self
             .matches
             .iter()
@@ -99,19 +99,19 @@
             .ok_or_else(|| "its matches were not sent along".to_owned())
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         self.environment.get(name).cloned()
     }
 }
 
 /// Notes what a file asks for while it is read, to be sent along.
 pub struct Recorder<'f> {
-    files: &'f dyn Files,
+    files: &'f dyn SubmitEnvironment,
     bundle: RefCell<Bundle>,
 }
 
 impl<'f> Recorder<'f> {
-    pub fn new(files: &'f dyn Files) -> Recorder<'f> {
+    pub fn new(files: &'f dyn SubmitEnvironment) -> Recorder<'f> {
         Recorder {
             files,
             bundle: RefCell::default(),
@@ -124,9 +124,9 @@
     }
 }
 
-impl Files for Recorder<'_> {
-    fn read(&self, path: &str) -> Result<String, String> {
-        let text = self.files.read(path)?;
+impl SubmitEnvironment for Recorder<'_> {
+    fn read_file(&self, path: &str) -> Result<String, String> {
+        let text = self.files.read_file(path)?;
         self.bundle
             .borrow_mut()
             .reads
@@ -134,8 +134,8 @@
         Ok(text)
     }
 
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String> {
-        let paths = self.files.matching(pattern, what)?;
+    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
+        let paths = self.files.matching_paths(pattern, what)?;
         self.bundle.borrow_mut().matches.push(Matched {
             pattern: pattern.to_owned(),
             what,
@@ -144,8 +144,8 @@
         Ok(paths)
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
-        let value = self.files.variable(name)?;
+    fn env_var(&self, name: &str) -> Option<String> {
+        let value = self.files.env_var(name)?;
         self.bundle
             .borrow_mut()
             .environment
@@ -157,7 +157,7 @@
 /// Why work is not to start yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Why {
+pub enum HoldReason {
     /// A user asked for it, in the file or later; a user takes it back.
     User,
     /// It asks for more than its team's limit; over once the limit allows it.
@@ -168,7 +168,8 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hold {
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: HoldReason,
     pub text: String,
 }
 
@@ -183,7 +184,7 @@
 
 impl KindSet {
     /// The kinds that an outcome allows.
-    pub fn of(outcome: &Outcome, kinds: &Kinds) -> KindSet {
+    pub fn of(outcome: &Outcome, kinds: &MachineKinds) -> KindSet {
         let rank = |at: usize| outcome.ranks.get(at).copied().unwrap_or(0.0);
         let mut ranks: Vec<f64> = outcome.kinds.ones().map(rank).collect();
         ranks.sort_by(|a, b| b.total_cmp(a));
@@ -202,7 +203,7 @@
     }
 
     /// How far a kind is from the one liked best; `None` if it may not be used.
-    pub fn step(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
+    pub fn preference_step(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         self.0.get(machine_type)?.get(zone)?[usize::from(spot)]
     }
 
@@ -215,7 +216,7 @@
 
 /// Numbers of procs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Procs {
+pub struct ProcSet {
     first: u32,
     count: u32,
     /// A bitmap from the first on, unless they follow each other.
@@ -223,9 +224,9 @@
     bits: Option<String>,
 }
 
-impl Procs {
+impl ProcSet {
     /// Of numbers in their order, of which there is at least one.
-    pub fn new(numbers: &[u32]) -> Procs {
+    pub fn new(numbers: &[u32]) -> ProcSet {
         let first = numbers.first().copied().unwrap_or(0);
         let last = numbers.last().copied().unwrap_or(first);
         let span = (last - first) as usize + 1;
@@ -234,7 +235,7 @@
             let at = (number - first) as usize;
             bits[at / 8] |= 1 << (at % 8);
         }
-        Procs {
+        ProcSet {
             first,
             count: numbers.len() as u32,
             bits: (span != numbers.len()).then(|| STANDARD_NO_PAD.encode(bits)),
@@ -291,9 +292,9 @@
 
 /// What a job keeps of the file that it came from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct SubmitOrigin {
     pub cluster: u64,
-    pub procs: Procs,
+    pub procs: ProcSet,
     pub owner: String,
     /// The program and its arguments, for display.
     pub cmd: String,
@@ -301,7 +302,7 @@
     pub holds: Vec<Hold>,
 }
 
-impl Part {
+impl SubmitOrigin {
     /// Why it is held, if it is.
     pub fn held(&self) -> Option<String> {
         let texts: Vec<&str> = self.holds.iter().map(|hold| hold.text.as_str()).collect();
@@ -311,7 +312,7 @@
 
 /// Procs that ask for the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Array {
+pub struct JobArray {
     /// Position of their outcome.
     pub outcome: usize,
     pub procs: Vec<u32>,
@@ -319,7 +320,9 @@
 
 /// A cluster that would be more jobs than one may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the file makes {0} different requests or more; at most {MAX_JOBS} are taken at once: split it")]
+#[error(
+    "the file makes {0} different requests or more; at most {MAX_CLUSTER_JOBS} are taken at once: split it"
+)]
 pub struct TooManyJobs(pub usize);
 
 /// The arrays of a cluster, in the order of their first procs. A proc that is a gang is one
@@ -327,12 +330,12 @@
 ///
 /// # Errors
 /// There are too many to be recorded.
-pub fn arrays(judged: &Judged) -> Result<Vec<Array>, TooManyJobs> {
-    let mut arrays: Vec<Array> = Vec::new();
+pub fn arrays(results: &MatchResults) -> Result<Vec<JobArray>, TooManyJobs> {
+    let mut arrays: Vec<JobArray> = Vec::new();
     let mut array_of: BTreeMap<usize, usize> = BTreeMap::new();
-    for (proc, at) in (0u32..).zip(&judged.of) {
+    for (proc, at) in (0u32..).zip(&results.outcome_of_proc) {
         let outcome = *at as usize;
-        let request = judged
+        let request = results
             .outcomes
             .get(outcome)
             .and_then(|outcome| outcome.request.as_ref());
@@ -341,52 +344,52 @@
             Some(array) if !alone => arrays[*array].procs.push(proc),
             _ => {
                 array_of.insert(outcome, arrays.len());
-                arrays.push(Array {
+                arrays.push(JobArray {
                     outcome,
                     procs: vec![proc],
                 });
             }
         }
     }
-    if arrays.len() > MAX_JOBS {
+    if arrays.len() > MAX_CLUSTER_JOBS {
         return Err(TooManyJobs(arrays.len()));
     }
     Ok(arrays)
 }
 
 /// Prefix of the records of which cluster a submission became.
-pub const KEYS: &str = "k/";
+pub const SUBMISSION_KEY_PREFIX: &str = "k/";
 /// The next cluster's number.
-pub const NUMBER: &str = "n/cluster";
+pub const NEXT_CLUSTER_KEY: &str = "n/cluster";
 /// Prefix of accepted clusters.
-pub const CLUSTERS: &str = "c/";
+pub const CLUSTER_PREFIX: &str = "c/";
 /// What stands before the number in the key of an open cluster, under the jobs' prefix. It
 /// comes after every job's name, so that whoever reads page by page learns last which are
 /// open still: what is open no longer by then was accepted or given up.
-pub const OPEN: &str = "~";
+pub const OPEN_MARKER: &str = "~";
 
-pub fn key_key(key: &str) -> String {
-    format!("{KEYS}{key}")
+pub fn submission_key(key: &str) -> String {
+    format!("{SUBMISSION_KEY_PREFIX}{key}")
 }
 
 pub fn cluster_key(cluster: u64) -> String {
-    format!("{CLUSTERS}{cluster:010}")
+    format!("{CLUSTER_PREFIX}{cluster:010}")
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NumberRecord {
+pub struct NextClusterRecord {
     pub next: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyRecord {
+pub struct SubmissionKeyRecord {
     pub cluster: u64,
     /// Of what was submitted under the key.
     pub digest: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenRecord {
+pub struct OpenClusterRecord {
     /// Digest of the jobs that it is to have: two nodes that made something else of the same
     /// file must not mix.
     pub plan: String,
--- a/crates/condor/src/judge.rs
+++ b/crates/condor/src/judge.rs
@@ -1,13 +1,14 @@
 //! Which machines do for a proc, and if none do, why not.
 
-use crate::cluster::{Hold, TooManyJobs, Why};
+use crate::cluster::{Hold, HoldReason, TooManyJobs};
 use crate::constants::{
-    KINDS_SHOWN, MAX_FILE_STEPS, MIB_PER_GB, NAMES_SHOWN, PROBLEMS_SHOWN, TERMS_KEPT, TERMS_SHOWN,
+    MAX_EVALUATION_STEPS, MAX_KINDS_SHOWN, MAX_NAMES_SHOWN, MAX_PROBLEMS_SHOWN, MAX_TERMS_SHOWN, MIB_PER_GB,
+    TERM_CACHE_SIZE,
 };
-use crate::request::{self, Asked, Problem, Reading, Request};
-use crate::site::{Kind, Kinds, Site};
-use crate::submit::{Batch, Key, Submission, What};
-use crate::{commands::Effect, source::Place};
+use crate::request::{self, ParsedRequest, Problem, Request, SourceExpr};
+use crate::site::{MachineKind, MachineKinds, Site};
+use crate::submit::{Batch, EntryKind, Submission, SubmitEntry};
+use crate::{commands::Effect, source::SourceLocation};
 use fixedbitset::FixedBitSet;
 use indigopath_classad::{Ad, Evaluator, Expr, Name, Reference, Scope, Value, nearest};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -42,45 +43,47 @@
 
 /// Outcomes, and which of them is each proc's.
 #[derive(Debug, Default)]
-pub struct Judged {
+pub struct MatchResults {
     pub outcomes: Vec<Outcome>,
     /// By proc, a position in `outcomes`.
-    pub of: Vec<u32>,
+    pub outcome_of_proc: Vec<u32>,
 }
 
-impl Judged {
+impl MatchResults {
     /// Outcomes proc by proc.
     pub fn procs(&self) -> impl Iterator<Item = &Outcome> {
-        self.of.iter().filter_map(|at| self.outcomes.get(*at as usize))
+        self.outcome_of_proc
+            .iter()
+            .filter_map(|at| self.outcomes.get(*at as usize))
     }
 }
 
 /// Judges every proc of a file. Those that ask for the same are judged once.
-pub fn judge(submission: &Submission, cluster: u64, now_s: i64, site: &Site) -> Judged {
-    judge_some(submission, cluster, now_s, site, usize::MAX)
+pub fn match_submission(submission: &Submission, cluster: u64, now_s: i64, site: &Site) -> MatchResults {
+    match_until(submission, cluster, now_s, site, usize::MAX)
 }
 
 /// The same for who takes only so many different requests.
 ///
 /// # Errors
 /// There are more; no time is spent on those beyond.
-pub fn judge_at_most(
+pub fn match_submission_at_most(
     submission: &Submission,
     cluster: u64,
     now_s: i64,
     site: &Site,
     most: usize,
-) -> Result<Judged, TooManyJobs> {
-    let judged = judge_some(submission, cluster, now_s, site, most);
-    if judged.outcomes.len() > most {
-        return Err(TooManyJobs(judged.outcomes.len()));
+) -> Result<MatchResults, TooManyJobs> {
+    let results = match_until(submission, cluster, now_s, site, most);
+    if results.outcomes.len() > most {
+        return Err(TooManyJobs(results.outcomes.len()));
     }
-    Ok(judged)
+    Ok(results)
 }
 
 /// Judges until there are more than `most` outcomes.
-fn judge_some(submission: &Submission, cluster: u64, now_s: i64, site: &Site, most: usize) -> Judged {
-    let mut judge = Judge {
+fn match_until(submission: &Submission, cluster: u64, now_s: i64, site: &Site, most: usize) -> MatchResults {
+    let mut matchmaker = Matchmaker {
         site,
         evaluator: Evaluator::new(now_s),
         cluster,
@@ -88,14 +91,14 @@
         matched: FxHashMap::default(),
         terms: FxHashMap::default(),
     };
-    let mut judged = Judged::default();
+    let mut results = MatchResults::default();
     for batch in &submission.batches {
-        judge.batch(batch, most, &mut judged);
+        matchmaker.batch(batch, most, &mut results);
     }
-    judged
+    results
 }
 
-struct Judge<'s> {
+struct Matchmaker<'s> {
     site: &'s Site,
     evaluator: Evaluator,
     cluster: u64,
@@ -110,24 +113,24 @@
 /// Attributes that tell procs apart which otherwise ask for the same.
 const OWN: [&str; 8] = ["procid", "args", "environment", "in", "out", "err", "iwd", "cmd"];
 
-impl Judge<'_> {
-    fn batch(&mut self, batch: &Batch, most: usize, judged: &mut Judged) {
+impl Matchmaker<'_> {
+    fn batch(&mut self, batch: &Batch, most: usize, results: &mut MatchResults) {
         // What merely says what runs does not change where it may.
         let telling: Vec<usize> = batch
             .varying
             .iter()
             .enumerate()
-            .filter(|(_, key)| tells(key))
+            .filter(|(_, entry)| tells(entry))
             .map(|(at, _)| at)
             .collect();
         let mut known: FxHashMap<Vec<&str>, u32> = FxHashMap::default();
         for proc in &batch.procs {
-            if judged.outcomes.len() > most {
+            if results.outcomes.len() > most {
                 return;
             }
             let values: Vec<&str> = telling.iter().map(|at| &*proc.values[*at]).collect();
             if let Some(at) = known.get(&values) {
-                judged.of.push(*at);
+                results.outcome_of_proc.push(*at);
                 continue;
             }
             let given = batch.given(proc);
@@ -136,9 +139,9 @@
                     Err(problems) => (refused(&problems, self.site), true),
                     Ok(reading) => self.request(reading),
                 };
-            judged.outcomes.push(outcome);
-            let at = judged.outcomes.len() as u32 - 1;
-            judged.of.push(at);
+            results.outcomes.push(outcome);
+            let at = results.outcomes.len() as u32 - 1;
+            results.outcome_of_proc.push(at);
             if shared {
                 known.insert(values, at);
             }
@@ -146,9 +149,9 @@
     }
 
     /// What becomes of a request, and whether others with the same telling values share it.
-    fn request(&mut self, reading: Reading) -> (Outcome, bool) {
-        let Reading { request, ad } = reading;
-        if self.evaluator.spent() > MAX_FILE_STEPS {
+    fn request(&mut self, reading: ParsedRequest) -> (Outcome, bool) {
+        let ParsedRequest { request, ad } = reading;
+        if self.evaluator.spent() > MAX_EVALUATION_STEPS {
             return (self.too_costly(), true);
         }
         let mut names = FxHashSet::default();
@@ -171,7 +174,7 @@
             );
         }
         let kinds = self.kinds(&request, &ad, &names);
-        if self.evaluator.spent() > MAX_FILE_STEPS {
+        if self.evaluator.spent() > MAX_EVALUATION_STEPS {
             return (self.too_costly(), shared);
         }
         if kinds.is_clear() {
@@ -182,7 +185,7 @@
         let mut holds = request.holds.clone();
         let limit = over_limit(&request, self.site);
         holds.extend(limit.map(|text| Hold {
-            why: Why::Limit,
+            reason: HoldReason::Limit,
             text,
         }));
         let outcome = Outcome {
@@ -218,9 +221,15 @@
     }
 
     /// Whether every name in an expression, and in what it refers to, is somebody's.
-    fn check(&self, asked: &Asked, ad: &Ad, names: &mut FxHashSet<Arc<str>>, problems: &mut Vec<Problem>) {
-        let place = |at| asked.key.definition.place_in_value(at);
-        let what = &asked.key.definition.name;
+    fn check(
+        &self,
+        asked: &SourceExpr,
+        ad: &Ad,
+        names: &mut FxHashSet<Arc<str>>,
+        problems: &mut Vec<Problem>,
+    ) {
+        let location = |at| asked.entry.definition.location_in_value(at);
+        let what = &asked.entry.definition.name;
         for (function, at) in asked.expr.calls() {
             if !function.steady {
                 let text = format!(
@@ -228,7 +237,7 @@
                     function.name
                 );
                 problems.push(Problem {
-                    place: place(at),
+                    location: location(at),
                     text,
                 });
             }
@@ -241,16 +250,16 @@
         };
         for reference in asked.expr.references() {
             if let Err(text) = walk.follow(&reference) {
-                let place = place(reference.at);
+                let location = location(reference.at);
                 let text = format!("{what}: {text}");
-                if problems.len() < PROBLEMS_SHOWN {
-                    problems.push(Problem { place, text });
+                if problems.len() < MAX_PROBLEMS_SHOWN {
+                    problems.push(Problem { location, text });
                 }
             }
         }
     }
 
-    fn fits(request: &Request, kind: &Kind) -> bool {
+    fn fits(request: &Request, kind: &MachineKind) -> bool {
         within(request.cpus, kind.cpus)
             && within(request.gpus, kind.gpus)
             && within(request.memory_gb, kind.memory_gb)
@@ -266,8 +275,8 @@
         let all = self.site.kinds.all();
         let spot = Self::spot_allowed(request);
         let needs = [request.cpus, request.gpus, request.memory_gb].map(f64::to_bits);
-        let key = [needs[0], needs[1], needs[2], u64::from(spot)];
-        let base = self.matched.entry(key).or_insert_with(|| {
+        let needs_key = [needs[0], needs[1], needs[2], u64::from(spot)];
+        let base = self.matched.entry(needs_key).or_insert_with(|| {
             let fitting = all
                 .iter()
                 .map(|kind| (spot || !kind.spot) && Self::fits(request, kind));
@@ -319,7 +328,7 @@
         let mut by_class: Vec<Option<bool>> = vec![None; all.classes()];
         let mut holds = FixedBitSet::with_capacity(all.all().len());
         for (at, kind) in all.all().iter().enumerate() {
-            let beyond = self.evaluator.spent() > MAX_FILE_STEPS;
+            let beyond = self.evaluator.spent() > MAX_EVALUATION_STEPS;
             if beyond || (!of_machines && !kinds.contains(at)) {
                 continue;
             }
@@ -339,7 +348,7 @@
         }
         kinds.intersect_with(&holds);
         if of_machines {
-            if self.terms.len() >= TERMS_KEPT {
+            if self.terms.len() >= TERM_CACHE_SIZE {
                 self.terms.clear();
             }
             self.terms.insert(fingerprint, (term.clone(), holds));
@@ -351,7 +360,7 @@
             return Vec::new();
         };
         let kinds = &self.site.kinds;
-        let mut rank = |kind: &Kind| {
+        let mut rank = |kind: &MachineKind| {
             let value = self.evaluator.evaluate(&asked.expr, ad, Some(&kind.ad));
             // What is no number is no preference.
             value.as_number().filter(|rank| rank.is_finite()).unwrap_or(0.0)
@@ -370,23 +379,23 @@
             return "no kind of machine is known".to_owned();
         }
         let mut parts = Vec::new();
-        let mut tell = |what: String, excluded: Vec<&Kind>| {
-            let names = excluded.iter().take(KINDS_SHOWN).map(ToString::to_string);
+        let mut tell = |what: String, excluded: Vec<&MachineKind>| {
+            let names = excluded.iter().take(MAX_KINDS_SHOWN).map(ToString::to_string);
             let names = names.collect::<Vec<_>>().join(", ");
             let shown = match excluded.len() {
                 0 => return,
                 all if all == kinds.all().len() => format!("all {all} kinds"),
-                some if some <= KINDS_SHOWN => names,
+                some if some <= MAX_KINDS_SHOWN => names,
                 some => format!("{names}, … ({some} of {} kinds)", kinds.all().len()),
             };
             parts.push(format!("{what} excludes {shown}"));
         };
-        let without = |does: &dyn Fn(&Kind) -> bool| -> Vec<&Kind> {
+        let without = |does: &dyn Fn(&MachineKind) -> bool| -> Vec<&MachineKind> {
             kinds.all().iter().filter(|kind| !does(kind)).collect()
         };
         if let Some(asked) = &request.requirements {
-            for term in asked.expr.terms().into_iter().take(TERMS_SHOWN) {
-                if self.evaluator.spent() > MAX_FILE_STEPS {
+            for term in asked.expr.terms().into_iter().take(MAX_TERMS_SHOWN) {
+                if self.evaluator.spent() > MAX_EVALUATION_STEPS {
                     break;
                 }
                 let mut excluded = Vec::new();
@@ -409,8 +418,8 @@
                         because.push(why);
                     }
                 }
-                let place = asked.key.definition.place_in_value(term.at);
-                let mut what = format!("{term} ({}:{})", place.line, place.column);
+                let location = asked.entry.definition.location_in_value(term.at);
+                let mut what = format!("{term} ({}:{})", location.line, location.column);
                 if !because.is_empty() {
                     what = format!("{what}, being {},", because.join(" or "));
                 }
@@ -436,10 +445,10 @@
     }
 }
 
-fn tells(key: &Key) -> bool {
-    match key.what {
-        What::Attribute => true,
-        What::Command(command) => match command.effect {
+fn tells(entry: &SubmitEntry) -> bool {
+    match entry.kind {
+        EntryKind::Attribute => true,
+        EntryKind::Command(command) => match command.effect {
             Effect::Means(_) | Effect::Refused { .. } => true,
             Effect::Carried(_) | Effect::Noted(_) => false,
         },
@@ -449,12 +458,12 @@
 fn refused(problems: &[Problem], site: &Site) -> Outcome {
     let shown: Vec<String> = problems
         .iter()
-        .take(PROBLEMS_SHOWN)
+        .take(MAX_PROBLEMS_SHOWN)
         .map(ToString::to_string)
         .collect();
     let mut reason = shown.join("; ");
-    if problems.len() > PROBLEMS_SHOWN {
-        reason = format!("{reason}; and {} more", problems.len() - PROBLEMS_SHOWN);
+    if problems.len() > MAX_PROBLEMS_SHOWN {
+        reason = format!("{reason}; and {} more", problems.len() - MAX_PROBLEMS_SHOWN);
     }
     Outcome {
         verdict: Verdict::Refused,
@@ -489,7 +498,7 @@
 /// Follows names from an expression through the job's own attributes.
 struct Walk<'a> {
     ad: &'a Ad,
-    kinds: &'a Kinds,
+    kinds: &'a MachineKinds,
     /// Lower-case names that were met.
     names: &'a mut FxHashSet<Arc<str>>,
     open: Vec<Name>,
@@ -545,7 +554,7 @@
         let near = nearest(reference.name.text(), known.iter().copied());
         let text = format!("{whose} an attribute {scope}{}", reference.name);
         if near.is_empty() {
-            let shown = &known[known.len().saturating_sub(NAMES_SHOWN)..];
+            let shown = &known[known.len().saturating_sub(MAX_NAMES_SHOWN)..];
             format!("{text}; there are {}", shown.join(", "))
         } else {
             format!("{text}; the nearest are {}", near.join(", "))
@@ -554,21 +563,21 @@
 }
 
 /// Everything that the submitter should know of commands that change nothing here.
-pub fn notes(submission: &Submission) -> Vec<(Place, String)> {
-    let mut notes: Vec<(Place, String)> = submission
+pub fn notes(submission: &Submission) -> Vec<(SourceLocation, String)> {
+    let mut notes: Vec<(SourceLocation, String)> = submission
         .notes
         .iter()
-        .map(|note| (note.place.clone(), note.text.clone()))
+        .map(|note| (note.location.clone(), note.text.clone()))
         .collect();
     let mut told = FxHashSet::default();
     for batch in &submission.batches {
-        for key in batch.fixed.iter().map(|(key, _)| key).chain(&batch.varying) {
-            if let What::Command(command) = key.what
+        for entry in batch.fixed.iter().map(|(entry, _)| entry).chain(&batch.varying) {
+            if let EntryKind::Command(command) = entry.kind
                 && let Effect::Noted(why) = command.effect
                 && told.insert(command.name)
             {
                 let text = format!("{} changes nothing here: {why}", command.name);
-                notes.push((key.definition.place(), text));
+                notes.push((entry.definition.location(), text));
             }
         }
     }
--- a/crates/condor/src/lib.rs
+++ b/crates/condor/src/lib.rs
@@ -2,13 +2,13 @@
 //! mean to the scheduler, and which kinds of machines do for what they ask.
 //!
 //! ```
-//! use indigopath_condor::{CondorSettings, Files, Kinds, MachineType, Matching, Site, Verdict};
+//! use indigopath_condor::{CondorSettings, SubmitEnvironment, MachineKinds, MachineType, PathKind, Site, Verdict};
 //!
 //! struct Nothing;
-//! impl Files for Nothing {
-//!     fn read(&self, _: &str) -> Result<String, String> { Err("no files".into()) }
-//!     fn matching(&self, _: &str, _: Matching) -> Result<Vec<String>, String> { Ok(Vec::new()) }
-//!     fn variable(&self, _: &str) -> Option<String> { None }
+//! impl SubmitEnvironment for Nothing {
+//!     fn read_file(&self, _: &str) -> Result<String, String> { Err("no files".into()) }
+//!     fn matching_paths(&self, _: &str, _: PathKind) -> Result<Vec<String>, String> { Ok(Vec::new()) }
+//!     fn env_var(&self, _: &str) -> Option<String> { None }
 //! }
 //!
 //! let settings = CondorSettings {
@@ -21,14 +21,14 @@
 //!     price: 12.0, spot_price: 4.5, zones: vec!["a".into()],
 //! };
 //! let site = Site {
-//!     kinds: Kinds::new(&[g8], &["a".into()], &settings),
+//!     kinds: MachineKinds::new(&[g8], &["a".into()], &settings),
 //!     settings,
 //!     ..Site::default()
 //! };
 //! let text = "request_gpus = 2\nrequirements = TARGET.Memory > 500 * 1024\nqueue 3\n";
 //! let submission = indigopath_condor::read(text, "scan.sub", 1, 0, &Nothing)?;
-//! let judged = indigopath_condor::judge(&submission, 1, 0, &site);
-//! assert_eq!(judged.of.len(), 3);
+//! let judged = indigopath_condor::match_submission(&submission, 1, 0, &site);
+//! assert_eq!(judged.outcome_of_proc.len(), 3);
 //! assert_eq!(judged.outcomes[0].verdict, Verdict::Match);
 //! # Ok::<(), indigopath_condor::SubmitError>(())
 //! ```
@@ -47,12 +47,12 @@
 mod submit;
 mod template;
 
-pub use cluster::{Bundle, Hold, KindSet, Part, Procs, Recorder, Why};
-pub use judge::{Judged, Outcome, Verdict, judge, judge_at_most, notes};
-pub use request::{Asked, Level, Problem, Request};
+pub use cluster::{Bundle, Hold, HoldReason, KindSet, ProcSet, Recorder, SubmitOrigin};
+pub use judge::{MatchResults, Outcome, Verdict, match_submission, match_submission_at_most, notes};
+pub use request::{PriorityBand, Problem, Request, SourceExpr};
 pub use site::{
-    CondorSettings, CondorSettingsError, Declared, Kind, Kinds, MACHINE_ATTRIBUTES, MachineType, Site,
-    SiteFile, Team,
+    CondorSettings, CondorSettingsError, DeclaredValue, MACHINE_ATTRIBUTES, MachineKind, MachineKinds,
+    MachineType, Site, SiteFile, Team,
 };
-pub use source::{Files, Matching, Place, SubmitError};
-pub use submit::{Batch, Key, Note, Proc, Submission, What, read};
+pub use source::{PathKind, SourceLocation, SubmitEnvironment, SubmitError};
+pub use submit::{Batch, EntryKind, Note, Proc, Submission, SubmitEntry, read};
--- a/crates/condor/src/macros.rs
+++ b/crates/condor/src/macros.rs
@@ -1,8 +1,8 @@
 //! Macros: what a file defines, and what values come to once they are expanded.
 
-use crate::constants::{MAX_DEFINITIONS, MAX_DEPTH, MAX_VALUE};
+use crate::constants::{MAX_DEFINITIONS, MAX_NESTING_DEPTH, MAX_VALUE_BYTES};
 use crate::printf;
-use crate::source::{Files, Line, Place, SubmitError};
+use crate::source::{Line, SourceLocation, SubmitEnvironment, SubmitError};
 use crate::template::{self, Piece, Template, is_path_function};
 use indigopath_classad::{Ad, Evaluator, Expr, Value, part};
 use rustc_hash::FxHashMap;
@@ -24,15 +24,15 @@
 
 impl Definition {
     /// Where its name stands.
-    pub fn place(&self) -> Place {
-        self.line.place(0)
+    pub fn location(&self) -> SourceLocation {
+        self.line.location(0)
     }
 
     /// Where a byte of its value stands; without macros in it, that of the expanded value.
-    pub fn place_in_value(&self, byte: usize) -> Place {
+    pub fn location_in_value(&self, byte: usize) -> SourceLocation {
         match self.template.plain() {
-            Some(_) => self.line.place(self.begins + byte),
-            None => self.line.place(self.begins),
+            Some(_) => self.line.location(self.begins + byte),
+            None => self.line.location(self.begins),
         }
     }
 
@@ -72,14 +72,14 @@
 /// Everything that a file has defined so far.
 pub struct Macros<'f> {
     table: FxHashMap<Arc<str>, Definition>,
-    files: &'f dyn Files,
+    files: &'f dyn SubmitEnvironment,
     /// Names that are not defined and were used all the same.
-    undefined: RefCell<Vec<(Arc<str>, Place)>>,
+    undefined: RefCell<Vec<(Arc<str>, SourceLocation)>>,
 }
 
 impl<'f> Macros<'f> {
     /// `now_s` in s since 1970 is the time of submission.
-    pub fn new(file: &str, now_s: i64, files: &'f dyn Files) -> Macros<'f> {
+    pub fn new(file: &str, now_s: i64, files: &'f dyn SubmitEnvironment) -> Macros<'f> {
         let mut macros = Macros {
             table: FxHashMap::default(),
             files,
@@ -124,8 +124,11 @@
         value: &str,
     ) -> Result<(), SubmitError> {
         let key: Arc<str> = Arc::from(name.to_ascii_lowercase());
-        if value.len() > MAX_VALUE {
-            return Err(line.error(begins, format!("the value is longer than {MAX_VALUE} bytes")));
+        if value.len() > MAX_VALUE_BYTES {
+            return Err(line.error(
+                begins,
+                format!("the value is longer than {MAX_VALUE_BYTES} bytes"),
+            ));
         }
         let read = |text: &str| {
             template::parse(text).map_err(|at| {
@@ -153,7 +156,7 @@
                     other => pieces.push(other.clone()),
                 }
             }
-            if pieces.len() > MAX_VALUE / 8 {
+            if pieces.len() > MAX_VALUE_BYTES / 8 {
                 return Err(line.error(begins, "the value has grown too long"));
             }
             template = Template {
@@ -186,12 +189,12 @@
             .iter()
             .filter(|(_, definition)| !definition.line.is_built_in());
         let mut all: Vec<_> = own.collect();
-        all.sort_by_cached_key(|(key, definition)| (definition.place(), (*key).clone()));
+        all.sort_by_cached_key(|(key, definition)| (definition.location(), (*key).clone()));
         all
     }
 
     /// Names that were used and stood for nothing, each once.
-    pub fn take_undefined(&self) -> Vec<(Arc<str>, Place)> {
+    pub fn take_undefined(&self) -> Vec<(Arc<str>, SourceLocation)> {
         std::mem::take(&mut *self.undefined.borrow_mut())
     }
 
@@ -202,7 +205,7 @@
 
     fn varies_within(&self, template: &Template, variables: &[Arc<str>], depth: usize) -> bool {
         // Too deep is an error once it is expanded.
-        if depth > MAX_DEPTH {
+        if depth > MAX_NESTING_DEPTH {
             return true;
         }
         template.pieces.iter().any(|piece| match piece {
@@ -264,7 +267,7 @@
         depth: usize,
         out: &mut String,
     ) -> Result<(), SubmitError> {
-        if depth > MAX_DEPTH {
+        if depth > MAX_NESTING_DEPTH {
             return Err(of.error(0, "its macros need each other, or are too deep"));
         }
         for piece in template.pieces.iter() {
@@ -300,8 +303,8 @@
                     return Err(of.error(*at, problem));
                 }
             }
-            if out.len() > MAX_VALUE {
-                return Err(of.error(0, format!("the value is longer than {MAX_VALUE} bytes")));
+            if out.len() > MAX_VALUE_BYTES {
+                return Err(of.error(0, format!("the value is longer than {MAX_VALUE_BYTES} bytes")));
             }
         }
         Ok(())
@@ -344,7 +347,7 @@
         // The number of a parallel job's node is known only where it runs.
         let mut undefined = self.undefined.borrow_mut();
         if name != "node" && undefined.iter().all(|(known, _)| **known != *name) {
-            undefined.push((Arc::from(name), of.line.place(of.begins + at)));
+            undefined.push((Arc::from(name), of.line.location(of.begins + at)));
         }
     }
 
@@ -420,7 +423,7 @@
                     None => (given, None),
                 };
                 self.files
-                    .variable(variable.trim())
+                    .env_var(variable.trim())
                     .or_else(|| default.map(str::to_owned))
                     .ok_or_else(|| "the environment has no such variable".to_owned())
             }
@@ -434,7 +437,7 @@
                 let path = self.word(given.trim(), live, depth)?;
                 let parts = &name[1..];
                 if parts.contains('f') && !path.starts_with('/') {
-                    let folder = self.files.variable("PWD").unwrap_or_default();
+                    let folder = self.files.env_var("PWD").unwrap_or_default();
                     Ok(path_parts(
                         &format!("{}/{path}", folder.trim_end_matches('/')),
                         parts,
--- a/crates/condor/src/queue.rs
+++ b/crates/condor/src/queue.rs
@@ -1,6 +1,6 @@
 //! `queue` statements: how many procs, and for which items.
 
-use crate::source::Matching;
+use crate::source::PathKind;
 use winnow::Parser;
 use winnow::ascii::{Caseless, multispace0, multispace1};
 use winnow::combinator::{alt, delimited, eof, opt, peek, preceded, separated, terminated};
@@ -26,7 +26,7 @@
     None,
     In(Slice, &'t str),
     From(Slice, &'t str),
-    Matching(Slice, Matching, &'t str),
+    Matching(Slice, PathKind, &'t str),
 }
 
 /// `[start:end:step]` of a list, as in Python.
@@ -174,22 +174,22 @@
 }
 
 fn source<'t>(word: &str, input: &mut &'t str) -> Result<Source<'t>, String> {
-    let mut what = Matching::Any;
+    let mut what = PathKind::Any;
     if word == "matching" {
-        let named: Result<Option<Matching>, Failed> = opt(preceded(
+        let named: Result<Option<PathKind>, Failed> = opt(preceded(
             multispace1,
             terminated(
                 alt((
-                    Caseless("files").value(Matching::Files),
-                    Caseless("dirs").value(Matching::Folders),
-                    Caseless("any").value(Matching::Any),
+                    Caseless("files").value(PathKind::Files),
+                    Caseless("dirs").value(PathKind::Folders),
+                    Caseless("any").value(PathKind::Any),
                 )),
                 peek(one_of([' ', '\t', '(', '['])),
             ),
         ))
         .parse_next(input);
         // Without a word, files.
-        what = named.ok().flatten().unwrap_or(Matching::Files);
+        what = named.ok().flatten().unwrap_or(PathKind::Files);
     }
     let slice = slice(input)?;
     let list: Result<&str, Failed> = preceded(multispace0, rest).parse_next(input);
--- a/crates/condor/src/queue/tests.rs
+++ b/crates/condor/src/queue/tests.rs
@@ -28,12 +28,12 @@
     let files = read(" f matching files *.dat *.txt");
     assert_eq!(
         files.source,
-        Source::Matching(Slice::default(), Matching::Files, "*.dat *.txt")
+        Source::Matching(Slice::default(), PathKind::Files, "*.dat *.txt")
     );
     let folders = read(" matching dirs d*");
     assert_eq!(
         folders.source,
-        Source::Matching(Slice::default(), Matching::Folders, "d*")
+        Source::Matching(Slice::default(), PathKind::Folders, "d*")
     );
     assert_eq!(read(" (1+1) x in a").count, Some("(1+1)"));
     for bad in [
--- a/crates/condor/src/request.rs
+++ b/crates/condor/src/request.rs
@@ -1,11 +1,11 @@
 //! What a proc asks for, in the scheduler's own terms.
 
-use crate::cluster::{Hold, Why};
+use crate::cluster::{Hold, HoldReason};
 use crate::commands::{Effect, Field};
 use crate::constants::{DEFAULT_ESTIMATE_S, DEFAULT_MEMORY_MIB, MIB_PER_GB};
 use crate::site::Site;
-use crate::source::Place;
-use crate::submit::{Key, What};
+use crate::source::SourceLocation;
+use crate::submit::{EntryKind, SubmitEntry};
 use indigopath_classad::{Ad, Evaluator, Expr, Name, Value, nearest};
 use indigopath_counted_resources::Demand;
 use std::collections::BTreeMap;
@@ -14,19 +14,19 @@
 /// Why a proc is refused, and where its file says so.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    pub place: Place,
+    pub location: SourceLocation,
     pub text: String,
 }
 
 impl std::fmt::Display for Problem {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", self.place, self.text)
+        write!(f, "{}: {}", self.location, self.text)
     }
 }
 
 /// HTCondor's numbers order a submitter's own jobs; here they become bands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Level {
+pub enum PriorityBand {
     High,
     Normal,
     Low,
@@ -34,9 +34,9 @@
 
 /// An expression of a file.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct SourceExpr {
     pub expr: Arc<Expr>,
-    pub key: Key,
+    pub entry: SubmitEntry,
 }
 
 /// A proc's request.
@@ -46,7 +46,7 @@
     pub class: String,
     /// A gang of so many tasks, if it runs in the parallel universe.
     pub gang: Option<u32>,
-    pub level: Level,
+    pub level: PriorityBand,
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -56,14 +56,14 @@
     /// What the file says of spot machines, if it says anything.
     pub spot: Option<bool>,
     pub counts: Demand,
-    pub requirements: Option<Asked>,
-    pub rank: Option<Asked>,
+    pub requirements: Option<SourceExpr>,
+    pub rank: Option<SourceExpr>,
     /// Why it is not to start yet.
     pub holds: Vec<Hold>,
 }
 
 /// A request, and what is needed only to judge it.
-pub struct Reading {
+pub struct ParsedRequest {
     pub request: Request,
     /// What the job says of itself.
     pub ad: Ad,
@@ -112,10 +112,10 @@
 
 struct Builder<'a> {
     site: &'a Site,
-    given: Vec<(Field, &'a Key, &'a str)>,
+    given: Vec<(Field, &'a SubmitEntry, &'a str)>,
     ad: Ad,
     /// Where the file gives attributes of its own.
-    keys: Vec<(Name, &'a Key)>,
+    entries: Vec<(Name, &'a SubmitEntry)>,
     evaluator: Evaluator,
     problems: Vec<Problem>,
     holds: Vec<Hold>,
@@ -126,17 +126,17 @@
 /// # Errors
 /// Everything for which it is refused.
 pub fn read<'a>(
-    given: impl Iterator<Item = (&'a Key, &'a str)>,
+    given: impl Iterator<Item = (&'a SubmitEntry, &'a str)>,
     cluster: u64,
     process: u32,
     now_s: i64,
     site: &'a Site,
-) -> Result<Reading, Vec<Problem>> {
+) -> Result<ParsedRequest, Vec<Problem>> {
     let mut builder = Builder {
         site,
         given: Vec::new(),
         ad: Ad::with_capacity(USUAL),
-        keys: Vec::new(),
+        entries: Vec::new(),
         evaluator: Evaluator::new(now_s),
         problems: Vec::new(),
         holds: Vec::new(),
@@ -144,18 +144,18 @@
     builder.put(&NAMES.cluster_id, Value::Int(cluster as i64));
     builder.put(&NAMES.proc_id, Value::Int(i64::from(process)));
     builder.put(&NAMES.q_date, Value::Int(now_s));
-    for (key, value) in given {
-        builder.take(key, value);
+    for (entry, value) in given {
+        builder.take(entry, value);
     }
     builder.finish()
 }
 
 impl<'a> Builder<'a> {
-    fn take(&mut self, key: &'a Key, value: &'a str) {
-        match key.what {
-            What::Attribute => self.attribute(key, value),
-            What::Command(command) => match command.effect {
-                Effect::Means(field) => self.given.push((field, key, value)),
+    fn take(&mut self, entry: &'a SubmitEntry, value: &'a str) {
+        match entry.kind {
+            EntryKind::Attribute => self.attribute(entry, value),
+            EntryKind::Command(command) => match command.effect {
+                Effect::Means(field) => self.given.push((field, entry, value)),
                 Effect::Carried(attribute) => {
                     if !value.is_empty() {
                         self.ad.set(attribute, Value::from(value.trim_matches('"')));
@@ -165,40 +165,40 @@
                 Effect::Refused { why, unless } => {
                     let value = value.trim().trim_matches('"');
                     if !unless.iter().any(|same| value.eq_ignore_ascii_case(same)) {
-                        self.refuse(key, 0, format!("{} is not taken: {why}", command.name));
+                        self.refuse(entry, 0, format!("{} is not taken: {why}", command.name));
                     }
                 }
             },
         }
     }
 
-    fn refuse(&mut self, key: &Key, at: usize, text: String) {
-        let place = if at == 0 {
-            key.definition.place()
+    fn refuse(&mut self, entry: &SubmitEntry, at: usize, text: String) {
+        let location = if at == 0 {
+            entry.definition.location()
         } else {
-            key.definition.place_in_value(at)
+            entry.definition.location_in_value(at)
         };
-        self.problems.push(Problem { place, text });
+        self.problems.push(Problem { location, text });
     }
 
-    fn attribute(&mut self, key: &'a Key, value: &str) {
+    fn attribute(&mut self, entry: &'a SubmitEntry, value: &str) {
         // Defined under "MY.", which is no part of the name.
-        let name = Name::new(key.definition.name.get(3..).unwrap_or_default());
+        let name = Name::new(entry.definition.name.get(3..).unwrap_or_default());
         match Expr::parse(value) {
             Ok(expr) => {
                 self.ad.insert(name.clone(), expr);
-                self.keys.push((name, key));
+                self.entries.push((name, entry));
             }
             Err(error) => {
-                let place = key.definition.place_in_value(error.at);
+                let location = entry.definition.location_in_value(error.at);
                 let text = format!("+{name} is no expression: {}", error.problem);
-                self.problems.push(Problem { place, text });
+                self.problems.push(Problem { location, text });
             }
         }
     }
 
-    fn hold(&mut self, why: Why, text: String) {
-        self.holds.push(Hold { why, text });
+    fn hold(&mut self, reason: HoldReason, text: String) {
+        self.holds.push(Hold { reason, text });
     }
 
     fn put(&mut self, name: &Name, value: Value) {
@@ -206,27 +206,27 @@
     }
 
     /// A command's value, unless it is empty.
-    fn get(&self, field: Field) -> Option<(&'a Key, &'a str)> {
+    fn get(&self, field: Field) -> Option<(&'a SubmitEntry, &'a str)> {
         // The last that was given: two commands may mean the same.
         let found = self.given.iter().rev().find(|(known, ..)| *known == field)?;
         Some((found.1, found.2.trim())).filter(|(_, value)| !value.is_empty())
     }
 
     /// The value of an expression that looks at the job alone.
-    fn evaluate(&mut self, key: &Key, text: &str) -> Option<Value> {
+    fn evaluate(&mut self, entry: &SubmitEntry, text: &str) -> Option<Value> {
         let expr = match Expr::parse(text) {
             Ok(expr) => expr,
             Err(error) => {
-                let place = key.definition.place_in_value(error.at);
-                let text = format!("{} is no expression: {}", key.definition.name, error.problem);
-                self.problems.push(Problem { place, text });
+                let location = entry.definition.location_in_value(error.at);
+                let text = format!("{} is no expression: {}", entry.definition.name, error.problem);
+                self.problems.push(Problem { location, text });
                 return None;
             }
         };
         match self.evaluator.evaluate(&expr, &self.ad, None) {
             Value::Undefined => {
                 let why = "its value depends on what the job does not say".to_owned();
-                self.refuse(key, 0, format!("{}: {why}", key.definition.name));
+                self.refuse(entry, 0, format!("{}: {why}", entry.definition.name));
                 None
             }
             Value::Error => {
@@ -235,7 +235,7 @@
                     .fault()
                     .map(ToString::to_string)
                     .unwrap_or_default();
-                self.refuse(key, 0, format!("{}: {fault}", key.definition.name));
+                self.refuse(entry, 0, format!("{}: {fault}", entry.definition.name));
                 None
             }
             value => Some(value),
@@ -243,17 +243,17 @@
     }
 
     fn number(&mut self, field: Field, default: f64, least: f64, most: f64) -> f64 {
-        let Some((key, text)) = self.get(field) else {
+        let Some((entry, text)) = self.get(field) else {
             return default;
         };
-        match self.evaluate(key, text).map(|value| value.as_number()) {
+        match self.evaluate(entry, text).map(|value| value.as_number()) {
             None => default,
             Some(Some(number)) if (least..=most).contains(&number) => number,
             Some(_) => {
                 self.refuse(
-                    key,
+                    entry,
                     0,
-                    format!("{} = {text} is no number that it can be", key.definition.name),
+                    format!("{} = {text} is no number that it can be", entry.definition.name),
                 );
                 default
             }
@@ -261,11 +261,11 @@
     }
 
     /// A number of an attribute of the job's own.
-    fn own(&mut self, name: &str) -> Option<(&'a Key, Value)> {
-        let named = |(known, _): &&(Name, &'a Key)| known.text().eq_ignore_ascii_case(name);
-        let key = self.keys.iter().rev().find(named)?.1;
+    fn own(&mut self, name: &str) -> Option<(&'a SubmitEntry, Value)> {
+        let named = |(known, _): &&(Name, &'a SubmitEntry)| known.text().eq_ignore_ascii_case(name);
+        let entry = self.entries.iter().rev().find(named)?.1;
         let expr = self.ad.get(name)?.clone();
-        Some((key, self.evaluator.evaluate(&expr, &self.ad, None)))
+        Some((entry, self.evaluator.evaluate(&expr, &self.ad, None)))
     }
 
     fn own_number(&mut self, name: &str, default: f64, most: f64) -> f64 {
@@ -278,8 +278,8 @@
             {
                 value.as_number().unwrap_or(default)
             }
-            Some((key, value)) => {
-                self.refuse(key, 0, format!("+{name} = {value} is no number that it can be"));
+            Some((entry, value)) => {
+                self.refuse(entry, 0, format!("+{name} = {value} is no number that it can be"));
                 default
             }
         }
@@ -288,27 +288,27 @@
     fn own_text(&mut self, name: &str) -> Option<String> {
         match self.own(name)? {
             (_, Value::Str(text)) if !text.is_empty() => Some(text.to_string()),
-            (key, value) => {
-                self.refuse(key, 0, format!("+{name} = {value} is no text"));
+            (entry, value) => {
+                self.refuse(entry, 0, format!("+{name} = {value} is no text"));
                 None
             }
         }
     }
 
     fn memory_mib(&mut self) -> f64 {
-        let Some((key, text)) = self.get(Field::Memory) else {
+        let Some((entry, text)) = self.get(Field::Memory) else {
             return DEFAULT_MEMORY_MIB;
         };
         if let Some(mib) = in_mib(text) {
             return mib;
         }
         // In MiB, as an expression.
-        match self.evaluate(key, text).map(|value| value.as_number()) {
+        match self.evaluate(entry, text).map(|value| value.as_number()) {
             None => DEFAULT_MEMORY_MIB,
             Some(Some(mib)) if mib.is_finite() && mib >= 0.0 => mib,
             Some(_) => {
                 self.refuse(
-                    key,
+                    entry,
                     0,
                     format!("request_memory = {text} is no amount: one is 4096, 4 GB or 512 MB"),
                 );
@@ -323,7 +323,7 @@
                 return team.clone();
             }
             let text = "accounting_group is not given, and the operators name no default team";
-            self.hold(Why::Team, text.to_owned());
+            self.hold(HoldReason::Team, text.to_owned());
             return String::new();
         };
         let text = text.trim_matches('"');
@@ -341,14 +341,14 @@
                 if !near.is_empty() {
                     why = format!("{why}; the nearest are {}", near.join(", "));
                 }
-                self.hold(Why::Team, why);
+                self.hold(HoldReason::Team, why);
                 first.to_owned()
             }
         }
     }
 
     fn universe(&mut self) -> Option<&'static str> {
-        let Some((key, text)) = self.get(Field::Universe) else {
+        let Some((entry, text)) = self.get(Field::Universe) else {
             return Some("vanilla");
         };
         let known = UNIVERSES
@@ -363,7 +363,7 @@
                 let text = format!(
                     "universe = {text} is not taken: jobs run in the vanilla, docker, container or parallel universe"
                 );
-                self.refuse(key, 0, text);
+                self.refuse(entry, 0, text);
                 None
             }
         }
@@ -378,8 +378,8 @@
             "container" => given.is_none().then_some("container_image"),
             _ => None,
         };
-        if let (Some(command), Some((key, _))) = (asked_for, self.get(Field::Universe)) {
-            self.refuse(key, 0, format!("the {universe} universe needs {command}"));
+        if let (Some(command), Some((entry, _))) = (asked_for, self.get(Field::Universe)) {
+            self.refuse(entry, 0, format!("the {universe} universe needs {command}"));
         }
         let size = self.own_number("ImageGb", self.site.settings.default_image_gb, 1e6);
         let image = match given {
@@ -408,13 +408,13 @@
 
     /// There is no command to point at: the file's first will do.
     fn without_image(&mut self) {
-        let first = self.given.first().map(|(_, key, _)| *key);
-        let first = first.or_else(|| self.keys.first().map(|(_, key)| *key));
+        let first = self.given.first().map(|(_, entry, _)| *entry);
+        let first = first.or_else(|| self.entries.first().map(|(_, entry)| *entry));
         let text = "container_image is not given, and the operators name no default image".to_owned();
         match first {
-            Some(key) => self.refuse(key, 0, text),
+            Some(entry) => self.refuse(entry, 0, text),
             None => self.problems.push(Problem {
-                place: Place {
+                location: SourceLocation {
                     file: Arc::from("submit file"),
                     line: 1,
                     column: 1,
@@ -425,24 +425,24 @@
     }
 
     fn counts(&mut self) -> Demand {
-        let Some((key, text)) = self.get(Field::Counts) else {
+        let Some((entry, text)) = self.get(Field::Counts) else {
             return Demand::default();
         };
         let mut asked: BTreeMap<String, u64> = BTreeMap::new();
-        for entry in text
+        for limit in text
             .trim_matches('"')
             .split([',', ' ', '\t'])
-            .filter(|entry| !entry.is_empty())
+            .filter(|limit| !limit.is_empty())
         {
-            let (name, units) = match entry.split_once(':') {
+            let (name, units) = match limit.split_once(':') {
                 Some((name, units)) => (name.trim(), units.trim().parse::<u64>().ok()),
-                None => (entry, Some(1)),
+                None => (limit, Some(1)),
             };
             let Some(units) = units else {
                 self.refuse(
-                    key,
+                    entry,
                     0,
-                    format!("concurrency_limits: {entry} names no whole number of units"),
+                    format!("concurrency_limits: {limit} names no whole number of units"),
                 );
                 continue;
             };
@@ -459,30 +459,30 @@
                     if !near.is_empty() {
                         text = format!("{text}; the nearest are {}", near.join(", "));
                     }
-                    self.refuse(key, 0, text);
+                    self.refuse(entry, 0, text);
                 }
             }
         }
         Demand::new(&asked).unwrap_or_else(|error| {
-            self.refuse(key, 0, format!("concurrency_limits: {error}"));
+            self.refuse(entry, 0, format!("concurrency_limits: {error}"));
             Demand::default()
         })
     }
 
-    fn level(&mut self) -> Level {
+    fn level(&mut self) -> PriorityBand {
         let number = self.number(Field::Priority, 0.0, -1e9, 1e9);
         self.put(&NAMES.job_prio, Value::number(number));
-        let nice = self.get(Field::Nice).is_some_and(|(key, text)| {
-            self.evaluate(key, text)
+        let nice = self.get(Field::Nice).is_some_and(|(entry, text)| {
+            self.evaluate(entry, text)
                 .and_then(|value| value.truth())
                 .unwrap_or(false)
         });
         if nice || number < 0.0 {
-            Level::Low
+            PriorityBand::Low
         } else if number > 0.0 {
-            Level::High
+            PriorityBand::High
         } else {
-            Level::Normal
+            PriorityBand::Normal
         }
     }
 
@@ -490,40 +490,40 @@
         let given = self.get(Field::MachineCount);
         let number = self.number(Field::MachineCount, 1.0, 1.0, MAX_GANG);
         if number.fract() != 0.0
-            && let Some((key, text)) = given
+            && let Some((entry, text)) = given
         {
-            self.refuse(key, 0, format!("machine_count = {text} is no whole number"));
+            self.refuse(entry, 0, format!("machine_count = {text} is no whole number"));
         }
         if universe == "parallel" {
             self.ad.set("MinHosts", Value::Int(number as i64));
             self.ad.set("MaxHosts", Value::Int(number as i64));
             return Some(number as u32);
         }
-        if let Some((key, _)) = given.filter(|_| number > 1.0) {
+        if let Some((entry, _)) = given.filter(|_| number > 1.0) {
             let text =
                 "machine_count asks for tasks that run together, which is the parallel universe".to_owned();
-            self.refuse(key, 0, text);
+            self.refuse(entry, 0, text);
         }
         None
     }
 
-    fn expression(&mut self, field: Field) -> Option<Asked> {
-        let (key, text) = self.get(field)?;
+    fn expression(&mut self, field: Field) -> Option<SourceExpr> {
+        let (entry, text) = self.get(field)?;
         match Expr::parse(text) {
-            Ok(expr) => Some(Asked {
+            Ok(expr) => Some(SourceExpr {
                 expr: Arc::new(expr),
-                key: key.clone(),
+                entry: entry.clone(),
             }),
             Err(error) => {
-                let place = key.definition.place_in_value(error.at);
-                let text = format!("{} is no expression: {}", key.definition.name, error.problem);
-                self.problems.push(Problem { place, text });
+                let location = entry.definition.location_in_value(error.at);
+                let text = format!("{} is no expression: {}", entry.definition.name, error.problem);
+                self.problems.push(Problem { location, text });
                 None
             }
         }
     }
 
-    fn finish(mut self) -> Result<Reading, Vec<Problem>> {
+    fn finish(mut self) -> Result<ParsedRequest, Vec<Problem>> {
         self.put(&NAMES.job_universe, Value::Int(5));
         let universe = self.universe().unwrap_or("vanilla");
         let level = self.level();
@@ -543,8 +543,12 @@
         let spot = match self.own("AllowSpot") {
             None => None,
             Some((_, value)) if value.truth().is_some() => value.truth(),
-            Some((key, value)) => {
-                self.refuse(key, 0, format!("+AllowSpot = {value} is neither true nor false"));
+            Some((entry, value)) => {
+                self.refuse(
+                    entry,
+                    0,
+                    format!("+AllowSpot = {value} is neither true nor false"),
+                );
                 None
             }
         };
@@ -553,19 +557,19 @@
             .own_text("JobClass")
             .or(default_class)
             .unwrap_or_else(|| "condor".to_owned());
-        if let Some((key, text)) = self.get(Field::Hold)
-            && let Some(value) = self.evaluate(key, text)
+        if let Some((entry, text)) = self.get(Field::Hold)
+            && let Some(value) = self.evaluate(entry, text)
         {
             match value.truth() {
-                Some(true) => self.hold(Why::User, "hold = true in the submit file".to_owned()),
+                Some(true) => self.hold(HoldReason::User, "hold = true in the submit file".to_owned()),
                 Some(false) => (),
-                None => self.refuse(key, 0, format!("hold = {text} is neither true nor false")),
+                None => self.refuse(entry, 0, format!("hold = {text} is neither true nor false")),
             }
         }
         let requirements = self.expression(Field::Requirements);
         let rank = self.expression(Field::Rank);
         if !self.problems.is_empty() {
-            self.problems.sort_by(|a, b| a.place.cmp(&b.place));
+            self.problems.sort_by(|a, b| a.location.cmp(&b.location));
             return Err(self.problems);
         }
         let request = Request {
@@ -585,7 +589,7 @@
             rank,
             holds: self.holds,
         };
-        Ok(Reading { request, ad: self.ad })
+        Ok(ParsedRequest { request, ad: self.ad })
     }
 }
 
--- a/crates/condor/src/site.rs
+++ b/crates/condor/src/site.rs
@@ -1,7 +1,7 @@
 //! What submit files are held against: kinds of machines with their ads, teams, and what
 //! operators set.
 
-use crate::constants::{MAX_DECLARED, MIB_PER_GB};
+use crate::constants::{MAX_DECLARED_ATTRIBUTES, MIB_PER_GB};
 use fixedbitset::FixedBitSet;
 use indigopath_classad::{Ad, Name, Value};
 use indigopath_counted_resources::Definitions;
@@ -23,28 +23,28 @@
     pub default_image_gb: f64,
     /// What machine types have beyond what the cloud says, by type.
     #[serde(rename = "machine")]
-    pub machines: BTreeMap<String, BTreeMap<String, Declared>>,
+    pub machines: BTreeMap<String, BTreeMap<String, DeclaredValue>>,
 }
 
 /// A declared attribute's value.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(untagged)]
-pub enum Declared {
+pub enum DeclaredValue {
     Bool(bool),
     Int(i64),
     Real(f64),
     Str(String),
-    List(Vec<Declared>),
+    List(Vec<DeclaredValue>),
 }
 
-impl Declared {
+impl DeclaredValue {
     fn value(&self) -> Value {
         match self {
-            Declared::Bool(value) => Value::Bool(*value),
-            Declared::Int(value) => Value::Int(*value),
-            Declared::Real(value) => Value::Real(*value),
-            Declared::Str(text) => Value::from(text.as_str()),
-            Declared::List(entries) => Value::List(entries.iter().map(Declared::value).collect()),
+            DeclaredValue::Bool(value) => Value::Bool(*value),
+            DeclaredValue::Int(value) => Value::Int(*value),
+            DeclaredValue::Real(value) => Value::Real(*value),
+            DeclaredValue::Str(text) => Value::from(text.as_str()),
+            DeclaredValue::List(entries) => Value::List(entries.iter().map(DeclaredValue::value).collect()),
         }
     }
 }
@@ -91,7 +91,7 @@
             return bad("default_image_gb".to_owned(), "must be a size in GB");
         }
         for (machine, declared) in &self.machines {
-            if declared.len() > MAX_DECLARED {
+            if declared.len() > MAX_DECLARED_ATTRIBUTES {
                 return bad(format!("machine.{machine}"), "declares too much");
             }
             let mut seen = BTreeSet::new();
@@ -142,7 +142,7 @@
 
 /// What can be rented: a type in a zone, spot or not.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kind {
+pub struct MachineKind {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -151,10 +151,10 @@
     pub memory_gb: f64,
     pub ad: Ad,
     /// Number of its type, and of its zone.
-    pub(crate) place: (usize, usize),
+    pub(crate) type_and_zone: (usize, usize),
 }
 
-impl std::fmt::Display for Kind {
+impl std::fmt::Display for MachineKind {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let spot = if self.spot { "spot" } else { "ordinary" };
         write!(f, "{} {} {spot}", self.machine_type, self.zone)
@@ -163,16 +163,16 @@
 
 /// All kinds, in the order of their names.
 #[derive(Debug, Clone, Default)]
-pub struct Kinds {
-    all: Vec<Kind>,
+pub struct MachineKinds {
+    all: Vec<MachineKind>,
     types: usize,
     zones: usize,
     attributes: BTreeSet<Name>,
 }
 
-impl Kinds {
+impl MachineKinds {
     /// Of these types, in those of their zones where the site may rent.
-    pub fn new(types: &[MachineType], zones: &[String], settings: &CondorSettings) -> Kinds {
+    pub fn new(types: &[MachineType], zones: &[String], settings: &CondorSettings) -> MachineKinds {
         let mut all = Vec::new();
         let mut attributes = BTreeSet::new();
         for (number, machine_type) in types.iter().enumerate() {
@@ -183,7 +183,7 @@
                 for spot in [false, true] {
                     let ad = ad_of(machine_type, zone, spot, settings);
                     attributes.extend(ad.names().cloned());
-                    all.push(Kind {
+                    all.push(MachineKind {
                         machine_type: machine_type.name.clone(),
                         zone: zone.clone(),
                         spot,
@@ -191,13 +191,13 @@
                         gpus: machine_type.gpus,
                         memory_gb: machine_type.memory_gb,
                         ad,
-                        place: (number, zone_number),
+                        type_and_zone: (number, zone_number),
                     });
                 }
             }
         }
         all.sort_by_cached_key(ToString::to_string);
-        Kinds {
+        MachineKinds {
             all,
             types: types.len(),
             zones: zones.len(),
@@ -205,7 +205,7 @@
         }
     }
 
-    pub fn all(&self) -> &[Kind] {
+    pub fn all(&self) -> &[MachineKind] {
         &self.all
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// The kinds of a set.
-    pub fn of<'k>(&'k self, set: &'k FixedBitSet) -> impl Iterator<Item = &'k Kind> {
+    pub fn of<'k>(&'k self, set: &'k FixedBitSet) -> impl Iterator<Item = &'k MachineKind> {
         set.ones().filter_map(|at| self.all.get(at))
     }
 
@@ -225,9 +225,9 @@
     }
 
     /// Number of a kind among those that differ in what an expression looks at.
-    pub(crate) fn class(&self, kind: &Kind, zone: bool, spot: bool) -> usize {
-        let zone_number = if zone { kind.place.1 } else { 0 };
-        (kind.place.0 * self.zones + zone_number) * 2 + usize::from(spot && kind.spot)
+    pub(crate) fn class(&self, kind: &MachineKind, zone: bool, spot: bool) -> usize {
+        let zone_number = if zone { kind.type_and_zone.1 } else { 0 };
+        (kind.type_and_zone.0 * self.zones + zone_number) * 2 + usize::from(spot && kind.spot)
     }
 
     pub(crate) fn classes(&self) -> usize {
@@ -270,7 +270,7 @@
 impl From<SiteFile> for Site {
     fn from(file: SiteFile) -> Site {
         Site {
-            kinds: Kinds::new(&file.types, &file.zones, &file.condor),
+            kinds: MachineKinds::new(&file.types, &file.zones, &file.condor),
             teams: file.teams,
             counts: file.counts,
             settings: file.condor,
@@ -281,7 +281,7 @@
 /// Everything that a file is held against.
 #[derive(Debug, Clone, Default)]
 pub struct Site {
-    pub kinds: Kinds,
+    pub kinds: MachineKinds,
     pub teams: Vec<Team>,
     pub counts: Definitions,
     pub settings: CondorSettings,
--- a/crates/condor/src/source.rs
+++ b/crates/condor/src/source.rs
@@ -7,13 +7,13 @@
 
 /// Where something stands, counted from 1.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct SourceLocation {
     pub file: Arc<str>,
     pub line: u32,
     pub column: u32,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SourceLocation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -21,34 +21,34 @@
 
 /// A text that cannot be read as submit language.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{place}: {problem}")]
+#[error("{location}: {problem}")]
 pub struct SubmitError {
-    pub place: Place,
+    pub location: SourceLocation,
     pub problem: String,
 }
 
 /// What a submit file may ask of the place from which it is submitted.
-pub trait Files {
+pub trait SubmitEnvironment {
     /// The text of a file.
     ///
     /// # Errors
     /// Why it cannot be had.
-    fn read(&self, path: &str) -> Result<String, String>;
+    fn read_file(&self, path: &str) -> Result<String, String>;
 
     /// Paths that match a pattern, in their order.
     ///
     /// # Errors
     /// The pattern is none, or a folder cannot be read.
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String>;
+    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String>;
 
     /// A variable of the submitter's environment.
-    fn variable(&self, name: &str) -> Option<String>;
+    fn env_var(&self, name: &str) -> Option<String>;
 }
 
 /// What `queue … matching` looks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Matching {
+pub enum PathKind {
     Files,
     Folders,
     Any,
@@ -77,7 +77,7 @@
     }
 
     /// Where a byte of the text stood.
-    pub fn place(&self, byte: usize) -> Place {
+    pub fn location(&self, byte: usize) -> SourceLocation {
         let (from, line, column) = self
             .parts
             .iter()
@@ -90,7 +90,7 @@
             end -= 1;
         }
         let letters = self.text.get(from..end).map_or(0, |text| text.chars().count());
-        Place {
+        SourceLocation {
             file: self.file.clone(),
             line,
             column: column + letters as u32,
@@ -99,7 +99,7 @@
 
     pub fn error(&self, byte: usize, problem: impl Into<String>) -> SubmitError {
         SubmitError {
-            place: self.place(byte),
+            location: self.location(byte),
             problem: problem.into(),
         }
     }
--- a/crates/condor/src/source/tests.rs
+++ b/crates/condor/src/source/tests.rs
@@ -6,8 +6,8 @@
     let lines: Vec<Line> = Lines::new(text, Arc::from("f")).collect();
     let texts: Vec<&str> = lines.iter().map(|line| line.text.as_str()).collect();
     assert_eq!(texts, ["a = 1", "b = 2 && é == 3", "# c \\", "d"]);
-    assert_eq!(lines[1].place(0).to_string(), "f:2:3");
-    assert_eq!(lines[1].place(10).to_string(), "f:4:5");
-    assert_eq!(lines[1].place(12).to_string(), "f:4:7");
-    assert_eq!(lines[3].place(99).to_string(), "f:7:2");
+    assert_eq!(lines[1].location(0).to_string(), "f:2:3");
+    assert_eq!(lines[1].location(10).to_string(), "f:4:5");
+    assert_eq!(lines[1].location(12).to_string(), "f:4:7");
+    assert_eq!(lines[3].location(99).to_string(), "f:7:2");
 }
--- a/crates/condor/src/submit.rs
+++ b/crates/condor/src/submit.rs
@@ -2,10 +2,12 @@
 //! above a `queue` statement holds for it.
 
 use crate::commands::{self, Command};
-use crate::constants::{MAX_BYTES, MAX_DEPTH, MAX_EXPANDED, MAX_PROCS, MAX_VARIABLES};
+use crate::constants::{
+    MAX_EXPANDED_BYTES, MAX_FILE_BYTES, MAX_FILE_PROCS, MAX_NESTING_DEPTH, MAX_QUEUE_VARIABLES,
+};
 use crate::macros::{Definition, Live, Macros, evaluated};
 use crate::queue::{self, Source};
-use crate::source::{Files, Line, Lines, Place, SubmitError};
+use crate::source::{Line, Lines, SourceLocation, SubmitEnvironment, SubmitError};
 use indigopath_classad::{nearest, versions};
 use std::sync::Arc;
 
@@ -15,7 +17,7 @@
 /// Something that the submitter should know, and that stops nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
-    pub place: Place,
+    pub location: SourceLocation,
     pub text: String,
 }
 
@@ -36,21 +38,21 @@
 #[derive(Debug)]
 pub struct Batch {
     /// Commands and attributes that all its procs share.
-    pub fixed: Vec<(Key, Arc<str>)>,
+    pub fixed: Vec<(SubmitEntry, Arc<str>)>,
     /// Those that differ from proc to proc.
-    pub varying: Vec<Key>,
+    pub varying: Vec<SubmitEntry>,
     pub procs: Vec<Proc>,
 }
 
 /// A command or an attribute of the job, and where it was given.
 #[derive(Debug, Clone)]
-pub struct Key {
-    pub what: What,
+pub struct SubmitEntry {
+    pub kind: EntryKind,
     pub definition: Definition,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum What {
+pub enum EntryKind {
     Command(&'static Command),
     /// `+Name` or `MY.Name`.
     Attribute,
@@ -68,8 +70,8 @@
 
 impl Batch {
     /// Everything that a proc has, with its value.
-    pub fn given<'b>(&'b self, proc: &'b Proc) -> impl Iterator<Item = (&'b Key, &'b str)> {
-        let fixed = self.fixed.iter().map(|(key, value)| (key, &**value));
+    pub fn given<'b>(&'b self, proc: &'b Proc) -> impl Iterator<Item = (&'b SubmitEntry, &'b str)> {
+        let fixed = self.fixed.iter().map(|(entry, value)| (entry, &**value));
         fixed.chain(self.varying.iter().zip(proc.values.iter().map(|value| &**value)))
     }
 }
@@ -83,7 +85,7 @@
     file: &str,
     cluster: u64,
     now_s: i64,
-    files: &dyn Files,
+    files: &dyn SubmitEnvironment,
 ) -> Result<Submission, SubmitError> {
     let mut reader = Reader {
         macros: Macros::new(file, now_s, files),
@@ -96,13 +98,13 @@
     let file: Arc<str> = Arc::from(file);
     reader.file(text, file.clone(), 0)?;
     if reader.submission.batches.is_empty() {
-        let place = Place {
+        let location = SourceLocation {
             file,
             line: text.lines().count().max(1) as u32,
             column: 1,
         };
         return Err(SubmitError {
-            place,
+            location,
             problem: "there is no queue statement".to_owned(),
         });
     }
@@ -112,7 +114,7 @@
 
 struct Reader<'f> {
     macros: Macros<'f>,
-    files: &'f dyn Files,
+    files: &'f dyn SubmitEnvironment,
     cluster: u64,
     submission: Submission,
     bytes: usize,
@@ -158,10 +160,10 @@
         self.bytes += text.len();
         while let Some(line) = lines.next() {
             let line = Arc::new(line);
-            if self.bytes > MAX_BYTES {
+            if self.bytes > MAX_FILE_BYTES {
                 return Err(line.error(
                     0,
-                    format!("the file and what it includes are longer than {MAX_BYTES} bytes"),
+                    format!("the file and what it includes are longer than {MAX_FILE_BYTES} bytes"),
                 ));
             }
             if line.text.is_empty() || line.text.starts_with('#') {
@@ -186,8 +188,8 @@
         };
         match word.as_str() {
             "if" => {
-                if branches.len() >= MAX_DEPTH {
-                    return Err(line.error(0, format!("more than {MAX_DEPTH} ifs are open")));
+                if branches.len() >= MAX_NESTING_DEPTH {
+                    return Err(line.error(0, format!("more than {MAX_NESTING_DEPTH} ifs are open")));
                 }
                 let outer = branches.last().is_none_or(|branch| branch.active);
                 let active = outer && self.condition(line, end)?;
@@ -292,7 +294,7 @@
                     return Err(line.error(0, format!("the file says: {}", rest[1..].trim())));
                 }
                 "warning" if active && rest.starts_with(':') => {
-                    self.note(line.place(0), rest[1..].trim().to_owned());
+                    self.note(line.location(0), rest[1..].trim().to_owned());
                     return Ok(());
                 }
                 "include" | "use" | "error" | "warning" if !active => return Ok(()),
@@ -373,10 +375,13 @@
         if !how.is_empty() && how != "ifexist" {
             return Err(line.error(0, format!("\"include {how}\" means nothing")));
         }
-        if depth >= MAX_DEPTH {
-            return Err(line.error(0, format!("files include each other more than {MAX_DEPTH} deep")));
+        if depth >= MAX_NESTING_DEPTH {
+            return Err(line.error(
+                0,
+                format!("files include each other more than {MAX_NESTING_DEPTH} deep"),
+            ));
         }
-        match self.files.read(&path) {
+        match self.files.read_file(&path) {
             Ok(text) => self.file(&text, Arc::from(path.as_str()), depth + 1),
             Err(_) if how == "ifexist" => Ok(()),
             Err(problem) => Err(line.error(begins, format!("{path}: {problem}"))),
@@ -451,8 +456,8 @@
                 }
             },
         };
-        if parsed.variables.len() > MAX_VARIABLES {
-            return Err(line.error(begins, format!("more than {MAX_VARIABLES} variables")));
+        if parsed.variables.len() > MAX_QUEUE_VARIABLES {
+            return Err(line.error(begins, format!("more than {MAX_QUEUE_VARIABLES} variables")));
         }
         let items = self.items(line, begins, &parsed.source, inline)?;
         let variables: Vec<Arc<str>> = parsed
@@ -504,10 +509,10 @@
                         let path = list.trim_matches('"');
                         let text = self
                             .files
-                            .read(path)
+                            .read_file(path)
                             .map_err(|problem| fail(format!("{path}: {problem}")))?;
-                        if text.len() > MAX_BYTES {
-                            return Err(fail(format!("{path} is longer than {MAX_BYTES} bytes")));
+                        if text.len() > MAX_FILE_BYTES {
+                            return Err(fail(format!("{path} is longer than {MAX_FILE_BYTES} bytes")));
                         }
                         let lines = text.lines().map(str::trim);
                         lines
@@ -527,7 +532,7 @@
                 for pattern in text.split([',', ' ', '\t']).filter(|pattern| !pattern.is_empty()) {
                     let paths = self
                         .files
-                        .matching(pattern, *what)
+                        .matching_paths(pattern, *what)
                         .map_err(|problem| fail(format!("{pattern}: {problem}")))?;
                     found.extend(paths);
                 }
@@ -549,12 +554,12 @@
     ) -> Result<(), SubmitError> {
         let rows = items.as_ref().map_or(1, Vec::len);
         let first = self.submission.procs();
-        if rows.saturating_mul(count).saturating_add(first) > MAX_PROCS {
-            return Err(line.error(0, format!("the file has more than {MAX_PROCS} procs")));
+        if rows.saturating_mul(count).saturating_add(first) > MAX_FILE_PROCS {
+            return Err(line.error(0, format!("the file has more than {MAX_FILE_PROCS} procs")));
         }
         if rows == 0 {
             self.note(
-                line.place(0),
+                line.location(0),
                 "this queue statement has no items: it adds no procs".to_owned(),
             );
         }
@@ -564,20 +569,20 @@
             procs: Vec::with_capacity(rows * count),
         };
         for (key, definition) in self.macros.iter() {
-            let what = match commands::find(key) {
-                Some(command) => What::Command(command),
-                None if key.starts_with("my.") => What::Attribute,
+            let kind = match commands::find(key) {
+                Some(command) => EntryKind::Command(command),
+                None if key.starts_with("my.") => EntryKind::Attribute,
                 None => continue,
             };
-            let key = Key {
-                what,
+            let entry = SubmitEntry {
+                kind,
                 definition: definition.clone(),
             };
             if self.macros.varies(&definition.template, variables) {
-                batch.varying.push(key);
+                batch.varying.push(entry);
             } else {
                 let value = self.macros.value(definition, None)?;
-                batch.fixed.push((key, Arc::from(value)));
+                batch.fixed.push((entry, Arc::from(value)));
             }
         }
         let none = [String::new()];
@@ -594,15 +599,15 @@
                     items: &values,
                 };
                 let mut own: Vec<Box<str>> = Vec::with_capacity(batch.varying.len());
-                for key in &batch.varying {
-                    let value = self.macros.value(&key.definition, Some(&live))?;
+                for entry in &batch.varying {
+                    let value = self.macros.value(&entry.definition, Some(&live))?;
                     self.expanded += value.len();
                     own.push(Box::from(value));
                 }
-                if self.expanded > MAX_EXPANDED {
+                if self.expanded > MAX_EXPANDED_BYTES {
                     return Err(line.error(
                         0,
-                        format!("its procs' values take more than {MAX_EXPANDED} bytes"),
+                        format!("its procs' values take more than {MAX_EXPANDED_BYTES} bytes"),
                     ));
                 }
                 batch.procs.push(Proc {
@@ -617,8 +622,8 @@
         Ok(())
     }
 
-    fn note(&mut self, place: Place, text: String) {
-        self.submission.notes.push(Note { place, text });
+    fn note(&mut self, location: SourceLocation, text: String) {
+        self.submission.notes.push(Note { location, text });
     }
 
     /// A name that is no command and that nothing refers to is a slip more often than not.
@@ -631,14 +636,17 @@
                 if !near.is_empty() {
                     text = format!("{text}; the nearest commands are {}", near.join(", "));
                 }
-                notes.push((definition.place(), text));
+                notes.push((definition.location(), text));
             }
         }
-        for (name, place) in self.macros.take_undefined() {
-            notes.push((place, format!("$({name}) is not defined: it stands for nothing")));
+        for (name, location) in self.macros.take_undefined() {
+            notes.push((
+                location,
+                format!("$({name}) is not defined: it stands for nothing"),
+            ));
         }
-        for (place, text) in notes {
-            self.note(place, text);
+        for (location, text) in notes {
+            self.note(location, text);
         }
     }
 }
--- a/crates/condor/src/template.rs
+++ b/crates/condor/src/template.rs
@@ -1,6 +1,6 @@
 //! Values with macros in them: `$(name:default)`, `$INT(name)` and their kin.
 
-use crate::constants::MAX_DEPTH;
+use crate::constants::MAX_NESTING_DEPTH;
 use std::sync::Arc;
 use winnow::Parser;
 use winnow::combinator::{alt, opt};
@@ -73,7 +73,7 @@
     depth: usize,
     unfinished: &mut Option<usize>,
 ) -> Result<Template, Failed> {
-    if depth > MAX_DEPTH {
+    if depth > MAX_NESTING_DEPTH {
         unfinished.get_or_insert(input.current_token_start());
         return Err(ErrMode::Cut(ContextError::new()));
     }
--- a/crates/condor/tests/any_text.rs
+++ b/crates/condor/tests/any_text.rs
@@ -1,22 +1,25 @@
 //! Whatever text there is: no panic, no run without end, no more than the bounds allow.
 
-use indigopath_condor::constants::MAX_PROCS;
-use indigopath_condor::{CondorSettings, Files, Kinds, MachineType, Matching, Site, judge, notes, read};
+use indigopath_condor::constants::MAX_FILE_PROCS;
+use indigopath_condor::{
+    CondorSettings, MachineKinds, MachineType, PathKind, Site, SubmitEnvironment, match_submission, notes,
+    read,
+};
 use proptest::prelude::*;
 
 /// Every file holds the same, which may be itself.
 struct Same(String);
 
-impl Files for Same {
-    fn read(&self, _: &str) -> Result<String, String> {
+impl SubmitEnvironment for Same {
+    fn read_file(&self, _: &str) -> Result<String, String> {
         Ok(self.0.clone())
     }
 
-    fn matching(&self, pattern: &str, _: Matching) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, pattern: &str, _: PathKind) -> Result<Vec<String>, String> {
         Ok(vec![pattern.to_owned(); 3])
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         (name.len() < 4).then(|| "2".to_owned())
     }
 }
@@ -37,7 +40,7 @@
         ..CondorSettings::default()
     };
     Site {
-        kinds: Kinds::new(&[machine_type], &["a".to_owned()], &settings),
+        kinds: MachineKinds::new(&[machine_type], &["a".to_owned()], &settings),
         settings,
         ..Site::default()
     }
@@ -122,10 +125,10 @@
     fn no_file_panics_or_runs_away(lines in prop::collection::vec(line(), 0..14), other in line()) {
         let text = lines.join("\n");
         if let Ok(submission) = read(&text, "any.sub", 1, 0, &Same(other)) {
-            prop_assert!(submission.procs() <= MAX_PROCS);
+            prop_assert!(submission.procs() <= MAX_FILE_PROCS);
             let _ = notes(&submission);
-            let judged = judge(&submission, 1, 0, &site());
-            prop_assert_eq!(judged.of.len(), submission.procs());
+            let judged = match_submission(&submission, 1, 0, &site());
+            prop_assert_eq!(judged.outcome_of_proc.len(), submission.procs());
             // Every verdict but a match has its reason, and only what may run has kinds.
             for outcome in &judged.outcomes {
                 let matches = outcome.verdict == indigopath_condor::Verdict::Match;
@@ -153,7 +156,7 @@
     let mut text = format!("requirements = {}\n", terms.join(" && "));
     text.push_str("queue 20000\n");
     let submission = read(&text, "any.sub", 1, 0, &Same(String::new())).unwrap();
-    let judged = judge(&submission, 1, 0, &site());
+    let judged = match_submission(&submission, 1, 0, &site());
     let last = judged.outcomes.last().unwrap();
     assert_eq!(last.verdict, indigopath_condor::Verdict::Refused);
     assert!(
--- a/crates/condor/tests/corpus.rs
+++ b/crates/condor/tests/corpus.rs
@@ -10,7 +10,9 @@
 //!
 //! A file that expects several lines of a proc expects all of them.
 
-use indigopath_condor::{Files, Judged, Matching, Site, SiteFile, Submission, SubmitError, Verdict};
+use indigopath_condor::{
+    MatchResults, PathKind, Site, SiteFile, Submission, SubmitEnvironment, SubmitError, Verdict,
+};
 use libtest_mimic::{Arguments, Failed, Trial};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -31,12 +33,12 @@
 /// The files beside the corpus.
 struct Corpus;
 
-impl Files for Corpus {
-    fn read(&self, path: &str) -> Result<String, String> {
+impl SubmitEnvironment for Corpus {
+    fn read_file(&self, path: &str) -> Result<String, String> {
         std::fs::read_to_string(folder().join(path)).map_err(|error| error.to_string())
     }
 
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
         let (inside, name) = pattern.rsplit_once('/').unwrap_or(("", pattern));
         let (before, after) = name.split_once('*').ok_or("no pattern")?;
         let mut found = Vec::new();
@@ -44,9 +46,9 @@
             let entry = entry.map_err(|error| error.to_string())?;
             let name = entry.file_name().to_string_lossy().into_owned();
             let wanted = match what {
-                Matching::Files => entry.path().is_file(),
-                Matching::Folders => entry.path().is_dir(),
-                Matching::Any => true,
+                PathKind::Files => entry.path().is_file(),
+                PathKind::Folders => entry.path().is_dir(),
+                PathKind::Any => true,
             };
             if wanted && name.starts_with(before) && name.ends_with(after) {
                 found.push(format!("{inside}/{name}"));
@@ -56,7 +58,7 @@
         Ok(found)
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         (name == "SCAN_GPUS").then(|| "2".to_owned())
     }
 }
@@ -95,16 +97,20 @@
     })
 }
 
-fn check(text: &str, read: Result<(Submission, Judged), SubmitError>, site: &Site) -> Result<(), String> {
+fn check(
+    text: &str,
+    read: Result<(Submission, MatchResults), SubmitError>,
+    site: &Site,
+) -> Result<(), String> {
     let unreadable = text.lines().find_map(|line| line.strip_prefix("#! "));
     let (submission, judged) = match (read, unreadable) {
         (Ok(read), None) => read,
         (Ok(_), Some(expected)) => return Err(format!("it can be read, which {expected:?} denies")),
         (Err(error), None) => return Err(error.to_string()),
         (Err(error), Some(expected)) => {
-            let (place, words) = expected.split_once(" ~ ").ok_or("no words after ~")?;
-            let at = format!("{}:{}", error.place.line, error.place.column);
-            return if at == place && error.problem.contains(words) {
+            let (location, words) = expected.split_once(" ~ ").ok_or("no words after ~")?;
+            let at = format!("{}:{}", error.location.line, error.location.column);
+            return if at == location && error.problem.contains(words) {
                 Ok(())
             } else {
                 Err(format!("{error}, not {expected}"))
@@ -179,7 +185,7 @@
                 .into_owned();
             let site = site();
             let read = indigopath_condor::read(&text, &file, 1, 1_700_000_000, &Corpus).map(|submission| {
-                let judged = indigopath_condor::judge(&submission, 1, 1_700_000_000, &site);
+                let judged = indigopath_condor::match_submission(&submission, 1, 1_700_000_000, &site);
                 (submission, judged)
             });
             check(&text, read, &site).map_err(Failed::from)
--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -27,9 +27,10 @@
 use crate::token_bucket::TokenBucket;
 use indigopath_accounting::{Access, Entry, Owner, Team, VisibleJob, team_key_prefix};
 use indigopath_condor::cluster::{
-    CLUSTERS, ClusterRecord, KeyRecord, NUMBER, NumberRecord, OpenRecord, cluster_key, key_key,
+    CLUSTER_PREFIX, ClusterRecord, NEXT_CLUSTER_KEY, NextClusterRecord, OpenClusterRecord,
+    SubmissionKeyRecord, cluster_key, submission_key,
 };
-use indigopath_condor::{Bundle, Hold, Part, Why};
+use indigopath_condor::{Bundle, Hold, HoldReason, SubmitOrigin};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -524,13 +525,13 @@
         let open = open_key(self.cluster);
         let at_open = || (open.clone(), self.open_version);
         Some(match step {
-            Step::ReadKey => get(&key_key(&self.bundle.key)),
-            Step::ReadNumber => get(NUMBER),
+            Step::ReadKey => get(&submission_key(&self.bundle.key)),
+            Step::ReadNumber => get(NEXT_CLUSTER_KEY),
             Step::ReadOpen => get(&open),
             Step::ReadCluster => get(&cluster_key(self.cluster)),
             Step::ReadStaged { .. } => page(&jobs_prefix(records::JOB_PREFIX, self.cluster), None),
             Step::DropKey => {
-                let key = key_key(&self.bundle.key);
+                let key = submission_key(&self.bundle.key);
                 let conditions = vec![
                     (key.clone(), self.key_version),
                     (open, 0),
@@ -539,27 +540,27 @@
                 transaction(conditions, vec![Change::Delete { key }])
             }
             Step::Allocate { cluster, at_ms } => {
-                let key = key_key(&self.bundle.key);
-                let conditions = vec![(NUMBER.to_owned(), self.open_version), (key.clone(), 0)];
-                let own = KeyRecord {
+                let key = submission_key(&self.bundle.key);
+                let conditions = vec![(NEXT_CLUSTER_KEY.to_owned(), self.open_version), (key.clone(), 0)];
+                let own = SubmissionKeyRecord {
                     cluster: *cluster,
                     digest: self.digest.clone(),
                 };
-                let record = OpenRecord {
+                let record = OpenClusterRecord {
                     plan: self.plan_digest.clone(),
                     at_ms: *at_ms,
                     abandoned: false,
                 };
-                let next = NumberRecord { next: *cluster + 1 };
+                let next = NextClusterRecord { next: *cluster + 1 };
                 let changes = vec![
-                    put(NUMBER.to_owned(), &next),
+                    put(NEXT_CLUSTER_KEY.to_owned(), &next),
                     put(key, &own),
                     put(open_key(*cluster), &record),
                 ];
                 transaction(conditions, changes)
             }
             Step::Retake { at_ms } => {
-                let record = OpenRecord {
+                let record = OpenClusterRecord {
                     plan: self.plan_digest.clone(),
                     at_ms: *at_ms,
                     abandoned: false,
@@ -625,9 +626,9 @@
             (Step::ReadKey, Some(404)) => Next::Call(Step::ReadNumber),
             (Step::ReadKey, Some(200)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
-                let Some((record, version)) =
-                    item.and_then(|item| Some((KeyRecord::from_value(&item.value).ok()?, item.version)))
-                else {
+                let Some((record, version)) = item.and_then(|item| {
+                    Some((SubmissionKeyRecord::from_value(&item.value).ok()?, item.version))
+                }) else {
                     return SILENT;
                 };
                 if record.digest != self.digest {
@@ -640,7 +641,7 @@
             (Step::ReadNumber, Some(200 | 404)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
                 let (next, version) = match (&item, outcome.status()) {
-                    (Some(item), _) => match NumberRecord::from_value(&item.value) {
+                    (Some(item), _) => match NextClusterRecord::from_value(&item.value) {
                         Ok(record) => (record.next, item.version),
                         Err(_) => return SILENT,
                     },
@@ -669,8 +670,8 @@
             (Step::Allocate { .. } | Step::DropKey, Some(200 | 409)) => Next::Again(Step::ReadKey),
             (Step::ReadOpen, Some(200)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
-                let Some((record, version)) =
-                    item.and_then(|item| Some((OpenRecord::from_value(&item.value).ok()?, item.version)))
+                let Some((record, version)) = item
+                    .and_then(|item| Some((OpenClusterRecord::from_value(&item.value).ok()?, item.version)))
                 else {
                     return SILENT;
                 };
@@ -918,20 +919,20 @@
 
     /// Puts a live job where it belongs; whether it is one that is meant.
     fn sort(&mut self, access: Access, spec: JobSpec, version: u64, context: &Context<'_>) -> bool {
-        let Some(part) = spec.condor.clone() else {
+        let Some(origin) = spec.condor.clone() else {
             return false;
         };
         if let Some(proc) = self.target.proc {
-            if !part.procs.contains(proc) {
+            if !origin.procs.contains(proc) {
                 return false;
             }
-            if part.procs.count() > 1 {
+            if origin.procs.count() > 1 {
                 self.not.push(ProcsOutcome {
-                    procs: part.procs.text(),
+                    procs: origin.procs.text(),
                     verdict: "unchanged".to_owned(),
                     reason: format!(
                         "these procs ask for the same and are one array: name the cluster, {}, to change all",
-                        part.cluster
+                        origin.cluster
                     ),
                 });
                 return true;
@@ -940,23 +941,30 @@
         match self.action {
             ClusterAction::Remove => self.left.push((access, spec, version)),
             ClusterAction::Hold => {
-                if part.holds.iter().any(|hold| hold.why == Why::User) {
+                if origin.holds.iter().any(|hold| hold.reason == HoldReason::User) {
                     self.done += procs_of(&spec);
                     return true;
                 }
-                let mut part = (*part).clone();
-                part.holds.push(Hold {
-                    why: Why::User,
+                let mut origin = (*origin).clone();
+                origin.holds.push(Hold {
+                    reason: HoldReason::User,
                     text: "its user holds it".to_owned(),
                 });
-                self.left.push((access, with_part(spec, part), version));
+                self.left.push((access, with_origin(spec, origin), version));
             }
-            ClusterAction::Release => self.release(access, spec, &part, version, context),
+            ClusterAction::Release => self.release(access, spec, &origin, version, context),
         }
         true
     }
 
-    fn release(&mut self, access: Access, spec: JobSpec, part: &Part, version: u64, context: &Context<'_>) {
+    fn release(
+        &mut self,
+        access: Access,
+        spec: JobSpec,
+        origin: &SubmitOrigin,
+        version: u64,
+        context: &Context<'_>,
+    ) {
         // What the settings in force no longer ask for goes as well.
         let settings = context.settings;
         let default_team = settings
@@ -965,8 +973,8 @@
             .as_ref()
             .and_then(|condor| condor.default_team.as_deref());
         let spec = without_obsolete_holds(&spec, &settings.deployment, default_team).unwrap_or(spec);
-        let mut now = spec.condor.as_deref().unwrap_or(part).clone();
-        now.holds.retain(|hold| hold.why != Why::User);
+        let mut now = spec.condor.as_deref().unwrap_or(origin).clone();
+        now.holds.retain(|hold| hold.reason != HoldReason::User);
         if let Some(reason) = now.held() {
             self.not.push(ProcsOutcome {
                 procs: now.procs.text(),
@@ -974,8 +982,8 @@
                 reason,
             });
         }
-        if now.holds.len() < part.holds.len() {
-            self.left.push((access, with_part(spec, now), version));
+        if now.holds.len() < origin.holds.len() {
+            self.left.push((access, with_origin(spec, now), version));
         } else if now.holds.is_empty() {
             self.done += procs_of(&spec);
         }
@@ -1000,15 +1008,15 @@
     }
 }
 
-fn with_part(spec: JobSpec, part: Part) -> JobSpec {
+fn with_origin(spec: JobSpec, origin: SubmitOrigin) -> JobSpec {
     JobSpec {
-        condor: Some(Arc::new(part)),
+        condor: Some(Arc::new(origin)),
         ..spec
     }
 }
 
 fn procs_of(spec: &JobSpec) -> u32 {
-    spec.condor.as_ref().map_or(0, |part| part.procs.count())
+    spec.condor.as_ref().map_or(0, |origin| origin.procs.count())
 }
 
 fn no_cluster(cluster: u64) -> Next {
@@ -1018,14 +1026,14 @@
 fn history_message(cluster: Option<u64>, asks: &Team, found: &History, step: &Step) -> Message {
     let cluster = cluster.unwrap_or(0);
     match step {
-        Step::Latest => get(NUMBER),
+        Step::Latest => get(NEXT_CLUSTER_KEY),
         Step::ReadBook => page(&team_key_prefix(asks), None),
         Step::ReadEnded => page(&jobs_prefix(records::ENDED_JOB_PREFIX, cluster), None),
         Step::ReadLive => page(&jobs_prefix(records::JOB_PREFIX, cluster), None),
         Step::Page => {
             // The number before the first that is shown; none begins the page.
             let after = found.clusters.first().map(|record| cluster_key(record.cluster));
-            page(CLUSTERS, after.as_deref())
+            page(CLUSTER_PREFIX, after.as_deref())
         }
         _ => get(&cluster_key(cluster)),
     }
@@ -1045,7 +1053,7 @@
         (Step::Latest, Some(404)) => Next::Call(Step::ReadBook),
         (Step::Latest, Some(200)) => {
             let item = outcome.read::<StoredItem>(&[200]);
-            let Some(next) = item.and_then(|item| NumberRecord::from_value(&item.value).ok()) else {
+            let Some(next) = item.and_then(|item| NextClusterRecord::from_value(&item.value).ok()) else {
                 return SILENT;
             };
             // A stand-in for where the page begins; it is replaced by what is read.
--- a/crates/controller/src/condor/mod.rs
+++ b/crates/controller/src/condor/mod.rs
@@ -11,15 +11,17 @@
 use crate::settings::Deployment;
 use crate::storage::records::{self, Record};
 use indigopath_accounting::{Access, Entry, TeamHistory};
-use indigopath_condor::cluster::{ClusterRecord, KeyRecord, NumberRecord, OPEN, OpenRecord};
-use indigopath_condor::{CondorSettings, Kinds, Site, Team, Why};
+use indigopath_condor::cluster::{
+    ClusterRecord, NextClusterRecord, OPEN_MARKER, OpenClusterRecord, SubmissionKeyRecord,
+};
+use indigopath_condor::{CondorSettings, HoldReason, MachineKinds, Site, Team};
 use indigopath_counted_resources::Definitions;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-impl Record for NumberRecord {}
-impl Record for KeyRecord {}
-impl Record for OpenRecord {}
+impl Record for NextClusterRecord {}
+impl Record for SubmissionKeyRecord {}
+impl Record for OpenClusterRecord {}
 impl Record for ClusterRecord {}
 
 /// What the numbers of jobs of submit files begin with; twenty digits in all, the most that
@@ -54,13 +56,13 @@
 
 /// Key that stands while a cluster is being recorded.
 pub fn open_key(cluster: u64) -> String {
-    format!("{}{OPEN}{cluster:0CLUSTER_DIGITS$}", records::JOB_PREFIX)
+    format!("{}{OPEN_MARKER}{cluster:0CLUSTER_DIGITS$}", records::JOB_PREFIX)
 }
 
 /// The cluster of such a key.
 pub fn parse_open_key(key: &str) -> Option<u64> {
     key.strip_prefix(records::JOB_PREFIX)?
-        .strip_prefix(OPEN)?
+        .strip_prefix(OPEN_MARKER)?
         .parse()
         .ok()
 }
@@ -90,7 +92,7 @@
         gpus_max: team.gpus_max,
     });
     Site {
-        kinds: Kinds::new(&types, &deployment.zones, settings),
+        kinds: MachineKinds::new(&types, &deployment.zones, settings),
         teams: teams.collect(),
         counts: counts.clone(),
         settings: settings.clone(),
@@ -110,8 +112,8 @@
     deployment: &Deployment,
     default_team: Option<&str>,
 ) -> Option<JobSpec> {
-    let part = spec.condor.as_ref()?;
-    part.holds.iter().find(|hold| hold.why != Why::User)?;
+    let origin = spec.condor.as_ref()?;
+    origin.holds.iter().find(|hold| hold.reason != HoldReason::User)?;
     let named = if spec.team.is_empty() {
         default_team?
     } else {
@@ -121,26 +123,26 @@
         .teams
         .iter()
         .find(|team| team.name.eq_ignore_ascii_case(named))?;
-    let mut part = (**part).clone();
-    let before = part.holds.len();
-    part.holds.retain(|hold| match hold.why {
-        Why::User => true,
-        Why::Team => false,
-        Why::Limit => !within_limit(spec, team),
+    let mut origin = (**origin).clone();
+    let before = origin.holds.len();
+    origin.holds.retain(|hold| match hold.reason {
+        HoldReason::User => true,
+        HoldReason::Team => false,
+        HoldReason::Limit => !within_limit(spec, team),
     });
-    if part.holds.len() == before {
+    if origin.holds.len() == before {
         return None;
     }
     // A team that was not known when the file came had no limit to be held against.
-    if !within_limit(spec, team) && part.holds.iter().all(|hold| hold.why != Why::Limit) {
-        part.holds.push(indigopath_condor::Hold {
-            why: Why::Limit,
+    if !within_limit(spec, team) && origin.holds.iter().all(|hold| hold.reason != HoldReason::Limit) {
+        origin.holds.push(indigopath_condor::Hold {
+            reason: HoldReason::Limit,
             text: format!("it needs more at once than team {}'s limit", team.name),
         });
     }
     Some(JobSpec {
         team: team.name.clone(),
-        condor: Some(Arc::new(part)),
+        condor: Some(Arc::new(origin)),
         ..spec.clone()
     })
 }
--- a/crates/controller/src/condor/plan.rs
+++ b/crates/controller/src/condor/plan.rs
@@ -5,11 +5,11 @@
 use crate::model::{JobSpec, Resources};
 use crate::protocol::{Priority, Shape};
 use crate::storage::records::Record;
-use indigopath_condor::cluster::{Array, arrays};
-use indigopath_condor::constants::{MAX_CLUSTER_PROCS, MAX_JOBS};
+use indigopath_condor::cluster::{JobArray, arrays};
+use indigopath_condor::constants::{MAX_CLUSTER_JOBS, MAX_CLUSTER_PROCS};
 use indigopath_condor::{
-    Bundle, Judged, KindSet, Level, Outcome, Part, Procs, Request, Site, Submission, Verdict, What,
-    judge_at_most, notes, read,
+    Bundle, EntryKind, KindSet, MatchResults, Outcome, PriorityBand, ProcSet, Request, Site, Submission,
+    SubmitOrigin, Verdict, match_submission_at_most, notes, read,
 };
 use std::sync::Arc;
 
@@ -63,9 +63,9 @@
     if submission.procs() == 0 {
         return Err(refused("the file has no procs".to_owned()));
     }
-    let judged = judge_at_most(&submission, cluster, bundle.at_s, site, MAX_JOBS)
+    let results = match_submission_at_most(&submission, cluster, bundle.at_s, site, MAX_CLUSTER_JOBS)
         .map_err(|error| refused(error.to_string()))?;
-    let bad = told(&judged, |verdict| {
+    let bad = told(&results, |verdict| {
         matches!(verdict, Verdict::Refused | Verdict::Never)
     });
     if let Some(first) = bad.first() {
@@ -74,17 +74,17 @@
             refused: bad,
         });
     }
-    let arrays = arrays(&judged).map_err(|error| refused(error.to_string()))?;
+    let arrays = arrays(&results).map_err(|error| refused(error.to_string()))?;
     let mut jobs = Vec::with_capacity(arrays.len());
     for (index, array) in (0u32..).zip(&arrays) {
-        let outcome = &judged.outcomes[array.outcome];
+        let outcome = &results.outcomes[array.outcome];
         let Some(request) = &outcome.request else { continue };
         let mut spec = job(request, outcome, array, site);
         spec.id = job_id(cluster, index);
         spec.submitted_ms = submitted_ms;
-        spec.condor = Some(Arc::new(Part {
+        spec.condor = Some(Arc::new(SubmitOrigin {
             cluster,
-            procs: Procs::new(&array.procs),
+            procs: ProcSet::new(&array.procs),
             owner: bundle.owner.clone(),
             cmd: cmd(&submission, array.procs.first().copied().unwrap_or(0)),
             holds: request.holds.clone(),
@@ -108,7 +108,7 @@
     Ok(Plan {
         jobs,
         procs: submission.procs() as u32,
-        held: told(&judged, |verdict| verdict == Verdict::Held),
+        held: told(&results, |verdict| verdict == Verdict::Held),
         notes: notes(&submission)
             .into_iter()
             .take(REASONS_SHOWN)
@@ -118,17 +118,19 @@
 }
 
 /// Procs with some verdicts and their reasons.
-fn told(judged: &Judged, which: impl Fn(Verdict) -> bool) -> Vec<ProcsOutcome> {
+fn told(results: &MatchResults, which: impl Fn(Verdict) -> bool) -> Vec<ProcsOutcome> {
     let mut found = Vec::new();
-    for (at, outcome) in judged.outcomes.iter().enumerate() {
+    for (at, outcome) in results.outcomes.iter().enumerate() {
         if found.len() >= REASONS_SHOWN {
             break;
         }
         if which(outcome.verdict) {
-            let procs = (0u32..).zip(&judged.of).filter(|(_, of)| **of as usize == at);
+            let procs = (0u32..)
+                .zip(&results.outcome_of_proc)
+                .filter(|(_, of)| **of as usize == at);
             let procs: Vec<u32> = procs.map(|(proc, _)| proc).collect();
             found.push(ProcsOutcome {
-                procs: Procs::new(&procs).text(),
+                procs: ProcSet::new(&procs).text(),
                 verdict: format!("{:?}", outcome.verdict).to_lowercase(),
                 reason: outcome.reason.clone().unwrap_or_default(),
             });
@@ -137,7 +139,7 @@
     found
 }
 
-fn job(request: &Request, outcome: &Outcome, array: &Array, site: &Site) -> JobSpec {
+fn job(request: &Request, outcome: &Outcome, array: &JobArray, site: &Site) -> JobSpec {
     let kinds = KindSet::of(outcome, &site.kinds);
     let spot = kinds.any_spot();
     // Without an expression nothing needs to be kept: new machine types do as well.
@@ -151,9 +153,9 @@
             None => Shape::Array,
         },
         priority: match request.level {
-            Level::High => Priority::High,
-            Level::Normal => Priority::Normal,
-            Level::Low => Priority::Low,
+            PriorityBand::High => Priority::High,
+            PriorityBand::Normal => Priority::Normal,
+            PriorityBand::Low => Priority::Low,
         },
         tasks: request.gang.unwrap_or(array.procs.len() as u32),
         needs: Resources {
@@ -187,8 +189,8 @@
         .iter()
         .find_map(|batch| Some((batch, batch.procs.iter().find(|own| own.process == proc)?)));
     if let Some((batch, proc)) = found {
-        for (key, value) in batch.given(proc) {
-            if let What::Command(command) = key.what {
+        for (entry, value) in batch.given(proc) {
+            if let EntryKind::Command(command) = entry.kind {
                 match command.name {
                     "executable" => words[0] = value.to_owned(),
                     "arguments" => words[1] = value.to_owned(),
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -14,8 +14,8 @@
 use crate::settings::Settings;
 use crate::storage::records::{self, Record};
 use indigopath_accounting::Team;
-use indigopath_condor::cluster::OpenRecord;
-use indigopath_condor::{KindSet, Why};
+use indigopath_condor::cluster::OpenClusterRecord;
+use indigopath_condor::{HoldReason, KindSet};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(super) struct SubmitClusters {
     /// Clusters being recorded, with the versions of their records.
-    open: BTreeMap<u64, (OpenRecord, u64)>,
+    open: BTreeMap<u64, (OpenClusterRecord, u64)>,
     /// Interned sets of machine kinds, so that a pass evaluates each set once.
     kind_sets: HashMap<Arc<KindSet>, ()>,
     checked_at: Timestamp,
@@ -68,7 +68,7 @@
         value: &serde_json::Value,
         version: u64,
     ) -> Result<(), records::RecordError> {
-        let record = OpenRecord::from_value(value)?;
+        let record = OpenClusterRecord::from_value(value)?;
         self.submit_clusters.open.insert(cluster, (record, version));
         self.update_parked(cluster);
         Ok(())
@@ -171,7 +171,7 @@
                     self.writer.obsolete_keys.extend(keys);
                 }
             } else if io.wall_ms > record.at_ms + CLUSTER_OPEN_TIMEOUT_MS {
-                let record = OpenRecord {
+                let record = OpenClusterRecord {
                     abandoned: true,
                     ..record.clone()
                 };
@@ -225,7 +225,7 @@
                 .get(&job.spec.id)
                 .copied()
                 .unwrap_or((0, 0));
-            let held_by_limit = part.holds.iter().any(|hold| hold.why != Why::User);
+            let held_by_limit = part.holds.iter().any(|hold| hold.reason != HoldReason::User);
             Some(QueueRow {
                 access_proof: AccessProof::from_access(&access),
                 waits: LeaderTerm::wait_reason(job, &blocked, now).text().to_owned(),
--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -4,7 +4,7 @@
 use crate::protocol::{MachineType, Priority, Shape};
 use crate::settings::Team;
 use indigopath_accounting::ExecutionStats;
-use indigopath_condor::{KindSet, Part};
+use indigopath_condor::{KindSet, SubmitOrigin};
 use indigopath_counted_resources::Demand;
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
@@ -222,7 +222,7 @@
     pub kinds: Option<Arc<KindSet>>,
     /// The job's part of its cluster, if it came from a submit file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub condor: Option<Arc<Part>>,
+    pub condor: Option<Arc<SubmitOrigin>>,
     /// Wall-clock time of the submission at the accepting node, in ms since 1970.
     pub submitted_ms: u64,
 }
@@ -245,7 +245,7 @@
             && self
                 .kinds
                 .as_ref()
-                .is_none_or(|kinds| kinds.step(machine_type, zone, spot).is_some())
+                .is_none_or(|kinds| kinds.preference_step(machine_type, zone, spot).is_some())
     }
 
     /// The cluster of a submit file that the job belongs to.
--- a/crates/controller/src/scheduling/placement/filtering.rs
+++ b/crates/controller/src/scheduling/placement/filtering.rs
@@ -125,7 +125,8 @@
         if let Some(cached) = self.kind_sets.borrow().get(&address) {
             return cached.clone();
         }
-        let steps = self.each_kind(|machine_type, zone, spot| kinds.step(&machine_type.name, zone, spot));
+        let steps =
+            self.each_kind(|machine_type, zone, spot| kinds.preference_step(&machine_type.name, zone, spot));
         let steps = RankSteps(Rc::new(steps));
         self.kind_sets.borrow_mut().insert(address, steps.clone());
         steps
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -3,7 +3,7 @@
 //! renames of types and fields, by scenarios; each must be read, and written again byte for byte.
 
 use indigopath_accounting::{JobAccounting, Team, read_history};
-use indigopath_condor::cluster::{ClusterRecord, KeyRecord, NumberRecord, OpenRecord};
+use indigopath_condor::cluster::{ClusterRecord, NextClusterRecord, OpenClusterRecord, SubmissionKeyRecord};
 use indigopath_controller::model::JobSpec;
 use indigopath_controller::peers::Frame;
 use indigopath_controller::protocol;
@@ -56,14 +56,14 @@
         match (prefix, rest) {
             ("", "leader") => same_record::<LeaderRecord>(&stored),
             ("", "types") => same_record::<protocol::MachineTypeList>(&stored),
-            ("j/", rest) if rest.starts_with('~') => same_record::<OpenRecord>(&stored),
+            ("j/", rest) if rest.starts_with('~') => same_record::<OpenClusterRecord>(&stored),
             ("j/", _) => same_record::<JobSpec>(&stored),
             ("e/", _) => same_record::<EndedJobRecord>(&stored),
             ("d/", _) => same_record::<CompletedTasksRecord>(&stored),
             ("s/", _) => same_record::<ShardRecord>(&stored),
             ("h/", _) => same_record::<protocol::LaunchRequest>(&stored),
-            ("n/", _) => same_record::<NumberRecord>(&stored),
-            ("k/", _) => same_record::<KeyRecord>(&stored),
+            ("n/", _) => same_record::<NextClusterRecord>(&stored),
+            ("k/", _) => same_record::<SubmissionKeyRecord>(&stored),
             ("c/", _) => same_record::<ClusterRecord>(&stored),
             // Both are read below; their writing is in the digests of the scenarios.
             ("b/" | "t/", _) => (),
--- a/crates/experiments/src/corpus.rs
+++ b/crates/experiments/src/corpus.rs
@@ -5,7 +5,7 @@
 mod plots;
 
 use clap::Parser;
-use indigopath_condor::{Files, Matching, Site, SiteFile, judge, notes, read};
+use indigopath_condor::{PathKind, Site, SiteFile, SubmitEnvironment, match_submission, notes, read};
 use minijinja::{Environment, Value, context};
 use plots::{PlotError, plot, svg};
 use plotters::prelude::*;
@@ -56,16 +56,16 @@
 /// The files of a folder, for those that include others.
 struct Folder<'f>(&'f Path);
 
-impl Files for Folder<'_> {
-    fn read(&self, path: &str) -> Result<String, String> {
+impl SubmitEnvironment for Folder<'_> {
+    fn read_file(&self, path: &str) -> Result<String, String> {
         std::fs::read_to_string(self.0.join(path)).map_err(|error| error.to_string())
     }
 
-    fn matching(&self, _: &str, _: Matching) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, _: &str, _: PathKind) -> Result<Vec<String>, String> {
         Err("patterns are not followed for a report".to_owned())
     }
 
-    fn variable(&self, _: &str) -> Option<String> {
+    fn env_var(&self, _: &str) -> Option<String> {
         None
     }
 }
@@ -105,10 +105,14 @@
     match read(&shown.text, &shown.name, 1, 0, &Folder(folder)) {
         Err(error) => shown.problem = Some(error.to_string()),
         Ok(submission) => {
-            let judged = judge(&submission, 1, 0, site);
+            let judged = match_submission(&submission, 1, 0, site);
             for (at, outcome) in judged.outcomes.iter().enumerate() {
                 shown.rows.push(Row {
-                    procs: judged.of.iter().filter(|of| **of as usize == at).count(),
+                    procs: judged
+                        .outcome_of_proc
+                        .iter()
+                        .filter(|of| **of as usize == at)
+                        .count(),
                     verdict: format!("{:?}", outcome.verdict).to_lowercase(),
                     kinds: site.kinds.names(&outcome.kinds).join(", "),
                     reason: outcome.reason.clone().unwrap_or_default(),
@@ -159,7 +163,7 @@
             return f64::NAN;
         };
         let began = Instant::now();
-        let judged = judge(&submission, 1, 0, site);
+        let judged = match_submission(&submission, 1, 0, site);
         let ms = began.elapsed().as_secs_f64() * 1_000.0;
         if judged.outcomes.len() == requirements as usize {
             ms
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -4,7 +4,7 @@
 use crate::{BAD_SETTINGS, Files, load};
 use clap::{Args, Subcommand};
 use indigopath_condor::{
-    Bundle, CondorSettings, Judged, Matching, Recorder, Site, Submission, SubmitError, Verdict,
+    Bundle, CondorSettings, MatchResults, PathKind, Recorder, Site, Submission, SubmitError, Verdict,
 };
 use indigopath_controller::condor::{
     AcceptedCluster, ChangeSummary, History, QueueList, QueueRow, RowState, SubmitRejection, parse_target,
@@ -518,7 +518,7 @@
                 eprintln!("condor.machine.{machine}: note: the cloud has no such machine type");
             }
         }
-        let judged = indigopath_condor::judge(&submission, 1, now_s(), &site);
+        let judged = indigopath_condor::match_submission(&submission, 1, now_s(), &site);
         show(format, &submission, &judged, &site)?;
         let bad = |verdict| matches!(verdict, Verdict::Refused | Verdict::Never);
         let any_bad = judged.outcomes.iter().any(|outcome| bad(outcome.verdict));
@@ -530,7 +530,12 @@
     }
 }
 
-fn show(format: Format, submission: &Submission, judged: &Judged, site: &Site) -> Result<(), CondorError> {
+fn show(
+    format: Format,
+    submission: &Submission,
+    judged: &MatchResults,
+    site: &Site,
+) -> Result<(), CondorError> {
     let kinds: Vec<Vec<String>> = judged
         .outcomes
         .iter()
@@ -539,7 +544,7 @@
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     match format {
         Format::Json => {
-            for (proc, at) in judged.of.iter().enumerate() {
+            for (proc, at) in judged.outcome_of_proc.iter().enumerate() {
                 let at = *at as usize;
                 let line = Line {
                     proc,
@@ -555,8 +560,11 @@
             let mut rows = Vec::new();
             // Procs that share their outcome share a row.
             let mut from = 0;
-            while let Some(at) = judged.of.get(from).copied() {
-                let same = judged.of[from..].iter().take_while(|other| **other == at).count();
+            while let Some(at) = judged.outcome_of_proc.get(from).copied() {
+                let same = judged.outcome_of_proc[from..]
+                    .iter()
+                    .take_while(|other| **other == at)
+                    .count();
                 let outcome = &judged.outcomes[at as usize];
                 let procs = match same {
                     1 => from.to_string(),
@@ -595,20 +603,20 @@
 /// Files of the place from which this is called.
 struct Here;
 
-impl indigopath_condor::Files for Here {
-    fn read(&self, path: &str) -> Result<String, String> {
+impl indigopath_condor::SubmitEnvironment for Here {
+    fn read_file(&self, path: &str) -> Result<String, String> {
         std::fs::read_to_string(path).map_err(|error| error.to_string())
     }
 
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
         let paths = glob::glob(pattern).map_err(|error| error.to_string())?;
         let mut found = Vec::new();
         for path in paths {
             let path = path.map_err(|error| error.to_string())?;
             let wanted = match what {
-                Matching::Files => path.is_file(),
-                Matching::Folders => path.is_dir(),
-                Matching::Any => true,
+                PathKind::Files => path.is_file(),
+                PathKind::Folders => path.is_dir(),
+                PathKind::Any => true,
             };
             if wanted {
                 found.push(path.display().to_string());
@@ -617,7 +625,7 @@
         Ok(found)
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         std::env::var(name).ok()
     }
 }
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -1,7 +1,7 @@
 //! Reads a scenario's text: what the site is like, what happens when, and what is expected.
 
 use crate::simulation::{ObservedJob, SettingOverrides, Simulation};
-use indigopath_condor::{CondorSettings, Declared};
+use indigopath_condor::{CondorSettings, DeclaredValue};
 use indigopath_controller::settings::OperatorSettings;
 use indigopath_counted_resources::Definition;
 use serde_json::{Value, json};
@@ -304,7 +304,7 @@
 fn serve_files(operator: &mut OperatorSettings, text: &str) -> Result<f64, String> {
     let (_, keyed) = words(text);
     let get = |key: &str, or: &str| Some(keyed.get(key).copied().unwrap_or(or).to_owned());
-    let declared = BTreeMap::from([("OpSys".to_owned(), Declared::Str("LINUX".to_owned()))]);
+    let declared = BTreeMap::from([("OpSys".to_owned(), DeclaredValue::Str("LINUX".to_owned()))]);
     operator.condor = Some(CondorSettings {
         default_team: get("team", "red"),
         default_class: get("class", "batch"),
