--- a/crates/condor/src/cluster.rs
+++ b/crates/condor/src/cluster.rs
@@ -9,7 +9,7 @@
 //! | `c/<cluster>` | [`ClusterRecord`]: it is accepted | the node that accepts it |
 
 use crate::constants::{MAX_CLUSTER_JOBS, MAX_OWNER_BYTES};
-use crate::judge::{MatchResults, Outcome};
+use crate::matchmaking::{MatchResults, Outcome};
 use crate::site::MachineKinds;
 use crate::source::{PathKind, SubmitEnvironment};
 use base64::Engine as _;
--- a/crates/condor/src/lib.rs
+++ b/crates/condor/src/lib.rs
@@ -37,8 +37,8 @@
 pub mod cluster;
 mod commands;
 pub mod constants;
-mod judge;
 mod macros;
+mod matchmaking;
 mod printf;
 mod queue;
 mod request;
@@ -48,7 +48,7 @@
 mod template;
 
 pub use cluster::{Bundle, Hold, HoldReason, KindSet, ProcSet, Recorder, SubmitOrigin};
-pub use judge::{MatchResults, Outcome, Verdict, match_submission, match_submission_at_most, notes};
+pub use matchmaking::{MatchResults, Outcome, Verdict, match_submission, match_submission_at_most, notes};
 pub use request::{PriorityBand, Problem, Request, SourceExpr};
 pub use site::{
     CondorSettings, CondorSettingsError, DeclaredValue, MACHINE_ATTRIBUTES, MachineKind, MachineKinds,
