--- a/crates/accounting/src/records.rs
+++ b/crates/accounting/src/records.rs
@@ -172,7 +172,7 @@
 
     fn get(&self, index: usize) -> Result<Arc<str>, RecordError> {
         let class = self.0.get(index).cloned();
-        class.ok_or_else(|| unreadable("a class stands nowhere"))
+        class.ok_or_else(|| unreadable("class index out of range"))
     }
 }
 
@@ -282,7 +282,7 @@
     match value.get("v").and_then(Value::as_u64) {
         Some(format) if format <= u64::from(FORMAT_VERSION) => Ok(()),
         Some(format) => Err(RecordError::NewerFormat(format.min(u64::from(u16::MAX)) as u16)),
-        None => Err(unreadable("it has no form")),
+        None => Err(unreadable("no format version")),
     }
 }
 
@@ -296,17 +296,17 @@
     if key == HEAD_KEY {
         return Ok(Record::Head(deserialize(value)?));
     }
-    let (_, part) = key.rsplit_once('/').ok_or_else(|| unreadable("a strange key"))?;
+    let (_, part) = key.rsplit_once('/').ok_or_else(|| unreadable("unexpected key"))?;
     let (team, record) = if part == TOTALS_KEY_PART {
         parse_totals(value)?
     } else {
-        let number = part.parse().map_err(|_| unreadable("a page without a number"))?;
+        let number = part.parse().map_err(|_| unreadable("the page key has no number"))?;
         parse_page(number, value)?
     };
     if key.starts_with(&team_key_prefix(&team)) {
         Ok(record)
     } else {
-        Err(unreadable("it stands in another team's book"))
+        Err(unreadable("the record belongs to another team than its key"))
     }
 }
 
