--- a/crates/accounting/src/records.rs
+++ b/crates/accounting/src/records.rs
@@ -300,7 +300,9 @@
     let (team, record) = if part == TOTALS_KEY_PART {
         parse_totals(value)?
     } else {
-        let number = part.parse().map_err(|_| unreadable("the page key has no number"))?;
+        let number = part
+            .parse()
+            .map_err(|_| unreadable("the page key has no number"))?;
         parse_page(number, value)?
     };
     if key.starts_with(&team_key_prefix(&team)) {
--- a/crates/protection_windows/src/definition.rs
+++ b/crates/protection_windows/src/definition.rs
@@ -1,4 +1,4 @@
-//! Operators' definitions of shifts, and their checks.
+//! Operators' definitions of window schedules (`shift` in the settings), and their validation.
 
 use crate::constants::{MAX_LEAD_S, MAX_NAME_BYTES, MAX_RANK, MAX_SCHEDULES};
 use crate::timetable::{Timetable, WindowSchedule};
@@ -10,47 +10,47 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// One `shift "NAME" { … }` of the operators' settings.
+/// One `shift "NAME" { … }` block of the operators' settings.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Definition {
     /// Name in the time zone database, such as `Australia/Perth`.
     pub time_zone: String,
-    /// Days on which a window opens, as `mon` to `sun`; all where none is given.
+    /// Days on which a window opens, as `mon` to `sun`; all days if not set.
     #[serde(default)]
     pub days: Option<Vec<String>>,
-    /// Local time at which it opens, as `HH:MM`.
+    /// Local time at which the window opens, as `HH:MM`.
     pub from: String,
-    /// Local time at which it closes; not after `from`, it is the next day's.
+    /// Local time at which the window closes; on the next day if not after `from`.
     pub to: String,
     /// Days on which no window opens, as `YYYY-MM-DD`.
     #[serde(default)]
     pub closed: Vec<String>,
     /// Classes whose services are protected.
     pub classes: Vec<String>,
-    /// Teams whose services are protected; all where none is given.
+    /// Teams whose services are protected; all teams if not set.
     #[serde(default)]
     pub teams: Option<Vec<String>>,
-    /// Lower is served first.
+    /// Rank of the protected services; lower ranks are served first.
     pub rank: i64,
-    /// How long before the opening protection begins, in s.
+    /// Lead time in s by which protection starts before the window opens.
     #[serde(default)]
     pub lead_s: f64,
-    /// Part of what is protected that is kept free as spare capacity, from 0 to 1.
+    /// Spare capacity to keep free, as a fraction of what is protected, from 0 to 1.
     #[serde(default)]
     pub spare: f64,
 }
 
-/// All shifts of a site, by name.
+/// All definitions of a site by name.
 pub type Definitions = BTreeMap<Name, Definition>;
 
-/// A definition that cannot be used.
+/// Why a definition is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{field}: {problem}")]
 pub struct DefinitionError {
     /// Path to the field, such as `shift.perth-trading.time_zone`.
     pub field: String,
-    /// What is wrong there.
+    /// What is wrong with the field.
     pub problem: String,
 }
 
@@ -64,10 +64,10 @@
     ("sun", Weekday::Sunday),
 ];
 
-/// Checks all definitions; `is_team` tells whether a team exists.
+/// Validates all definitions; `is_team` returns whether a team exists.
 ///
 /// # Errors
-/// The first field that cannot be used, and why.
+/// Returns the first invalid field and what is wrong with it.
 pub fn check(
     definitions: &Definitions,
     is_team: impl Fn(&str) -> bool,
@@ -88,9 +88,9 @@
     Ok(Timetable::new(schedules.collect::<Result<_, _>>()?))
 }
 
-/// A field of a definition that cannot be used.
+/// An invalid field of a definition.
 struct FieldProblem {
-    /// Path to the field from the shift, such as `.time_zone`; empty for the name of the shift.
+    /// Path to the field within the definition, such as `.time_zone`; empty for the name.
     field: &'static str,
     problem: String,
 }
@@ -104,8 +104,7 @@
     }
 }
 
-/// Checks the definition of one shift. The first field that cannot be used is reported, in the
-/// order of the checks.
+/// Validates one definition and reports its first invalid field, in the order of the checks.
 fn check_definition(
     name: &str,
     definition: &Definition,
@@ -119,7 +118,7 @@
     let days = parse_days(definition)?;
     let closed_days = parse_closed_days(definition)?;
     let (from, _) = parse_time(".from", &definition.from)?;
-    let (to, end_of_day) = parse_time(".to", &definition.to)?;
+    let (to, is_end_of_day) = parse_time(".to", &definition.to)?;
     if definition.from == "24:00" {
         return Err(FieldProblem::new(".from", invalid_time(&definition.from)));
     }
@@ -132,7 +131,7 @@
         days,
         from,
         to,
-        overnight: end_of_day || to <= from,
+        overnight: is_end_of_day || to <= from,
         closed_days,
         classes: definition.classes.iter().cloned().collect(),
         teams: definition.teams.clone().map(BTreeSet::from_iter),
@@ -151,7 +150,7 @@
     Err(FieldProblem::new("", problem))
 }
 
-/// Days of the week, counted from Monday as 0.
+/// Days of the week, with Monday as 0.
 fn parse_days(definition: &Definition) -> Result<BTreeSet<i8>, FieldProblem> {
     let Some(names) = &definition.days else {
         return Ok((0..7).collect());
@@ -176,7 +175,7 @@
     days.collect()
 }
 
-/// A time of day, and whether it is the one at a day's end.
+/// Parses the time of day in a field. The second value is whether it is `24:00`.
 fn parse_time(field: &'static str, text: &str) -> Result<(Time, bool), FieldProblem> {
     parse_time_of_day(text).ok_or_else(|| FieldProblem::new(field, invalid_time(text)))
 }
@@ -231,12 +230,12 @@
     format!("{text} is no time of day, as 06:00 is")
 }
 
-/// A time of day, and whether it is the one at a day's end.
+/// Parses a time of day. The second value is whether it is `24:00`.
 fn parse_time_of_day(text: &str) -> Option<(Time, bool)> {
     let (hour, minute) = text.split_once(':')?;
     let number = |digits: &str| {
-        let plain = digits.len() == 2 && digits.bytes().all(|byte| byte.is_ascii_digit());
-        plain.then(|| digits.parse::<i8>().ok()).flatten()
+        let is_valid = digits.len() == 2 && digits.bytes().all(|byte| byte.is_ascii_digit());
+        is_valid.then(|| digits.parse::<i8>().ok()).flatten()
     };
     let (hour, minute) = (number(hour)?, number(minute)?);
     if (hour, minute) == (24, 0) {
@@ -245,7 +244,8 @@
     Some((Time::new(hour, minute, 0, 0).ok()?, false))
 }
 
-/// Classes that only shifts name, each after the name of its shift: they may be misspelt.
+/// Classes in definitions that are not known otherwise and may be misspelt, as pairs of the
+/// definition's name and the class.
 pub fn unknown_classes<'a>(
     definitions: &'a Definitions,
     is_known: impl Fn(&str) -> bool + 'a,
--- a/crates/protection_windows/src/definition/tests.rs
+++ b/crates/protection_windows/src/definition/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn problems_name_their_field_in_one_line() {
+fn errors_name_the_field_in_one_line() {
     for (change, line) in [
         (
             r#"{ "time_zone": "Perth" }"#,
@@ -43,13 +43,13 @@
         assert!(!error.contains('\n'));
     }
     assert!(check(&definitions("{}"), |team| team == "red").is_ok());
-    let odd = BTreeMap::from([("a shift".into(), definitions("{}")["trading"].clone())]);
-    let error = check(&odd, |_| true).unwrap_err().to_string();
+    let invalid_name = BTreeMap::from([("a shift".into(), definitions("{}")["trading"].clone())]);
+    let error = check(&invalid_name, |_| true).unwrap_err().to_string();
     assert!(error.starts_with("shift.a shift: a name has"), "{error}");
 }
 
 #[test]
-fn a_class_that_nobody_names_may_be_misspelt() {
+fn unknown_classes_are_reported() {
     let definitions = definitions(r#"{ "classes": ["live", "lvie"] }"#);
     let unknown: Vec<_> = unknown_classes(&definitions, |class| class == "live").collect();
     assert_eq!(unknown, [("trading", "lvie")]);
--- a/crates/protection_windows/src/event.rs
+++ b/crates/protection_windows/src/event.rs
@@ -1,4 +1,4 @@
-//! The values that go into and come out of a [`WindowState`](crate::WindowState).
+//! Input and output types of [`WindowState`](crate::WindowState).
 
 use crate::{Day, Name};
 
@@ -11,103 +11,105 @@
     pub class: &'a str,
     /// Its team.
     pub team: &'a str,
-    /// When its user submitted it, in ms since 1970.
+    /// When its user submitted it, in ms since the Unix epoch.
     pub submitted_ms: u64,
 }
 
-/// The priority of a protected service.
+/// The place of a protected service in the scheduling order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Standing {
-    /// Lower is served first.
+    /// Lower ranks are served first.
     pub rank: u16,
-    /// Among services of one rank, lower is served first; the highest number until the place is
-    /// on record.
+    /// Among services of one rank, lower positions are served first. `u64::MAX` until the position
+    /// is recorded.
     pub position: u64,
 }
 
-/// Capacity that is kept free for the services that a shift protects.
+/// Capacity that is kept free for the services that a schedule protects.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpareShare {
-    /// Name of the shift.
+    /// Name of the schedule.
     pub schedule: Name,
-    /// Part of what the shift protects, from 0 to 1. After a window's end it falls to 0 gradually.
+    /// Fraction of what the schedule protects, from 0 to 1. It gradually falls to 0 after the end of
+    /// a window.
     pub share: f64,
 }
 
 /// Why a window was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its end has come.
+    /// The window ended.
     Ended,
-    /// The settings no longer have a window on that day.
+    /// The settings no longer define a window on that day.
     NoWindow,
 }
 
-/// What operators are to know.
+/// An event that is reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A window was opened: its services are protected now, or once that is on record.
+    /// A window was opened: its services are protected now, or once the opening is recorded.
     Opened {
-        /// Name of the shift.
+        /// Name of the schedule.
         schedule: Name,
         /// Day on which the window opened.
         day: Day,
-        /// When it closes, in ms since 1970.
+        /// When it closes, in ms since the Unix epoch.
         closes_ms: u64,
     },
     /// A window was closed.
     Closed {
-        /// Name of the shift.
+        /// Name of the schedule.
         schedule: Name,
         /// Day on which the window opened.
         day: Day,
         /// Why it was closed.
         reason: CloseReason,
     },
-    /// The time of day on record is ahead of this node's clock by more than the bound.
+    /// This node's clock is behind the recorded time of day by more than the bound.
     ClockBehind {
-        /// By how much, in ms.
+        /// Difference in ms.
         behind_ms: u64,
     },
-    /// A window is open on record, and this node's settings have no such shift.
+    /// A window is recorded as open, but its schedule is not in this node's settings.
     NotInSettings {
-        /// Name of the shift.
+        /// Name of the schedule.
         schedule: Name,
-        /// When the window closes, in ms since 1970.
+        /// When the window closes, in ms since the Unix epoch.
         closes_ms: u64,
     },
-    /// Services are protected without a place on record, as there is no room for more.
+    /// Services are protected without a recorded position, as the maximum number of positions is in
+    /// use.
     PositionsExhausted {
-        /// How many services.
+        /// Number of services without a position.
         services: usize,
     },
-    /// The windows do not fit into a value: nothing more is written.
+    /// The windows do not fit into a value. Writing is disabled.
     TooLarge {
-        /// Most bytes of a value.
+        /// Maximum bytes of a value.
         max_bytes: usize,
     },
 }
 
-/// A value to be written, or deleted, if its key still has the version.
+/// A value to be written or deleted, on condition that its key still has the given version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValueWrite {
-    /// Number of the value: 0 for windows, from 1 on for services.
+    /// Number of the value: 0 for windows, 1 and up for services.
     pub number: u32,
     /// The value; `None` to delete it.
     pub value: Option<String>,
-    /// The version that the key must have.
+    /// The version that the key is required to have.
     pub version: u64,
 }
 
-/// The state of a shift, for display.
+/// The state of a schedule, for display.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WindowStatus {
-    /// Name of the shift.
+    /// Name of the schedule.
     pub schedule: Name,
     /// Whether a window is open.
     pub open: bool,
-    /// When the open window closes, or the next one opens, in ms since 1970.
+    /// When the open window closes or the next one opens, in ms since the Unix epoch.
     pub until_ms: Option<u64>,
-    /// Number of services that it protects.
+    /// Number of protected services.
     pub services: usize,
 }
--- a/crates/protection_windows/src/lib.rs
+++ b/crates/protection_windows/src/lib.rs
@@ -1,4 +1,4 @@
-//! Windows in local time, such as a store's trading hours, in which some services are protected.
+//! Windows in local time, such as a store's trading hours, during which some services are protected.
 //!
 //! ```
 //! use indigopath_protection_windows::{Definitions, Service, WindowState, check};
@@ -11,25 +11,24 @@
 //!
 //! // Tuesday, 1 December 2026, noon in Perth.
 //! let noon_ms = 1_796_097_600_000;
-//! let till = Service { id: "wk-000412", class: "live", team: "red", submitted_ms: 0 };
-//! state.update(noon_ms, [till]);
+//! let service = Service { id: "wk-000412", class: "live", team: "red", submitted_ms: 0 };
+//! state.update(noon_ms, [service]);
 //! assert_eq!(state.standing("wk-000412").map(|standing| standing.rank), Some(1));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! A *shift* is the operators' definition of recurring windows. The state of the windows survives a
-//! change of leader, as it is on record in the state service.
+//! A [`WindowSchedule`] defines recurring windows; operators define it as a `shift` in the settings.
+//! The state of the windows is recorded in the state service and survives a change of leader.
 //!
-//! The package does no input or output and reads no clock: the time of day, the live services and the
-//! records are arguments; which services are protected, their order, and the values to be written are
-//! results.
+//! The crate does no I/O and reads no clock: the time of day, the live services and the records are
+//! arguments; the protected services, their order, and the values to write are results.
 //!
 //! # Clocks
 //!
-//! The times of day of successive leaders differ by up to a known bound. A window is opened as soon
-//! as it may be time by any clock within the bound, and closed once it is time by all of them. What
-//! was begun or ended once stays so, whoever leads next: see [`WindowState`] for the rules, and for
-//! what holds while nothing can be written.
+//! The clocks of successive leaders differ by up to a known bound. A window is opened as soon as any
+//! clock within the bound has reached its start, and closed once all of them have reached its end.
+//! Once opened or closed, a window stays so under the next leaders. See [`WindowState`] for the
+//! rules, and for the behaviour while nothing can be written.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -46,8 +45,8 @@
 pub use timetable::{Timetable, Window, WindowSchedule};
 pub use window_state::WindowState;
 
-/// The day, by the local calendar, on which a window opens.
+/// The local calendar day on which a window opens.
 pub type Day = jiff::civil::Date;
 
-/// Name of a shift, or id of a job. Shared, as each service has some.
+/// Name of a schedule, or id of a job. Reference-counted, as each service refers to several.
 pub type Name = std::sync::Arc<str>;
--- a/crates/protection_windows/src/record.rs
+++ b/crates/protection_windows/src/record.rs
@@ -1,21 +1,21 @@
-//! The serialized form of the values in the state service: one value of windows, numbered 0, and
-//! values of many services each, numbered from 1. Each states the version of its form, so that a
-//! build knows what it cannot read.
+//! The serialized form of the values in the state service: value 0 contains the windows, and values 1
+//! and up contain many services each. Each value contains its format version, so that a build
+//! recognizes values that it cannot read.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Version of the form that this build writes.
+/// Version of the format that this build writes.
 const FORMAT_VERSION: u16 = 1;
 
-/// A value that cannot be used. All values are then left as they are.
+/// Why a value cannot be used. All values are then left unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// It is cut short, or was not written by any build.
+    /// It is truncated or otherwise malformed.
     #[error("unreadable: {0}")]
     Unreadable(String),
-    /// A later build wrote it, in this form.
+    /// A newer build wrote it, in this format.
     #[error("a later build wrote it, in form {0}")]
     NewerFormat(u16),
 }
@@ -28,32 +28,32 @@
     /// The day on which it opened.
     #[serde(rename = "d")]
     pub day: String,
-    /// By the clock of the leader that opened it, in ms since 1970.
+    /// Time of opening by the clock of the leader that opened it, in ms since the Unix epoch.
     #[serde(rename = "o")]
     pub opened_ms: u64,
-    /// As its definition said then.
+    /// Closing time according to the settings at the time of writing.
     #[serde(rename = "c")]
     pub closes_ms: u64,
     #[serde(rename = "r")]
     pub rank: u16,
 }
 
-/// The latest window of a shift that is over.
+/// The latest closed window of a schedule.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ClosedEntry {
     #[serde(rename = "s")]
     pub schedule: Name,
     #[serde(rename = "d")]
     pub day: String,
-    /// By the clock of the leader that closed it.
+    /// Time of closing by the clock of the leader that closed it.
     #[serde(rename = "at")]
     pub at_ms: u64,
 }
 
-/// Value 0.
+/// Value 0: the windows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct WindowsRecord {
-    /// Time of day of the leader that wrote it: none that follows goes back behind it.
+    /// Time of day of the leader that wrote it. Later leaders do not assume an earlier time.
     #[serde(rename = "at")]
     pub at_ms: u64,
     #[serde(default)]
@@ -62,7 +62,7 @@
     pub closed: Vec<ClosedEntry>,
 }
 
-/// The serialized form of a [`ServiceEntry`]: its fields in their order.
+/// The serialized form of a [`ServiceEntry`]: a tuple of its fields in order.
 type ServiceEntryForm = (Name, u16, u64, usize);
 
 /// A protected service.
@@ -72,9 +72,9 @@
     /// Id of its job.
     pub job: Name,
     pub rank: u16,
-    /// Its place in the order.
+    /// Position in the order of services of one rank.
     pub position: u64,
-    /// Index of the shift among the value's shifts.
+    /// Index of the schedule among the value's schedules.
     pub schedule: usize,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Values 1 and up.
+/// Values 1 and up: protected services.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ServicesRecord {
     #[serde(rename = "s")]
@@ -113,7 +113,7 @@
 }
 
 pub(crate) fn encode<T: Serialize>(value: T) -> String {
-    // Plain data fails only on maps whose keys are no strings, and there is none.
+    // Serializing plain data fails only for maps with keys that are not strings; there are none.
     serde_json::to_string(&Versioned {
         format: FORMAT_VERSION,
         value,
--- a/crates/protection_windows/src/record/tests.rs
+++ b/crates/protection_windows/src/record/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn later_forms_are_told_from_broken_ones() {
+fn newer_formats_are_distinguished_from_malformed_values() {
     let text = encode(ServicesRecord {
         schedules: vec!["trading".into()],
         services: vec![ServiceEntry {
@@ -17,7 +17,10 @@
         Err(RecordError::NewerFormat(2))
     );
     for end in 0..text.len() {
-        let cut = decode::<ServicesRecord>(&text[..end]);
-        assert!(matches!(cut, Err(RecordError::Unreadable(_))), "{cut:?}");
+        let truncated = decode::<ServicesRecord>(&text[..end]);
+        assert!(
+            matches!(truncated, Err(RecordError::Unreadable(_))),
+            "{truncated:?}"
+        );
     }
 }
