--- a/crates/protection_windows/src/definition.rs
+++ b/crates/protection_windows/src/definition.rs
@@ -79,9 +79,9 @@
         });
     }
     let schedules = definitions.iter().map(|(name, definition)| {
-        let schedule = check_definition(name, definition, &is_team).map_err(|found| DefinitionError {
-            field: format!("shift.{name}{}", found.field),
-            problem: found.problem,
+        let schedule = check_definition(name, definition, &is_team).map_err(|error| DefinitionError {
+            field: format!("shift.{name}{}", error.field),
+            problem: error.problem,
         })?;
         Ok((name.clone(), Arc::new(schedule)))
     });
--- a/crates/protection_windows/src/timetable.rs
+++ b/crates/protection_windows/src/timetable.rs
@@ -1,4 +1,4 @@
-//! When windows open and close, in ms since 1970.
+//! Computes when windows open and close.
 
 use crate::constants::NEXT_WINDOW_SEARCH_DAYS;
 use crate::{Day, Name};
@@ -8,28 +8,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A window of a shift.
+/// A window of a schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Window {
-    /// The day on which it opens, by the shift's own calendar.
+    /// The day on which it opens, in the schedule's time zone.
     pub day: Day,
-    /// When protection begins, in ms since 1970: the lead time before it opens.
+    /// When protection starts, in ms since the Unix epoch: the lead time before the window opens.
     pub ready_ms: u64,
-    /// When it opens, in ms since 1970.
+    /// When it opens, in ms since the Unix epoch.
     pub opens_ms: u64,
-    /// When it closes, in ms since 1970.
+    /// When it closes, in ms since the Unix epoch.
     pub closes_ms: u64,
 }
 
-/// A shift whose definition was checked.
+/// A schedule of recurring windows, created from a valid definition.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WindowSchedule {
     pub(crate) time_zone: TimeZone,
-    /// Days of the week, counted from Monday as 0.
+    /// Days of the week, with Monday as 0.
     pub(crate) days: BTreeSet<i8>,
     pub(crate) from: Time,
     pub(crate) to: Time,
-    /// It closes on the day after it opened.
+    /// Windows close on the day after they open.
     pub(crate) overnight: bool,
     pub(crate) closed_days: BTreeSet<Day>,
     pub(crate) classes: BTreeSet<String>,
@@ -46,12 +46,12 @@
 }
 
 impl WindowSchedule {
-    /// The rank of its services: lower is served first.
+    /// The rank of the protected services; lower ranks are served first.
     pub fn rank(&self) -> u16 {
         self.rank
     }
 
-    /// Part of what is protected that is kept free as spare capacity.
+    /// Spare capacity to keep free, as a fraction of what is protected.
     pub fn spare_share(&self) -> f64 {
         self.spare_share
     }
@@ -61,16 +61,16 @@
         self.classes.contains(class) && self.teams.as_ref().is_none_or(|teams| teams.contains(team))
     }
 
-    /// The window that opens on a day. None on days that are closed, and none where the clocks
-    /// skip all of it.
+    /// The window that opens on a day. `None` on closed days, or if a clock change skips the whole
+    /// window.
     pub fn window_on(&self, day: Day) -> Option<Window> {
         let weekday = day.weekday().to_monday_zero_offset();
         if !self.days.contains(&weekday) || self.closed_days.contains(&day) {
             return None;
         }
-        let last = if self.overnight { day.tomorrow().ok()? } else { day };
+        let closing_day = if self.overnight { day.tomorrow().ok()? } else { day };
         let opens_ms = self.to_instant(day.to_datetime(self.from), Edge::Opening)?;
-        let closes_ms = self.to_instant(last.to_datetime(self.to), Edge::Closing)?;
+        let closes_ms = self.to_instant(closing_day.to_datetime(self.to), Edge::Closing)?;
         (opens_ms < closes_ms).then_some(Window {
             day,
             ready_ms: opens_ms.saturating_sub(self.lead_ms),
@@ -79,9 +79,9 @@
         })
     }
 
-    /// The instant of a local time. Of a time that occurs twice, an opening takes the first and a
-    /// closing the second instant, so that both hours are protected. A time that does not occur is
-    /// the instant at which the clocks skip it.
+    /// Converts a local time to an instant. If the local time occurs twice, an opening takes the first
+    /// and a closing the second occurrence, so that both hours are protected. A local time that is
+    /// skipped by a clock change maps to the instant of that change.
     fn to_instant(&self, local: DateTime, edge: Edge) -> Option<u64> {
         let ambiguous = self.time_zone.to_ambiguous_timestamp(local);
         let instant = match (ambiguous.offset(), edge) {
@@ -100,9 +100,10 @@
         Some(self.time_zone.to_datetime(instant).date())
     }
 
-    /// Windows that may be open at about that time, in order.
+    /// Windows that may be open around this time, in order.
     pub(crate) fn windows_near(&self, wall_ms: u64) -> impl Iterator<Item = Window> + '_ {
-        // A window lasts a day and an hour or two at most, and a lead reaches into the day before.
+        // A window lasts at most a day and an hour or two, and its lead time may start on the day
+        // before.
         let today = self.day_at(wall_ms);
         (-2..=1).filter_map(move |days| {
             let day = today?.checked_add(jiff::Span::new().days(days)).ok()?;
@@ -110,13 +111,13 @@
         })
     }
 
-    /// The window that is open at that time; of two, the first.
+    /// The window that is open at this time; the first if there are two.
     pub fn window_at(&self, wall_ms: u64) -> Option<Window> {
         self.windows_near(wall_ms)
             .find(|window| (window.opens_ms..window.closes_ms).contains(&wall_ms))
     }
 
-    /// The next window that opens after that time, within [`NEXT_WINDOW_SEARCH_DAYS`] days.
+    /// The next window that opens after this time, within [`NEXT_WINDOW_SEARCH_DAYS`] days.
     pub fn next_window(&self, wall_ms: u64) -> Option<Window> {
         let today = self.day_at(wall_ms)?;
         (0..NEXT_WINDOW_SEARCH_DAYS)
@@ -125,28 +126,28 @@
     }
 }
 
-/// All shifts of a site.
+/// All schedules of a site.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Timetable(Arc<BTreeMap<Name, Arc<WindowSchedule>>>);
 
 impl Timetable {
-    pub(crate) fn new(shifts: BTreeMap<Name, Arc<WindowSchedule>>) -> Timetable {
-        Timetable(Arc::new(shifts))
+    pub(crate) fn new(schedules: BTreeMap<Name, Arc<WindowSchedule>>) -> Timetable {
+        Timetable(Arc::new(schedules))
     }
 
-    /// Whether there is no shift at all.
+    /// Whether there are no schedules.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The shift of this name.
+    /// The schedule with this name.
     pub fn get(&self, name: &str) -> Option<&WindowSchedule> {
         self.0.get(name).map(Arc::as_ref)
     }
 
-    /// All shifts, by name.
+    /// All schedules, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &WindowSchedule)> {
-        self.0.iter().map(|(name, shift)| (name, shift.as_ref()))
+        self.0.iter().map(|(name, schedule)| (name, schedule.as_ref()))
     }
 }
 
--- a/crates/protection_windows/src/window_state.rs
+++ b/crates/protection_windows/src/window_state.rs
@@ -1,24 +1,26 @@
-//! Which windows are open, since when, and in which order their services are served.
+//! The state of open windows and the order of the protected services.
 //!
-//! Two things must not happen when one leader follows another: a window that the first has opened
-//! must not be closed or opened again because the clock of the second is behind, and services of
-//! one rank must not change their order. Both are therefore on record, and the state
+//! A change of leader must not close or reopen a window because the clock of the new leader is behind,
+//! and must not change the order of services of one rank. Both are therefore recorded, and the state
+//! follows these rules, where the bound is the maximum difference between two leaders' clocks:
 //!
-//! - opens a window from its `ready_ms` less the bound on, and closes it from its end plus the bound
-//!   on: as early, and as late, as any clock may be;
-//! - acts on an opening once it is on record, or by its own clock without the bound, as the state
-//!   service may be down at that time. A leader that finds nothing on record at its first update,
-//!   although the window may be open by some clock, protects at once: a former leader may have begun;
-//! - acts on an end only once it is on record. Without the state service protection lasts longer, and
-//!   nothing else can be started either;
-//! - never opens a day's window again that the record calls closed, and closes a window that the
-//!   record calls open for no other reason than its end;
-//! - never takes the time to be earlier than that on record, unless it is behind by more than the
-//!   bound: then it reports that and goes by its own clock;
-//! - numbers services as they come, and keeps the number for as long as any window protects them.
+//! - A window is opened from its `ready_ms` minus the bound on, and closed from its end plus the bound
+//!   on, which are the earliest and the latest time at which any clock may do so.
+//! - An opening takes effect once it is recorded, or once this node's own clock has reached
+//!   `ready_ms`, as the state service may be unavailable at that time. If a leader finds no record of a
+//!   window at its first update, and the window may be open by some clock, the opening takes effect at
+//!   once, as the previous leader may have started to protect.
+//! - A closing takes effect only once it is recorded. While the state service is unavailable,
+//!   protection lasts longer, but nothing else can be started either.
+//! - A day's window that is recorded as closed is never reopened, and a window that is recorded as open
+//!   is closed only at its end, or if the settings define no window on its day.
+//! - The time is never assumed to be earlier than the recorded time. If this node's clock is behind by
+//!   more than the bound, this is reported and the node's own clock is used.
+//! - Services get increasing positions as they appear, and keep them as long as any window protects
+//!   them.
 //!
-//! A value that cannot be read stops all writes, so that a later build's value is not lost. Windows
-//! then go by the clock alone, and services of one rank have no order.
+//! A value that cannot be read disables all writes, so that a newer build's value is not lost. Windows
+//! then follow the clock alone, and services of one rank have no order.
 
 mod services;
 mod storage;
@@ -40,27 +42,27 @@
     max_clock_difference_ms: u64,
     max_value_bytes: usize,
     windows: BTreeMap<WindowKey, OpenWindow>,
-    /// The latest window of each shift that is over.
+    /// The latest closed window of each schedule.
     closed: BTreeMap<Name, ClosedWindow>,
     services: HashMap<Name, ProtectedService>,
     next_position: u64,
     pages: BTreeMap<u32, Page>,
     sent: SentWindows,
-    /// The latest time of day at which anything was decided.
+    /// The latest time of day that a decision was based on, in ms since the Unix epoch.
     min_time_ms: u64,
-    /// A value could not be read, or is too large: nothing is written.
+    /// A value could not be read or is too large, so nothing is written.
     writes_disabled: bool,
-    /// The first update is done.
+    /// The first update has run.
     is_updated: bool,
-    /// Operators are to be told that a value is too large.
+    /// The next update reports that a value is too large.
     report_too_large: bool,
     reported_missing: BTreeSet<Name>,
     reported_exhausted: bool,
 }
 
 impl WindowState {
-    /// A state that has read no record yet. `bound_ms`: by how much two leaders' times of day
-    /// differ at most. `page_bytes`: most bytes of a value.
+    /// Creates a state that has no records yet. `max_clock_difference_ms` is the maximum difference
+    /// between two leaders' clocks, and `max_value_bytes` the maximum bytes of a value.
     pub fn new(timetable: Timetable, max_clock_difference_ms: u64, max_value_bytes: usize) -> WindowState {
         WindowState {
             timetable,
@@ -81,18 +83,18 @@
         }
     }
 
-    /// Whether there is nothing to do: no shift in the settings, none on record.
+    /// Whether there is nothing to do: the settings define no schedule, and none is recorded.
     pub fn is_empty(&self) -> bool {
         self.timetable.is_empty() && self.windows.is_empty() && self.services.is_empty()
     }
 
-    /// Whether no service is protected now.
+    /// Whether no services are protected now.
     pub fn protects_nothing(&self) -> bool {
         self.services.is_empty()
     }
 
-    /// Compares the clock with the windows, and the windows with the live services. To be called
-    /// about twice a second with all live services.
+    /// Opens and closes windows by the clock, and updates the protected services. Must be called about
+    /// twice a second with all live services.
     pub fn update<'a>(
         &mut self,
         wall_ms: u64,
@@ -120,8 +122,8 @@
         events
     }
 
-    /// The time of day to go by: never behind that on record, unless the clocks differ by more than
-    /// the bound.
+    /// The time of day used for decisions. It is never before the recorded time, unless this node's
+    /// clock is behind by more than the bound.
     fn decision_time(&mut self, wall_ms: u64, events: &mut Vec<Event>) -> u64 {
         let lag_ms = self.min_time_ms.saturating_sub(wall_ms);
         if lag_ms > self.max_clock_difference_ms {
@@ -132,10 +134,13 @@
         self.min_time_ms
     }
 
-    /// The standing of a job's service, if it is protected.
+    /// The standing of a service, if it is protected.
     pub fn standing(&self, job: &str) -> Option<Standing> {
         let service = self.services.get(job)?;
-        let position = service.position.filter(|_| service.on_record).unwrap_or(u64::MAX);
+        let position = service
+            .position
+            .filter(|_| service.is_recorded)
+            .unwrap_or(u64::MAX);
         Some(Standing {
             rank: service.rank,
             position,
@@ -148,24 +153,24 @@
         ids.filter_map(|id| Some((id, self.standing(id)?)))
     }
 
-    /// Capacity that shifts keep free, as of the last update.
+    /// Spare capacity to keep free for each schedule, as of the last update.
     pub fn spare_shares(&self) -> Vec<SpareShare> {
         let schedules = self
             .timetable
             .iter()
             .filter(|(_, schedule)| schedule.spare_share > 0.0);
         let spares = schedules.filter_map(|(name, schedule)| {
-            let left = self.remaining_spare(name);
-            (left > 0.0).then(|| SpareShare {
+            let remaining = self.remaining_spare(name);
+            (remaining > 0.0).then(|| SpareShare {
                 schedule: name.clone(),
-                share: schedule.spare_share * left,
+                share: schedule.spare_share * remaining,
             })
         });
         spares.collect()
     }
 
-    /// The part of a shift's spare capacity that is kept: all while a window is open, and less and
-    /// less after its end.
+    /// The fraction of a schedule's spare capacity that is still kept free: all of it while a window is
+    /// open, and gradually less after its end.
     fn remaining_spare(&self, schedule: &Name) -> f64 {
         if self.active_window(schedule).is_some() {
             return 1.0;
@@ -185,7 +190,7 @@
         active.map(|(_, window)| window)
     }
 
-    /// The status of each shift at this time of day, including those that are only on record.
+    /// The status of each schedule at this time of day, including schedules that are only recorded.
     pub fn status(&self, wall_ms: u64) -> Vec<WindowStatus> {
         let mut names: BTreeSet<&Name> = self.timetable.iter().map(|(name, _)| name).collect();
         names.extend(self.windows.keys().map(|key| &key.schedule));
--- a/crates/protection_windows/src/window_state/services.rs
+++ b/crates/protection_windows/src/window_state/services.rs
@@ -1,4 +1,4 @@
-//! Protected services, and their places in the order.
+//! Protected services and their positions in the order.
 
 use super::WindowState;
 use super::storage::Page;
@@ -11,21 +11,21 @@
 pub(super) struct ProtectedService {
     pub(super) rank: u16,
     pub(super) schedule: Name,
-    /// `None` where there is no room on record.
+    /// `None` if the maximum number of positions is in use.
     pub(super) position: Option<u64>,
-    /// Number of the value in which it is recorded.
+    /// Number of the value that contains it.
     pub(super) page: u32,
-    pub(super) on_record: bool,
+    pub(super) is_recorded: bool,
 }
 
-/// A shift with an active window.
+/// A schedule with an active window.
 struct ActiveSchedule {
     name: Name,
     rank: u16,
 }
 
-/// A service that was not protected before. The order is that in which such services get their
-/// places.
+/// A service that was not protected before. The derived order is the order in which such services
+/// get their positions.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct NewService {
     submitted_ms: u64,
@@ -34,7 +34,7 @@
     schedule: Name,
 }
 
-/// What an update found among the live services.
+/// The result of comparing the live services with the protected ones.
 #[derive(Default)]
 struct ServiceScan {
     /// ServicesRecord that are protected.
@@ -44,13 +44,13 @@
     changed_pages: Vec<u32>,
 }
 
-/// Bytes that the entry of a service takes in a value, at most.
+/// Maximum bytes of a service's entry in a value.
 pub(super) fn entry_bytes(id: &str) -> usize {
     id.len() + ENTRY_OVERHEAD_BYTES
 }
 
 impl WindowState {
-    /// Brings the protected services in line with the active windows and the live services.
+    /// Updates the protected services from the active windows and the live services.
     pub(super) fn update_services<'a>(
         &mut self,
         services: impl IntoIterator<Item = Service<'a>>,
@@ -62,12 +62,14 @@
             mut changed_pages,
         } = self.scan_services(services);
         self.drop_unprotected(&protected);
-        let unplaced = self.assign_positions(new, &mut changed_pages);
+        let without_position = self.assign_positions(new, &mut changed_pages);
         for number in changed_pages {
             self.write_by(number, 0);
         }
-        if unplaced > 0 && !std::mem::replace(&mut self.reported_exhausted, true) {
-            events.push(Event::PositionsExhausted { services: unplaced });
+        if without_position > 0 && !std::mem::replace(&mut self.reported_exhausted, true) {
+            events.push(Event::PositionsExhausted {
+                services: without_position,
+            });
         }
     }
 
@@ -81,11 +83,11 @@
             .collect()
     }
 
-    /// Whether an active shift protects a service.
+    /// Whether an active schedule protects a service.
     fn protects(&self, schedule: &ActiveSchedule, service: &Service<'_>) -> bool {
         match self.timetable.get(&schedule.name) {
             Some(defined) => defined.covers(service.class, service.team),
-            // Only the record says which services such a shift protects.
+            // The schedule is not in the settings. It protects only recorded services.
             None => self
                 .services
                 .get(service.id)
@@ -93,10 +95,10 @@
         }
     }
 
-    /// Finds the services that are protected, and updates those that were before.
+    /// Determines which live services are protected, and updates those that already were.
     fn scan_services<'a>(&mut self, services: impl IntoIterator<Item = Service<'a>>) -> ServiceScan {
         let active = self.active_schedules();
-        let mut found = ServiceScan::default();
+        let mut scan = ServiceScan::default();
         for service in services {
             let protecting = active.iter().filter(|schedule| self.protects(schedule, &service));
             let Some(best) = protecting.min_by_key(|schedule| schedule.rank) else {
@@ -107,16 +109,16 @@
                     if known.rank != best.rank || known.schedule != best.name {
                         known.rank = best.rank;
                         known.schedule = best.name.clone();
-                        found.changed_pages.push(known.page);
+                        scan.changed_pages.push(known.page);
                     }
                     if let Some((id, _)) = self.services.get_key_value(service.id) {
-                        found.protected.insert(id.clone());
+                        scan.protected.insert(id.clone());
                     }
                 }
                 None => {
                     let id = Name::from(service.id);
-                    found.protected.insert(id.clone());
-                    found.new.push(NewService {
+                    scan.protected.insert(id.clone());
+                    scan.new.push(NewService {
                         submitted_ms: service.submitted_ms,
                         id,
                         rank: best.rank,
@@ -125,14 +127,14 @@
                 }
             }
         }
-        found
+        scan
     }
 
-    /// Removes services that are protected no longer.
-    fn drop_unprotected(&mut self, live: &BTreeSet<Name>) {
+    /// Removes services that are no longer protected.
+    fn drop_unprotected(&mut self, protected: &BTreeSet<Name>) {
         let mut dropped = Vec::new();
         self.services.retain(|id, service| {
-            let stays = live.contains(id);
+            let stays = protected.contains(id);
             if !stays && service.position.is_some() {
                 dropped.push((service.page, entry_bytes(id)));
             }
@@ -146,50 +148,53 @@
         }
     }
 
-    /// Gives new services their places; returns how many get none.
-    fn assign_positions(&mut self, mut new: Vec<NewService>, changed: &mut Vec<u32>) -> usize {
+    /// Assigns positions to new services, and returns the number of services that get none.
+    fn assign_positions(&mut self, mut new: Vec<NewService>, changed_pages: &mut Vec<u32>) -> usize {
         new.sort_unstable();
-        let mut unplaced = 0;
+        let mut without_position = 0;
         for service in new {
             let mut protected = ProtectedService {
                 rank: service.rank,
                 schedule: service.schedule,
                 position: None,
                 page: 0,
-                on_record: false,
+                is_recorded: false,
             };
             if self.services.len() < MAX_SERVICES {
                 protected.page = self.page_for(&service.id);
                 protected.position = Some(self.next_position);
                 self.next_position += 1;
-                changed.push(protected.page);
+                changed_pages.push(protected.page);
             } else {
-                unplaced += 1;
+                without_position += 1;
             }
             self.services.insert(service.id, protected);
         }
-        unplaced
+        without_position
     }
 
-    /// A value names services that are over. It may do so for a while, unless it names no others.
+    /// Schedules the rewrite of a value that contains services that are no longer protected: after a
+    /// delay, or at once if it contains no others.
     fn schedule_stale_rewrite(&mut self, number: u32) {
         let page = self.pages.entry(number).or_default();
         let due = if page.bytes == 0 {
             0
         } else {
-            page.tried_at.unwrap_or(0) + STALE_REWRITE_DELAY_MS
+            page.last_sent_at.unwrap_or(0) + STALE_REWRITE_DELAY_MS
         };
         self.write_by(number, due);
     }
 
-    /// The number of the value that takes a new service's entry: the first one with room for it.
+    /// The number of the value for a new service's entry: the first one with enough space.
     fn page_for(&mut self, id: &str) -> u32 {
         let bytes = entry_bytes(id);
-        let names: usize = self.timetable.iter().map(|(name, _)| name.len() + 3).sum();
-        let most = self.max_value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES + names);
-        let has_room = |page: &Page| page.bytes + bytes <= most;
+        let names_bytes: usize = self.timetable.iter().map(|(name, _)| name.len() + 3).sum();
+        let max_bytes = self
+            .max_value_bytes
+            .saturating_sub(VALUE_OVERHEAD_BYTES + names_bytes);
+        let has_space = |page: &Page| page.bytes + bytes <= max_bytes;
         let mut pages = self.pages.iter();
-        let found = pages.find(|(number, page)| **number > 0 && has_room(page));
+        let found = pages.find(|(number, page)| **number > 0 && has_space(page));
         let number = match found {
             Some((number, _)) => *number,
             None => self.pages.last_key_value().map_or(1, |(last, _)| last + 1),
--- a/crates/protection_windows/src/window_state/storage.rs
+++ b/crates/protection_windows/src/window_state/storage.rs
@@ -1,4 +1,4 @@
-//! The values of the state service: reading those of a former leader, and writing changes.
+//! Reads the values that a previous leader stored in the state service, and writes changes.
 
 use super::WindowState;
 use super::services::{ProtectedService, entry_bytes};
@@ -8,25 +8,27 @@
 use crate::record::{self, ClosedEntry, OpenEntry, RecordError, ServiceEntry, ServicesRecord, WindowsRecord};
 use crate::{Day, Name};
 
-/// Number of the value that contains the windows; the others contain services.
+/// Number of the value that contains the windows. Other values contain services.
 const WINDOWS_PAGE: u32 = 0;
 
-/// A value of the state service.
+/// A value in the state service.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Page {
     version: u64,
-    /// Bytes of its entries.
+    /// Total bytes of its entries.
     pub(super) bytes: usize,
-    /// It is to be written by then, in ms of the monotonic clock.
+    /// When it is to be written, in ms of the monotonic clock.
     due: Option<u64>,
     in_flight: bool,
-    pub(super) tried_at: Option<u64>,
+    /// When it was last sent, in ms of the monotonic clock.
+    pub(super) last_sent_at: Option<u64>,
 }
 
 impl Page {
-    /// Whether the last write was too short ago for another one.
+    /// Whether the last write was too recent for another one.
     fn was_written_recently(&self, now: u64) -> bool {
-        self.tried_at.is_some_and(|at| now < at + MIN_WRITE_INTERVAL_MS)
+        self.last_sent_at
+            .is_some_and(|at| now < at + MIN_WRITE_INTERVAL_MS)
     }
 
     fn is_ready(&self, now: u64) -> bool {
@@ -34,7 +36,7 @@
     }
 }
 
-/// Windows whose opening or closing is in the value that is written and not confirmed yet.
+/// Windows whose opening or closing is contained in a write that is not confirmed yet.
 #[derive(Debug, Default)]
 pub(super) struct SentWindows {
     opening: Vec<WindowKey>,
@@ -46,11 +48,11 @@
 }
 
 impl WindowState {
-    /// Reads a value that a former leader wrote. All are read before the first
+    /// Restores a value that a previous leader wrote. All values must be restored before the first
     /// [`WindowState::update`].
     ///
     /// # Errors
-    /// The value cannot be read. Nothing is written in this term, so that it is not lost.
+    /// The value cannot be read. Nothing is written in this term, so that the value is not lost.
     pub fn restore(&mut self, number: u32, text: &str, version: u64) -> Result<(), RecordError> {
         self.pages.entry(number).or_default().version = version;
         let read = if number == WINDOWS_PAGE {
@@ -101,18 +103,19 @@
                 schedule: schedule.clone(),
                 position: Some(entry.position),
                 page: number,
-                on_record: true,
+                is_recorded: true,
             };
-            if let Some(earlier) = self.services.insert(entry.job, service) {
-                // No leader moves a service between values: the one that was read first goes.
-                self.write_by(earlier.page, 0);
+            if let Some(duplicate) = self.services.insert(entry.job, service) {
+                // Leaders do not move services between values. Of duplicates, the last one read is
+                // kept, and the value of the other is rewritten.
+                self.write_by(duplicate.page, 0);
             }
         }
     }
 
-    /// The values that are to be written now. Each is in flight until it is reported as
-    /// [`WindowState::written`], [`WindowState::failed`] or [`WindowState::found`]. `now`: ms of the
-    /// monotonic clock.
+    /// Returns the values to write now. Each is in flight until it is reported through
+    /// [`WindowState::on_written`], [`WindowState::on_write_failed`] or
+    /// [`WindowState::on_version_read`]. `now` is in ms of the monotonic clock.
     pub fn due_writes(&mut self, now: u64) -> Vec<ValueWrite> {
         let mut writes = Vec::new();
         if self.writes_disabled || self.pages.is_empty() {
@@ -128,7 +131,7 @@
                 .as_ref()
                 .is_some_and(|value| value.len() > self.max_value_bytes)
             {
-                // The state service would refuse it with all that is written in one transaction.
+                // The state service would reject the whole transaction that contains it.
                 self.writes_disabled = true;
                 self.report_too_large = true;
                 return Vec::new();
@@ -141,7 +144,7 @@
                 continue;
             }
             page.in_flight = true;
-            page.tried_at = Some(now);
+            page.last_sent_at = Some(now);
             writes.push(ValueWrite {
                 number,
                 value,
@@ -151,7 +154,7 @@
         writes
     }
 
-    /// Numbers of the values to write in this turn: that of the windows, and at most one of services.
+    /// Numbers of the values to write now: that of the windows, and at most one of services.
     fn due_pages(&self, now: u64) -> Vec<u32> {
         let ready = self.pages.iter().filter(|(_, page)| page.is_ready(now));
         let mut numbers: Vec<u32> = ready.map(|(number, _)| *number).collect();
@@ -202,7 +205,7 @@
         Some(record::encode(record))
     }
 
-    /// `None` if the value has no service any more.
+    /// Encodes a value of services. Returns `None` if it contains none.
     fn encode_services(&self, number: u32) -> Option<String> {
         let mut entries: Vec<(u64, &Name, &ProtectedService)> = self
             .services
@@ -210,7 +213,7 @@
             .filter(|(_, service)| service.page == number)
             .filter_map(|(id, service)| Some((service.position?, id, service)))
             .collect();
-        // The services are in an unordered map: without this, the value would differ from run to run.
+        // Sorted for a deterministic encoding, as the map of services is unordered.
         entries.sort_unstable_by_key(|(position, _, _)| *position);
         let mut record = ServicesRecord::default();
         for (position, id, service) in entries {
@@ -232,7 +235,7 @@
         (!record.services.is_empty()).then(|| record::encode(record))
     }
 
-    /// A value was written, under this version; 0 if it was deleted.
+    /// A value was written and now has this version; 0 if it was deleted.
     pub fn on_written(&mut self, number: u32, version: u64) {
         let Some(page) = self.pages.get_mut(&number) else {
             return;
@@ -243,10 +246,10 @@
             self.on_windows_written();
             return;
         }
-        // What changed since is written with the next write.
-        let complete = page.due.is_none();
+        // Changes made since the write was sent are part of the next write.
+        let is_complete = page.due.is_none();
         for service in self.services.values_mut() {
-            service.on_record |= complete && service.page == number;
+            service.is_recorded |= is_complete && service.page == number;
         }
     }
 
@@ -265,7 +268,7 @@
         }
     }
 
-    /// A value was not, or may not have been, written.
+    /// A value was not written, or may not have been.
     pub fn on_write_failed(&mut self, number: u32) {
         if let Some(page) = self.pages.get_mut(&number) {
             page.in_flight = false;
@@ -276,8 +279,8 @@
         }
     }
 
-    /// A value was read back with this version after a write in doubt. As nobody but this leader
-    /// writes it, it contains what was to be written, or what was there before.
+    /// A value was read back with this version after a write with unknown outcome. As only this
+    /// leader writes it, it contains either the new or the previous content.
     pub fn on_version_read(&mut self, number: u32, version: u64) {
         self.on_write_failed(number);
         if let Some(page) = self.pages.get_mut(&number) {
@@ -285,7 +288,7 @@
         }
     }
 
-    /// A value is to be written by then, in ms of the monotonic clock.
+    /// Schedules a write of a value for this time or earlier, in ms of the monotonic clock.
     pub(super) fn write_by(&mut self, number: u32, due: u64) {
         let page = self.pages.entry(number).or_default();
         page.due = Some(page.due.map_or(due, |other| other.min(due)));
--- a/crates/protection_windows/src/window_state/windows.rs
+++ b/crates/protection_windows/src/window_state/windows.rs
@@ -1,4 +1,4 @@
-//! Opening and closing of windows by the clock.
+//! Opens and closes windows by the clock.
 
 use super::WindowState;
 use crate::constants::{CLOSED_WINDOW_RETENTION_DAYS, DAY_MS};
@@ -7,21 +7,21 @@
 use crate::{Day, Name};
 use std::collections::BTreeMap;
 
-/// A window of a shift, by the day on which it opens.
+/// Identifies a window by its schedule and the day on which it opens.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WindowKey {
     pub(super) schedule: Name,
     pub(super) day: Day,
 }
 
-/// How far a window's opening or closing is on record.
+/// Whether the opening or closing of a window is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The opening is decided, and not on record yet.
+    /// The opening is decided but not recorded yet.
     Opening,
-    /// It is open on record.
+    /// The window is recorded as open.
     Open,
-    /// The closing is decided, and not on record yet.
+    /// The closing is decided but not recorded yet.
     Closing,
 }
 
@@ -29,34 +29,34 @@
 pub(super) struct OpenWindow {
     pub(super) stage: Stage,
     pub(super) opened_ms: u64,
-    /// When protection is to begin, if the settings have the window.
+    /// When protection starts, if the settings define the window.
     pub(super) ready_ms: Option<u64>,
     pub(super) closes_ms: u64,
     pub(super) rank: u16,
-    /// Its services are protected now.
+    /// Whether its services are protected now.
     pub(super) active: bool,
 }
 
-/// The latest window of a shift that is over.
+/// The latest closed window of a schedule.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClosedWindow {
     pub(super) day: Day,
     pub(super) at_ms: u64,
 }
 
-/// Notes that a window was closed, unless a later one of the shift was.
+/// Records that a window was closed, unless a later one of the same schedule was.
 pub(super) fn record_closed(closed: &mut BTreeMap<Name, ClosedWindow>, key: &WindowKey, at_ms: u64) {
-    let later = closed
+    let is_later_closed = closed
         .get(&key.schedule)
         .is_some_and(|latest| latest.day >= key.day);
-    if !later {
+    if !is_later_closed {
         let window = ClosedWindow { day: key.day, at_ms };
         closed.insert(key.schedule.clone(), window);
     }
 }
 
 impl WindowState {
-    /// Opens windows whose time has come; returns whether anything changed that is on record.
+    /// Opens windows that are due, and returns whether the record has to be written.
     pub(super) fn open_windows(&mut self, time: u64, events: &mut Vec<Event>) -> bool {
         let mut changed = false;
         let timetable = self.timetable.clone();
@@ -81,18 +81,18 @@
             day: window.day,
         };
         if let Some(open) = self.windows.get_mut(&key) {
-            // The settings in force say when it ends; the record says that it has begun.
-            let same = open.closes_ms == window.closes_ms && open.rank == schedule.rank;
+            // The end and the rank follow the current settings; that it is open follows the record.
+            let is_unchanged = open.closes_ms == window.closes_ms && open.rank == schedule.rank;
             open.closes_ms = window.closes_ms;
             open.ready_ms = Some(window.ready_ms);
             open.rank = schedule.rank;
-            return !same;
+            return !is_unchanged;
         }
-        let over = self
+        let is_over = self
             .closed
             .get(name)
             .is_some_and(|closed| window.day <= closed.day);
-        if over || !self.may_be_open(&window, time) {
+        if is_over || !self.may_be_open(&window, time) {
             return false;
         }
         let open = OpenWindow {
@@ -101,7 +101,7 @@
             ready_ms: Some(window.ready_ms),
             closes_ms: window.closes_ms,
             rank: schedule.rank,
-            // At the first update, a former leader may have begun to protect.
+            // At the first update, a previous leader may already have started to protect.
             active: !self.is_updated,
         };
         self.windows.insert(key, open);
@@ -113,16 +113,16 @@
         true
     }
 
-    /// Whether the window is open by some clock within the bound.
+    /// Whether the window may be open by some clock within the bound.
     fn may_be_open(&self, window: &Window, time: u64) -> bool {
         time + self.max_clock_difference_ms >= window.ready_ms
             && time < window.closes_ms + self.max_clock_difference_ms
     }
 
-    /// Closes windows whose end has come; returns whether anything changed that is on record.
+    /// Closes windows that are due, and returns whether the record has to be written.
     pub(super) fn close_windows(&mut self, time: u64, events: &mut Vec<Event>) -> bool {
         let mut changed = false;
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for (key, window) in &mut self.windows {
             let schedule = self.timetable.get(&key.schedule);
             if schedule.is_none() && self.reported_missing.insert(key.schedule.clone()) {
@@ -147,11 +147,11 @@
                     reason,
                 });
             } else if self.writes_disabled {
-                // Nothing is written any more, so the end will never be on record.
-                gone.push(key.clone());
+                // Writing is disabled, so the closing will never be recorded.
+                removed.push(key.clone());
             }
         }
-        for key in gone {
+        for key in removed {
             self.windows.remove(&key);
             record_closed(&mut self.closed, &key, time);
             changed = true;
@@ -159,20 +159,20 @@
         self.drop_old_closed(time) || changed
     }
 
-    /// Forgets windows that were closed days ago; returns whether there were any.
+    /// Drops closed windows after their retention time, and returns whether there were any.
     fn drop_old_closed(&mut self, time: u64) -> bool {
-        let kept_from = i64::try_from(time).unwrap_or(0) - CLOSED_WINDOW_RETENTION_DAYS * DAY_MS;
+        let retained_from = i64::try_from(time).unwrap_or(0) - CLOSED_WINDOW_RETENTION_DAYS * DAY_MS;
         let before = self.closed.len();
         self.closed
-            .retain(|_, closed| i64::try_from(closed.at_ms).unwrap_or(i64::MAX) >= kept_from);
+            .retain(|_, closed| i64::try_from(closed.at_ms).unwrap_or(i64::MAX) >= retained_from);
         self.closed.len() < before
     }
 
-    /// Begins to act on windows that are open on record, or by this node's clock.
+    /// Activates windows that are recorded as open, or have started by this node's clock.
     pub(super) fn activate_windows(&mut self, time: u64) {
         for window in self.windows.values_mut() {
-            let begun = window.ready_ms.is_some_and(|ready| time >= ready);
-            window.active |= window.stage == Stage::Open || window.stage == Stage::Opening && begun;
+            let has_started = window.ready_ms.is_some_and(|ready| time >= ready);
+            window.active |= window.stage == Stage::Open || window.stage == Stage::Opening && has_started;
         }
         self.is_updated = true;
     }
