--- a/crates/protection_windows/src/window_state/tests.rs
+++ b/crates/protection_windows/src/window_state/tests.rs
@@ -3,7 +3,7 @@
 use crate::event::{CloseReason, ValueWrite};
 use proptest::prelude::*;
 
-/// By how much two clocks differ at most, in ms.
+/// Maximum difference between two clocks, in ms.
 const BOUND_MS: u64 = 1_000;
 const HOUR_MS: u64 = 3_600_000;
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// The state service, as far as shifts use it.
+/// The part of the state service that protection windows use.
 #[derive(Debug, Clone, Default)]
 struct Store(BTreeMap<u32, (String, u64)>, u64);
 
 impl Store {
     fn write(&mut self, write: &ValueWrite) -> u64 {
-        let have = self.0.get(&write.number).map_or(0, |(_, version)| *version);
-        assert_eq!(have, write.version, "a write on another version");
+        let stored_version = self.0.get(&write.number).map_or(0, |(_, version)| *version);
+        assert_eq!(stored_version, write.version, "write on a different version");
         self.1 += 1;
         match &write.value {
             Some(text) => {
@@ -69,12 +69,12 @@
 }
 
 #[test]
-fn a_successor_behind_neither_closes_nor_opens_again() {
+fn a_successor_whose_clock_is_behind_neither_closes_nor_reopens() {
     let timetable = trading("");
     let mut store = Store::default();
     let mut first = store.successor(&timetable);
     let opens = at("2026-12-01T05:59:00Z");
-    // Written before anybody's clock has it; nobody acts on it until it is.
+    // The opening is sent before any clock has reached it, and takes effect once it is recorded.
     first.update(opens - 2 * BOUND_MS, [service("wk-1", 0)]);
     first.update(opens - BOUND_MS, [service("wk-1", 0)]);
     assert_eq!(first.standing("wk-1"), None);
@@ -87,7 +87,7 @@
     assert_eq!(
         events,
         [],
-        "neither opened nor closed, and no clock out of bounds"
+        "neither opened nor closed, and clocks within the bound"
     );
     assert!(second.standing("wk-1").is_some());
 
@@ -95,26 +95,26 @@
     second.update(closes, [service("wk-1", 0)]);
     assert!(
         second.standing("wk-1").is_some(),
-        "closed in memory, open on record"
+        "closed in memory, recorded as open"
     );
     store.write_all(&mut second, 100_000);
     second.update(closes, [service("wk-1", 0)]);
     assert_eq!(second.standing("wk-1"), None);
     let mut third = store.successor(&timetable);
     let events = third.update(closes - 900, [service("wk-1", 0)]);
-    assert_eq!(events, [], "it is over, whatever the clock says");
+    assert_eq!(events, [], "recorded as closed, whatever the clock says");
     assert_eq!(third.standing("wk-1"), None);
 }
 
 #[test]
-fn without_the_state_service_a_window_opens_in_time_and_ends_late() {
+fn without_the_state_service_windows_open_on_time_and_close_late() {
     let mut state = WindowState::new(trading(""), BOUND_MS, 16_000);
     let ready = at("2026-12-01T05:59:00Z");
     let closes = at("2026-12-01T22:00:00Z");
-    let mut protects = |wall_ms, written: bool| {
+    let mut protects = |wall_ms, is_written: bool| {
         state.update(wall_ms, [service("wk-1", 0)]);
         for write in state.due_writes(wall_ms) {
-            if written {
+            if is_written {
                 state.on_written(write.number, 1);
             } else {
                 state.on_write_failed(write.number);
@@ -127,17 +127,17 @@
     assert!(!protects(ready - 1, false));
     assert!(protects(ready, false));
     assert!(protects(closes + BOUND_MS, false));
-    assert!(protects(closes + HOUR_MS, false), "until that is on record");
+    assert!(protects(closes + HOUR_MS, false), "until the closing is recorded");
     protects(closes + HOUR_MS + 2_000, true);
     assert!(!protects(closes + HOUR_MS + 4_000, true));
-    // Whoever takes over in doubt protects what another may have begun to.
+    // A successor without a record protects what its predecessor may have started to protect.
     let mut successor = WindowState::new(trading(""), BOUND_MS, 16_000);
     successor.update(ready - BOUND_MS, [service("wk-1", 0)]);
     assert!(successor.standing("wk-1").is_some());
 }
 
 #[test]
-fn the_order_once_given_stands_until_the_window_closes() {
+fn the_order_is_kept_until_the_window_closes() {
     let timetable = timetable(
         r#"{ "day": { "time_zone": "UTC", "from": "06:00", "to": "22:00", "classes": ["live"], "rank": 2 },
              "noon": { "time_zone": "UTC", "from": "11:00", "to": "13:00", "classes": ["live"],
@@ -162,7 +162,7 @@
     store.write_all(&mut state, 0);
     state.update(eight, [service("wk-1", 20)]);
     store.write_all(&mut state, 2_000);
-    // Older ones that are heard of later come after it.
+    // Services that were submitted earlier but appear later are ordered after it.
     let all = [blue("wk-3", 5), blue("wk-2", 10), service("wk-1", 20)];
     state.update(eight, all);
     store.write_all(&mut state, 4_000);
@@ -170,7 +170,7 @@
     let mut state = store.successor(&timetable);
     state.update(eight, all);
     assert_eq!(order(&state), ["wk-1", "wk-3", "wk-2"]);
-    // The best rank of several holds, and the order within a rank is the same after it.
+    // The best of several ranks applies, and the order within a rank is unchanged afterwards.
     state.update(at("2026-12-01T12:00:00Z"), all);
     store.write_all(&mut state, 6_000);
     assert_eq!(order(&state), ["wk-3", "wk-2", "wk-1"]);
@@ -189,12 +189,12 @@
     assert_eq!(
         store.0.keys().collect::<Vec<_>>(),
         [&0],
-        "no service is left there"
+        "values without services are deleted"
     );
 }
 
 #[test]
-fn a_record_that_cannot_be_read_is_left_as_it_is() {
+fn unreadable_records_are_not_overwritten() {
     let ready = at("2026-12-01T05:59:00Z");
     for (text, error) in [
         (
@@ -209,14 +209,18 @@
         let mut state = WindowState::new(trading(""), BOUND_MS, 16_000);
         assert_eq!(state.restore(0, text, 7).unwrap_err().to_string(), error);
         state.update(ready, [service("wk-1", 0)]);
-        assert_eq!(state.due_writes(0), [], "nothing is written over it");
+        assert_eq!(state.due_writes(0), [], "the record is not overwritten");
         let standing = state.standing("wk-1").unwrap();
-        assert_eq!(standing.position, u64::MAX, "protected by the clock, in no order");
+        assert_eq!(
+            standing.position,
+            u64::MAX,
+            "protected by the clock, without an order"
+        );
     }
 }
 
 #[test]
-fn a_shift_that_left_the_settings_stays_for_those_on_record() {
+fn a_schedule_removed_from_the_settings_protects_recorded_services() {
     let mut store = Store::default();
     let mut first = store.successor(&trading(""));
     let eight = at("2026-12-01T08:00:00Z");
@@ -231,30 +235,30 @@
     let both = [service("wk-1", 0), service("wk-2", 0)];
     let events = second.update(eight, both);
     let closes_ms = at("2026-12-01T22:00:00Z");
-    let shift: Name = "trading".into();
+    let schedule: Name = "trading".into();
     assert_eq!(
         events,
         [Event::NotInSettings {
-            schedule: shift.clone(),
+            schedule: schedule.clone(),
             closes_ms
         }]
     );
     assert_eq!(second.standing("wk-1").map(|standing| standing.rank), Some(1));
     assert_eq!(second.standing("wk-2"), None);
     assert_eq!(second.spare_shares(), []);
-    // Who knows it takes it up as it was.
+    // A leader whose settings contain the schedule continues it unchanged.
     let mut third = store.successor(&trading(""));
     assert_eq!(third.update(eight, both), []);
     assert_eq!(third.standing("wk-1"), first.standing("wk-1"));
-    // It ends by the record.
+    // The window ends at the recorded time.
     let events = second.update(closes_ms + BOUND_MS, both);
     assert!(events.iter().any(
-        |event| matches!(event, Event::Closed { schedule: over, reason: CloseReason::Ended, .. } if *over == shift)
+        |event| matches!(event, Event::Closed { schedule: closed, reason: CloseReason::Ended, .. } if *closed == schedule)
     ));
 }
 
 #[test]
-fn settings_that_differ_close_a_window_once() {
+fn a_window_is_closed_once_if_settings_differ() {
     let mut store = Store::default();
     let long = trading("");
     let short = timetable(
@@ -270,7 +274,7 @@
     assert_eq!(
         state.update(half_past_six, [service("wk-1", 0)]),
         [],
-        "it has begun"
+        "the window is already open"
     );
     assert!(state.standing("wk-1").is_some());
     let nine = at("2026-12-01T21:00:00Z");
@@ -281,12 +285,8 @@
     assert_eq!(state.standing("wk-1"), None);
     let mut state = store.successor(&long);
     state.update(nine, [service("wk-1", 0)]);
-    assert_eq!(
-        state.standing("wk-1"),
-        None,
-        "a day that was closed opens no more"
-    );
-    // A day that is closed in the settings ends its window.
+    assert_eq!(state.standing("wk-1"), None, "a closed window is not reopened");
+    // The window of a day that the settings declare closed is closed.
     let mut store = Store::default();
     let mut state = store.successor(&long);
     for turn in 0..2 {
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_clock_out_of_bounds_is_told_once_and_opens_nothing_twice() {
+fn a_clock_out_of_bounds_is_reported_once_and_reopens_nothing() {
     let mut store = Store::default();
     let mut state = store.successor(&trading(""));
     let night = at("2026-12-01T22:10:00Z");
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn values_are_many_to_a_key_bounded_and_written_at_a_bounded_rate() {
+fn values_have_a_bounded_size_and_write_rate() {
     let mut store = Store::default();
     let mut state = store.successor(&trading(""));
     let ids: Vec<String> = (0..3_000).map(|number| format!("wk-{number:06}")).collect();
@@ -341,14 +341,14 @@
     assert_eq!(
         store.0.len(),
         12,
-        "one of windows, and some 270 services to a value"
+        "one value of windows, and some 270 services per value"
     );
-    assert_eq!(writes, 12, "each once, at most two a second");
+    assert_eq!(writes, 12, "each value once, at most two per second");
     let successor = store.successor(&trading(""));
     for id in &ids {
         assert_eq!(successor.standing(id), state.standing(id));
     }
-    // One service's end is no reason to write at once.
+    // The end of a single service is not written at once.
     state.update(eight + 50_000, all().skip(1));
     assert_eq!(state.due_writes(50_000), []);
     assert_eq!(state.due_writes(200_000).len(), 1);
@@ -365,17 +365,21 @@
     assert!(state.standing("wk-1").is_some());
 }
 
-/// What becomes of a write.
+/// The outcome of a write.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum WriteOutcome {
     Written,
-    Refused,
-    /// Carried out; nobody says so.
-    AnswerLost,
+    Rejected,
+    /// Executed, but the response is lost.
+    ResponseLost,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
-    prop_oneof![Just(Fate::Written), Just(Fate::Refused), Just(Fate::AnswerLost)]
+fn write_outcome() -> impl Strategy<Value = WriteOutcome> {
+    prop_oneof![
+        Just(WriteOutcome::Written),
+        Just(WriteOutcome::Rejected),
+        Just(WriteOutcome::ResponseLost)
+    ]
 }
 
 proptest! {
@@ -386,25 +390,26 @@
         ..ProptestConfig::default()
     })]
 
-    /// Leaders follow one another about both edges, each with a clock of its own, while writes are
-    /// refused or their answers lost. Once any of them has begun to protect, nobody stops before an end
-    /// is on record; once it is, nobody begins again; from the opening to the end by everybody's clock
-    /// protection is there; and no two services change places.
+    /// Leaders with different clocks succeed each other around the start or the end of a window, while
+    /// writes are rejected or their responses lost. Once a leader has started to protect, no leader
+    /// stops before the closing is recorded; once it is recorded, no leader starts again; services are
+    /// protected from the opening to the end by any clock; and no two services change their order.
     ///
-    /// It fails where a successor in doubt waits, where a window opens or closes without the bound, where
-    /// an end is acted on before it is on record, and where places are shown before they are.
+    /// Guards against a successor without a record that waits to protect, windows that open or close
+    /// without regard to the bound, closings that take effect before they are recorded, and positions
+    /// that are visible before they are recorded.
     #[test]
-    fn protection_begins_once_and_ends_once(
+    fn protection_starts_once_and_ends_once(
         // Offsets of at most half the bound differ by at most the bound.
         leaders in proptest::collection::vec((0..=BOUND_MS, 1_u64..12), 2..40),
-        fates in proptest::collection::vec(fate(), 64),
-        closing in any::<bool>(),
+        outcomes in proptest::collection::vec(write_outcome(), 64),
+        at_closing in any::<bool>(),
     ) {
         let timetable = trading("");
         let ready = at("2026-12-01T05:59:00Z");
         let closes = at("2026-12-01T22:00:00Z");
         let mut store = Store::default();
-        let begin = if closing {
+        let start = if at_closing {
             let mut state = store.successor(&timetable);
             for turn in 0..2 {
                 state.update(closes - HOUR_MS, [service("wk-1", 0)]);
@@ -414,46 +419,46 @@
         } else {
             ready - 5_000
         };
-        let mut fates = fates.iter().cycle();
-        let mut time = begin;
-        // Whether any leader had it as begun, or as ended, and what there was since.
-        let (mut begun, mut ended) = (closing, false);
+        let mut outcomes = outcomes.iter().cycle();
+        let mut time = start;
+        // Whether any leader has started to protect or has ended it, and the observed order.
+        let (mut has_started, mut has_ended) = (at_closing, false);
         let mut order: Option<bool> = None;
         for (offset, turns) in leaders {
             let mut state = store.successor(&timetable);
             for _ in 0..turns {
                 time += 170;
-                let wall = time + offset - BOUND_MS / 2;
-                // The older of two is heard of later.
-                let late = service("wk-0", 0);
-                let services = std::iter::once(service("wk-1", 10)).chain((time > begin + 6_000).then_some(late));
-                let events = state.update(wall, services);
-                let clock_off = events.iter().any(|event| matches!(event, Event::ClockBehind { .. }));
-                prop_assert!(!clock_off);
+                let wall_ms = time + offset - BOUND_MS / 2;
+                // The service that was submitted earlier appears later.
+                let late_service = service("wk-0", 0);
+                let services = std::iter::once(service("wk-1", 10)).chain((time > start + 6_000).then_some(late_service));
+                let events = state.update(wall_ms, services);
+                let is_clock_behind = events.iter().any(|event| matches!(event, Event::ClockBehind { .. }));
+                prop_assert!(!is_clock_behind);
                 let first = state.standing("wk-1");
-                let on_record = |what: &str| store.0.get(&0).is_some_and(|(text, _)| text.contains(what));
-                ended |= first.is_none() && on_record("\"closed\":[{");
-                begun |= wall >= ready || first.is_some() && on_record("\"open\":[{");
-                prop_assert!(first.is_none() || !ended, "opened again at {}", time);
-                prop_assert!(first.is_some() || !begun || ended, "lost at {}", time);
-                prop_assert!(first.is_some() || time < ready + BOUND_MS / 2 || time > closes, "not there");
-                let early = time + BOUND_MS / 2 + BOUND_MS < ready;
-                prop_assert!(first.is_none() || !early, "too early at {}", time);
+                let record_contains = |what: &str| store.0.get(&0).is_some_and(|(text, _)| text.contains(what));
+                has_ended |= first.is_none() && record_contains("\"closed\":[{");
+                has_started |= wall_ms >= ready || first.is_some() && record_contains("\"open\":[{");
+                prop_assert!(first.is_none() || !has_ended, "reopened at {}", time);
+                prop_assert!(first.is_some() || !has_started || has_ended, "not protected at {}", time);
+                prop_assert!(first.is_some() || time < ready + BOUND_MS / 2 || time > closes, "not protected while open");
+                let is_early = time + BOUND_MS / 2 + BOUND_MS < ready;
+                prop_assert!(first.is_none() || !is_early, "too early at {}", time);
                 if let (Some(one), Some(other)) = (first, state.standing("wk-0"))
                     && one.position.min(other.position) < u64::MAX
                 {
-                    let before = one.position < other.position;
-                    prop_assert!(order.is_none_or(|order| order == before), "the order has changed");
-                    order = Some(before);
+                    let is_before = one.position < other.position;
+                    prop_assert!(order.is_none_or(|order| order == is_before), "the order has changed");
+                    order = Some(is_before);
                 }
                 for write in state.due_writes(time) {
-                    match fates.next().unwrap() {
-                        Fate::Written => {
+                    match outcomes.next().unwrap() {
+                        WriteOutcome::Written => {
                             let version = store.write(&write);
                             state.on_written(write.number, version);
                         }
-                        Fate::Refused => state.on_write_failed(write.number),
-                        Fate::AnswerLost => {
+                        WriteOutcome::Rejected => state.on_write_failed(write.number),
+                        WriteOutcome::ResponseLost => {
                             let version = store.write(&write);
                             state.on_version_read(write.number, version);
                         }
