--- a/crates/connection_limits/src/class.rs
+++ b/crates/connection_limits/src/class.rs
@@ -5,9 +5,9 @@
 /// What a connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ConnectionClass {
-    /// An accepted connection on which nothing has been requested yet.
+    /// An accepted connection on which no request has arrived yet.
     Unidentified,
-    /// A client that requested anything but to deliver a worker's report.
+    /// A client that sent any request other than a worker's report.
     User,
     /// A worker that delivered a report.
     Worker,
@@ -20,11 +20,11 @@
 }
 
 /// The number of connection classes.
-pub const CONNECTION_CLASSES: usize = 6;
+pub const CONNECTION_CLASS_COUNT: usize = 6;
 
 impl ConnectionClass {
     /// All classes.
-    pub const ALL: [ConnectionClass; CONNECTION_CLASSES] = [
+    pub const ALL: [ConnectionClass; CONNECTION_CLASS_COUNT] = [
         ConnectionClass::Unidentified,
         ConnectionClass::User,
         ConnectionClass::Worker,
@@ -33,7 +33,7 @@
         ConnectionClass::WorkerCall,
     ];
 
-    /// The name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionClass::Unidentified => "newcomer",
@@ -48,15 +48,15 @@
 
 /// One value for each class, in the order of [`ConnectionClass::ALL`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PerClass<T>(pub [T; CONNECTION_CLASSES]);
+pub struct PerClass<T>(pub [T; CONNECTION_CLASS_COUNT]);
 
 impl<T: Copy> PerClass<T> {
-    /// The value that `value` gives for each class.
+    /// Builds the values by calling `value` for each class.
     pub(crate) fn from_fn(value: impl Fn(ConnectionClass) -> T) -> PerClass<T> {
         PerClass(ConnectionClass::ALL.map(value))
     }
 
-    /// The sum over all classes.
+    /// Returns the sum over all classes.
     pub(crate) fn sum(&self) -> T
     where
         T: std::iter::Sum<T>,
--- a/crates/connection_limits/src/lib.rs
+++ b/crates/connection_limits/src/lib.rs
@@ -5,32 +5,32 @@
 //!
 //! let limits = Limits { sockets: 48, peers: 2, idle_ms: 30_000, report_ms: 8_000 };
 //! let mut limiter = ConnectionLimiter::new(&limits);
-//! let mut kept = Vec::new();
-//! // A fleet of 200 workers reports, one machine after the other.
+//! let mut open = Vec::new();
+//! // A fleet of 200 workers sends its reports one after another.
 //! for _ in 0..200 {
 //!     let mut slot = limiter
 //!         .open(ConnectionClass::Unidentified, 0)
-//!         .expect("nobody is refused");
+//!         .expect("no client is refused");
 //!     limiter.identify(&mut slot, ConnectionClass::Worker);
-//!     if limiter.answer_closes(&slot, 0) {
+//!     if limiter.response_closes(&slot, 0) {
 //!         limiter.close(slot);
 //!     } else {
-//!         kept.push(slot);
+//!         open.push(slot);
 //!     }
 //! }
-//! assert!(kept.len() > 10 && kept.len() < 48);
+//! assert!(open.len() > 10 && open.len() < 48);
 //! // A user still gets a slot, and keeps it.
 //! let mut slot = limiter.open(ConnectionClass::Unidentified, 0).unwrap();
 //! limiter.identify(&mut slot, ConnectionClass::User);
-//! assert!(!limiter.answer_closes(&slot, 0));
+//! assert!(!limiter.response_closes(&slot, 0));
 //! ```
 //!
 //! Each class has reserved slots that no other class can take. Slots beyond the reserves are
-//! shared, first come, first served. As they run short, answers close their connections
-//! (`Connection: close`), those of workers first: a worker opens another with its next report, so
-//! that it loses nothing, and no report can be on its way into a connection that closes. A client
-//! that finds a slot neither in the reserve of its class nor in the shared part is answered in the
-//! reserve of unidentified clients, and its connection closes with the answer.
+//! shared, first come, first served. As they run short, responses close their connections
+//! (`Connection: close`), those of workers first: a worker reconnects with its next report, so it
+//! loses nothing, and no report can be in transit on a connection that closes. A client that finds a
+//! slot neither in the reserve of its class nor in the shared part is served in the reserve of
+//! unidentified clients, and its connection closes with the response.
 //!
 //! The package does no input or output and reads no clock: time is an argument, in milliseconds of
 //! the process's monotonic clock.
@@ -42,7 +42,7 @@
 mod limiter;
 mod shortage;
 
-pub use class::{CONNECTION_CLASSES, ConnectionClass, PerClass};
+pub use class::{CONNECTION_CLASS_COUNT, ConnectionClass, PerClass};
 pub use limiter::{ConnectionLimiter, ConnectionSlot, Limits, NoCapacity};
 pub use shortage::{ShortageCounts, ShortageEvent};
 
--- a/crates/connection_limits/src/limiter.rs
+++ b/crates/connection_limits/src/limiter.rs
@@ -1,8 +1,9 @@
-//! The slots of one process: which connections may be opened, and which close for others.
+//! The connection slots of one process: which connections may be opened, and which are closed to free
+//! slots for others.
 
 use crate::constants::{
-    CONNECTIONS_PER_PEER, EXTERNAL_CALL_RESERVE_DIVISOR, PEER_RESERVE_DIVISOR, PROCESS_RESERVE,
-    PROCESS_RESERVE_DIVISOR, QUEUE_WAIT_MS, QUEUE_WAIT_TURNS, SHORT_IDLE_REPORT_INTERVALS,
+    CONNECTIONS_PER_PEER, EXTERNAL_CALL_RESERVE_DIVISOR, MAX_QUEUE_WAIT_MS, MIN_QUEUE_WAIT_ITERATIONS,
+    PEER_RESERVE_DIVISOR, PROCESS_RESERVE, PROCESS_RESERVE_DIVISOR, SHORT_IDLE_REPORT_INTERVALS,
     SHORT_UNIDENTIFIED_IDLE_MS, UNIDENTIFIED_RESERVE_DIVISOR, USER_CLOSE_DIVISOR, USER_RESERVE_DIVISOR,
     WORKER_CALL_RESERVE_DIVISOR, WORKER_CLOSE_DIVISOR, WORKER_RESERVE_DIVISOR,
 };
@@ -24,8 +25,8 @@
     pub report_ms: Timestamp,
 }
 
-/// The slot of one connection. It is made by [`ConnectionLimiter::open`] and given back with
-/// [`ConnectionLimiter::close`], once each, as it can be neither copied nor built elsewhere.
+/// The slot of one connection. It is created by [`ConnectionLimiter::open`] and consumed by
+/// [`ConnectionLimiter::close`], exactly once, since it can be neither copied nor constructed elsewhere.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConnectionSlot {
     /// The class that the slot is counted with.
@@ -57,7 +58,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ListenQueueWait {
     since: Timestamp,
-    turns: u32,
+    iterations: u32,
 }
 
 /// The connection slots of one process.
@@ -91,11 +92,11 @@
     /// A limiter with no open connection.
     pub fn new(limits: &Limits) -> ConnectionLimiter {
         let sockets = limits.sockets;
-        let process = PROCESS_RESERVE.min(sockets / PROCESS_RESERVE_DIVISOR);
+        let process_reserve = PROCESS_RESERVE.min(sockets / PROCESS_RESERVE_DIVISOR);
         let reserve = reserves(limits);
         let short_worker_idle_ms = (limits.report_ms as f64 * SHORT_IDLE_REPORT_INTERVALS) as Timestamp;
         ConnectionLimiter {
-            shared: sockets.saturating_sub(process + reserve.sum()),
+            shared: sockets.saturating_sub(process_reserve + reserve.sum()),
             reserve,
             open: PerClass::default(),
             idle_ms: limits.idle_ms,
@@ -105,32 +106,32 @@
         }
     }
 
-    /// Shared slots that are not taken.
+    /// Returns the number of free shared slots.
     fn free(&self) -> usize {
-        let taken = ConnectionClass::ALL
+        let used = ConnectionClass::ALL
             .iter()
             .map(|&class| self.borrowed(class))
             .sum();
-        self.shared.saturating_sub(taken)
+        self.shared.saturating_sub(used)
     }
 
-    /// Shared slots that a class has taken.
+    /// Returns the number of shared slots that a class uses.
     fn borrowed(&self, class: ConnectionClass) -> usize {
         self.open[class].saturating_sub(self.reserve[class])
     }
 
-    fn has_room(&self, class: ConnectionClass) -> bool {
+    fn has_capacity(&self, class: ConnectionClass) -> bool {
         self.open[class] < self.reserve[class] || self.free() > 0
     }
 
     /// Takes a slot for another connection.
     ///
     /// # Errors
-    /// Neither the reserve of the class nor the shared part has a free slot. This is not counted: a
-    /// caller that gives up says so with [`ConnectionLimiter::refuse`].
+    /// Neither the reserve of the class nor the shared part has a free slot. This is not counted as a
+    /// refusal; a caller that gives up calls [`ConnectionLimiter::refuse`].
     pub fn open(&mut self, class: ConnectionClass, now: Timestamp) -> Result<ConnectionSlot, NoCapacity> {
-        if !self.has_room(class) {
-            self.shortage.note_short(now);
+        if !self.has_capacity(class) {
+            self.shortage.record_short(now);
             return Err(NoCapacity(class));
         }
         self.open[class] += 1;
@@ -143,105 +144,107 @@
         })
     }
 
-    /// Gives the slot of a closed connection back.
+    /// Frees the slot of a closed connection.
     pub fn close(&mut self, slot: ConnectionSlot) {
-        self.count_out(slot.counted_as);
+        self.decrement_open(slot.counted_as);
     }
 
-    fn count_out(&mut self, class: ConnectionClass) {
-        // A slot is made by `open` and moved by `identify` only, so this cannot go below zero.
+    fn decrement_open(&mut self, class: ConnectionClass) {
+        // Only `open` creates slots and only `identify` moves them, so this cannot go below zero.
         self.open[class] = self.open[class].saturating_sub(1);
     }
 
-    /// Counts a connection that was not made, or was closed at once, because no slot was free.
+    /// Records a connection that was not opened, or was closed at once, because no slot was free.
     pub fn refuse(&mut self, refused: NoCapacity, now: Timestamp) {
-        self.shortage.note_refused(refused.0, now);
+        self.shortage.record_refused(refused.0, now);
     }
 
-    /// Notes the class of a connection, once a request has shown it. Where that class has no free
-    /// slot, the connection stays counted as before until its answer, which then closes it.
+    /// Sets the class of a connection, as shown by its first request. If that class has no free slot,
+    /// the connection stays counted as before until its response, which then closes it.
     pub fn identify(&mut self, slot: &mut ConnectionSlot, class: ConnectionClass) {
         slot.class = class;
         if slot.counted_as == class {
             return;
         }
-        self.count_out(slot.counted_as);
-        if self.has_room(class) {
+        self.decrement_open(slot.counted_as);
+        if self.has_capacity(class) {
             slot.counted_as = class;
         }
         self.open[slot.counted_as] += 1;
     }
 
-    /// Whether an answer that is sent now closes its connection; if so, this is counted.
-    pub fn answer_closes(&mut self, slot: &ConnectionSlot, now: Timestamp) -> bool {
-        let wanted_free = match slot.class {
+    /// Returns whether a response sent now closes its connection; if so, the closure is counted.
+    pub fn response_closes(&mut self, slot: &ConnectionSlot, now: Timestamp) -> bool {
+        let min_free = match slot.class {
             ConnectionClass::Worker => self.shared.div_ceil(WORKER_CLOSE_DIVISOR),
             ConnectionClass::User => self.shared.div_ceil(USER_CLOSE_DIVISOR),
             _ => return false,
         };
         // Closing a connection within its class's reserve would free no slot for others.
         let closes =
-            slot.counted_as != slot.class || (self.borrowed(slot.class) > 0 && self.free() < wanted_free);
+            slot.counted_as != slot.class || (self.borrowed(slot.class) > 0 && self.free() < min_free);
         if closes {
-            self.shortage.note_answered(slot.class, now);
+            self.shortage.record_response_close(slot.class, now);
         }
         closes
     }
 
-    /// Whether an idle connection to another system may be kept, while `unused` others of its
-    /// class are idle and `most` may be. Idle connections are kept in the class's reserve only.
-    pub fn keeps_spare(&self, slot: &ConnectionSlot, unused: usize, most: usize) -> bool {
-        unused < most && self.borrowed(slot.class) == 0
+    /// Returns whether an idle connection to another system may be kept, while `idle` others of its
+    /// class are idle and at most `max_idle` may be. Idle connections are kept in the class's reserve only.
+    pub fn keeps_idle(&self, slot: &ConnectionSlot, idle: usize, max_idle: usize) -> bool {
+        idle < max_idle && self.borrowed(slot.class) == 0
     }
 
-    /// How long a connection without requests may stay open, in ms.
+    /// Returns how long a connection without requests may stay open, in ms.
     pub fn idle_ms(&self, slot: &ConnectionSlot) -> Timestamp {
         match slot.class {
             ConnectionClass::Worker if self.free() < self.shared.div_ceil(WORKER_CLOSE_DIVISOR) => {
                 self.short_worker_idle_ms
             }
-            ConnectionClass::Unidentified if !self.has_room(ConnectionClass::Unidentified) => {
+            ConnectionClass::Unidentified if !self.has_capacity(ConnectionClass::Unidentified) => {
                 SHORT_UNIDENTIFIED_IDLE_MS.min(self.idle_ms)
             }
             _ => self.idle_ms,
         }
     }
 
-    /// Notes that an idle connection was closed after so many ms; it is counted if that was sooner
-    /// than usual.
+    /// Records that a connection was closed after `unused_ms` of idleness; it is counted if that was
+    /// before the usual timeout.
     pub fn idle_closed(&mut self, slot: &ConnectionSlot, unused_ms: Timestamp, now: Timestamp) {
         if unused_ms < self.idle_ms {
-            self.shortage.note_idle_closed(slot.class, now);
+            self.shortage.record_idle_close(slot.class, now);
         }
     }
 
-    /// Whether clients for which no slot is free in this turn may wait in the listen queue.
-    /// Otherwise they are to be refused.
+    /// Returns whether clients for which no slot is free in this iteration of the event loop may wait in
+    /// the listen queue. Otherwise they must be refused.
     pub fn may_wait(&mut self, now: Timestamp) -> bool {
-        self.shortage.note_short(now);
-        let wait = self
-            .listen_queue_wait
-            .get_or_insert(ListenQueueWait { since: now, turns: 0 });
-        wait.turns = wait.turns.saturating_add(1);
-        now < wait.since + QUEUE_WAIT_MS || wait.turns <= QUEUE_WAIT_TURNS
+        self.shortage.record_short(now);
+        let wait = self.listen_queue_wait.get_or_insert(ListenQueueWait {
+            since: now,
+            iterations: 0,
+        });
+        wait.iterations = wait.iterations.saturating_add(1);
+        now < wait.since + MAX_QUEUE_WAIT_MS || wait.iterations <= MIN_QUEUE_WAIT_ITERATIONS
     }
 
-    /// The listen queue is empty: the next clients that find no slot may wait for the whole time.
+    /// Records that the listen queue is empty, so that the next clients that find no slot may wait for
+    /// the whole time.
     pub fn listen_queue_empty(&mut self) {
         self.listen_queue_wait = None;
     }
 
-    /// The next event that operators are to be told of: at most one for each change.
+    /// Returns the next event to report to operators, at most one for each change.
     pub fn next_event(&mut self, now: Timestamp) -> Option<ShortageEvent> {
         self.shortage.next_event(now)
     }
 
-    /// Open connections, by the class that they are counted with.
-    pub fn open_now(&self) -> PerClass<u64> {
+    /// Returns the number of open connections, by the class that they are counted with.
+    pub fn open_counts(&self) -> PerClass<u64> {
         PerClass::from_fn(|class| self.open[class] as u64)
     }
 
-    /// Connections refused and closed for want of sockets since the process began.
+    /// Returns the connections refused and closed for lack of sockets since the process started.
     pub fn shortage_counts(&self) -> ShortageCounts {
         self.shortage.counts()
     }
--- a/crates/connection_limits/src/limiter/tests.rs
+++ b/crates/connection_limits/src/limiter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::CONNECTION_CLASSES;
-use crate::constants::CALM_MS;
+use crate::CONNECTION_CLASS_COUNT;
+use crate::constants::SHORTAGE_QUIET_MS;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,40 +14,40 @@
     }
 }
 
-/// Numbers that look random and are the same each time.
-struct Numbers(u64);
+/// A deterministic pseudo-random number generator.
+struct Random(u64);
 
-impl Numbers {
-    fn below(&mut self, most: u64) -> u64 {
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        (mixed ^ (mixed >> 27)) % most
+        (mixed ^ (mixed >> 27)) % bound
     }
 }
 
-/// Clients of one process: workers report every 8 s and users ask every 5 s, all on connections
-/// that they keep until an answer closes them.
-struct Site {
+/// Clients of one process: workers report every 8 s and users send a request every 5 s, all on
+/// connections that they keep open until a response closes them.
+struct Clients {
     sockets: ConnectionLimiter,
-    numbers: Numbers,
+    random: Random,
     now: Timestamp,
-    clients: Vec<(ConnectionClass, Option<ConnectionSlot>)>,
+    connections: Vec<(ConnectionClass, Option<ConnectionSlot>)>,
     due: BTreeMap<Timestamp, Vec<usize>>,
-    /// In the system's queue, not accepted yet.
+    /// Clients in the listen queue, not accepted yet.
     waiting: VecDeque<(Timestamp, usize)>,
     longest_wait: Timestamp,
-    /// Connections opened, which is what closing them costs.
+    /// Connections opened; each closed connection costs one.
     opened: PerClass<u64>,
 }
 
-impl Site {
-    /// Everybody begins within `crowd_ms`.
-    fn new(sockets: usize, workers: usize, users: usize, crowd_ms: u64) -> Site {
-        let mut site = Site {
+impl Clients {
+    /// All clients send their first request within `start_ms`.
+    fn new(sockets: usize, workers: usize, users: usize, start_ms: u64) -> Clients {
+        let mut clients = Clients {
             sockets: ConnectionLimiter::new(&limits(sockets)),
-            numbers: Numbers(1),
+            random: Random(1),
             now: 0,
-            clients: Vec::new(),
+            connections: Vec::new(),
             due: BTreeMap::new(),
             waiting: VecDeque::new(),
             longest_wait: 0,
@@ -55,26 +55,26 @@
         };
         for (class, count) in [(ConnectionClass::Worker, workers), (ConnectionClass::User, users)] {
             for _ in 0..count {
-                let at = site.numbers.below(crowd_ms);
-                site.due.entry(at).or_default().push(site.clients.len());
-                site.clients.push((class, None));
+                let at = clients.random.below(start_ms);
+                clients.due.entry(at).or_default().push(clients.connections.len());
+                clients.connections.push((class, None));
             }
         }
-        site
+        clients
     }
 
-    /// One turn: what has come is accepted, read and answered.
-    fn turn(&mut self, turn_ms: u64) {
-        self.now += turn_ms;
+    /// One iteration of the event loop: accepts, reads and answers what has arrived.
+    fn run_iteration(&mut self, iteration_ms: u64) {
+        self.now += iteration_ms;
         let later = self.due.split_off(&(self.now + 1));
         let due = std::mem::replace(&mut self.due, later);
-        let mut asked = Vec::new();
+        let mut requesting = Vec::new();
         for (at, client) in due
             .into_iter()
-            .flat_map(|(at, all)| all.into_iter().map(move |one| (at, one)))
+            .flat_map(|(at, indexes)| indexes.into_iter().map(move |index| (at, index)))
         {
-            if self.clients[client].1.is_some() {
-                asked.push(client);
+            if self.connections[client].1.is_some() {
+                requesting.push(client);
             } else {
                 self.waiting.push_back((at, client));
             }
@@ -82,10 +82,10 @@
         while let Some(&(since, client)) = self.waiting.front() {
             match self.sockets.open(ConnectionClass::Unidentified, self.now) {
                 Ok(mut slot) => {
-                    self.sockets.identify(&mut slot, self.clients[client].0);
-                    self.opened[self.clients[client].0] += 1;
-                    self.clients[client].1 = Some(slot);
-                    asked.push(client);
+                    self.sockets.identify(&mut slot, self.connections[client].0);
+                    self.opened[self.connections[client].0] += 1;
+                    self.connections[client].1 = Some(slot);
+                    requesting.push(client);
                 }
                 Err(full) if !self.sockets.may_wait(self.now) => self.sockets.refuse(full, self.now),
                 Err(_) => break,
@@ -93,18 +93,18 @@
             self.longest_wait = self.longest_wait.max(self.now - since);
             self.waiting.pop_front();
         }
-        for client in asked {
-            let (class, slot) = &mut self.clients[client];
+        for client in requesting {
+            let (class, slot) = &mut self.connections[client];
             let next = match class {
-                ConnectionClass::Worker => 6_000 + self.numbers.below(4_000),
-                _ => 4_500 + self.numbers.below(1_000),
+                ConnectionClass::Worker => 6_000 + self.random.below(4_000),
+                _ => 4_500 + self.random.below(1_000),
             };
             self.due.entry(self.now + next).or_default().push(client);
-            if let Some(held) = slot.take() {
-                if self.sockets.answer_closes(&held, self.now) {
-                    self.sockets.close(held);
+            if let Some(open) = slot.take() {
+                if self.sockets.response_closes(&open, self.now) {
+                    self.sockets.close(open);
                 } else {
-                    *slot = Some(held);
+                    *slot = Some(open);
                 }
             }
         }
@@ -114,76 +114,80 @@
             "{:?}",
             sockets.open
         );
-        // Calls and peers have asked for nothing yet, and must find all of their reserve.
-        let kept = [
+        // Calls and peers have not used any slot yet, and must find all of their reserve.
+        let unused_classes = [
             ConnectionClass::Peer,
             ConnectionClass::ExternalCall,
             ConnectionClass::WorkerCall,
         ];
-        let reserved: usize = kept.iter().map(|&class| sockets.reserve[class]).sum();
-        let clients: usize = sockets.open.sum();
-        assert!(clients + reserved <= 3_000 - PROCESS_RESERVE);
+        let reserved: usize = unused_classes.iter().map(|&class| sockets.reserve[class]).sum();
+        let open: usize = sockets.open.sum();
+        assert!(open + reserved <= 3_000 - PROCESS_RESERVE);
     }
 }
 
-/// Without answers that close connections, 8,092 are refused in the first minute, and none of the
-/// users in `users_come_before_workers_in_the_shared_room` finds a slot.
+/// Without responses that close connections, 8,092 connections are refused in the first minute, and
+/// none of the users in `users_take_precedence_over_workers_in_shared_slots` finds a slot.
 #[test]
 fn ten_thousand_machines_on_three_thousand_sockets() {
-    // All begin within a second, as after an election; turns take 50 ms.
-    let mut site = Site::new(3_000, 10_000, 300, 1_000);
+    // All clients connect within a second, as after an election; iterations take 50 ms.
+    let mut clients = Clients::new(3_000, 10_000, 300, 1_000);
     for _ in 0..20 * 60 {
-        site.turn(50);
+        clients.run_iteration(50);
     }
-    assert_eq!(site.sockets.shortage_counts().all_refused(), 0);
-    assert!(site.longest_wait <= QUEUE_WAIT_MS, "{} ms", site.longest_wait);
-    // Users keep their connections, whatever workers do.
-    assert_eq!(site.opened[ConnectionClass::User], 300);
-    // 8,000 of them open one for each report: not more.
+    assert_eq!(clients.sockets.shortage_counts().total_refused(), 0);
+    assert!(
+        clients.longest_wait <= MAX_QUEUE_WAIT_MS,
+        "{} ms",
+        clients.longest_wait
+    );
+    // Users keep their connections regardless of the workers.
+    assert_eq!(clients.opened[ConnectionClass::User], 300);
+    // 8,000 of the workers open a connection for each report, but not more.
     let reports = 10_000 * 60 / 8;
-    assert!(site.opened[ConnectionClass::Worker] < reports);
-    let kept = site.sockets.open_now()[ConnectionClass::Worker];
-    assert!(kept > 1_500, "{kept} workers keep theirs");
+    assert!(clients.opened[ConnectionClass::Worker] < reports);
+    let kept = clients.sockets.open_counts()[ConnectionClass::Worker];
+    assert!(kept > 1_500, "{kept} workers keep their connections");
 }
 
 #[test]
-fn small_fleets_pay_nothing() {
-    let mut site = Site::new(3_000, 1_500, 300, 1_000);
+fn small_fleets_are_not_affected() {
+    let mut clients = Clients::new(3_000, 1_500, 300, 1_000);
     for _ in 0..20 * 60 {
-        site.turn(50);
+        clients.run_iteration(50);
     }
-    assert_eq!(site.sockets.shortage_counts(), ShortageCounts::default());
-    assert_eq!(site.sockets.next_event(site.now), None);
-    assert_eq!(site.opened[ConnectionClass::Worker], 1_500);
+    assert_eq!(clients.sockets.shortage_counts(), ShortageCounts::default());
+    assert_eq!(clients.sockets.next_event(clients.now), None);
+    assert_eq!(clients.opened[ConnectionClass::Worker], 1_500);
 }
 
 #[test]
-fn users_come_before_workers_in_the_shared_room() {
-    let mut site = Site::new(3_000, 4_000, 0, 8_000);
+fn users_take_precedence_over_workers_in_shared_slots() {
+    let mut clients = Clients::new(3_000, 4_000, 0, 8_000);
     for _ in 0..20 * 20 {
-        site.turn(50);
+        clients.run_iteration(50);
     }
-    let before = site.sockets.open_now()[ConnectionClass::Worker];
+    let before = clients.sockets.open_counts()[ConnectionClass::Worker];
     for _ in 0..1_200 {
-        let at = site.now + 1 + site.numbers.below(5_000);
-        site.due.entry(at).or_default().push(site.clients.len());
-        site.clients.push((ConnectionClass::User, None));
+        let at = clients.now + 1 + clients.random.below(5_000);
+        clients.due.entry(at).or_default().push(clients.connections.len());
+        clients.connections.push((ConnectionClass::User, None));
     }
     for _ in 0..20 * 30 {
-        site.turn(50);
+        clients.run_iteration(50);
     }
-    let open = site.sockets.open_now();
+    let open = clients.sockets.open_counts();
     assert_eq!(open[ConnectionClass::User], 1_200);
     assert!(open[ConnectionClass::Worker] < before);
-    // While 240 of them come a second, workers' room is not free soon enough for a few.
-    assert!(site.opened[ConnectionClass::User] < 1_500);
-    assert_eq!(site.sockets.shortage_counts().all_refused(), 0);
+    // While 240 users a second arrive, the workers' slots are not freed soon enough for a few of them.
+    assert!(clients.opened[ConnectionClass::User] < 1_500);
+    assert_eq!(clients.sockets.shortage_counts().total_refused(), 0);
 }
 
 #[test]
-fn a_shortage_is_told_once() {
+fn a_shortage_is_reported_once() {
     let mut sockets = ConnectionLimiter::new(&limits(100));
-    let mut told = Vec::new();
+    let mut events = Vec::new();
     let mut slots = Vec::new();
     for now in 0..200_u64 {
         match sockets.open(ConnectionClass::Unidentified, now) {
@@ -193,30 +197,30 @@
             }
             Err(full) => sockets.refuse(full, now),
         }
-        told.extend(sockets.next_event(now));
+        events.extend(sockets.next_event(now));
     }
     assert_eq!(
-        told,
+        events,
         [
             ShortageEvent::Short,
             ShortageEvent::Refusing(ConnectionClass::Unidentified)
         ]
     );
-    assert_eq!(sockets.next_event(100 + CALM_MS), None);
+    assert_eq!(sockets.next_event(100 + SHORTAGE_QUIET_MS), None);
     let Some(ShortageEvent::Over {
-        lasted_ms: took,
-        counts: tally,
-    }) = sockets.next_event(199 + CALM_MS)
+        lasted_ms: duration_ms,
+        counts: totals,
+    }) = sockets.next_event(199 + SHORTAGE_QUIET_MS)
     else {
-        panic!("it is not over");
+        panic!("the shortage has not ended");
     };
     let refused = 200 - slots.len() as u64;
-    assert_eq!((took, tally.all_refused()), (refused - 1, refused));
-    assert_eq!(sockets.next_event(400 + CALM_MS), None);
+    assert_eq!((duration_ms, totals.total_refused()), (refused - 1, refused));
+    assert_eq!(sockets.next_event(400 + SHORTAGE_QUIET_MS), None);
 }
 
 #[test]
-fn whoever_says_nothing_makes_room() {
+fn silent_clients_are_disconnected_first() {
     let mut sockets = ConnectionLimiter::new(&limits(100));
     let silent = sockets.open(ConnectionClass::Unidentified, 0).unwrap();
     assert_eq!(sockets.idle_ms(&silent), 32_000);
@@ -225,79 +229,82 @@
     assert_eq!(sockets.idle_ms(&worker), 32_000);
     while sockets.open(ConnectionClass::Unidentified, 0).is_ok() {}
     assert_eq!(sockets.idle_ms(&silent), SHORT_UNIDENTIFIED_IDLE_MS);
-    // Longer than the longest interval of reports.
+    // Longer than the longest interval between reports.
     assert_eq!(sockets.idle_ms(&worker), 12_000);
     sockets.idle_closed(&silent, SHORT_UNIDENTIFIED_IDLE_MS, 0);
-    assert_eq!(sockets.shortage_counts().idle[ConnectionClass::Unidentified], 1);
+    assert_eq!(
+        sockets.shortage_counts().idle_closed[ConnectionClass::Unidentified],
+        1
+    );
 }
 
 #[test]
-fn a_process_that_stood_still_answers_before_it_refuses() {
+fn a_suspended_process_responds_before_it_refuses() {
     let mut sockets = ConnectionLimiter::new(&limits(100));
     let mut first = sockets.open(ConnectionClass::Unidentified, 0).unwrap();
     while sockets.open(ConnectionClass::Unidentified, 0).is_ok() {}
     assert!(sockets.may_wait(0));
-    // It comes to itself after 5 s: the answers of this turn are not given yet.
+    // The process resumes after 5 s; the responses of this iteration have not been sent yet.
     assert!(sockets.may_wait(5_000));
     sockets.identify(&mut first, ConnectionClass::User);
     sockets.close(first);
     assert!(sockets.open(ConnectionClass::Unidentified, 5_002).is_ok());
-    // Room came, so the next who find none wait anew.
-    let turns = (0..).take_while(|turn| sockets.may_wait(6_000 + 150 * turn));
-    assert_eq!(turns.count() as u32, QUEUE_WAIT_TURNS);
+    // A slot became free, so the next clients that find none may wait for the whole time again.
+    let iterations = (0..).take_while(|iteration| sockets.may_wait(6_000 + 150 * iteration));
+    assert_eq!(iterations.count() as u32, MIN_QUEUE_WAIT_ITERATIONS);
     sockets.listen_queue_empty();
     assert!(sockets.may_wait(7_000));
 }
 
 #[derive(Debug, Clone)]
-enum Act {
+enum Operation {
     Open(usize),
-    /// A client asks, as what, and is answered.
-    Ask(usize, bool),
+    /// A client, a worker if true, sends a request and gets its response.
+    Request(usize, bool),
     Close(usize),
 }
 
-fn acts() -> impl Strategy<Value = Vec<Act>> {
-    let act = prop_oneof![
-        5 => (0..CONNECTION_CLASSES).prop_map(Act::Open),
-        4 => (0..1_000_usize, any::<bool>()).prop_map(|(at, worker)| Act::Ask(at, worker)),
-        1 => (0..1_000_usize).prop_map(Act::Close),
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
+    let operation = prop_oneof![
+        5 => (0..CONNECTION_CLASS_COUNT).prop_map(Operation::Open),
+        4 => (0..1_000_usize, any::<bool>()).prop_map(|(index, is_worker)| Operation::Request(index, is_worker)),
+        1 => (0..1_000_usize).prop_map(Operation::Close),
     ];
-    prop::collection::vec(act, 0..600)
+    prop::collection::vec(operation, 0..600)
 }
 
 proptest! {
-    /// Whatever was opened, asked and closed in whatever order, each class still finds the whole
-    /// of its reserve, and all together are never more than the process may have.
+    /// After any sequence of operations, each class still finds the whole of its reserve, and the total
+    /// never exceeds the sockets of the process.
     #[test]
-    fn no_reserve_is_taken_by_others(sockets in 16..400_usize, acts in acts()) {
-        let mut all = ConnectionLimiter::new(&limits(sockets));
+    fn no_reserve_is_taken_by_others(sockets in 16..400_usize, operations in operations()) {
+        let mut limiter = ConnectionLimiter::new(&limits(sockets));
         let mut slots: Vec<ConnectionSlot> = Vec::new();
-        for act in acts {
-            match act {
-                Act::Open(class) => slots.extend(all.open(ConnectionClass::ALL[class], 0)),
-                Act::Ask(at, worker) if !slots.is_empty() => {
-                    let at = at % slots.len();
-                    if matches!(slots[at].class, ConnectionClass::Unidentified | ConnectionClass::User | ConnectionClass::Worker) {
-                        let class = if worker { ConnectionClass::Worker } else { ConnectionClass::User };
-                        all.identify(&mut slots[at], class);
-                        if all.answer_closes(&slots[at], 0) {
-                            let slot = slots.swap_remove(at);
-                            all.close(slot);
+        for operation in operations {
+            match operation {
+                Operation::Open(class) => slots.extend(limiter.open(ConnectionClass::ALL[class], 0)),
+                Operation::Request(index, is_worker) if !slots.is_empty() => {
+                    let index = index % slots.len();
+                    if matches!(slots[index].class, ConnectionClass::Unidentified | ConnectionClass::User | ConnectionClass::Worker) {
+                        let class = if is_worker { ConnectionClass::Worker } else { ConnectionClass::User };
+                        limiter.identify(&mut slots[index], class);
+                        if limiter.response_closes(&slots[index], 0) {
+                            let slot = slots.swap_remove(index);
+                            limiter.close(slot);
                         }
                     }
                 }
-                Act::Close(at) if !slots.is_empty() => {
-                    let slot = slots.swap_remove(at % slots.len());
-                    all.close(slot);
+                Operation::Close(index) if !slots.is_empty() => {
+                    let slot = slots.swap_remove(index % slots.len());
+                    limiter.close(slot);
                 }
                 _ => (),
             }
-            prop_assert_eq!(all.open.sum(), slots.len());
+            prop_assert_eq!(limiter.open.sum(), slots.len());
         }
         for class in ConnectionClass::ALL {
-            while all.open[class] < all.reserve[class] {
-                slots.push(all.open(class, 0).unwrap());
+            while limiter.open[class] < limiter.reserve[class] {
+                slots.push(limiter.open(class, 0).unwrap());
             }
         }
         prop_assert!(slots.len() + PROCESS_RESERVE.min(sockets / PROCESS_RESERVE_DIVISOR) <= sockets);
--- a/crates/connection_limits/src/shortage.rs
+++ b/crates/connection_limits/src/shortage.rs
@@ -1,17 +1,18 @@
-//! Counts of what a shortage of sockets cost, and the events that tell operators of it.
+//! Counts of the connections affected by a shortage of sockets, and the events that report it to
+//! operators.
 
-use crate::constants::CALM_MS;
+use crate::constants::SHORTAGE_QUIET_MS;
 use crate::{ConnectionClass, PerClass, Timestamp};
 
 /// Connections that were refused or closed because sockets were short.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ShortageCounts {
-    /// Connections that were not made or not accepted.
+    /// Connections that were not opened or not accepted.
     pub refused: PerClass<u64>,
-    /// Connections that closed with an answer.
-    pub answered: PerClass<u64>,
-    /// Idle connections that closed before the usual timeout.
-    pub idle: PerClass<u64>,
+    /// Connections that were closed with a response.
+    pub closed_by_response: PerClass<u64>,
+    /// Idle connections that were closed before the usual timeout.
+    pub idle_closed: PerClass<u64>,
 }
 
 impl ShortageCounts {
@@ -20,29 +21,29 @@
             |now: PerClass<u64>, before: PerClass<u64>| PerClass::from_fn(|class| now[class] - before[class]);
         ShortageCounts {
             refused: difference(self.refused, before.refused),
-            answered: difference(self.answered, before.answered),
-            idle: difference(self.idle, before.idle),
+            closed_by_response: difference(self.closed_by_response, before.closed_by_response),
+            idle_closed: difference(self.idle_closed, before.idle_closed),
         }
     }
 
-    /// Refused connections of all classes.
-    pub fn all_refused(&self) -> u64 {
+    /// Returns the number of refused connections of all classes.
+    pub fn total_refused(&self) -> u64 {
         self.refused.sum()
     }
 }
 
-/// A change of a shortage that operators are told of.
+/// A change in a shortage to be reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShortageEvent {
-    /// Sockets are short from now on: connections close with their answers.
+    /// Sockets have become short: responses close their connections from now on.
     Short,
-    /// Connections are refused, the first of them of this class.
+    /// Connections are being refused, the first of them of this class.
     Refusing(ConnectionClass),
-    /// The shortage is over.
+    /// The shortage has ended.
     Over {
         /// How long it lasted, in ms.
         lasted_ms: Timestamp,
-        /// What was refused and closed in that time.
+        /// Connections refused and closed in that time.
         counts: ShortageCounts,
     },
 }
@@ -52,15 +53,15 @@
 struct Episode {
     since: Timestamp,
     /// When sockets were last short.
-    last: Timestamp,
-    /// The counts when it began.
-    before: ShortageCounts,
+    last_short_at: Timestamp,
+    /// The counts at its start.
+    counts_before: ShortageCounts,
     /// The class of the first connection that was refused.
-    refusing: Option<ConnectionClass>,
+    first_refused: Option<ConnectionClass>,
     reported: Reported,
 }
 
-/// Which events of an episode operators have been told of.
+/// The events of an episode that have been reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reported {
     Nothing,
@@ -76,58 +77,61 @@
 }
 
 impl ShortageTracker {
-    /// Sockets are short now: an episode begins or goes on.
-    pub(crate) fn note_short(&mut self, now: Timestamp) {
-        let before = self.counts;
+    /// Records that sockets are short now, which starts or prolongs an episode.
+    pub(crate) fn record_short(&mut self, now: Timestamp) {
+        let counts_before = self.counts;
         let episode = self.episode.get_or_insert(Episode {
             since: now,
-            last: now,
-            before,
-            refusing: None,
+            last_short_at: now,
+            counts_before,
+            first_refused: None,
             reported: Reported::Nothing,
         });
-        episode.last = now;
+        episode.last_short_at = now;
     }
 
-    pub(crate) fn note_refused(&mut self, class: ConnectionClass, now: Timestamp) {
-        self.note_short(now);
+    pub(crate) fn record_refused(&mut self, class: ConnectionClass, now: Timestamp) {
+        self.record_short(now);
         self.counts.refused[class] += 1;
         if let Some(episode) = &mut self.episode {
-            episode.refusing.get_or_insert(class);
+            episode.first_refused.get_or_insert(class);
         }
     }
 
-    pub(crate) fn note_answered(&mut self, class: ConnectionClass, now: Timestamp) {
-        self.note_short(now);
-        self.counts.answered[class] += 1;
+    pub(crate) fn record_response_close(&mut self, class: ConnectionClass, now: Timestamp) {
+        self.record_short(now);
+        self.counts.closed_by_response[class] += 1;
     }
 
-    pub(crate) fn note_idle_closed(&mut self, class: ConnectionClass, now: Timestamp) {
-        self.note_short(now);
-        self.counts.idle[class] += 1;
+    pub(crate) fn record_idle_close(&mut self, class: ConnectionClass, now: Timestamp) {
+        self.record_short(now);
+        self.counts.idle_closed[class] += 1;
     }
 
     pub(crate) fn counts(&self) -> ShortageCounts {
         self.counts
     }
 
-    /// The next event that operators have not been told of, if there is one.
+    /// Returns the next event that has not been reported yet, if any.
     pub(crate) fn next_event(&mut self, now: Timestamp) -> Option<ShortageEvent> {
         let episode = self.episode.as_mut()?;
         if episode.reported == Reported::Nothing {
             episode.reported = Reported::Short;
             return Some(ShortageEvent::Short);
         }
-        if let Some(class) = episode.refusing.filter(|_| episode.reported == Reported::Short) {
+        if let Some(class) = episode
+            .first_refused
+            .filter(|_| episode.reported == Reported::Short)
+        {
             episode.reported = Reported::Refusing;
             return Some(ShortageEvent::Refusing(class));
         }
-        if now < episode.last + CALM_MS {
+        if now < episode.last_short_at + SHORTAGE_QUIET_MS {
             return None;
         }
         let over = ShortageEvent::Over {
-            lasted_ms: episode.last - episode.since,
-            counts: self.counts.since(&episode.before),
+            lasted_ms: episode.last_short_at - episode.since,
+            counts: self.counts.since(&episode.counts_before),
         };
         self.episode = None;
         Some(over)
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -551,7 +551,10 @@
             ConnectionClass::User,
             ConnectionClass::Worker,
         ] {
-            for (how, counts) in [("answer", &shortages.answered), ("unused", &shortages.idle)] {
+            for (how, counts) in [
+                ("answer", &shortages.closed_by_response),
+                ("unused", &shortages.idle_closed),
+            ] {
                 let labels = ClosedConnectionLabels {
                     class: class.name(),
                     how,
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -36,7 +36,7 @@
         open_connections: PerClass([0, 3, 40, 4, 2, 1]),
         shortages: ShortageCounts {
             refused: PerClass([2, 0, 0, 0, 0, 0]),
-            answered: PerClass([0, 0, 9, 0, 0, 0]),
+            closed_by_response: PerClass([0, 0, 9, 0, 0, 0]),
             ..ShortageCounts::default()
         },
         throttled: Vec::new(),
--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -220,7 +220,7 @@
         }
         self.node.set_time(now, wall_ms());
         self.node
-            .set_connection_stats(self.sockets.open_now(), self.sockets.shortage_counts());
+            .set_connection_stats(self.sockets.open_counts(), self.sockets.shortage_counts());
         if let Some(event) = self.sockets.next_event(now) {
             tell(event, &self.sockets);
         }
@@ -267,7 +267,7 @@
                 } = &mut connection.role
                 {
                     *waiting = None;
-                    *keep_alive &= !self.sockets.answer_closes(&connection.place, now);
+                    *keep_alive &= !self.sockets.response_closes(&connection.place, now);
                     *closing = !*keep_alive;
                     http::write_answer(
                         &mut connection.output,
@@ -854,7 +854,7 @@
                 } else {
                     (0, 1)
                 };
-                if reusable && self.sockets.keeps_spare(&connection.place, unused, most) {
+                if reusable && self.sockets.keeps_idle(&connection.place, unused, most) {
                     self.spare_workers += usize::from(worker);
                     self.spare.entry(to).or_default().push(key);
                     Fate::Keep
@@ -905,7 +905,7 @@
 
 /// Tells of a shortage of sockets as it begins, gets worse and ends.
 fn tell(event: ShortageEvent, sockets: &ConnectionLimiter) {
-    let open = sockets.open_now();
+    let open = sockets.open_counts();
     let list = |counts: PerClass<u64>| {
         let counts = ConnectionClass::ALL.map(|class| format!("{}={}", class.name(), counts[class]));
         counts.join(" ")
@@ -923,8 +923,8 @@
         ShortageEvent::Over { lasted_ms, counts } => log::info!(
             "sockets suffice again: they ran short for {:.1} s; closed with an answer: {}; unused and closed: {}; refused: {}",
             lasted_ms as f64 / 1_000.0,
-            list(counts.answered),
-            list(counts.idle),
+            list(counts.closed_by_response),
+            list(counts.idle_closed),
             list(counts.refused)
         ),
     }
