--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: sockets and timers round the core. One thread owns everything;
-//! what the sockets bring is queued, and the core works through it in batches.
+//! The event loop: drives the sockets and timers around the controller node. A single thread owns all
+//! state; input from sockets is queued as commands, which the node handles in batches.
 
 use crate::http;
 use indigopath_connection_limits::{
@@ -21,62 +21,64 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Longest wait for events, in ms: the grain of the core's timers.
-const TICK_MS: u64 = 20;
+/// Longest wait for events, in ms, which is the resolution of the node's timers.
+const MAX_POLL_WAIT_MS: u64 = 20;
 
-/// Events taken from the system at once.
-const EVENTS: usize = 256;
+/// Events read from the operating system in one poll.
+const EVENT_CAPACITY: usize = 256;
 
-/// How long a client may take to send a whole request, in ms.
-const REQUEST_MS: u64 = 10_000;
+/// How long a client may take to send a complete request, in ms.
+const REQUEST_TIMEOUT_MS: u64 = 10_000;
 
-/// How long a client may keep an unused connection, in ms, or this many report
-/// intervals if that is longer. Users poll every 5 s and workers report every few
-/// seconds, so an unused one is forgotten: a machine that is gone often closes
-/// nothing, and with fleets of thousands such connections would use up the sockets.
-const IDLE_MS: u64 = 30_000;
-const IDLE_REPORTS: f64 = 4.0;
+/// How long a client may keep an idle connection, in ms, or [`IDLE_TIMEOUT_REPORT_INTERVALS`] if that
+/// is longer. Users poll every 5 s and workers report every few seconds, so a longer idle connection
+/// is abandoned: machines that disappear often don't close theirs, and with thousands of machines such
+/// connections would exhaust the sockets.
+const IDLE_TIMEOUT_MS: u64 = 30_000;
+/// See [`IDLE_TIMEOUT_MS`].
+const IDLE_TIMEOUT_REPORT_INTERVALS: f64 = 4.0;
 
-/// How long an unused connection to another system is kept, in ms.
-const SPARE_MS: u64 = 20_000;
+/// How long an idle connection to another system, or one from a peer, is kept, in ms.
+const POOL_IDLE_TIMEOUT_MS: u64 = 20_000;
 
-/// Interval of the search for connections that are overdue, in ms.
-const SWEEP_MS: u64 = 100;
+/// Interval between searches for connections that have timed out, in ms.
+const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// Wait before a peer is connected to again, in ms.
-const RECONNECT_MS: u64 = 500;
+/// Delay before reconnecting to a peer, in ms.
+const PEER_RECONNECT_MS: u64 = 500;
 
-/// Unused connections to workers that are kept at most.
-const SPARE_WORKERS: usize = 100;
+/// Maximum number of idle connections to workers that are kept for reuse.
+const MAX_POOLED_WORKER_CONNECTIONS: usize = 100;
 
-/// Bytes read from a socket at once.
-const READ_CHUNK: usize = 16 * 1024;
+/// Bytes read from a socket in one call.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Longest wait for events while newcomers wait for room, in ms: the answers of one turn make it.
-const HELD_BACK_TICK_MS: u64 = 2;
+/// Longest wait for events while clients in the listen queue wait for a slot, in ms: the responses of
+/// one iteration free slots.
+const PENDING_ACCEPT_POLL_WAIT_MS: u64 = 2;
 
-const CLIENTS: Token = Token(0);
-const PEERS: Token = Token(1);
-const FIRST: usize = 2;
+const CLIENT_LISTENER: Token = Token(0);
+const PEER_LISTENER: Token = Token(1);
+const FIRST_CONNECTION_TOKEN: usize = 2;
 
 /// What a connection is for.
 enum Role {
-    /// Somebody asks this node.
+    /// A client sends requests to this node.
     Client {
-        waiting: Option<RequestId>,
+        pending_request: Option<RequestId>,
         keep_alive: bool,
-        closing: bool,
+        close_after_write: bool,
     },
-    /// This node asks another system.
+    /// This node calls another system.
     Call {
         to: Destination,
         call: Option<CallId>,
         deadline: u64,
         sent: bool,
-        /// Checked again when the first bytes go out.
+        /// Checked again when the first bytes are sent.
         permit: Option<Permit>,
     },
-    /// A peer sends frames.
+    /// A peer sends frames to this node.
     FromPeer,
     /// This node sends frames to a peer.
     ToPeer { peer: usize },
@@ -85,18 +87,18 @@
 struct Connection {
     stream: TcpStream,
     role: Role,
-    /// Its place among the process's sockets.
-    place: ConnectionSlot,
+    /// Its slot among the process's connections.
+    slot: ConnectionSlot,
     connected: bool,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Since when it has been in its present state.
-    since: u64,
+    /// When it entered its current state.
+    state_since: u64,
     interest: Interest,
 }
 
-/// What became of a connection after an event.
-enum Fate {
+/// Whether a connection stays open after an event.
+enum Disposition {
     Keep,
     Close,
 }
@@ -106,23 +108,23 @@
     client_listener: TcpListener,
     peer_listener: TcpListener,
     connections: Slab<Connection>,
-    sockets: ConnectionLimiter,
-    /// Listeners with somebody in the system's queue: clients' and peers'.
-    queued: [bool; 2],
-    /// Unused connections to workers.
-    spare_workers: usize,
+    limiter: ConnectionLimiter,
+    /// Whether connections may wait in the listen queues of the client and peer listeners.
+    pending_accepts: [bool; 2],
+    /// Number of idle connections to workers.
+    pooled_worker_connections: usize,
     requests: HashMap<RequestId, usize>,
     next_request: u64,
-    spare: HashMap<Destination, Vec<usize>>,
-    state: SocketAddrV4,
-    cloud: SocketAddrV4,
+    idle_pool: HashMap<Destination, Vec<usize>>,
+    state_addr: SocketAddrV4,
+    cloud_addr: SocketAddrV4,
     peers: Vec<Peer>,
-    queue: Vec<Command>,
-    /// Whether submit files are served.
-    submit_files: bool,
+    commands: Vec<Command>,
+    /// Whether submit files are accepted.
+    accepts_submit_files: bool,
     node: Node,
-    started: Instant,
-    swept: u64,
+    started_at: Instant,
+    swept_at: u64,
 }
 
 struct Peer {
@@ -137,10 +139,10 @@
         let mut client_listener = TcpListener::bind(SocketAddr::V4(settings.listen))?;
         let mut peer_listener = TcpListener::bind(SocketAddr::V4(settings.peer_listen))?;
         poll.registry()
-            .register(&mut client_listener, CLIENTS, Interest::READABLE)?;
+            .register(&mut client_listener, CLIENT_LISTENER, Interest::READABLE)?;
         poll.registry()
-            .register(&mut peer_listener, PEERS, Interest::READABLE)?;
-        let started = Instant::now();
+            .register(&mut peer_listener, PEER_LISTENER, Interest::READABLE)?;
+        let started_at = Instant::now();
         let peers = settings
             .peers
             .iter()
@@ -154,7 +156,7 @@
         let limits = Limits {
             sockets: settings.deployment.limits.max_connections,
             peers: settings.peers.len(),
-            idle_ms: IDLE_MS.max((report_ms * IDLE_REPORTS) as u64),
+            idle_ms: IDLE_TIMEOUT_MS.max((report_ms * IDLE_TIMEOUT_REPORT_INTERVALS) as u64),
             report_ms: report_ms as u64,
         };
         Ok(EventLoop {
@@ -162,85 +164,97 @@
             client_listener,
             peer_listener,
             connections: Slab::new(),
-            sockets: ConnectionLimiter::new(&limits),
-            queued: [false; 2],
-            spare_workers: 0,
+            limiter: ConnectionLimiter::new(&limits),
+            pending_accepts: [false; 2],
+            pooled_worker_connections: 0,
             requests: HashMap::new(),
             next_request: 1,
-            spare: HashMap::new(),
-            state: settings.services.state,
-            cloud: settings.services.cloud,
+            idle_pool: HashMap::new(),
+            state_addr: settings.services.state,
+            cloud_addr: settings.services.cloud,
             peers,
-            queue: Vec::new(),
-            submit_files: settings.operator.condor.is_some(),
+            commands: Vec::new(),
+            accepts_submit_files: settings.operator.condor.is_some(),
             node: Node::new(settings, rand::random(), 0, wall_ms()),
-            started,
-            swept: 0,
+            started_at,
+            swept_at: 0,
         })
     }
 
     fn now(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     pub fn run(mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
-            self.turn();
-            let held_back = self.queued.contains(&true);
-            let tick_ms = if held_back { HELD_BACK_TICK_MS } else { TICK_MS };
-            match self.poll.poll(&mut events, Some(Duration::from_millis(tick_ms))) {
+            self.run_iteration();
+            let has_pending_accepts = self.pending_accepts.contains(&true);
+            let poll_wait_ms = if has_pending_accepts {
+                PENDING_ACCEPT_POLL_WAIT_MS
+            } else {
+                MAX_POLL_WAIT_MS
+            };
+            match self
+                .poll
+                .poll(&mut events, Some(Duration::from_millis(poll_wait_ms)))
+            {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 other => other?,
             }
             for event in events.iter() {
                 match event.token() {
-                    CLIENTS => self.queued[0] = true,
-                    PEERS => self.queued[1] = true,
-                    Token(token) => self.ready(token - FIRST, event.is_readable(), event.is_writable()),
+                    CLIENT_LISTENER => self.pending_accepts[0] = true,
+                    PEER_LISTENER => self.pending_accepts[1] = true,
+                    Token(token) => self.on_ready(
+                        token - FIRST_CONNECTION_TOKEN,
+                        event.is_readable(),
+                        event.is_writable(),
+                    ),
                 }
             }
-            // After the others, which may have closed. The system tells of a queue only as it grows.
-            if self.queued[1] {
-                self.queued[1] = self.accept(false);
+            // Accepts last, since the events above may have closed connections. The poll is edge-triggered:
+            // it reports a listen queue only when it grows.
+            if self.pending_accepts[1] {
+                self.pending_accepts[1] = self.accept(false);
             }
-            if self.queued[0] {
-                self.queued[0] = self.accept(true);
+            if self.pending_accepts[0] {
+                self.pending_accepts[0] = self.accept(true);
             }
         }
     }
 
-    /// One batch: the queued commands, what is due, and what follows from both.
-    fn turn(&mut self) {
+    /// Runs one iteration: handles the queued commands and due work, and executes their effects.
+    fn run_iteration(&mut self) {
         let now = self.now();
         self.connect_peers(now);
-        if now >= self.swept + SWEEP_MS {
-            self.swept = now;
+        if now >= self.swept_at + SWEEP_INTERVAL_MS {
+            self.swept_at = now;
             self.sweep(now);
         }
         self.node.set_time(now, wall_ms());
         self.node
-            .set_connection_stats(self.sockets.open_counts(), self.sockets.shortage_counts());
-        if let Some(event) = self.sockets.next_event(now) {
-            tell(event, &self.sockets);
+            .set_connection_stats(self.limiter.open_counts(), self.limiter.shortage_counts());
+        if let Some(event) = self.limiter.next_event(now) {
+            log_shortage(event, &self.limiter);
         }
-        // Effects may queue further commands: a call that cannot even be sent.
+        // Effects may queue further commands, such as the failure of a call that cannot be sent.
         loop {
-            for command in std::mem::take(&mut self.queue) {
+            for command in std::mem::take(&mut self.commands) {
                 self.node.handle(command);
             }
             self.node.run_due_work();
             crate::TOKEN.store(self.node.token().unwrap_or(0), Ordering::Relaxed);
             for effect in self.node.take_effects() {
-                self.carry_out(effect, now);
+                self.execute(effect, now);
             }
-            if self.queue.is_empty() {
+            if self.commands.is_empty() {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, now: u64) {
+    fn execute(&mut self, effect: Effect, now: u64) {
         match effect {
             Effect::Reply {
                 request,
@@ -250,7 +264,7 @@
                 mut body,
                 until,
             } => {
-                // The process may have stood still since the core decided.
+                // The process may have been suspended since the node decided.
                 if until.is_some_and(|until| self.now() >= until) {
                     (status, retry_after_s, body) = (503, Some(RETRY_AFTER_S), b"{}".to_vec());
                 }
@@ -261,15 +275,15 @@
                     return;
                 };
                 if let Role::Client {
-                    waiting,
+                    pending_request,
                     keep_alive,
-                    closing,
+                    close_after_write,
                 } = &mut connection.role
                 {
-                    *waiting = None;
-                    *keep_alive &= !self.sockets.response_closes(&connection.place, now);
-                    *closing = !*keep_alive;
-                    http::write_answer(
+                    *pending_request = None;
+                    *keep_alive &= !self.limiter.response_closes(&connection.slot, now);
+                    *close_after_write = !*keep_alive;
+                    http::write_response(
                         &mut connection.output,
                         status,
                         retry_after_s,
@@ -278,8 +292,8 @@
                         &body,
                     );
                 }
-                connection.since = now;
-                self.serve(key);
+                connection.state_since = now;
+                self.flush(key);
             }
             Effect::Call {
                 call,
@@ -290,19 +304,19 @@
                 timeout_ms,
                 permit,
             } => {
-                let Some(addr) = self.address(&to) else {
-                    self.queue.push(Command::Answer {
+                let Some(addr) = self.resolve(&to) else {
+                    self.commands.push(Command::Answer {
                         call,
                         outcome: Outcome::NotSent,
                     });
                     return;
                 };
                 let bytes = http::write_request(method.as_str(), &path, &addr.to_string(), &body);
-                match self.call_connection(&to, addr, now) {
+                match self.connection_for_call(&to, addr, now) {
                     Ok(key) => {
                         let connection = &mut self.connections[key];
                         connection.output = bytes;
-                        connection.since = now;
+                        connection.state_since = now;
                         connection.role = Role::Call {
                             to,
                             call: Some(call),
@@ -311,13 +325,13 @@
                             permit,
                         };
                         if connection.connected {
-                            self.serve(key);
+                            self.flush(key);
                         }
                     }
                     Err(error) => {
-                        // Want of room is told for all of them at once.
+                        // A shortage of slots is logged once for all connections.
                         log::debug!("connection failed address={addr}: {error}");
-                        self.queue.push(Command::Answer {
+                        self.commands.push(Command::Answer {
                             call,
                             outcome: Outcome::NotSent,
                         });
@@ -333,17 +347,17 @@
                 if connection.output.len() + bytes.len() <= MAX_PEER_BACKLOG_BYTES {
                     connection.output.extend_from_slice(&bytes);
                     if connection.connected {
-                        self.serve(key);
+                        self.flush(key);
                     }
                 }
             }
         }
     }
 
-    fn address(&self, to: &Destination) -> Option<SocketAddrV4> {
+    fn resolve(&self, to: &Destination) -> Option<SocketAddrV4> {
         match to {
-            Destination::State => Some(self.state),
-            Destination::Cloud => Some(self.cloud),
+            Destination::State => Some(self.state_addr),
+            Destination::Cloud => Some(self.cloud_addr),
             Destination::Worker(addr) => addr.parse().ok(),
             Destination::Licences(addr) => Some(*addr),
         }
@@ -351,22 +365,22 @@
 
     // ---- connections ---------------------------------------------------------
 
-    fn call_connection(&mut self, to: &Destination, addr: SocketAddrV4, now: u64) -> io::Result<usize> {
-        while let Some(key) = self.spare.get_mut(to).and_then(Vec::pop) {
-            self.spare_workers -= usize::from(matches!(to, Destination::Worker(_)));
+    fn connection_for_call(&mut self, to: &Destination, addr: SocketAddrV4, now: u64) -> io::Result<usize> {
+        while let Some(key) = self.idle_pool.get_mut(to).and_then(Vec::pop) {
+            self.pooled_worker_connections -= usize::from(matches!(to, Destination::Worker(_)));
             if self.connections.contains(key) {
                 return Ok(key);
             }
         }
-        let class = class_of(to);
-        let place = match self.sockets.open(class, now) {
-            Ok(place) => place,
-            Err(full) => self.make_room(full, now)?,
+        let class = connection_class(to);
+        let slot = match self.limiter.open(class, now) {
+            Ok(slot) => slot,
+            Err(full) => self.reclaim_slot(full, now)?,
         };
         let stream = match TcpStream::connect(SocketAddr::V4(addr)) {
             Ok(stream) => stream,
             Err(error) => {
-                self.sockets.close(place);
+                self.limiter.close(slot);
                 return Err(error);
             }
         };
@@ -378,21 +392,22 @@
             permit: None,
         };
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.register(stream, role, place, interest, false)
+        self.register(stream, role, slot, interest, false)
     }
 
-    /// A place for a call that found none: an unused connection to a worker gives way to it.
-    fn make_room(&mut self, full: NoCapacity, now: u64) -> io::Result<ConnectionSlot> {
-        let unused = self
-            .spare
+    /// Opens a slot for a call that found none free, after closing an idle connection to a worker if there
+    /// is one.
+    fn reclaim_slot(&mut self, full: NoCapacity, now: u64) -> io::Result<ConnectionSlot> {
+        let idle = self
+            .idle_pool
             .iter()
             .find(|(to, keys)| matches!(to, Destination::Worker(_)) && !keys.is_empty())
             .and_then(|(_, keys)| keys.first().copied());
-        if let Some(key) = unused {
+        if let Some(key) = idle {
             self.close(key);
         }
-        self.sockets.open(full.0, now).map_err(|full| {
-            self.sockets.refuse(full, now);
+        self.limiter.open(full.0, now).map_err(|full| {
+            self.limiter.refuse(full, now);
             io::Error::other(full)
         })
     }
@@ -401,7 +416,7 @@
         &mut self,
         mut stream: TcpStream,
         role: Role,
-        place: ConnectionSlot,
+        slot: ConnectionSlot,
         interest: Interest,
         connected: bool,
     ) -> io::Result<usize> {
@@ -409,19 +424,19 @@
         let entry = self.connections.vacant_entry();
         let key = entry.key();
         let registry = self.poll.registry();
-        if let Err(error) = registry.register(&mut stream, Token(key + FIRST), interest) {
-            self.sockets.close(place);
+        if let Err(error) = registry.register(&mut stream, Token(key + FIRST_CONNECTION_TOKEN), interest) {
+            self.limiter.close(slot);
             return Err(error);
         }
         let _ = stream.set_nodelay(true);
         entry.insert(Connection {
             stream,
             role,
-            place,
+            slot,
             connected,
             input: Vec::new(),
             output: Vec::new(),
-            since,
+            state_since: since,
             interest,
         });
         Ok(key)
@@ -434,11 +449,11 @@
                 continue;
             }
             let addr = SocketAddr::V4(peer.addr);
-            self.peers[index].retry_at = now + RECONNECT_MS;
-            let place = match self.sockets.open(ConnectionClass::Peer, now) {
-                Ok(place) => place,
+            self.peers[index].retry_at = now + PEER_RECONNECT_MS;
+            let slot = match self.limiter.open(ConnectionClass::Peer, now) {
+                Ok(slot) => slot,
                 Err(full) => {
-                    self.sockets.refuse(full, now);
+                    self.limiter.refuse(full, now);
                     continue;
                 }
             };
@@ -446,10 +461,10 @@
                 Ok(stream) => {
                     let role = Role::ToPeer { peer: index };
                     let interest = Interest::READABLE | Interest::WRITABLE;
-                    self.register(stream, role, place, interest, false)
+                    self.register(stream, role, slot, interest, false)
                 }
                 Err(error) => {
-                    self.sockets.close(place);
+                    self.limiter.close(slot);
                     Err(error)
                 }
             };
@@ -460,7 +475,7 @@
         }
     }
 
-    /// Accepts whoever has come. True: some still wait in the system's queue.
+    /// Accepts the connections in the listen queue. Returns whether some may still wait there.
     fn accept(&mut self, clients: bool) -> bool {
         let now = self.now();
         let class = if clients {
@@ -469,10 +484,10 @@
             ConnectionClass::Peer
         };
         loop {
-            // Those who find no room wait for the answers of this turn, which close connections; only
-            // whoever waits in vain is refused, so that a load balancer moves on to another node.
-            let place = self.sockets.open(class, now);
-            if place.is_err() && clients && self.sockets.may_wait(now) {
+            // Clients that find no slot wait for the responses of this iteration, which close connections.
+            // They are refused only after a timeout, so that a load balancer tries another node.
+            let slot = self.limiter.open(class, now);
+            if slot.is_err() && clients && self.limiter.may_wait(now) {
                 return true;
             }
             let listener = if clients {
@@ -483,13 +498,13 @@
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    if let Ok(place) = place {
-                        self.sockets.close(place);
+                    if let Ok(slot) = slot {
+                        self.limiter.close(slot);
                     }
                     match error.kind() {
                         io::ErrorKind::WouldBlock => {
                             if clients {
-                                self.sockets.listen_queue_empty();
+                                self.limiter.listen_queue_empty();
                             }
                             return false;
                         }
@@ -501,66 +516,72 @@
                     }
                 }
             };
-            let place = match place {
-                Ok(place) => place,
+            let slot = match slot {
+                Ok(slot) => slot,
                 Err(full) => {
-                    self.sockets.refuse(full, now);
+                    self.limiter.refuse(full, now);
                     continue;
                 }
             };
             let role = if clients {
                 Role::Client {
-                    waiting: None,
+                    pending_request: None,
                     keep_alive: true,
-                    closing: false,
+                    close_after_write: false,
                 }
             } else {
                 Role::FromPeer
             };
-            if let Err(error) = self.register(stream, role, place, Interest::READABLE, true) {
+            if let Err(error) = self.register(stream, role, slot, Interest::READABLE, true) {
                 log::info!("poll registration failed: {error}");
             }
         }
     }
 
-    /// Closes what takes too long, and spare connections nobody needs.
+    /// Closes connections that have timed out or have been idle for too long.
     fn sweep(&mut self, now: u64) {
-        let overdue: Vec<usize> = self
+        let overdue_keys: Vec<usize> = self
             .connections
             .iter()
             .filter(|(_, connection)| match &connection.role {
-                Role::Client { waiting: Some(_), .. } => false,
-                Role::Client { waiting: None, .. } => {
-                    let busy = !connection.input.is_empty() || !connection.output.is_empty();
-                    let most_ms = if busy {
-                        REQUEST_MS
+                Role::Client {
+                    pending_request: Some(_),
+                    ..
+                } => false,
+                Role::Client {
+                    pending_request: None,
+                    ..
+                } => {
+                    let is_busy = !connection.input.is_empty() || !connection.output.is_empty();
+                    let timeout_ms = if is_busy {
+                        REQUEST_TIMEOUT_MS
                     } else {
-                        self.sockets.idle_ms(&connection.place)
+                        self.limiter.idle_ms(&connection.slot)
                     };
-                    now >= connection.since + most_ms
+                    now >= connection.state_since + timeout_ms
                 }
                 Role::Call {
                     call: Some(_),
                     deadline,
                     ..
                 } => now >= *deadline,
-                Role::Call { call: None, .. } => now >= connection.since + SPARE_MS,
-                Role::FromPeer => now >= connection.since + SPARE_MS,
+                Role::Call { call: None, .. } => now >= connection.state_since + POOL_IDLE_TIMEOUT_MS,
+                Role::FromPeer => now >= connection.state_since + POOL_IDLE_TIMEOUT_MS,
                 Role::ToPeer { .. } => {
                     (!connection.connected || !connection.output.is_empty())
-                        && now >= connection.since + REQUEST_MS / 4
+                        && now >= connection.state_since + REQUEST_TIMEOUT_MS / 4
                 }
             })
             .map(|(key, _)| key)
             .collect();
-        for key in overdue {
+        for key in overdue_keys {
             if let Some(connection) = self.connections.get(key)
                 && matches!(connection.role, Role::Client { .. })
                 && connection.input.is_empty()
                 && connection.output.is_empty()
             {
-                let unused_ms = now - connection.since;
-                self.sockets.idle_closed(&connection.place, unused_ms, now);
+                let unused_ms = now - connection.state_since;
+                self.limiter.idle_closed(&connection.slot, unused_ms, now);
             }
             self.close(key);
         }
@@ -571,10 +592,10 @@
             return;
         };
         let _ = self.poll.registry().deregister(&mut connection.stream);
-        self.sockets.close(connection.place);
+        self.limiter.close(connection.slot);
         match connection.role {
-            Role::Client { waiting, .. } => {
-                if let Some(request) = waiting {
+            Role::Client { pending_request, .. } => {
+                if let Some(request) = pending_request {
                     self.requests.remove(&request);
                 }
             }
@@ -583,19 +604,19 @@
                 sent,
                 ..
             } => {
-                // Unless a byte of it has left, it was certainly not carried out.
+                // If no byte of it was sent, it was certainly not executed.
                 let outcome = if sent { Outcome::NoAnswer } else { Outcome::NotSent };
-                self.queue.push(Command::Answer { call, outcome });
+                self.commands.push(Command::Answer { call, outcome });
             }
             Role::Call { call: None, to, .. } => {
-                if let Some(spare) = self.spare.get_mut(&to) {
-                    let before = spare.len();
-                    spare.retain(|other| *other != key);
+                if let Some(idle) = self.idle_pool.get_mut(&to) {
+                    let before = idle.len();
+                    idle.retain(|other| *other != key);
                     if matches!(to, Destination::Worker(_)) {
-                        self.spare_workers -= before - spare.len();
+                        self.pooled_worker_connections -= before - idle.len();
                     }
-                    if spare.is_empty() {
-                        self.spare.remove(&to);
+                    if idle.is_empty() {
+                        self.idle_pool.remove(&to);
                     }
                 }
             }
@@ -606,7 +627,7 @@
 
     // ---- reading and writing -------------------------------------------------
 
-    fn ready(&mut self, key: usize, readable: bool, writable: bool) {
+    fn on_ready(&mut self, key: usize, readable: bool, writable: bool) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -614,9 +635,9 @@
             match connection.stream.take_error() {
                 Ok(None) if connection.stream.peer_addr().is_ok() => {
                     connection.connected = true;
-                    connection.since = self.started.elapsed().as_millis() as u64;
+                    connection.state_since = self.started_at.elapsed().as_millis() as u64;
                     if let Role::ToPeer { peer } = connection.role {
-                        self.queue.push(Command::PeerConnected { peer });
+                        self.commands.push(Command::PeerConnected { peer });
                     }
                 }
                 Ok(None) => (),
@@ -626,33 +647,33 @@
                 }
             }
         }
-        if readable && matches!(self.read(key), Fate::Close) {
+        if readable && matches!(self.read(key), Disposition::Close) {
             self.close(key);
             return;
         }
         if writable {
-            self.serve(key);
+            self.flush(key);
         }
     }
 
-    /// Writes what waits; closes what is to be closed after it.
-    fn serve(&mut self, key: usize) {
+    /// Writes pending output, and closes the connection if that is due after it.
+    fn flush(&mut self, key: usize) {
         match self.write(key) {
-            Fate::Keep => (),
-            Fate::Close => self.close(key),
+            Disposition::Keep => (),
+            Disposition::Close => self.close(key),
         }
     }
 
-    fn write(&mut self, key: usize) -> Fate {
+    fn write(&mut self, key: usize) -> Disposition {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
-            return Fate::Keep;
+            return Disposition::Keep;
         };
         if !connection.connected {
-            return Fate::Keep;
+            return Disposition::Keep;
         }
-        // Minutes may have passed since the core allowed it: in a queue, in a connection that took
-        // long, in a process that stood still. Another may hold the duty by now.
+        // Minutes may have passed since the node permitted the call: in a queue, in a slow connection
+        // attempt, or while the process was suspended. Another node may hold the lease by now.
         if let Role::Call {
             sent: false,
             permit: Some(permit),
@@ -662,30 +683,38 @@
             && !permit.allows(now)
         {
             self.node.on_operation_dropped(permit);
-            return Fate::Close;
+            return Disposition::Close;
         }
         let mut written = 0;
         while written < connection.output.len() {
             match connection.stream.write(&connection.output[written..]) {
-                Ok(0) => return Fate::Close,
+                Ok(0) => return Disposition::Close,
                 Ok(count) => {
                     written += count;
-                    connection.since = now;
+                    connection.state_since = now;
                     if let Role::Call { sent, .. } = &mut connection.role {
                         *sent = true;
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => (),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return Fate::Close,
+                Err(_) => return Disposition::Close,
             }
         }
         connection.output.drain(..written);
-        let done = connection.output.is_empty();
-        if done && matches!(connection.role, Role::Client { closing: true, .. }) {
-            return Fate::Close;
+        let is_flushed = connection.output.is_empty();
+        if is_flushed
+            && matches!(
+                connection.role,
+                Role::Client {
+                    close_after_write: true,
+                    ..
+                }
+            )
+        {
+            return Disposition::Close;
         }
-        let interest = if done {
+        let interest = if is_flushed {
             Interest::READABLE
         } else {
             Interest::READABLE | Interest::WRITABLE
@@ -695,21 +724,25 @@
             if self
                 .poll
                 .registry()
-                .reregister(&mut connection.stream, Token(key + FIRST), interest)
+                .reregister(
+                    &mut connection.stream,
+                    Token(key + FIRST_CONNECTION_TOKEN),
+                    interest,
+                )
                 .is_err()
             {
-                return Fate::Close;
+                return Disposition::Close;
             }
         }
-        Fate::Keep
+        Disposition::Keep
     }
 
-    fn read(&mut self, key: usize) -> Fate {
-        let mut chunk = [0; READ_CHUNK];
+    fn read(&mut self, key: usize) -> Disposition {
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let mut closed = false;
         {
             let Some(connection) = self.connections.get_mut(key) else {
-                return Fate::Keep;
+                return Disposition::Keep;
             };
             loop {
                 match connection.stream.read(&mut chunk) {
@@ -719,95 +752,106 @@
                     }
                     Ok(count) => {
                         if connection.input.is_empty() {
-                            connection.since = self.started.elapsed().as_millis() as u64;
+                            connection.state_since = self.started_at.elapsed().as_millis() as u64;
                         }
                         connection.input.extend_from_slice(&chunk[..count]);
                     }
                     Err(error) if error.kind() == io::ErrorKind::Interrupted => (),
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                    Err(_) => return Fate::Close,
+                    Err(_) => return Disposition::Close,
                 }
             }
         }
-        let fate = match &self.connections[key].role {
+        let disposition = match &self.connections[key].role {
             Role::Client { .. } => self.read_request(key),
-            Role::Call { .. } => self.read_answer(key, closed),
+            Role::Call { .. } => self.read_response(key, closed),
             Role::FromPeer => self.read_frames(key),
-            Role::ToPeer { .. } => Fate::Keep,
+            Role::ToPeer { .. } => Disposition::Keep,
         };
-        if closed { Fate::Close } else { fate }
+        if closed { Disposition::Close } else { disposition }
     }
 
-    fn read_request(&mut self, key: usize) -> Fate {
+    fn read_request(&mut self, key: usize) -> Disposition {
         let connection = &mut self.connections[key];
         let Role::Client {
-            waiting,
+            pending_request,
             keep_alive,
-            closing,
+            close_after_write,
         } = &mut connection.role
         else {
-            return Fate::Keep;
+            return Disposition::Keep;
         };
-        if waiting.is_some() || *closing {
-            // Requests are not sent pipelined; whoever does gets no second buffer.
-            return if connection.input.len() > READ_CHUNK {
-                Fate::Close
+        if pending_request.is_some() || *close_after_write {
+            // Pipelined requests are not supported: at most one read chunk of them is buffered.
+            return if connection.input.len() > READ_CHUNK_BYTES {
+                Disposition::Close
             } else {
-                Fate::Keep
+                Disposition::Keep
             };
         }
-        match http::parse_request(&connection.input, self.submit_files) {
-            Ok(None) if connection.input.len() > http::MAX_ORDINARY => self.wait_for_file(key),
-            Ok(None) => Fate::Keep,
+        match http::parse_request(&connection.input, self.accepts_submit_files) {
+            Ok(None) if connection.input.len() > http::MAX_BUFFERED_REQUEST_BYTES => {
+                self.limit_submit_uploads(key)
+            }
+            Ok(None) => Disposition::Keep,
             Ok(Some(request)) => {
                 connection.input.drain(..request.length);
                 let id = RequestId(self.next_request);
                 self.next_request += 1;
-                *waiting = Some(id);
+                *pending_request = Some(id);
                 *keep_alive = request.keep_alive;
                 let class = match request.path.split('?').next() {
                     Some(paths::REPORT) => ConnectionClass::Worker,
                     _ => ConnectionClass::User,
                 };
-                self.sockets.identify(&mut connection.place, class);
+                self.limiter.identify(&mut connection.slot, class);
                 self.requests.insert(id, key);
-                self.queue.push(Command::Request {
+                self.commands.push(Command::Request {
                     request: id,
                     method: request.method,
                     path: request.path,
                     body: request.body,
                 });
-                Fate::Keep
+                Disposition::Keep
             }
-            Err(broken) => self.refuse(key, broken.status(), None, &broken.to_string()),
+            Err(error) => self.reject_request(key, error.status(), None, &error.to_string()),
         }
     }
 
-    /// Only so many submit files come in at a time: what bounds memory. Others are told at
-    /// once to come back.
-    fn wait_for_file(&mut self, key: usize) -> Fate {
-        let large = self
+    /// Limits the submit files received at the same time, which bounds memory. Clients beyond the limit
+    /// are told at once to retry.
+    fn limit_submit_uploads(&mut self, key: usize) -> Disposition {
+        let uploads = self
             .connections
             .iter()
             .filter(|(_, other)| matches!(other.role, Role::Client { .. }))
-            .filter(|(_, other)| other.input.len() > http::MAX_ORDINARY);
-        if large.count() <= MAX_CLUSTER_OPERATIONS {
-            return Fate::Keep;
+            .filter(|(_, other)| other.input.len() > http::MAX_BUFFERED_REQUEST_BYTES);
+        if uploads.count() <= MAX_CLUSTER_OPERATIONS {
+            return Disposition::Keep;
         }
         let problem = "too many submit files at once, come back later";
-        self.refuse(key, 503, Some(RETRY_AFTER_S), problem)
+        self.reject_request(key, 503, Some(RETRY_AFTER_S), problem)
     }
 
-    /// Answers a request that is not taken, and closes after it.
-    fn refuse(&mut self, key: usize, status: u16, retry_after_s: Option<u64>, problem: &str) -> Fate {
+    /// Responds to a rejected request, and closes the connection afterwards.
+    fn reject_request(
+        &mut self,
+        key: usize,
+        status: u16,
+        retry_after_s: Option<u64>,
+        problem: &str,
+    ) -> Disposition {
         let connection = &mut self.connections[key];
-        if let Role::Client { closing, .. } = &mut connection.role {
-            *closing = true;
+        if let Role::Client {
+            close_after_write, ..
+        } = &mut connection.role
+        {
+            *close_after_write = true;
         }
         connection.input = Vec::new();
         let body = format!("{{\"error\":\"{problem}\"}}");
         let output = &mut connection.output;
-        http::write_answer(
+        http::write_response(
             output,
             status,
             retry_after_s,
@@ -818,114 +862,114 @@
         self.write(key)
     }
 
-    fn read_answer(&mut self, key: usize, closed: bool) -> Fate {
+    fn read_response(&mut self, key: usize, closed: bool) -> Disposition {
         let now = self.now();
         let connection = &mut self.connections[key];
         let Role::Call { to, call, .. } = &mut connection.role else {
-            return Fate::Keep;
+            return Disposition::Keep;
         };
         let Some(id) = *call else {
-            // Nothing was asked.
+            // No call is in progress.
             return if connection.input.is_empty() {
-                Fate::Keep
+                Disposition::Keep
             } else {
-                Fate::Close
+                Disposition::Close
             };
         };
-        match http::parse_answer(&connection.input, closed) {
-            Ok(None) => Fate::Keep,
-            Ok(Some(answer)) => {
-                connection.input.drain(..answer.length);
+        match http::parse_response(&connection.input, closed) {
+            Ok(None) => Disposition::Keep,
+            Ok(Some(response)) => {
+                connection.input.drain(..response.length);
                 *call = None;
-                connection.since = now;
+                connection.state_since = now;
                 let to = to.clone();
-                let reusable = answer.keep_alive
+                let is_reusable = response.keep_alive
                     && !closed
                     && connection.input.is_empty()
                     && connection.output.is_empty();
                 let outcome = Outcome::Answer {
-                    status: answer.status,
-                    body: answer.body,
+                    status: response.status,
+                    body: response.body,
                 };
-                self.queue.push(Command::Answer { call: id, outcome });
-                let worker = matches!(to, Destination::Worker(_));
-                let (unused, most) = if worker {
-                    (self.spare_workers, SPARE_WORKERS)
+                self.commands.push(Command::Answer { call: id, outcome });
+                let is_worker = matches!(to, Destination::Worker(_));
+                let (idle, max_idle) = if is_worker {
+                    (self.pooled_worker_connections, MAX_POOLED_WORKER_CONNECTIONS)
                 } else {
                     (0, 1)
                 };
-                if reusable && self.sockets.keeps_idle(&connection.place, unused, most) {
-                    self.spare_workers += usize::from(worker);
-                    self.spare.entry(to).or_default().push(key);
-                    Fate::Keep
+                if is_reusable && self.limiter.keeps_idle(&connection.slot, idle, max_idle) {
+                    self.pooled_worker_connections += usize::from(is_worker);
+                    self.idle_pool.entry(to).or_default().push(key);
+                    Disposition::Keep
                 } else {
-                    Fate::Close
+                    Disposition::Close
                 }
             }
-            Err(broken) => {
-                log::info!("response unusable from={to:?}: {broken}");
-                Fate::Close
+            Err(error) => {
+                log::info!("response unusable from={to:?}: {error}");
+                Disposition::Close
             }
         }
     }
 
-    fn read_frames(&mut self, key: usize) -> Fate {
+    fn read_frames(&mut self, key: usize) -> Disposition {
         let connection = &mut self.connections[key];
-        let mut at = 0;
-        let fate = loop {
-            match Frame::decode(&connection.input[at..]) {
+        let mut consumed = 0;
+        let disposition = loop {
+            match Frame::decode(&connection.input[consumed..]) {
                 Ok(Some((frame, length))) => {
-                    at += length;
-                    self.queue.extend(frame.map(Command::Frame));
+                    consumed += length;
+                    self.commands.extend(frame.map(Command::Frame));
                 }
-                Ok(None) => break Fate::Keep,
+                Ok(None) => break Disposition::Keep,
                 Err(error) => {
                     log::info!("peer connection closed: {error}");
-                    break Fate::Close;
+                    break Disposition::Close;
                 }
             }
         };
-        connection.input.drain(..at);
-        connection.since = self.started.elapsed().as_millis() as u64;
+        connection.input.drain(..consumed);
+        connection.state_since = self.started_at.elapsed().as_millis() as u64;
         if connection.input.len() > MAX_FRAME_BYTES {
-            Fate::Close
+            Disposition::Close
         } else {
-            fate
+            disposition
         }
     }
 }
 
-/// Whose room a connection to another system takes.
-fn class_of(to: &Destination) -> ConnectionClass {
+/// Returns the class of a connection to another system.
+fn connection_class(to: &Destination) -> ConnectionClass {
     match to {
         Destination::Worker(_) => ConnectionClass::WorkerCall,
         Destination::State | Destination::Cloud | Destination::Licences(_) => ConnectionClass::ExternalCall,
     }
 }
 
-/// Tells of a shortage of sockets as it begins, gets worse and ends.
-fn tell(event: ShortageEvent, sockets: &ConnectionLimiter) {
-    let open = sockets.open_counts();
-    let list = |counts: PerClass<u64>| {
+/// Logs the start, worsening and end of a shortage of sockets.
+fn log_shortage(event: ShortageEvent, limiter: &ConnectionLimiter) {
+    let open = limiter.open_counts();
+    let format_counts = |counts: PerClass<u64>| {
         let counts = ConnectionClass::ALL.map(|class| format!("{}={}", class.name(), counts[class]));
         counts.join(" ")
     };
     match event {
         ShortageEvent::Short => log::info!(
             "sockets run short: answers to workers close their connections from now on; open: {}",
-            list(open)
+            format_counts(open)
         ),
         ShortageEvent::Refusing(class) => log::warn!(
             "sockets run out: connections are refused, first a {}; open: {}",
             class.name(),
-            list(open)
+            format_counts(open)
         ),
         ShortageEvent::Over { lasted_ms, counts } => log::info!(
             "sockets suffice again: they ran short for {:.1} s; closed with an answer: {}; unused and closed: {}; refused: {}",
             lasted_ms as f64 / 1_000.0,
-            list(counts.closed_by_response),
-            list(counts.idle_closed),
-            list(counts.refused)
+            format_counts(counts.closed_by_response),
+            format_counts(counts.idle_closed),
+            format_counts(counts.refused)
         ),
     }
 }
--- a/crates/indigopath/src/http.rs
+++ b/crates/indigopath/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as far as the platform speaks it: one request at a time on a kept-open
-//! connection, bodies by length (or, in answers, chunked or until the close).
+//! The subset of HTTP/1.1 that the platform uses: persistent connections without pipelining, and
+//! bodies delimited by their length, by chunks or, in responses, by the end of the connection.
 
 use httparse::{Header, Status};
 use indigopath_controller::constants::{MAX_BODY_BYTES, MAX_SUBMIT_BODY_BYTES};
@@ -7,15 +7,15 @@
 use indigopath_controller::protocol::paths;
 use thiserror::Error;
 
-/// Largest head of a message, in bytes.
-const MAX_HEAD: usize = 16 * 1024;
+/// Maximum size of a message head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Most header lines of a message.
+/// Maximum number of header fields of a message.
 const MAX_HEADERS: usize = 64;
 
-/// Largest answer read from another system, in bytes: watches have no limit of
-/// their own, and memory has.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+/// Maximum size of a response from another system, in bytes: responses to watches are not limited
+/// otherwise, and memory is.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
@@ -23,43 +23,43 @@
     pub path: String,
     pub keep_alive: bool,
     pub body: Vec<u8>,
-    /// Bytes that it took.
+    /// Size of the message, in bytes.
     pub length: usize,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub keep_alive: bool,
     pub body: Vec<u8>,
     pub length: usize,
 }
 
-/// Why a message cannot be served; the status that says so, where one can.
+/// Why a message cannot be processed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Broken {
+pub enum MessageError {
     #[error("malformed message")]
     Malformed,
     #[error("the body is too large")]
-    TooLarge,
+    BodyTooLarge,
     #[error("the head is too large")]
     HeadTooLarge,
     #[error("a transfer coding that is not served")]
-    Coding,
+    UnsupportedTransferCoding,
 }
 
-impl Broken {
+impl MessageError {
     pub fn status(self) -> u16 {
         match self {
-            Broken::Malformed => 400,
-            Broken::TooLarge => 413,
-            Broken::HeadTooLarge => 431,
-            Broken::Coding => 501,
+            MessageError::Malformed => 400,
+            MessageError::BodyTooLarge => 413,
+            MessageError::HeadTooLarge => 431,
+            MessageError::UnsupportedTransferCoding => 501,
         }
     }
 }
 
-/// What the headers say of the body and the connection.
+/// What the headers specify about the body and the connection.
 #[derive(Debug, Default)]
 struct Framing {
     length: Option<usize>,
@@ -68,23 +68,23 @@
     keep_alive: bool,
 }
 
-fn framing(headers: &[Header<'_>]) -> Result<Framing, Broken> {
+fn parse_framing(headers: &[Header<'_>]) -> Result<Framing, MessageError> {
     let mut framing = Framing::default();
     for header in headers {
         let text = || {
             std::str::from_utf8(header.value)
                 .map(str::trim)
-                .map_err(|_| Broken::Malformed)
+                .map_err(|_| MessageError::Malformed)
         };
         if header.name.eq_ignore_ascii_case("content-length") {
-            let length: usize = text()?.parse().map_err(|_| Broken::Malformed)?;
+            let length: usize = text()?.parse().map_err(|_| MessageError::Malformed)?;
             if framing.length.is_some_and(|other| other != length) {
-                return Err(Broken::Malformed);
+                return Err(MessageError::Malformed);
             }
             framing.length = Some(length);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !text()?.eq_ignore_ascii_case("chunked") {
-                return Err(Broken::Coding);
+                return Err(MessageError::UnsupportedTransferCoding);
             }
             framing.chunked = true;
         } else if header.name.eq_ignore_ascii_case("connection") {
@@ -96,38 +96,38 @@
     Ok(framing)
 }
 
-/// Most bytes that a request waits with for its end, unless it is a submit file.
-pub const MAX_ORDINARY: usize = MAX_HEAD + MAX_BODY_BYTES;
+/// Maximum size of an incomplete request, in bytes, unless it is a submit file.
+pub const MAX_BUFFERED_REQUEST_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
-/// Takes a request off the front of `bytes`, once it is whole. With `submit_files`, those may
-/// have a longer body than others.
-pub fn parse_request(bytes: &[u8], submit_files: bool) -> Result<Option<Request>, Broken> {
+/// Parses the request at the start of `bytes`; returns `None` while it is incomplete. If
+/// `submit_files` is set, requests with submit files may have longer bodies.
+pub fn parse_request(bytes: &[u8], submit_files: bool) -> Result<Option<Request>, MessageError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(bytes) {
         Ok(Status::Complete(head)) => head,
-        Ok(Status::Partial) if bytes.len() > MAX_HEAD => return Err(Broken::HeadTooLarge),
+        Ok(Status::Partial) if bytes.len() > MAX_HEAD_BYTES => return Err(MessageError::HeadTooLarge),
         Ok(Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(Broken::HeadTooLarge),
-        Err(_) => return Err(Broken::Malformed),
+        Err(httparse::Error::TooManyHeaders) => return Err(MessageError::HeadTooLarge),
+        Err(_) => return Err(MessageError::Malformed),
     };
-    let framing = framing(request.headers)?;
-    let most = if submit_files && request.path == Some(paths::CLUSTERS) {
+    let framing = parse_framing(request.headers)?;
+    let max_body_bytes = if submit_files && request.path == Some(paths::CLUSTERS) {
         MAX_SUBMIT_BODY_BYTES
     } else {
         MAX_BODY_BYTES
     };
-    let one_one = request.version == Some(1);
-    let keep_alive = !framing.close && (one_one || framing.keep_alive);
+    let is_http_1_1 = request.version == Some(1);
+    let keep_alive = !framing.close && (is_http_1_1 || framing.keep_alive);
     let (body, length) = if framing.chunked {
-        match chunked(&bytes[head..], most)? {
+        match parse_chunked(&bytes[head..], max_body_bytes)? {
             Some((body, length)) => (body, head + length),
             None => return Ok(None),
         }
     } else {
         let length = framing.length.unwrap_or(0);
-        if length > most {
-            return Err(Broken::TooLarge);
+        if length > max_body_bytes {
+            return Err(MessageError::BodyTooLarge);
         }
         let Some(body) = bytes.get(head..head + length) else {
             return Ok(None);
@@ -143,30 +143,30 @@
     }))
 }
 
-/// Takes an answer off the front of `bytes`, once it is whole. `closed`: no more
-/// bytes will come.
-pub fn parse_answer(bytes: &[u8], closed: bool) -> Result<Option<Answer>, Broken> {
+/// Parses the response at the start of `bytes`; returns `None` while it is incomplete. `closed` means
+/// that no more bytes will arrive.
+pub fn parse_response(bytes: &[u8], closed: bool) -> Result<Option<Response>, MessageError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut answer = httparse::Response::new(&mut headers);
-    let head = match answer.parse(bytes) {
+    let mut response = httparse::Response::new(&mut headers);
+    let head = match response.parse(bytes) {
         Ok(Status::Complete(head)) => head,
-        Ok(Status::Partial) if bytes.len() > MAX_HEAD => return Err(Broken::HeadTooLarge),
+        Ok(Status::Partial) if bytes.len() > MAX_HEAD_BYTES => return Err(MessageError::HeadTooLarge),
         Ok(Status::Partial) => return Ok(None),
-        Err(_) => return Err(Broken::Malformed),
+        Err(_) => return Err(MessageError::Malformed),
     };
-    let status = answer.code.unwrap_or(0);
-    let framing = framing(answer.headers)?;
-    let mut keep_alive = !framing.close && answer.version == Some(1);
+    let status = response.code.unwrap_or(0);
+    let framing = parse_framing(response.headers)?;
+    let mut keep_alive = !framing.close && response.version == Some(1);
     let (body, length) = if status == 204 || status == 304 {
         (Vec::new(), head)
     } else if framing.chunked {
-        match chunked(&bytes[head..], MAX_ANSWER)? {
+        match parse_chunked(&bytes[head..], MAX_RESPONSE_BYTES)? {
             Some((body, length)) => (body, head + length),
             None => return Ok(None),
         }
     } else if let Some(length) = framing.length {
-        if length > MAX_ANSWER {
-            return Err(Broken::TooLarge);
+        if length > MAX_RESPONSE_BYTES {
+            return Err(MessageError::BodyTooLarge);
         }
         let Some(body) = bytes.get(head..head + length) else {
             return Ok(None);
@@ -175,12 +175,12 @@
     } else if closed {
         keep_alive = false;
         (bytes[head..].to_vec(), bytes.len())
-    } else if bytes.len() > MAX_ANSWER {
-        return Err(Broken::TooLarge);
+    } else if bytes.len() > MAX_RESPONSE_BYTES {
+        return Err(MessageError::BodyTooLarge);
     } else {
         return Ok(None);
     };
-    Ok(Some(Answer {
+    Ok(Some(Response {
         status,
         keep_alive,
         body,
@@ -188,46 +188,46 @@
     }))
 }
 
-/// A chunked body, once it is whole, and the bytes that it took.
-fn chunked(bytes: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, Broken> {
+/// Parses a chunked body and returns it with its encoded size, or `None` while it is incomplete.
+fn parse_chunked(bytes: &[u8], max_body_bytes: usize) -> Result<Option<(Vec<u8>, usize)>, MessageError> {
     let mut body = Vec::new();
-    let mut at = 0;
+    let mut position = 0;
     loop {
-        let (start, size) = match httparse::parse_chunk_size(&bytes[at..]) {
+        let (start, size) = match httparse::parse_chunk_size(&bytes[position..]) {
             Ok(Status::Complete((start, size))) => (start, size),
             Ok(Status::Partial) => return Ok(None),
-            Err(_) => return Err(Broken::Malformed),
+            Err(_) => return Err(MessageError::Malformed),
         };
-        let size = usize::try_from(size).map_err(|_| Broken::TooLarge)?;
-        if body.len().saturating_add(size) > most {
-            return Err(Broken::TooLarge);
+        let size = usize::try_from(size).map_err(|_| MessageError::BodyTooLarge)?;
+        if body.len().saturating_add(size) > max_body_bytes {
+            return Err(MessageError::BodyTooLarge);
         }
-        at += start;
+        position += start;
         if size == 0 {
-            // Trailers, if any, up to an empty line.
-            let rest = &bytes[at..];
+            // Skips trailers, if any, up to the empty line.
+            let rest = &bytes[position..];
             if rest.starts_with(b"\r\n") {
-                return Ok(Some((body, at + 2)));
+                return Ok(Some((body, position + 2)));
             }
             return match rest.windows(4).position(|window| window == b"\r\n\r\n") {
-                Some(end) => Ok(Some((body, at + end + 4))),
-                None if rest.len() > MAX_HEAD => Err(Broken::HeadTooLarge),
+                Some(end) => Ok(Some((body, position + end + 4))),
+                None if rest.len() > MAX_HEAD_BYTES => Err(MessageError::HeadTooLarge),
                 None => Ok(None),
             };
         }
-        let Some(chunk) = bytes.get(at..at + size) else {
+        let Some(chunk) = bytes.get(position..position + size) else {
             return Ok(None);
         };
         body.extend_from_slice(chunk);
-        match bytes.get(at + size..at + size + 2) {
-            Some(b"\r\n") => at += size + 2,
-            Some(_) => return Err(Broken::Malformed),
+        match bytes.get(position + size..position + size + 2) {
+            Some(b"\r\n") => position += size + 2,
+            Some(_) => return Err(MessageError::Malformed),
             None => return Ok(None),
         }
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -246,21 +246,21 @@
     }
 }
 
-pub fn write_answer(
+pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
     retry_after_s: Option<u64>,
-    content: ContentType,
+    content_type: ContentType,
     keep_alive: bool,
     body: &[u8],
 ) {
-    let content = match content {
+    let content_type = match content_type {
         ContentType::Json => "application/json",
         ContentType::Metrics => "application/openmetrics-text; version=1.0.0; charset=utf-8",
     };
     let mut head = format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: {content}\r\nContent-Length: {}\r\n",
-        reason(status),
+        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
+        reason_phrase(status),
         body.len()
     );
     if let Some(seconds) = retry_after_s {
