--- a/crates/controller/examples/effect-digest.rs
+++ b/crates/controller/examples/effect-digest.rs
@@ -47,7 +47,7 @@
         cases.extend((0..seeds).map(|seed| (format!("{name}/{seed}"), generate(seed))));
     }
     let lines = Mutex::new(Vec::with_capacity(cases.len()));
-    indigopath_simulator::play_all(cases.len(), |case| {
+    indigopath_simulator::run_cases(cases.len(), |case| {
         let (name, text) = &cases[case];
         let (outcome, digest) = indigopath_simulator::run_with_digest(text);
         let verdict = if outcome.is_ok() { "passed" } else { "failed" };
--- a/crates/controller/tests/answers_seeds.rs
+++ b/crates/controller/tests/answers_seeds.rs
@@ -14,11 +14,11 @@
 
 #[test]
 fn no_answer_is_older_than_one_given_before() {
-    let seeds = indigopath_simulator::play_seeds("ANSWERS", SEEDS, scenario, indigopath_simulator::run);
+    let seeds = indigopath_simulator::run_seeds("ANSWERS", SEEDS, scenario, indigopath_simulator::run);
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -11,7 +11,7 @@
 use indigopath_counted_resources::{
     Definition, Definitions, Demand, Linger, LingerSet, Requester, ReservationPolicy,
 };
-use indigopath_simulator::licence_server::{Fate, Feature, LicenceServer};
+use indigopath_simulator::licence_server::{ClientState, Feature, LicenceServer};
 use indigopath_simulator::simulation::ObservedJob;
 use indigopath_simulator::worker::Worker;
 use proptest::prelude::*;
@@ -108,7 +108,7 @@
             run_s: 4.0,
             image: "img".to_owned(),
             image_gb: 0.2,
-            counts: BTreeMap::from([("seat".to_owned(), 1)]),
+            counted_units: BTreeMap::from([("seat".to_owned(), 1)]),
             ..ObservedJob::default()
         };
         let mut definition = Definition::with_units(UNITS);
@@ -292,7 +292,7 @@
         }
         // The licence server sees a death at once.
         self.licences_step();
-        let really = self.licences.features["seat"].of_tasks();
+        let really = self.licences.features["seat"].task_units();
         let thought = self.seats(|book| book.get("seat").map_or(0, |pool| pool.taken() as u32));
         prop_assert!(
             thought >= really,
@@ -353,7 +353,7 @@
             Fortune::Answered | Fortune::Copied(_) | Fortune::Unanswered
                 if now >= self.workers[at].hung_until =>
             {
-                let (status, answer) = self.workers[at].direct(&body, &self.jobs, now);
+                let (status, answer) = self.workers[at].handle_direct_commands(&body, &self.jobs, now);
                 let machine = self.machines.get_mut(&id).unwrap();
                 if let Fortune::Copied(ms) = fortune {
                     self.late.push((now + ms, at, body));
@@ -379,9 +379,9 @@
 
     fn report(&mut self, at: usize, answered: bool) {
         let now = self.now;
-        self.workers[at].next_report = now;
+        self.workers[at].next_heartbeat_at = now;
         let agent_epoch = self.workers[at].agent_epoch;
-        let Some((number, body)) = self.workers[at].due_report(now) else {
+        let Some((number, body)) = self.workers[at].due_heartbeat(now) else {
             return;
         };
         if serde_json::from_slice::<Heartbeat>(&body).unwrap().token > self.token {
@@ -401,14 +401,14 @@
                 .unwrap(),
             )
         });
-        self.workers[at].answered(number, agent_epoch, outcome, 3, &self.jobs, now);
+        self.workers[at].handle_heartbeat_response(number, agent_epoch, outcome, 3, &self.jobs, now);
     }
 
     fn licences_step(&mut self) {
         let workers = &self.workers;
         self.licences.step(self.now, |client| {
             let host = workers.iter().find(|worker| worker.id == client.host);
-            Fate::on(host, client)
+            ClientState::of(host, client)
         });
     }
 
@@ -421,7 +421,7 @@
             .extract_if(.., |(when, at, _)| *when <= now && now >= workers[*at].hung_until)
             .collect();
         for (_, at, body) in due {
-            self.workers[at].direct(&body, &self.jobs, now);
+            self.workers[at].handle_direct_commands(&body, &self.jobs, now);
         }
         self.licences_step();
         self.lingers.prune(now);
@@ -429,8 +429,8 @@
             let arrived = self.workers[at].step(&mut self.jobs, now);
             for task in arrived {
                 self.started += 1;
-                let seat = &self.jobs[JOB].counts;
-                let refused = self.licences.admit(seat, &self.workers[at].id, &task);
+                let seat = &self.jobs[JOB].counted_units;
+                let refused = self.licences.check_out_all(seat, &self.workers[at].id, &task);
                 prop_assert!(refused.is_empty(), "{} is refused its seat at {now}", task.name());
             }
         }
@@ -467,7 +467,7 @@
         }
     }
     assert!(play.started > 20, "only {} tasks started", play.started);
-    assert_eq!(play.licences.features["seat"].refused, 0);
+    assert_eq!(play.licences.features["seat"].refused_checkouts, 0);
 }
 
 /// What happens: a start with a seat goes unanswered but is carried out, and its machine's lease ends a
@@ -485,7 +485,7 @@
     // Who has heard a token reports it with the next heartbeat.
     let machines = (0..MACHINES).chain(0..MACHINES);
     let mut events: Vec<Event> = machines.map(|at| Event::Heartbeat(at, true)).collect();
-    let lease_ms = play.workers[0].times.lease_ms;
+    let lease_ms = play.workers[0].timings.lease_ms;
     for _ in 0..lease_ms / 2_000 - 1 {
         events.push(Event::Wait(2_000));
         events.extend([Event::Heartbeat(1, true), Event::Heartbeat(2, true)]);
--- a/crates/controller/tests/counts_seeds.rs
+++ b/crates/controller/tests/counts_seeds.rs
@@ -37,13 +37,13 @@
 
 #[test]
 fn a_leaders_counts_are_those_of_what_runs() {
-    let seeds = indigopath_simulator::play_seeds("COUNTS", SEEDS, scenario, |text| {
+    let seeds = indigopath_simulator::run_seeds("COUNTS", SEEDS, scenario, |text| {
         indigopath_simulator::run(text).or_else(|problem| judged(&problem))
     });
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/duties_seeds.rs
+++ b/crates/controller/tests/duties_seeds.rs
@@ -13,11 +13,11 @@
 
 #[test]
 fn overlapping_faults_break_nothing() {
-    let seeds = indigopath_simulator::play_seeds("DUTIES", SEEDS, scenario, indigopath_simulator::run);
+    let seeds = indigopath_simulator::run_seeds("DUTIES", SEEDS, scenario, indigopath_simulator::run);
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/duties_walk.rs
+++ b/crates/controller/tests/duties_walk.rs
@@ -10,7 +10,7 @@
 //! `DUTIES_WALK=all cargo test --release -p indigopath-controller --test duties_walk`. What must hold in each: the
 //! rules, nothing of a replaced leader that its successor could not know of, both jobs done, one leader.
 
-use indigopath_simulator::{Deviation, play_all, walk};
+use indigopath_simulator::{Deviation, run_cases, run_with_deviations};
 use std::collections::BTreeMap;
 
 const WORLD: &str = "\
@@ -40,7 +40,7 @@
         later.map(move |second| Way::from([*first, *second]))
     });
     // What is late, and its sender's end: all of these, as they are what intents are for.
-    let crosses = |way: &Way| way.values().eq([&Deviation::Late, &Deviation::EndAfter]);
+    let crosses = |way: &Way| way.values().eq([&Deviation::Delay, &Deviation::CrashAfter]);
     let (crossing, others): (Vec<Way>, Vec<Way>) = pairs.partition(crosses);
     ways.extend(crossing);
     ways.extend(others.into_iter().step_by(every));
@@ -49,12 +49,12 @@
 
 #[test]
 fn whatever_becomes_of_an_act_the_next_leader_knows() {
-    let (outcome, acts) = walk(WORLD, &Way::new());
+    let (outcome, acts) = run_with_deviations(WORLD, &Way::new());
     outcome.expect("without a deviation");
     assert!(acts >= 8, "{acts} acts");
     let all = std::env::var("DUTIES_WALK").is_ok_and(|which| which == "all");
     let ways = ways(acts, if all { 1 } else { SAMPLE });
-    let failed = play_all(ways.len(), |at| walk(WORLD, &ways[at]).0);
+    let failed = run_cases(ways.len(), |at| run_with_deviations(WORLD, &ways[at]).0);
     println!("{acts} acts, {} ways, {} failed", ways.len(), failed.len());
     for (at, problem) in failed.iter().take(5) {
         println!("{:?}: {problem}", ways[*at]);
--- a/crates/controller/tests/horizon.rs
+++ b/crates/controller/tests/horizon.rs
@@ -6,7 +6,7 @@
 //! The timings of a kind are a fraction of a second apart, so that the outage meets every step of the
 //! refusal, of the election and of the new leader's reading.
 
-use indigopath_simulator::{play_ways, steps};
+use indigopath_simulator::{run_variants, time_steps};
 
 /// When the leader is refused, in s.
 const REFUSED_S: f64 = 40.0;
@@ -36,7 +36,7 @@
 /// Plays all; nothing may break.
 fn play(kind: &str, ways: &[String]) {
     let ways: Vec<String> = ways.iter().map(|way| format!("{WORK}{way}{JUDGED}")).collect();
-    let failed = play_ways(kind, &ways);
+    let failed = run_variants(kind, &ways);
     assert!(failed == 0, "{kind}: {failed} of {} ways", ways.len());
 }
 
@@ -44,7 +44,7 @@
 // has read everything.
 #[test]
 fn refused_then_down_for_all() {
-    let ways: Vec<String> = steps(1.0, 4.0, 0.05)
+    let ways: Vec<String> = time_steps(1.0, 4.0, 0.05)
         .flat_map(|outage_s| {
             [0.05, 0.5, 1.5].map(|asked_s| {
                 format!(
@@ -62,7 +62,7 @@
 // its touches are answered all that time.
 #[test]
 fn down_while_the_next_leader_reads() {
-    let ways: Vec<String> = steps(3.0, 9.0, 0.15)
+    let ways: Vec<String> = time_steps(3.0, 9.0, 0.15)
         .flat_map(|outage_s| {
             [1, 3].map(|lost| {
                 let page = format!("at {REFUSED_S} lose-answer /store?Under=j/&Limit=500\n");
@@ -82,7 +82,7 @@
 // answered in between, while the watch that was open waits on.
 #[test]
 fn refused_in_turns_then_down() {
-    let ways: Vec<String> = steps(1.0, 5.0, 0.1)
+    let ways: Vec<String> = time_steps(1.0, 5.0, 0.1)
         .flat_map(|outage_s| {
             [1.6, 2.0, 2.2].map(|for_s| {
                 let refused: String = [0.0, 2.4, 4.8]
@@ -104,7 +104,7 @@
 // where its watch is refused just after one was answered, and the changes since are forgotten.
 #[test]
 fn read_anew_amid_a_term_then_down() {
-    let ways: Vec<String> = steps(39.0, 39.2, 0.01)
+    let ways: Vec<String> = time_steps(39.0, 39.2, 0.01)
         .flat_map(|refused_s| {
             [44.0, 48.0, 52.0, 55.0].map(|outage_s| {
                 let page = "at 39.8 lose-answer /store?Under=j/&Limit=500\n";
@@ -135,7 +135,7 @@
                 let hung = "at 41 hang of:wk-1/0 for=25\nat 41 hang of:wk-3/0 for=25\n";
                 ["", deaf, hung].into_iter().flat_map(move |machines| {
                     [1.5, 2.7, 3.1].into_iter().map(move |outage_s| {
-                        let asked: String = steps(40.2, 40.0 + outage_s, 0.2)
+                        let asked: String = time_steps(40.2, 40.0 + outage_s, 0.2)
                             .map(|at| format!("at {at} ask wk-1 node=n{}\n", (node + 1) % 3))
                             .collect();
                         let withdrawn: String = (1..4)
@@ -157,7 +157,7 @@
 // Twice in a day, and a leader that is refused as an outage ends, after which the next one comes.
 #[test]
 fn twice_and_around_the_end_of_an_outage() {
-    let ways: Vec<String> = steps(0.0, 3.0, 0.25)
+    let ways: Vec<String> = time_steps(0.0, 3.0, 0.25)
         .flat_map(|after| {
             let twice = format!(
                 "at {REFUSED_S} refuse leader for=14\n{}at {} outage state for=74\n\
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -2,7 +2,7 @@
 //! are those of every scenario, `ran_cancelled`, `ran_twice` and `quota` among them; and no leader may
 //! start a task of a job that it knows to be over, or that a user was told of for longer than its lease.
 
-use indigopath_simulator::{play_ways, steps};
+use indigopath_simulator::{run_variants, time_steps};
 
 /// Both teams at their limits of 16 and 32 GPUs, exactly, and work of both that waits for them.
 const FULL: &str = "\
@@ -16,7 +16,7 @@
 
 /// Plays all; nothing may break.
 fn play(kind: &str, ways: &[String]) {
-    let failed = play_ways(kind, ways);
+    let failed = run_variants(kind, ways);
     assert!(failed == 0, "{kind}: {failed} of {} ways", ways.len());
 }
 
@@ -63,7 +63,7 @@
         "stall leader? for=3",
         "cut-off leader? for=11",
     ];
-    let ways: Vec<String> = steps(0.0, 2.4, 0.2)
+    let ways: Vec<String> = time_steps(0.0, 2.4, 0.2)
         .enumerate()
         .map(|(way, after)| {
             let mut text = String::from(FULL);
@@ -100,7 +100,7 @@
 // With a grace of ten minutes in `horizon::grace_ms`, `ran_cancelled`.
 #[test]
 fn called_off_as_the_leader_is_refused_then_down() {
-    let ways: Vec<String> = steps(0.6, 3.6, 0.5)
+    let ways: Vec<String> = time_steps(0.6, 3.6, 0.5)
         .flat_map(|down| {
             [10.0, 20.0, 27.0, 33.0].map(|hang| {
                 format!(
@@ -121,7 +121,7 @@
     let ways: Vec<String> = [0.0, 0.05, 1.0, 8.0]
         .into_iter()
         .flat_map(|after| {
-            steps(41.0, 43.0, 0.5).map(move |at| {
+            time_steps(41.0, 43.0, 0.5).map(move |at| {
                 format!(
                     "{FULL}at 25 late-reports share=0.7 for=100 for-next after={after}\n\
                      at 40 withdraw wk-1\nat {at} crash leader for=0.5\nat 46 cancel-now count=1 hang=15\n\
@@ -138,7 +138,7 @@
 // their answers, and the leader ends; some are rented without an answer. Held.
 #[test]
 fn quick_machines_and_late_writes() {
-    let ways: Vec<String> = steps(4.0, 8.0, 0.2)
+    let ways: Vec<String> = time_steps(4.0, 8.0, 0.2)
         .flat_map(|at| {
             ["0.3 1", "0.5 2"].map(|boots| {
                 format!(
@@ -161,7 +161,7 @@
 // Jobs are called off some ms around their last task's end, also as the leader changes. Held.
 #[test]
 fn called_off_around_the_end() {
-    let ways: Vec<String> = steps(30.0, 34.0, 0.25)
+    let ways: Vec<String> = time_steps(30.0, 34.0, 0.25)
         .map(|at| {
             format!(
                 "at 1 submit wk-1 shape=daemon class=live tasks=2 gpus=1\nat 10 cancel-at-end share=0.7 for=60\n\
--- a/crates/controller/tests/packages_seeds.rs
+++ b/crates/controller/tests/packages_seeds.rs
@@ -15,11 +15,11 @@
 
 #[test]
 fn overlapping_faults_over_shifts_books_and_weights_break_nothing() {
-    let seeds = indigopath_simulator::play_seeds("PACKAGES", SEEDS, scenario, indigopath_simulator::run);
+    let seeds = indigopath_simulator::run_seeds("PACKAGES", SEEDS, scenario, indigopath_simulator::run);
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/pairs_seeds.rs
+++ b/crates/controller/tests/pairs_seeds.rs
@@ -13,9 +13,9 @@
 
 #[test]
 fn pairs_of_troubles_break_nothing() {
-    let seeds = indigopath_simulator::play_seeds("PAIRS", SEEDS, scenario, indigopath_simulator::run);
+    let seeds = indigopath_simulator::run_seeds("PAIRS", SEEDS, scenario, indigopath_simulator::run);
     let mut drawn: BTreeMap<(&str, &str), (usize, usize)> = BTreeMap::new();
-    for seed in seeds.all.clone() {
+    for seed in seeds.played.clone() {
         drawn.entry(pair(seed)).or_default().0 += 1;
     }
     for seed in &seeds.failed {
@@ -28,7 +28,7 @@
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/waiting_seeds.rs
+++ b/crates/controller/tests/waiting_seeds.rs
@@ -24,13 +24,13 @@
 
 #[test]
 fn nobody_waits_in_vain() {
-    let seeds = indigopath_simulator::play_seeds("WAITING", SEEDS, scenario, |text| {
+    let seeds = indigopath_simulator::run_seeds("WAITING", SEEDS, scenario, |text| {
         indigopath_simulator::run(text).or_else(|problem| judged(&problem))
     });
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/counted_resources/tests/loopback.rs
+++ b/crates/counted_resources/tests/loopback.rs
@@ -5,9 +5,9 @@
 //! The seed is printed; `INDIGOPATH_SEED=N` repeats the same random decisions, but their timing
 //! in the processes depends on the machine. Durations are only checked against an upper bound.
 
-use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, times};
+use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, worker_timings};
 use indigopath_simulator::licence_server::{Feature, LicenceServer};
-use indigopath_simulator::loopback::{HttpClient, Live};
+use indigopath_simulator::loopback::{HttpClient, LoopbackServices};
 use indigopath_simulator::simulation::ObservedJob;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -52,7 +52,7 @@
     status: Option<String>,
 }
 
-fn submit(number: u32, rng: &mut SmallRng, live: &Live) -> (String, UserJob) {
+fn submit(number: u32, rng: &mut SmallRng, live: &LoopbackServices) -> (String, UserJob) {
     let id = format!("wk-{number:06}");
     let mut counts: BTreeMap<String, u32> = BTreeMap::from([("seat".to_owned(), rng.random_range(1..=2))]);
     if rng.random_bool(0.4) {
@@ -74,7 +74,7 @@
         run_s,
         image: "img".to_owned(),
         image_gb: 0.05,
-        counts,
+        counted_units: counts,
         ..ObservedJob::default()
     };
     live.with(|models| models.jobs.insert(id.clone(), observed));
@@ -128,7 +128,7 @@
 fn kill(
     controllers: &mut Controllers,
     user_jobs: &mut BTreeMap<String, UserJob>,
-    live: &Live,
+    live: &LoopbackServices,
     rng: &mut SmallRng,
 ) -> Option<&'static str> {
     let running = live.with(|models| models.running());
@@ -159,7 +159,7 @@
         }
         _ => {
             let up: Vec<usize> = (0..NODES)
-                .filter(|node| controllers.running[*node].is_some())
+                .filter(|node| controllers.processes[*node].is_some())
                 .collect();
             let node = *up.get(rng.random_range(0..up.len().max(1)))?;
             controllers.kill(node);
@@ -225,7 +225,7 @@
         ]),
         outage: false,
     };
-    let live = Live::start(small_cloud(), licences, times(), nodes.clone());
+    let live = LoopbackServices::start(small_cloud(), licences, worker_timings(), nodes.clone());
     let operator = format!(
         "idle_return_s = 2\ncount \"seat\" {{\n units = {SEATS}\n linger_s = {LINGER_S}\n shares = {{ red = 2 }}\n \
          server = \"{}\"\n}}\ncount \"token\" {{\n units = {TOKENS}\n}}\n",
@@ -244,7 +244,7 @@
     let mut submitted = 0;
     let mut kill_at = Instant::now() + Duration::from_secs(3);
     loop {
-        controllers.keep_up();
+        controllers.restart_stopped();
         let killed: u32 = kills.values().sum();
         let open = user_jobs
             .values()
@@ -266,16 +266,16 @@
                 *kills.entry(what).or_default() += 1;
             }
         }
-        let refused = live.with(|models| models.refused.clone());
+        let refused = live.with(|models| models.refused_checkouts.clone());
         assert!(
             refused.is_empty(),
             "seed {seed}: refused {refused:?}\n{}",
-            controllers.problems()
+            controllers.log_excerpt()
         );
         assert!(
             began.elapsed() < Duration::from_secs(TIME_LIMIT_S),
             "seed {seed}: {open} of {submitted} jobs are open after {killed} kills\n{}",
-            controllers.problems()
+            controllers.log_excerpt()
         );
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -288,8 +288,8 @@
         .collect();
     let (refused, starts, max_taken) = live.with(|models| {
         let features = &models.licences.features;
-        let refused: u32 = features.values().map(|feature| feature.refused).sum();
-        (refused, models.starts, features["seat"].most)
+        let refused: u32 = features.values().map(|feature| feature.refused_checkouts).sum();
+        (refused, models.task_starts, features["seat"].peak_task_units)
     });
     println!("oversubscribed {refused}");
     println!("kills {killed}: {kills:?}");
@@ -303,7 +303,8 @@
         "{killed} kills, {max_taken} seats"
     );
     for (id, job) in &user_jobs {
-        let complete = live.with(|models| models.jobs[id].done.len() as u32 == models.jobs[id].tasks);
+        let complete =
+            live.with(|models| models.jobs[id].completed_tasks.len() as u32 == models.jobs[id].tasks);
         match job.status.as_deref() {
             Some("done") => assert!(complete, "{id} is reported done too soon"),
             status => assert!(job.cancelled, "{id} is {status:?}, and was not cancelled"),
@@ -313,7 +314,7 @@
     // The leader eventually reports every unit as free.
     let mut free = Value::Null;
     while began.elapsed() < Duration::from_secs(TIME_LIMIT_S) {
-        controllers.keep_up();
+        controllers.restart_stopped();
         let answers = nodes
             .iter()
             .filter_map(|node| client.call("GET", *node, "/v1/counts", &[]));
@@ -333,6 +334,6 @@
     }
     panic!(
         "seed {seed}: units are not all free again: {free}\n{}",
-        controllers.problems()
+        controllers.log_excerpt()
     );
 }
--- a/crates/indigopath/tests/condor.rs
+++ b/crates/indigopath/tests/condor.rs
@@ -5,9 +5,9 @@
 //! The seed is printed; `INDIGOPATH_SEED=N` plays the same decisions again. Time is only an
 //! upper bound: nothing is judged by how long it took.
 
-use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, times};
+use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, worker_timings};
 use indigopath_simulator::licence_server::LicenceServer;
-use indigopath_simulator::loopback::Live;
+use indigopath_simulator::loopback::LoopbackServices;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -27,8 +27,8 @@
 impl Site {
     fn keep_up(&mut self) {
         let late = self.began.elapsed() >= Duration::from_secs(LONGEST_S);
-        assert!(!late, "it takes too long\n{}", self.controllers.problems());
-        self.controllers.keep_up();
+        assert!(!late, "it takes too long\n{}", self.controllers.log_excerpt());
+        self.controllers.restart_stopped();
     }
 
     fn command(&self, words: &[&str]) -> Command {
@@ -36,7 +36,7 @@
         command
             .arg("condor")
             .args(words)
-            .current_dir(&self.controllers.folder)
+            .current_dir(&self.controllers.directory)
             .stdin(Stdio::null());
         for node in &self.controllers.nodes {
             command.args(["--node", &node.to_string()]);
@@ -88,18 +88,18 @@
 }
 
 /// Done tasks of a cluster, by the workers' own count.
-fn done(live: &Live, cluster: u64) -> usize {
+fn done(live: &LoopbackServices, cluster: u64) -> usize {
     let prefix = format!("wk-99{cluster:010}");
     live.with(|models| {
         let jobs = models.jobs.iter().filter(|(id, _)| id.starts_with(&prefix));
-        jobs.map(|(_, facts)| facts.done.len()).sum()
+        jobs.map(|(_, facts)| facts.completed_tasks.len()).sum()
     })
 }
 
 fn until(site: &mut Site, what: &str, mut holds: impl FnMut(&mut Site) -> bool) {
     while !holds(site) {
         let late = site.began.elapsed() >= Duration::from_secs(LONGEST_S);
-        assert!(!late, "{what} never came\n{}", site.controllers.problems());
+        assert!(!late, "{what} never came\n{}", site.controllers.log_excerpt());
         site.keep_up();
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -114,14 +114,19 @@
     println!("seed {seed}");
     let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = addresses(18_180);
-    let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
+    let live = LoopbackServices::start(
+        small_cloud(),
+        LicenceServer::default(),
+        worker_timings(),
+        nodes.clone(),
+    );
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }, { "name": "comics" }]);
     let mut site = Site {
         controllers: Controllers::new(program, "condor", nodes, &live, &teams, OPERATOR),
         began: Instant::now(),
     };
-    let write = |name: &str, text: &str| std::fs::write(site.controllers.folder.join(name), text).unwrap();
+    let write = |name: &str, text: &str| std::fs::write(site.controllers.directory.join(name), text).unwrap();
     write("items.txt", "1\n2\n3\n");
     write(
         "pages.sub",
@@ -186,7 +191,7 @@
         kills += 1;
         until(&mut site, "an answer", |_| child.try_wait().unwrap().is_some());
         let output = child.wait_with_output().unwrap();
-        assert!(output.status.success(), "{}", site.controllers.problems());
+        assert!(output.status.success(), "{}", site.controllers.log_excerpt());
         let accepted: Value = serde_json::from_slice(&output.stdout).unwrap();
         assert_eq!((&accepted["procs"], &accepted["jobs"]), (&json!(9), &json!(2)));
         clusters.push(accepted["cluster"].as_u64().unwrap());
@@ -258,7 +263,7 @@
     // The largest file went through one of them; the platform gives each 200 MB.
     let peaks: Vec<u64> = site
         .controllers
-        .running
+        .processes
         .iter()
         .flatten()
         .filter_map(|child| peak_kb(child.id()))
--- a/crates/indigopath/tests/intake.rs
+++ b/crates/indigopath/tests/intake.rs
@@ -1,9 +1,9 @@
 //! Bodies that are no submission, sent to a real controller on loopback: each gets a clear status, and
 //! the controller goes on. Time is only an upper bound: nothing is judged by how long it took.
 
-use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, times};
+use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, worker_timings};
 use indigopath_simulator::licence_server::LicenceServer;
-use indigopath_simulator::loopback::Live;
+use indigopath_simulator::loopback::LoopbackServices;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddrV4, TcpStream};
@@ -39,11 +39,16 @@
 fn whatever_body_comes_gets_a_clear_status() {
     let nodes = addresses(18_390)[..1].to_vec();
     let at = nodes[0];
-    let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
+    let live = LoopbackServices::start(
+        small_cloud(),
+        LicenceServer::default(),
+        worker_timings(),
+        nodes.clone(),
+    );
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }]);
     let mut controllers = Controllers::new(program, "intake", nodes, &live, &teams, "");
-    controllers.keep_up();
+    controllers.restart_stopped();
     let good = json!({
         "Id": "wk-1", "Lane": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "standard", "Picks": 1,
         "Cpus": 1.0, "Gpus": 0.0, "MemGb": 1.0, "Kit": "img", "PullGb": 0.1, "OneZone": false, "Apart": false,
@@ -101,5 +106,5 @@
         stream.shutdown(Shutdown::Write).expect("closed");
     }
     assert_eq!(submit(at, b"{}").0, 400);
-    controllers.keep_up();
+    controllers.restart_stopped();
 }
--- a/crates/indigopath/tests/sockets.rs
+++ b/crates/indigopath/tests/sockets.rs
@@ -2,9 +2,9 @@
 //! refused. Without closing answers, workers beyond the limit find no room, and their reports
 //! fail. Time is only an upper bound: nothing is judged by how long it took.
 
-use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, times};
+use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, worker_timings};
 use indigopath_simulator::licence_server::LicenceServer;
-use indigopath_simulator::loopback::Live;
+use indigopath_simulator::loopback::LoopbackServices;
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::thread;
@@ -43,22 +43,27 @@
 fn sixty_workers_report_on_forty_sockets() {
     let nodes = addresses(18_380)[..1].to_vec();
     let at = nodes[0];
-    let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
+    let live = LoopbackServices::start(
+        small_cloud(),
+        LicenceServer::default(),
+        worker_timings(),
+        nodes.clone(),
+    );
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }]);
     let mut controllers = Controllers::new(program, "sockets", nodes, &live, &teams, "");
-    let file = controllers.folder.join("n0.json");
+    let file = controllers.directory.join("n0.json");
     let mut settings: Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
     settings["deployment"]["resources"]["max_sockets"] = json!(SOCKETS);
     std::fs::write(&file, settings.to_string()).unwrap();
-    controllers.keep_up();
+    controllers.restart_stopped();
     let began = Instant::now();
     let reader = agent();
     while reader.get(format!("http://{at}/healthz")).call().is_err() {
         assert!(
             began.elapsed() < Duration::from_secs(LONGEST_S),
             "it does not answer\n{}",
-            controllers.problems()
+            controllers.log_excerpt()
         );
         thread::sleep(Duration::from_millis(20));
     }
@@ -99,7 +104,7 @@
     for client in clients {
         client.join().expect("everybody is answered");
     }
-    controllers.keep_up();
+    controllers.restart_stopped();
 
     let mut answer = reader
         .get(format!("http://{at}/metrics"))
--- a/crates/simulator/src/admission_checks.rs
+++ b/crates/simulator/src/admission_checks.rs
@@ -237,8 +237,9 @@
             Some("pending" | "running") => !done,
             _ => false,
         };
-        let own =
-            |facts: &&crate::simulation::ObservedJob| facts.cluster.is_none() && is(&facts.told, kind == 1);
+        let own = |facts: &&crate::simulation::ObservedJob| {
+            facts.cluster.is_none() && is(&facts.reported_status, kind == 1)
+        };
         let known: Vec<Value> = self
             .jobs
             .values()
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How far the machine list lags, in ms, unless said otherwise.
-const LAG_MS: u64 = 3_000;
+const DEFAULT_LIST_LAG_MS: u64 = 3_000;
 
-pub struct Rented {
+pub struct CloudMachine {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub at: u64,
-    pub up_at: u64,
-    pub gone_at: Option<u64>,
+    pub launched_at: u64,
+    pub ready_at: u64,
+    pub removed_at: Option<u64>,
     /// Where its worker is reached, if not by its name.
     pub addr: Option<String>,
 }
@@ -23,24 +23,24 @@
 #[derive(Default)]
 pub struct Cloud {
     pub types: Vec<MachineType>,
-    pub machines: BTreeMap<String, Rented>,
-    answers: BTreeMap<String, Value>,
+    pub machines: BTreeMap<String, CloudMachine>,
+    launch_responses: BTreeMap<String, Value>,
     pub outage: bool,
     /// (type or `*`, spot) that are not to be had.
-    pub refused: BTreeSet<(String, bool)>,
+    pub unavailable_kinds: BTreeSet<(String, bool)>,
     /// Machines rented from now on that never come up.
-    pub duds: u32,
-    pub rentals: u32,
-    returned: Vec<String>,
-    pub lag_ms: Option<u64>,
+    pub failing_launches: u32,
+    pub launched_total: u32,
+    released: Vec<String>,
+    pub list_lag_ms: Option<u64>,
     /// Most machines at a time; no limit without.
-    pub capacity: Option<usize>,
+    pub max_machines: Option<usize>,
     /// Between how many s machines are up, in place of their type's time.
-    pub boots_s: Option<(f64, f64)>,
+    pub boot_range_s: Option<(f64, f64)>,
 }
 
 impl Cloud {
-    pub fn rent(&mut self, machine_type: &str, zone: &str, spot: bool, now: u64) -> String {
+    pub fn launch(&mut self, machine_type: &str, zone: &str, spot: bool, now: u64) -> String {
         let boot_s = self
             .types
             .iter()
@@ -48,45 +48,45 @@
             .unwrap()
             .boot_s;
         // Spread evenly, the same in each playing.
-        let boot_s = self.boots_s.map_or(boot_s, |(least, most)| {
+        let boot_s = self.boot_range_s.map_or(boot_s, |(least, most)| {
             least + (most - least) * (self.machines.len() % 7) as f64 / 6.0
         });
-        let dud = self.duds > 0;
-        self.duds = self.duds.saturating_sub(1);
+        let dud = self.failing_launches > 0;
+        self.failing_launches = self.failing_launches.saturating_sub(1);
         let id = format!("m-{:06}", self.machines.len());
         let up_at = if dud {
             u64::MAX
         } else {
             now + (boot_s * 1000.0) as u64
         };
-        let rented = Rented {
+        let rented = CloudMachine {
             machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
-            at: now,
-            up_at,
-            gone_at: None,
+            launched_at: now,
+            ready_at: up_at,
+            removed_at: None,
             addr: None,
         };
         self.machines.insert(id.clone(), rented);
-        self.rentals += 1;
+        self.launched_total += 1;
         id
     }
 
     pub fn remove(&mut self, id: &str, now: u64) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.gone_at.get_or_insert(now);
+            machine.removed_at.get_or_insert(now);
         }
     }
 
     /// Whether such a request was carried out before: again, it rents nothing.
-    pub fn knows(&self, request: &str) -> bool {
-        self.answers.contains_key(request)
+    pub fn has_executed(&self, request: &str) -> bool {
+        self.launch_responses.contains_key(request)
     }
 
     /// Machines given back since this was last asked.
-    pub fn take_returned(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.returned)
+    pub fn take_released(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.released)
     }
 
     pub fn handle(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> (u16, Value) {
@@ -99,30 +99,32 @@
             ("POST", "/rentals") => {
                 let request: LaunchRequest = serde_json::from_slice(body).unwrap();
                 assert!((1..=50).contains(&request.count));
-                if let Some(answer) = self.answers.get(&request.request) {
+                if let Some(answer) = self.launch_responses.get(&request.request) {
                     return (200, answer.clone());
                 }
                 if self
-                    .refused
+                    .unavailable_kinds
                     .contains(&(request.machine_type.clone(), request.spot))
-                    || self.refused.contains(&("*".to_owned(), request.spot))
+                    || self.unavailable_kinds.contains(&("*".to_owned(), request.spot))
                 {
                     return (503, json!({ "error": "no capacity" }));
                 }
                 let here = self
                     .machines
                     .values()
-                    .filter(|machine| machine.gone_at.is_none())
+                    .filter(|machine| machine.removed_at.is_none())
                     .count();
-                let left = self.capacity.map_or(usize::MAX, |most| most.saturating_sub(here));
+                let left = self
+                    .max_machines
+                    .map_or(usize::MAX, |most| most.saturating_sub(here));
                 if left == 0 {
                     return (503, json!({ "error": "no capacity" }));
                 }
                 let machines = (0..request.count.min(u32::try_from(left).unwrap_or(u32::MAX)))
-                    .map(|_| self.rent(&request.machine_type, &request.zone, request.spot, now))
+                    .map(|_| self.launch(&request.machine_type, &request.zone, request.spot, now))
                     .collect();
                 let answer = serde_json::to_value(MachineNames { machines }).unwrap();
-                self.answers.insert(request.request, answer.clone());
+                self.launch_responses.insert(request.request, answer.clone());
                 (200, answer)
             }
             ("POST", "/rentals/return") => {
@@ -130,7 +132,7 @@
                 assert!(names.machines.len() <= 100);
                 for id in names.machines {
                     self.remove(&id, now);
-                    self.returned.push(id);
+                    self.released.push(id);
                 }
                 (200, json!({}))
             }
@@ -139,12 +141,13 @@
     }
 
     fn list(&self, now: u64) -> Value {
-        let then = now.saturating_sub(self.lag_ms.unwrap_or(LAG_MS));
+        let then = now.saturating_sub(self.list_lag_ms.unwrap_or(DEFAULT_LIST_LAG_MS));
         let machines = self
             .machines
             .iter()
             .filter(|(_, machine)| {
-                (machine.at <= then || machine.at == 0) && machine.gone_at.is_none_or(|gone| gone > then)
+                (machine.launched_at <= then || machine.launched_at == 0)
+                    && machine.removed_at.is_none_or(|gone| gone > then)
             })
             .map(|(id, machine)| ListedMachine {
                 id: id.clone(),
@@ -152,12 +155,12 @@
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
-                status: if machine.up_at <= then {
+                status: if machine.ready_at <= then {
                     ListedStatus::Running
                 } else {
                     ListedStatus::Booting
                 },
-                age_s: then.saturating_sub(machine.at) as f64 / 1000.0,
+                age_s: then.saturating_sub(machine.launched_at) as f64 / 1000.0,
             })
             .collect();
         serde_json::to_value(MachinePage {
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -2,7 +2,7 @@
 //! processes, and what they said when something went wrong.
 
 use crate::cloud::Cloud;
-use crate::loopback::Live;
+use crate::loopback::LoopbackServices;
 use indigopath_controller::protocol::MachineTypeList;
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -29,22 +29,22 @@
 /// with this.
 pub struct Controllers {
     pub program: PathBuf,
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     pub nodes: Vec<SocketAddrV4>,
-    pub running: Vec<Option<Child>>,
-    back_at: Vec<Instant>,
+    pub processes: Vec<Option<Child>>,
+    restart_at: Vec<Instant>,
 }
 
 impl Drop for Controllers {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("{}", self.oversubscriptions());
+            eprintln!("{}", self.oversubscription_log());
         }
-        for child in self.running.iter_mut().flatten() {
+        for child in self.processes.iter_mut().flatten() {
             let _ = child.kill();
             let _ = child.wait();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -65,69 +65,69 @@
         program: PathBuf,
         name: &str,
         nodes: Vec<SocketAddrV4>,
-        live: &Live,
+        live: &LoopbackServices,
         teams: &Value,
         operator: &str,
     ) -> Controllers {
         let folder = std::env::temp_dir().join(format!("indigopath-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         for node in 0..nodes.len() {
-            let text = settings(node, &nodes, live, teams).to_string();
+            let text = node_settings(node, &nodes, live, teams).to_string();
             std::fs::write(folder.join(format!("n{node}.json")), text).expect("settings");
         }
         std::fs::write(folder.join("operator.hcl"), operator).expect("settings");
         Controllers {
             program,
-            folder,
-            running: nodes.iter().map(|_| None).collect(),
-            back_at: vec![Instant::now(); nodes.len()],
+            directory: folder,
+            processes: nodes.iter().map(|_| None).collect(),
+            restart_at: vec![Instant::now(); nodes.len()],
             nodes,
         }
     }
 
     /// Starts whoever is away. Whoever has ended by itself fails the test.
-    pub fn keep_up(&mut self) {
+    pub fn restart_stopped(&mut self) {
         for node in 0..self.nodes.len() {
-            if let Some(child) = &mut self.running[node]
+            if let Some(child) = &mut self.processes[node]
                 && let Ok(Some(status)) = child.try_wait()
             {
                 panic!(
                     "controller n{node} ended by itself: {status}\n{}",
-                    self.problems()
+                    self.log_excerpt()
                 );
             }
-            if self.running[node].is_none() && Instant::now() >= self.back_at[node] {
+            if self.processes[node].is_none() && Instant::now() >= self.restart_at[node] {
                 let log = std::fs::OpenOptions::new()
                     .create(true)
                     .append(true)
-                    .open(self.folder.join(format!("n{node}.log")))
+                    .open(self.directory.join(format!("n{node}.log")))
                     .expect("a log");
                 let child = Command::new(&self.program)
                     .args(["--config", &format!("n{node}.json"), "--operator", "operator.hcl"])
-                    .current_dir(&self.folder)
+                    .current_dir(&self.directory)
                     .stdin(Stdio::null())
                     .stdout(Stdio::null())
                     .stderr(log)
                     .spawn();
-                self.running[node] = Some(child.expect("a controller starts"));
+                self.processes[node] = Some(child.expect("a controller starts"));
             }
         }
     }
 
     pub fn kill(&mut self, node: usize) {
-        if let Some(mut child) = self.running[node].take() {
+        if let Some(mut child) = self.processes[node].take() {
             let _ = child.kill();
             let _ = child.wait();
-            self.back_at[node] = Instant::now() + Duration::from_millis(AWAY_MS);
+            self.restart_at[node] = Instant::now() + Duration::from_millis(AWAY_MS);
         }
     }
 
     fn log(&self, node: usize) -> String {
-        std::fs::read_to_string(self.folder.join(format!("n{node}.log"))).unwrap_or_default()
+        std::fs::read_to_string(self.directory.join(format!("n{node}.log"))).unwrap_or_default()
     }
 
     /// Each time that a leader counted more units as taken than there are, with what it said before.
-    pub fn oversubscriptions(&self) -> String {
+    pub fn oversubscription_log(&self) -> String {
         let mut text = String::new();
         for node in 0..self.nodes.len() {
             let log = self.log(node);
@@ -144,7 +144,7 @@
     }
 
     /// The last that the controllers said, errors first.
-    pub fn problems(&self) -> String {
+    pub fn log_excerpt(&self) -> String {
         let mut text = String::new();
         for node in 0..self.nodes.len() {
             let log = self.log(node);
@@ -165,7 +165,7 @@
     }
 }
 
-fn settings(node: usize, nodes: &[SocketAddrV4], live: &Live, teams: &Value) -> Value {
+fn node_settings(node: usize, nodes: &[SocketAddrV4], live: &LoopbackServices, teams: &Value) -> Value {
     let peer = |at: usize| SocketAddrV4::new(*nodes[at].ip(), nodes[at].port() + 1).to_string();
     let peers: Vec<Value> = (0..nodes.len())
         .filter(|at| *at != node)
@@ -188,12 +188,12 @@
 }
 
 /// The times that go with these settings, for [`Live::start`].
-pub fn times() -> crate::worker::Times {
-    crate::worker::Times {
-        report_ms: 400,
+pub fn worker_timings() -> crate::worker::WorkerTimings {
+    crate::worker::WorkerTimings {
+        heartbeat_interval_ms: 400,
         lease_ms: 4_000,
         gang_wait_ms: 5_000,
-        least_ms: 100,
+        min_heartbeat_gap_ms: 100,
         retry_ms: 100,
     }
 }
@@ -207,6 +207,6 @@
     let flavors: MachineTypeList = serde_json::from_value(types).expect("machine types");
     let mut cloud = Cloud::default();
     cloud.types = flavors.types;
-    cloud.lag_ms = Some(300);
+    cloud.list_lag_ms = Some(300);
     cloud
 }
--- a/crates/simulator/src/count_checks.rs
+++ b/crates/simulator/src/count_checks.rs
@@ -17,9 +17,9 @@
                 continue;
             };
             let own = u64::from(status.held) + u64::from(status.lingering);
-            let really = u64::from(feature.of_tasks());
+            let really = u64::from(feature.task_units());
             let units = u64::from(feature.total);
-            let changed = status.units != Some(feature.total) || feature.was_changed;
+            let changed = status.units != Some(feature.total) || feature.was_changed_externally;
             let said = description(&status);
             if own < really {
                 self.miscounted("undercounted", format!("{said}; tasks have {really}"));
@@ -40,7 +40,8 @@
     pub(crate) fn note_redefined_counts(&mut self) {
         for (name, feature) in &mut self.licences.features {
             let definition = self.operator.counted_resources.get(name.as_str());
-            feature.was_changed |= definition.is_none_or(|definition| definition.units != feature.total);
+            feature.was_changed_externally |=
+                definition.is_none_or(|definition| definition.units != feature.total);
         }
     }
 
--- a/crates/simulator/src/fault_combinations.rs
+++ b/crates/simulator/src/fault_combinations.rs
@@ -107,9 +107,9 @@
         let mut jobs: BTreeMap<&str, &str> = BTreeMap::new();
         for (worker, task) in self.on_machines() {
             let facts = &self.jobs[&task.job];
-            let ran_s = task.progress_from + (self.now - task.since) as f64 / 1000.0;
+            let ran_s = task.base_progress_s + (self.now - task.state_since) as f64 / 1000.0;
             let long = facts.shape == "daemon" || facts.run_s >= ran_s + LONG_S;
-            if task.state == TaskState::Running && long && facts.accepted && !facts.wants_cancel {
+            if task.state == TaskState::Running && long && facts.accepted && !facts.cancel_requested {
                 jobs.insert(&task.job, &worker.id);
             }
         }
@@ -140,7 +140,7 @@
     fn call_off(&mut self, job: &str, after_ms: u64) {
         let now = self.now;
         if let Some(facts) = self.jobs.get_mut(job) {
-            facts.take_back(now + after_ms);
+            facts.request_cancel(now + after_ms);
         }
         self.user_turn += 1;
         let (node, kind) = (self.user_turn % NODES, UserKind::Cancel);
@@ -159,7 +159,7 @@
         for (_, task) in self.on_machines() {
             let facts = &self.jobs[&task.job];
             if facts.shape != "daemon" && task.state == TaskState::Running {
-                let ran_s = task.progress_from + (self.now - task.since) as f64 / 1000.0;
+                let ran_s = task.base_progress_s + (self.now - task.state_since) as f64 / 1000.0;
                 let last = left.entry(task.job.clone()).or_default();
                 *last = last.max((facts.run_s - ran_s) * 1000.0);
             }
@@ -168,11 +168,11 @@
             let facts = &self.jobs[job];
             let running =
                 |(_, task): &(_, &crate::worker::Task)| task.job == *job && task.state == TaskState::Running;
-            let rest = facts.tasks as usize - facts.done.len();
+            let rest = facts.tasks as usize - facts.completed_tasks.len();
             *ms <= AROUND_END_MS && self.on_machines().filter(running).count() == rest
         });
         for job in left.into_keys() {
-            if !self.jobs[&job].wants_cancel
+            if !self.jobs[&job].cancel_requested
                 && self.fault_combinations.ended.insert(job.clone())
                 && self.draw() < share
             {
@@ -187,8 +187,8 @@
 
     fn was_told(&self, job: &str) -> Option<u64> {
         let facts = self.jobs.get(job)?;
-        let told = facts.cancelled_at?;
-        (facts.told.as_deref() == Some("cancelled")).then_some(told)
+        let told = facts.cancel_confirmed_at?;
+        (facts.reported_status.as_deref() == Some("cancelled")).then_some(told)
     }
 
     /// A node is told something: perhaps that jobs are over.
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -59,7 +59,7 @@
         let since = |facts: &ObservedJob| {
             facts
                 .accepted_at
-                .max(facts.known_at)
+                .max(facts.last_answered_at)
                 .map(|at| at.max(self.trouble_at))
         };
         let silent = |facts: &ObservedJob| since(facts).is_some_and(|at| self.now > at + FORGOTTEN_MS);
@@ -72,7 +72,7 @@
         for id in forgotten {
             let facts = self.jobs.get_mut(&id).unwrap();
             // Once for each silence.
-            facts.known_at = Some(self.now);
+            facts.last_answered_at = Some(self.now);
             self.violation("forgotten", format!("{id} is asked about in vain"));
         }
     }
@@ -88,14 +88,15 @@
         self.refused.clear();
         self.message_faults.clear();
         self.faults.clear();
-        self.walk = None;
+        self.deviation_plan = None;
         for controller in &mut self.nodes {
             controller.frozen_until = controller.frozen_until.min(self.now);
             controller.stalls_until = controller.stalls_until.min(self.now);
             controller.restart_at = controller.restart_at.min(self.now);
         }
         let mended_at = self.now;
-        let told = |facts: &ObservedJob| facts.accepted_at.is_none() || facts.known_at > Some(mended_at);
+        let told =
+            |facts: &ObservedJob| facts.accepted_at.is_none() || facts.last_answered_at > Some(mended_at);
         let all_told =
             |simulation: &Simulation| simulation.user_at.keys().all(|id| told(&simulation.jobs[id]));
         while self.now <= mended_at + RUN_ON_MS && (!all_told(self) || self.waits_beside_room()) {
@@ -111,15 +112,15 @@
         for (id, facts) in &self.jobs {
             let due_at = facts.accepted_at.map(|at| at + BEGUN_MS);
             let back = facts
-                .withdrawn_at
+                .cancel_requested_at
                 .is_some_and(|at| due_at.is_none_or(|due| at < due));
-            if facts.asked_at.is_some() && !facts.refused && !facts.broken && !back {
+            if facts.submitted_at.is_some() && !facts.rejected && !facts.always_fails && !back {
                 let class = format!("{}/{}", facts.shape, facts.class);
                 classes.entry(class).or_default().push((id, facts));
             }
         }
         let judged = classes.into_iter().map(|(class, mut jobs)| {
-            jobs.sort_by_key(|(id, facts)| (Reverse(facts.tasks), facts.asked_at, *id));
+            jobs.sort_by_key(|(id, facts)| (Reverse(facts.tasks), facts.submitted_at, *id));
             let mut largest = Largest::default();
             for (id, facts) in &jobs[..jobs.len().div_ceil(LARGEST_OF)] {
                 let (served, asked) = self.served_of(facts).unwrap_or_default();
@@ -128,7 +129,7 @@
                 let waited = facts
                     .accepted_at
                     // A start may be sooner than a slow answer to its submission.
-                    .map(|at| facts.begun_at.unwrap_or(self.now).saturating_sub(at));
+                    .map(|at| facts.started_at.unwrap_or(self.now).saturating_sub(at));
                 if let Some(waited) = waited.filter(|waited| *waited > BEGUN_MS) {
                     largest.late.push(((*id).clone(), waited));
                 }
--- a/crates/simulator/src/job_stream.rs
+++ b/crates/simulator/src/job_stream.rs
@@ -75,7 +75,7 @@
             while let Some(id) = stream.next(self.now) {
                 let mut facts = stream.facts.clone();
                 facts.body["Id"] = id.clone().into();
-                facts.asked_at = Some(self.now);
+                facts.submitted_at = Some(self.now);
                 self.jobs.insert(id.clone(), facts);
                 self.user_at.insert(id.clone(), self.now);
                 let late = (AT_ONCE_MS.0, stream.facts.run_s * 1_000.0 * LATE_RUNS);
@@ -104,7 +104,7 @@
                     continue;
                 }
                 let facts = self.jobs.get_mut(&id).unwrap();
-                facts.take_back(self.now);
+                facts.request_cancel(self.now);
                 self.user_asks(node, &id, UserKind::Cancel);
             }
         }
@@ -129,7 +129,7 @@
             ["slowest", class] => {
                 let jobs = self.jobs.values().filter(|job| job.class == *class);
                 let waits = jobs.filter_map(|job| {
-                    let until = job.begun_at.or(job.withdrawn_at).unwrap_or(self.now);
+                    let until = job.started_at.or(job.cancel_requested_at).unwrap_or(self.now);
                     Some(until.saturating_sub(job.accepted_at?))
                 });
                 Some(waits.max().unwrap_or(0) as f64 / 1_000.0)
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -26,6 +26,6 @@
 pub mod worker;
 mod zones;
 
-pub use scenario::{play_all, run, run_with_digest, walk};
-pub use seeds::{Seeds, play_seeds, play_ways, steps};
+pub use scenario::{run, run_cases, run_with_deviations, run_with_digest};
+pub use seeds::{SeedResults, run_seeds, run_variants, time_steps};
 pub use simulation::Deviation;
--- a/crates/simulator/src/licence_server.rs
+++ b/crates/simulator/src/licence_server.rs
@@ -17,10 +17,10 @@
 /// Seats of a client that died. The same attempt may have been started again on the same host: to the
 /// server that is another client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct DeadSeat {
+struct LingeringSeats {
     client: Client,
     units: u32,
-    back_at: u64,
+    available_at: u64,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -28,15 +28,15 @@
     pub total: u32,
     pub linger_ms: u64,
     /// Seats of users who are nobody's task.
-    pub others: u32,
+    pub external_units: u32,
     seats: BTreeMap<Client, u32>,
-    dead: Vec<DeadSeat>,
+    lingering: Vec<LingeringSeats>,
     /// Operators gave it another number of units, or users outside had seats, at some time.
-    pub was_changed: bool,
+    pub was_changed_externally: bool,
     /// Check-outs that were refused.
-    pub refused: u32,
+    pub refused_checkouts: u32,
     /// Most seats that tasks had at a time, dead ones included.
-    pub most: u32,
+    pub peak_task_units: u32,
 }
 
 impl Feature {
@@ -50,13 +50,13 @@
 
     /// Seats taken, by whomever.
     pub fn in_use(&self) -> u32 {
-        let dead = self.dead.iter().map(|seat| seat.units);
-        self.others + self.seats.values().copied().chain(dead).sum::<u32>()
+        let dead = self.lingering.iter().map(|seat| seat.units);
+        self.external_units + self.seats.values().copied().chain(dead).sum::<u32>()
     }
 
     /// Seats of tasks, dead ones included.
-    pub fn of_tasks(&self) -> u32 {
-        self.in_use() - self.others
+    pub fn task_units(&self) -> u32 {
+        self.in_use() - self.external_units
     }
 }
 
@@ -77,16 +77,16 @@
             return true;
         }
         if feature.in_use() + units > feature.total {
-            feature.refused += 1;
+            feature.refused_checkouts += 1;
             return false;
         }
         feature.seats.insert(client, units);
-        feature.most = feature.most.max(feature.of_tasks());
+        feature.peak_task_units = feature.peak_task_units.max(feature.task_units());
         true
     }
 
     /// A task that came to be on a host asks for all its seats; the features that refuse.
-    pub fn admit(&mut self, counts: &BTreeMap<String, u32>, host: &str, task: &Task) -> Vec<String> {
+    pub fn check_out_all(&mut self, counts: &BTreeMap<String, u32>, host: &str, task: &Task) -> Vec<String> {
         let client = Client {
             host: host.to_owned(),
             task: task.name(),
@@ -99,31 +99,31 @@
     }
 
     /// Users outside take so many seats, as far as there are any.
-    pub fn take_outside(&mut self, feature: &str, units: u32) {
+    pub fn set_external_units(&mut self, feature: &str, units: u32) {
         if let Some(feature) = self.features.get_mut(feature) {
-            let free = feature.total.saturating_sub(feature.of_tasks());
-            feature.others = units.min(free);
-            feature.was_changed = true;
+            let free = feature.total.saturating_sub(feature.task_units());
+            feature.external_units = units.min(free);
+            feature.was_changed_externally = true;
         }
     }
 
     /// Looks after its clients: `fate` says what has become of one.
-    pub fn step(&mut self, now: u64, fate: impl Fn(&Client) -> Fate) {
+    pub fn step(&mut self, now: u64, fate: impl Fn(&Client) -> ClientState) {
         for feature in self.features.values_mut() {
             let back_at = now + feature.linger_ms;
             feature.seats.retain(|client, units| match fate(client) {
-                Fate::Alive => true,
-                Fate::GaveBack => false,
-                Fate::Died => {
-                    feature.dead.push(DeadSeat {
+                ClientState::Alive => true,
+                ClientState::Released => false,
+                ClientState::Died => {
+                    feature.lingering.push(LingeringSeats {
                         client: client.clone(),
                         units: *units,
-                        back_at,
+                        available_at: back_at,
                     });
                     false
                 }
             });
-            feature.dead.retain(|seat| now < seat.back_at);
+            feature.lingering.retain(|seat| now < seat.available_at);
         }
     }
 
@@ -136,14 +136,14 @@
                 feature.total,
                 feature.in_use()
             ));
-            let dead = feature.dead.iter().map(|seat| (&seat.client, &seat.units));
+            let dead = feature.lingering.iter().map(|seat| (&seat.client, &seat.units));
             for (client, units) in feature.seats.iter().chain(dead) {
                 text.push_str(&format!(
                     "    indigo {} {} (v1.0) (licences/27000 101), start Tue 12/1 9:00, {units} licenses\n",
                     client.host, client.task
                 ));
             }
-            for user in 0..feature.others {
+            for user in 0..feature.external_units {
                 text.push_str(&format!(
                     "    jo desk-{user} desk-{user}:0 (v1.0) (licences/27000 102), start Tue 12/1 9:00\n"
                 ));
@@ -156,25 +156,25 @@
 
 /// What has become of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum ClientState {
     Alive,
     /// It ended by itself and gave its seat back.
-    GaveBack,
+    Released,
     /// It is gone, and did not say so.
     Died,
 }
 
-impl Fate {
+impl ClientState {
     /// Of a client whose host this is, if it is there at all.
-    pub fn on(host: Option<&Worker>, client: &Client) -> Fate {
+    pub fn of(host: Option<&Worker>, client: &Client) -> ClientState {
         let task = host.and_then(|worker| {
             let mut tasks = worker.tasks.iter();
             tasks.find(|task| task.attempt == client.attempt && task.name() == client.task)
         });
         match task {
-            Some(task) if task.on() => Fate::Alive,
-            Some(task) if task.why == Some(TaskEndCause::Done) => Fate::GaveBack,
-            _ => Fate::Died,
+            Some(task) if task.is_on_machine() => ClientState::Alive,
+            Some(task) if task.end_cause == Some(TaskEndCause::Done) => ClientState::Released,
+            _ => ClientState::Died,
         }
     }
 }
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -5,10 +5,10 @@
 //! worker whose lease is over has ended its tasks by the time that anybody hears of it.
 
 use crate::cloud::Cloud;
-use crate::licence_server::{Fate, LicenceServer};
+use crate::licence_server::{ClientState, LicenceServer};
 use crate::simulation::{ObservedJob, learn_jobs};
 use crate::state::{Reply, StateService};
-use crate::worker::{Times, Worker};
+use crate::worker::{Worker, WorkerTimings};
 use indigopath_controller::protocol::{TaskEndCause, TaskState};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -24,10 +24,10 @@
 const STEP_MS: u64 = 10;
 
 /// How long tasks of submit files run, in s.
-const FILE_RUN_S: f64 = 0.4;
+const CONDOR_TASK_RUN_S: f64 = 0.4;
 
 /// Longest wait for a controller's answer, in ms.
-const CALL_MS: u64 = 4_000;
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 
 /// Everything that the stand-ins know.
 pub struct Models {
@@ -38,11 +38,11 @@
     pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, ObservedJob>,
     /// Starts with seats that the licence server refused.
-    pub refused: Vec<String>,
+    pub refused_checkouts: Vec<String>,
     /// Tasks that came to be on a machine.
-    pub starts: u32,
+    pub task_starts: u32,
     started: Instant,
-    times: Times,
+    timings: WorkerTimings,
 }
 
 impl Models {
@@ -51,9 +51,9 @@
         let real = self.started.elapsed().as_millis() as u64;
         while self.now + STEP_MS <= real {
             self.now += STEP_MS;
-            self.state.expire(self.now);
+            self.state.expire_leases(self.now);
             // Whoever ends does so before anybody else begins.
-            self.settle();
+            self.update_licences();
             let ids: Vec<String> = self.workers.keys().cloned().collect();
             let mut arrived = Vec::new();
             for id in ids {
@@ -64,27 +64,28 @@
                     arrived.push((id.clone(), task));
                 }
             }
-            self.settle();
+            self.update_licences();
             for (host, task) in arrived {
-                self.starts += 1;
+                self.task_starts += 1;
                 let Some(facts) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                let refused = self.licences.admit(&facts.counts, &host, &task);
+                let refused = self.licences.check_out_all(&facts.counted_units, &host, &task);
                 let lines = refused
                     .iter()
                     .map(|count| format!("{} on {host}: {count} at {} ms", task.name(), self.now));
-                self.refused.extend(lines);
+                self.refused_checkouts.extend(lines);
             }
-            self.settle();
+            self.update_licences();
         }
     }
 
     /// The licence server sees who has ended.
-    fn settle(&mut self) {
+    fn update_licences(&mut self) {
         let workers = &self.workers;
-        self.licences
-            .step(self.now, |client| Fate::on(workers.get(&client.host), client));
+        self.licences.step(self.now, |client| {
+            ClientState::of(workers.get(&client.host), client)
+        });
     }
 
     /// Tasks that run now: machine and name.
@@ -106,52 +107,57 @@
                 task.exit(TaskEndCause::Error);
             }
         }
-        self.settle();
+        self.update_licences();
     }
 
     /// A machine stops with all that is on it.
     pub fn kill_machine(&mut self, host: &str) {
         self.workers.remove(host);
-        self.settle();
+        self.update_licences();
     }
 }
 
 /// The stand-ins, running until this is dropped.
-pub struct Live {
+pub struct LoopbackServices {
     models: Arc<Mutex<Models>>,
-    over: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     pub state: SocketAddrV4,
     pub cloud: SocketAddrV4,
     pub licences: SocketAddrV4,
     servers: Vec<Arc<Server>>,
 }
 
-impl Drop for Live {
+impl Drop for LoopbackServices {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.shutdown.store(true, Ordering::Relaxed);
         for server in &self.servers {
             server.unblock();
         }
     }
 }
 
-type Shared = Arc<Mutex<Models>>;
+type SharedModels = Arc<Mutex<Models>>;
 
 /// Status and body.
-type Answer = (u16, Vec<u8>);
+type HttpResponse = (u16, Vec<u8>);
 
 /// How a stand-in answers: method, path, body.
-type Handle = dyn Fn(&str, &str, &[u8]) -> Answer + Send + Sync;
+type Handler = dyn Fn(&str, &str, &[u8]) -> HttpResponse + Send + Sync;
 
-fn lock(models: &Shared) -> MutexGuard<'_, Models> {
+fn lock(models: &SharedModels) -> MutexGuard<'_, Models> {
     let mut models = models.lock().unwrap_or_else(PoisonError::into_inner);
     models.catch_up();
     models
 }
 
-impl Live {
+impl LoopbackServices {
     /// Starts them. Workers report to `nodes`, which are named n0, n1, …
-    pub fn start(cloud: Cloud, licences: LicenceServer, times: Times, nodes: Vec<SocketAddrV4>) -> Live {
+    pub fn start(
+        cloud: Cloud,
+        licences: LicenceServer,
+        times: WorkerTimings,
+        nodes: Vec<SocketAddrV4>,
+    ) -> LoopbackServices {
         let models = Arc::new(Mutex::new(Models {
             now: 0,
             state: StateService::default(),
@@ -159,14 +165,14 @@
             licences,
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            refused: Vec::new(),
-            starts: 0,
+            refused_checkouts: Vec::new(),
+            task_starts: 0,
             started: Instant::now(),
-            times,
+            timings: times,
         }));
         let over = Arc::new(AtomicBool::new(false));
         let mut servers = Vec::new();
-        let mut serve = |handle: fn(&Shared, &AtomicBool, &str, &str, &[u8]) -> Answer| {
+        let mut serve = |handle: fn(&SharedModels, &AtomicBool, &str, &str, &[u8]) -> HttpResponse| {
             let (models, over) = (models.clone(), over.clone());
             let (server, addr) = listen(move |method, path, body| handle(&models, &over, method, path, body));
             servers.push(server);
@@ -182,9 +188,9 @@
             let (models, over) = (models.clone(), over.clone());
             move || boot_machines(&models, &over, &nodes)
         });
-        Live {
+        LoopbackServices {
             models,
-            over,
+            shutdown: over,
             state,
             cloud,
             licences,
@@ -200,7 +206,7 @@
 
 /// Serves HTTP on a port of its own, a thread a request: watches wait.
 fn listen(
-    handle: impl Fn(&str, &str, &[u8]) -> Answer + Send + Sync + 'static,
+    handle: impl Fn(&str, &str, &[u8]) -> HttpResponse + Send + Sync + 'static,
 ) -> (Arc<Server>, SocketAddrV4) {
     let server = Arc::new(Server::http("127.0.0.1:0").expect("a port on loopback"));
     let addr = match server.server_addr().to_ip() {
@@ -218,7 +224,7 @@
     (server, addr)
 }
 
-fn answer(mut request: Request, handle: &Handle) {
+fn answer(mut request: Request, handle: &Handler) {
     let mut body = Vec::new();
     if request.as_reader().read_to_end(&mut body).is_err() {
         return;
@@ -236,82 +242,88 @@
     let _ = request.respond(response.with_chunked_threshold(usize::MAX));
 }
 
-fn serve_state(models: &Shared, over: &AtomicBool, method: &str, path: &str, body: &[u8]) -> Answer {
+fn serve_state(
+    models: &SharedModels,
+    over: &AtomicBool,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> HttpResponse {
     let text = |value: Value| value.to_string().into_bytes();
     let reply = {
         let mut models = lock(models);
-        let (now, changes) = (models.now, models.state.changes);
+        let (now, changes) = (models.now, models.state.applied_changes);
         let reply = models.state.handle(method, path, body, now);
-        if models.state.changes > changes {
-            learn_jobs(&mut models.jobs, body, FILE_RUN_S);
+        if models.state.applied_changes > changes {
+            learn_jobs(&mut models.jobs, body, CONDOR_TASK_RUN_S);
         }
         reply
     };
     match reply {
-        Reply::Now(status, value) => (status, text(value)),
-        Reply::Wait { prefix, after, until } => loop {
+        Reply::Immediate(status, value) => (status, text(value)),
+        Reply::LongPoll { prefix, after, until } => loop {
             thread::sleep(Duration::from_millis(STEP_MS));
             let models = lock(models);
-            if let Some(news) = models.state.news(&prefix, after) {
+            if let Some(news) = models.state.watch_response(&prefix, after) {
                 return (200, text(news));
             }
             if models.now >= until || over.load(Ordering::Relaxed) {
-                return (200, text(models.state.empty_news()));
+                return (200, text(models.state.empty_watch_response()));
             }
         },
     }
 }
 
-fn serve_cloud(models: &Shared, method: &str, path: &str, body: &[u8]) -> Answer {
+fn serve_cloud(models: &SharedModels, method: &str, path: &str, body: &[u8]) -> HttpResponse {
     let mut models = lock(models);
     let now = models.now;
     let (status, value) = models.cloud.handle(method, path, body, now);
-    for id in models.cloud.take_returned() {
+    for id in models.cloud.take_released() {
         models.workers.remove(&id);
     }
-    models.settle();
+    models.update_licences();
     (status, value.to_string().into_bytes())
 }
 
 /// Starts a worker for every machine that is up.
-fn boot_machines(models: &Shared, over: &Arc<AtomicBool>, nodes: &[SocketAddrV4]) {
+fn boot_machines(models: &SharedModels, over: &Arc<AtomicBool>, nodes: &[SocketAddrV4]) {
     let mut seen = 0;
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(STEP_MS));
         let mut due = Vec::new();
         {
             let mut models = lock(models);
-            let (now, times) = (models.now, models.times);
+            let (now, timings) = (models.now, models.timings);
             // Machines come up in the order of their names here.
             let up: Vec<String> = models
                 .cloud
                 .machines
                 .iter()
                 .skip(seen)
-                .take_while(|(_, machine)| machine.up_at <= now)
+                .take_while(|(_, machine)| machine.ready_at <= now)
                 .map(|(id, _)| id.clone())
                 .collect();
             seen += up.len();
             for id in up {
                 let machine = &models.cloud.machines[&id];
-                if machine.gone_at.is_some() {
+                if machine.removed_at.is_some() {
                     continue;
                 }
                 let mut worker = Worker::new(&id, &machine.machine_type, &machine.zone, machine.spot, now);
-                worker.times = times;
+                worker.timings = timings;
                 models.workers.insert(id.clone(), worker);
                 due.push(id);
             }
         }
         for id in due {
             let (models, over, nodes) = (models.clone(), over.clone(), nodes.to_vec());
-            thread::spawn(move || be_worker(&models, &over, &id, &nodes));
+            thread::spawn(move || run_worker(&models, &over, &id, &nodes));
         }
     }
 }
 
 /// A worker's life: its address, and its reports.
-fn be_worker(models: &Shared, over: &AtomicBool, id: &str, nodes: &[SocketAddrV4]) {
+fn run_worker(models: &SharedModels, over: &AtomicBool, id: &str, nodes: &[SocketAddrV4]) {
     let (server, addr) = listen({
         let (models, id) = (models.clone(), id.to_owned());
         move |_, path, body| {
@@ -322,10 +334,10 @@
                 return (404, Vec::new());
             };
             let answer = match path {
-                "/do" => worker.direct(body, jobs, now),
-                _ => (200, worker.report(now)),
+                "/do" => worker.handle_direct_commands(body, jobs, now),
+                _ => (200, worker.heartbeat(now)),
             };
-            models.settle();
+            models.update_licences();
             answer
         }
     });
@@ -338,7 +350,7 @@
             machine.addr = Some(addr.to_string());
         }
     }
-    let client = HttpClient::new(CALL_MS);
+    let client = HttpClient::new(HEARTBEAT_TIMEOUT_MS);
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(STEP_MS));
         let due = {
@@ -349,7 +361,7 @@
             };
             let (node, agent_epoch) = (worker.node, worker.agent_epoch);
             worker
-                .due_report(now)
+                .due_heartbeat(now)
                 .map(|(number, body)| (number, body, node, agent_epoch))
         };
         let Some((number, body, node, agent_epoch)) = due else {
@@ -360,9 +372,9 @@
         let now = models.now;
         let Models { workers, jobs, .. } = &mut *models;
         if let Some(worker) = workers.get_mut(id) {
-            worker.answered(number, agent_epoch, outcome, nodes.len(), jobs, now);
+            worker.handle_heartbeat_response(number, agent_epoch, outcome, nodes.len(), jobs, now);
         }
-        models.settle();
+        models.update_licences();
     }
     server.unblock();
 }
--- a/crates/simulator/src/response_checks.rs
+++ b/crates/simulator/src/response_checks.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Word {
     Unknown,
-    Live,
+    LoopbackServices,
     Over(String),
 }
 
@@ -23,7 +23,7 @@
         match (status, answer["Status"].as_str()) {
             (404, _) => Some(Word::Unknown),
             (200, Some(end @ ("done" | "cancelled"))) => Some(Word::Over(end.to_owned())),
-            (200 | 201, Some(_)) => Some(Word::Live),
+            (200 | 201, Some(_)) => Some(Word::LoopbackServices),
             _ => None,
         }
     }
@@ -31,7 +31,7 @@
     fn rank(&self) -> u8 {
         match self {
             Word::Unknown => 0,
-            Word::Live => 1,
+            Word::LoopbackServices => 1,
             Word::Over(_) => 2,
         }
     }
@@ -112,12 +112,12 @@
             return;
         }
         let job = job.to_owned();
-        let accepted = self.answers.newest[&job].0 == Word::Live;
+        let accepted = self.answers.newest[&job].0 == Word::LoopbackServices;
         let cancel = accepted && self.draw() < self.answers.cancel_share;
         if cancel {
             let (now, node) = (self.now, (self.draw() * NODES as f64) as usize);
             let facts: &mut ObservedJob = self.jobs.get_mut(&job).unwrap();
-            facts.take_back(now);
+            facts.request_cancel(now);
             self.user_asks(node, &job, UserKind::Cancel);
         }
         for node in 0..NODES {
--- a/crates/simulator/src/scenario/actions/machines.rs
+++ b/crates/simulator/src/scenario/actions/machines.rs
@@ -21,28 +21,30 @@
         // It refuses starts as if it were full.
         "full" => {
             let until = simulation.now + action.lasts_ms()?;
-            worker(simulation, action)?.full_until = until;
+            worker(simulation, action)?.refuses_starts_until = until;
         }
         "faulty" => worker(simulation, action)?.faulty = true,
         "notice" => {
             let now = simulation.now;
             let taken_at = now + (number(action.arg(2)?)? * 1000.0) as u64;
-            worker(simulation, action)?.warn(taken_at, now);
+            worker(simulation, action)?.give_reclaim_notice(taken_at, now);
         }
         "no-capacity" => {
             let kind = (action.arg(1)?.to_owned(), action.arg(2)? == "spot");
-            simulation.cloud.refused.insert(kind);
+            simulation.cloud.unavailable_kinds.insert(kind);
         }
         "boots" => {
             let (least_s, most_s) = (number(action.arg(1)?)?, number(action.arg(2)?)?);
-            simulation.cloud.boots_s = Some((least_s, most_s));
+            simulation.cloud.boot_range_s = Some((least_s, most_s));
         }
         // Most machines that the cloud has, those that are up among them.
-        "capacity" => simulation.cloud.capacity = Some(number(action.arg(1)?)? as usize),
-        "duds" => simulation.cloud.duds = number(action.arg(1)?)? as u32,
+        "capacity" => simulation.cloud.max_machines = Some(number(action.arg(1)?)? as usize),
+        "duds" => simulation.cloud.failing_launches = number(action.arg(1)?)? as u32,
         "stranger" => {
             let now = simulation.now;
-            simulation.cloud.rent(action.arg(1)?, action.arg(2)?, false, now);
+            simulation
+                .cloud
+                .launch(action.arg(1)?, action.arg(2)?, false, now);
         }
         // A type that the cloud sells in this zone alone.
         "sells" => {
@@ -65,7 +67,7 @@
 fn die(simulation: &mut Simulation, id: &str) {
     simulation.workers.remove(id);
     if let Some(machine) = simulation.cloud.machines.get_mut(id) {
-        machine.up_at = u64::MAX;
+        machine.ready_at = u64::MAX;
     }
 }
 
@@ -87,7 +89,7 @@
     let id = simulation.machine_of(task).ok_or("it is nowhere")?;
     let worker = simulation.workers.get_mut(&id).ok_or("no machine")?;
     let tasks = worker.tasks.iter_mut();
-    let killed = tasks.filter(|other| other.name() == task && other.on());
+    let killed = tasks.filter(|other| other.name() == task && other.is_on_machine());
     killed.for_each(|task| task.exit(indigopath_controller::protocol::TaskEndCause::Error));
     Ok(())
 }
--- a/crates/simulator/src/scenario/actions/store.rs
+++ b/crates/simulator/src/scenario/actions/store.rs
@@ -14,22 +14,22 @@
             simulation.books.spoilt |= key.starts_with("b/");
             let value = action.plain.get(2).map(|text| serde_json::from_str(text));
             let value = value.transpose().map_err(|error| error.to_string())?;
-            simulation.state.meddle(key, value);
+            simulation.state.modify_externally(key, value);
         }
         "forget-changes" => {
             simulation.books.spoilt = true;
-            simulation.state.forget_changes();
+            simulation.state.compact_history();
         }
         // A value, as some other build would have left it.
         "store" => {
             let text = action.text.splitn(3, ' ').nth(2).ok_or("no value")?;
             let value = serde_json::from_str(text).map_err(|error| error.to_string())?;
-            simulation.state.put(action.arg(1)?, value);
+            simulation.state.put_externally(action.arg(1)?, value);
         }
         // Users outside hold so many seats.
         "others" => {
             let seats = number(action.arg(2)?)? as u32;
-            simulation.licences.take_outside(action.arg(1)?, seats);
+            simulation.licences.set_external_units(action.arg(1)?, seats);
         }
         _ => return Ok(false),
     }
--- a/crates/simulator/src/scenario/actions/users.rs
+++ b/crates/simulator/src/scenario/actions/users.rs
@@ -4,7 +4,7 @@
 use super::{Action, nodes_named};
 use crate::job_stream::Stream;
 use crate::response_checks;
-use crate::simulation::{NODES, Sent, Simulation, UserKind};
+use crate::simulation::{NODES, Simulation, SubmittedFile, UserKind};
 use indigopath_condor::Bundle;
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
         // Its submitter never comes back.
         "abandon" => {
             let sent = simulation.sent.get_mut(action.arg(1)?);
-            sent.ok_or("no such file")?.next_at = u64::MAX;
+            sent.ok_or("no such file")?.next_attempt_at = u64::MAX;
         }
         "withdraw" => withdraw(simulation, action)?,
         "ask" => {
@@ -51,7 +51,7 @@
         // What was wrong with the job is mended.
         "fix" => {
             let job = simulation.jobs.get_mut(action.arg(1)?);
-            job.ok_or("no such job")?.broken = false;
+            job.ok_or("no such job")?.always_fails = false;
         }
         _ => return Ok(false),
     }
@@ -71,7 +71,7 @@
         };
         let (_, mut facts) = body(&id, &action.keyed)?;
         let asked_at = simulation.now + more * every_ms;
-        facts.asked_at = Some(asked_at);
+        facts.submitted_at = Some(asked_at);
         simulation.jobs.insert(id.clone(), facts);
         simulation.user_at.insert(id, asked_at);
     }
@@ -100,11 +100,11 @@
     let mut nodes: Vec<usize> = (0..NODES).collect();
     // The first turn moves on by one.
     nodes.rotate_left((first + NODES - 1) % NODES);
-    let sending = Sent {
+    let sending = SubmittedFile {
         body: serde_json::to_vec(&bundle).map_err(|error| error.to_string())?,
-        next_at: simulation.now,
+        next_attempt_at: simulation.now,
         nodes,
-        answer: None,
+        response: None,
     };
     simulation.sent.insert(sent.to_owned(), sending);
     Ok(())
@@ -114,7 +114,7 @@
     let now = simulation.now;
     let job = action.arg(1)?;
     let facts = simulation.jobs.get_mut(job).ok_or("no such job")?;
-    facts.take_back(now);
+    facts.request_cancel(now);
     match action.keyed.get("node") {
         Some(nodes) => ask(simulation, job, nodes, &UserKind::Cancel),
         None => Ok(()),
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -23,7 +23,7 @@
         return Err("no end".to_owned());
     }
     if !simulation.jobs.is_empty()
-        && simulation.jobs.values().all(|job| job.starts == 0)
+        && simulation.jobs.values().all(|job| job.task_starts == 0)
         && !expects.iter().any(|line| line.contains("starts = 0"))
     {
         problems.push("nothing_ran".to_owned());
@@ -143,8 +143,8 @@
         // How often somebody began to lead.
         ["terms", sign, want] => compare(f64::from(simulation.fault_combinations.terms), sign, want),
         ["machines", sign, want] => compare(simulation.workers.len() as f64, sign, want),
-        ["rented", sign, want] => compare(f64::from(simulation.cloud.rentals), sign, want),
-        ["fenced", sign, want] => compare(f64::from(simulation.state.fenced), sign, want),
+        ["rented", sign, want] => compare(f64::from(simulation.cloud.launched_total), sign, want),
+        ["fenced", sign, want] => compare(f64::from(simulation.state.fenced_transactions), sign, want),
         ["refused", sign, want] => compare(f64::from(simulation.most_refused), sign, want),
         ["leaders", sign, want] => {
             let leaders = simulation
@@ -177,13 +177,13 @@
         // The status of a submit file's answer.
         ["sent", name, sign, want] => {
             let sent = simulation.sent.get(*name).ok_or("no such file")?;
-            let status = sent.answer.as_ref().map_or(0, |(status, _)| *status);
+            let status = sent.response.as_ref().map_or(0, |(status, _)| *status);
             compare(f64::from(status), sign, want)
         }
         ["answer", name, "says", words @ ..] => {
             let sent = simulation.sent.get(*name).ok_or("no such file")?;
             let answer = sent
-                .answer
+                .response
                 .as_ref()
                 .map_or(Value::Null, |(_, answer)| answer.clone());
             let text = answer.to_string();
@@ -204,8 +204,8 @@
                 .filter(|(_, job)| job.cluster == Some(cluster));
             let have: usize = match *what {
                 "live" => simulation.state.count(&format!("j/wk-99{cluster:010}")),
-                "done" => jobs.map(|(_, job)| job.done.len()).sum(),
-                "starts" => jobs.map(|(_, job)| job.starts as usize).sum(),
+                "done" => jobs.map(|(_, job)| job.completed_tasks.len()).sum(),
+                "starts" => jobs.map(|(_, job)| job.task_starts as usize).sum(),
                 "tasks" => jobs.map(|(_, job)| job.tasks as usize).sum(),
                 "running" => {
                     let names: Vec<&String> = jobs.map(|(id, _)| id).collect();
@@ -224,7 +224,7 @@
             let asked = simulation
                 .jobs
                 .values()
-                .filter_map(|job| Some((job, job.asked_at?)));
+                .filter_map(|job| Some((job, job.submitted_at?)));
             let asked: Vec<_> = asked.filter(|(job, _)| job.team == *team).collect();
             let prompt = asked
                 .iter()
@@ -252,9 +252,9 @@
         ["seats", count, sign, want] | ["most-seats", count, sign, want] => {
             let feature = simulation.licences.features.get(*count).ok_or("no such count")?;
             let seats = if words[0] == "seats" {
-                feature.of_tasks()
+                feature.task_units()
             } else {
-                feature.most
+                feature.peak_task_units
             };
             compare(f64::from(seats), sign, want)
         }
@@ -320,7 +320,7 @@
         ["all", "done"] => match simulation
             .jobs
             .values()
-            .filter(|job| job.done_told_at.is_none())
+            .filter(|job| job.completion_reported_at.is_none())
             .count()
         {
             0 => Ok(()),
@@ -331,26 +331,26 @@
             let within_ms = (number(within)? * 1000.0) as u64;
             let done = simulation.jobs.values().filter(|job| job.class == *class);
             let in_time = done.filter(|job| {
-                let took = job.done_told_at.zip(job.asked_at);
+                let took = job.completion_reported_at.zip(job.submitted_at);
                 took.is_some_and(|(done, asked)| done <= asked + within_ms)
             });
             compare(in_time.count() as f64, sign, want)
         }
         ["live", "jobs", sign, want] => compare(simulation.state.count("j/") as f64, sign, want),
         [id, "told", want] => {
-            let told = job(simulation, id)?.told.clone().unwrap_or_default();
+            let told = job(simulation, id)?.reported_status.clone().unwrap_or_default();
             if told == *want {
                 Ok(())
             } else {
                 Err(format!("its user was told {told:?}"))
             }
         }
-        [id, "done", "by", want] => match job(simulation, id)?.done_told_at {
+        [id, "done", "by", want] => match job(simulation, id)?.completion_reported_at {
             Some(at) => compare(at as f64 / 1000.0, "<=", want),
             None => Err("its user was never told so".to_owned()),
         },
-        [id, "starts", sign, want] => compare(f64::from(job(simulation, id)?.starts), sign, want),
-        [id, "saved", sign, want] => compare(job(simulation, id)?.saved_s, sign, want),
+        [id, "starts", sign, want] => compare(f64::from(job(simulation, id)?.task_starts), sign, want),
+        [id, "saved", sign, want] => compare(job(simulation, id)?.checkpointed_s, sign, want),
         [id, "running", sign, want] => {
             let running = simulation
                 .on_machines()
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -70,7 +70,7 @@
 mod script;
 
 use crate::effect_digest::EffectDigest;
-use crate::simulation::{Deviation, Simulation, Walk};
+use crate::simulation::{Deviation, DeviationPlan, Simulation};
 use script::{Agenda, Script};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -78,7 +78,7 @@
 pub(crate) use script::{body, number};
 
 /// Plays so many cases on all processors; returns those that failed, with why.
-pub fn play_all(cases: usize, play: impl Fn(usize) -> Result<(), String> + Sync) -> Vec<(usize, String)> {
+pub fn run_cases(cases: usize, play: impl Fn(usize) -> Result<(), String> + Sync) -> Vec<(usize, String)> {
     let next = AtomicUsize::new(0);
     let player = || {
         let mut failed = Vec::new();
@@ -117,13 +117,16 @@
 
 /// Plays a scenario in which some acts of leaders go another way; returns as well how many acts
 /// there were.
-pub fn walk(text: &str, deviations: &BTreeMap<usize, Deviation>) -> (Result<(), String>, usize) {
-    let walk = Walk {
+pub fn run_with_deviations(
+    text: &str,
+    deviations: &BTreeMap<usize, Deviation>,
+) -> (Result<(), String>, usize) {
+    let deviation_plan = DeviationPlan {
         deviations: deviations.clone(),
-        acts: 0,
+        leader_operations: 0,
     };
     let mut observed = Observed::default();
-    let outcome = play(text, Some(walk), &mut observed);
+    let outcome = play(text, Some(deviation_plan), &mut observed);
     (outcome, observed.acts)
 }
 
@@ -135,7 +138,7 @@
     effects: EffectDigest,
 }
 
-fn play(text: &str, walk: Option<Walk>, observed: &mut Observed) -> Result<(), String> {
+fn play(text: &str, deviation_plan: Option<DeviationPlan>, observed: &mut Observed) -> Result<(), String> {
     let Script {
         setup,
         mut agenda,
@@ -144,10 +147,13 @@
         judged,
     } = Script::parse(text)?;
     let mut simulation = setup.begin();
-    simulation.walk = walk;
+    simulation.deviation_plan = deviation_plan;
     play_until(&mut simulation, &mut agenda, &files, until_ms)?;
     simulation.check_books();
-    observed.acts = simulation.walk.as_ref().map_or(0, |walk| walk.acts);
+    observed.acts = simulation
+        .deviation_plan
+        .as_ref()
+        .map_or(0, |plan| plan.leader_operations);
     let verdict = expectations::judge(&mut simulation, judged);
     observed.effects = std::mem::take(&mut simulation.effects);
     verdict
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -49,7 +49,7 @@
         simulation.condor_run_s = self.condor_run_s.unwrap_or(CONDOR_RUN_S);
         simulation.shares_rate = self.shares_rate;
         if self.limits {
-            simulation.state.limits = Some(simulation.state_limits());
+            simulation.state.rate_limits = Some(simulation.state_limits());
         }
         simulation.waiting.meant = self.waits;
         simulation
@@ -264,12 +264,12 @@
         tasks: amount("tasks", "1")? as u32,
         gpus: amount("gpus", "1")?,
         run_s: amount("run", "10")?,
-        checkpoint_s: amount("checkpoint", "0")?,
-        save_s: amount("save", "0")?,
+        checkpoint_interval_s: amount("checkpoint", "0")?,
+        checkpoint_save_s: amount("save", "0")?,
         image: get("image", "img-1"),
         image_gb: amount("image_gb", "1")?,
-        broken: flag("broken"),
-        counts: counts(&get("counts", ""))?,
+        always_fails: flag("broken"),
+        counted_units: counts(&get("counts", ""))?,
         ..ObservedJob::default()
     };
     let mut body = json!({
@@ -280,11 +280,11 @@
         "Rigs": keyed.get("types").map(|types| types.split(',').collect::<Vec<_>>()),
         "Yard": optional("zone"), "OneZone": flag("one_zone"), "Apart": flag("apart"), "Loaners": flag("spot"),
         "RuntimeS": if shape == "daemon" { 0.0 } else { amount("estimate", &get("run", "10"))? },
-        "StashEveryS": facts.checkpoint_s, "StashS": facts.save_s,
+        "StashEveryS": facts.checkpoint_interval_s, "StashS": facts.checkpoint_save_s,
         "DueS": keyed.get("due").map(|due| number(due)).transpose()?,
     });
-    if !facts.counts.is_empty() {
-        body["Counts"] = json!(facts.counts);
+    if !facts.counted_units.is_empty() {
+        body["Counts"] = json!(facts.counted_units);
     }
     Ok((body.clone(), ObservedJob { body, ..facts }))
 }
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -1,14 +1,14 @@
 //! Scenarios drawn by seed, or alike but for their timings, as tests play them.
 
-use crate::{play_all, run};
+use crate::{run, run_cases};
 
 /// Failing seeds that are printed as the scenarios that they are; the others by number alone.
 const PRINTED: usize = 30;
 
 /// What became of some seeds.
-pub struct Seeds {
+pub struct SeedResults {
     /// All that were played.
-    pub all: std::ops::Range<u64>,
+    pub played: std::ops::Range<u64>,
     pub failed: Vec<u64>,
 }
 
@@ -17,12 +17,12 @@
 ///
 /// # Panics
 /// Where one of these is no number.
-pub fn play_seeds(
+pub fn run_seeds(
     name: &str,
     usual: u64,
     scenario: impl Fn(u64) -> String + Sync,
     play: impl Fn(&str) -> Result<(), String> + Sync,
-) -> Seeds {
+) -> SeedResults {
     let asked = |what: &str, usual: u64| {
         let text = std::env::var(format!("{name}_{what}"));
         text.map_or(usual, |text| text.parse().expect("a number of seeds"))
@@ -31,27 +31,27 @@
     let all = from..from + asked("SEEDS", usual);
     let seed = |at: usize| from + at as u64;
     let count = (all.end - all.start) as usize;
-    let failed = play_all(count, |at| play(&scenario(seed(at))));
+    let failed = run_cases(count, |at| play(&scenario(seed(at))));
     println!("{count} seeds from {from} on, {} failed", failed.len());
     for (at, problem) in failed.iter().take(PRINTED) {
         let told = problem.replace('\n', "\n# ");
         println!("# seed {}: {told}\n{}", seed(*at), scenario(seed(*at)));
     }
-    Seeds {
-        all,
+    SeedResults {
+        played: all,
         failed: failed.into_iter().map(|(at, _)| seed(at)).collect(),
     }
 }
 
 /// Times from one on, so far apart, up to another.
-pub fn steps(from: f64, to: f64, every: f64) -> impl Iterator<Item = f64> {
+pub fn time_steps(from: f64, to: f64, every: f64) -> impl Iterator<Item = f64> {
     let count = ((to - from) / every).round() as u32;
     (0..count).map(move |step| from + f64::from(step) * every)
 }
 
 /// Plays scenarios of one kind, and prints how many failed and the first of them; returns how many.
-pub fn play_ways(kind: &str, ways: &[String]) -> usize {
-    let failed = play_all(ways.len(), |at| run(&ways[at]));
+pub fn run_variants(kind: &str, ways: &[String]) -> usize {
+    let failed = run_cases(ways.len(), |at| run(&ways[at]));
     println!("{kind}: {} ways, {} failed", ways.len(), failed.len());
     for (at, problem) in failed.iter().take(PRINTED) {
         println!("---\n{}{problem}", ways[*at]);
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -9,7 +9,7 @@
 use crate::effect_digest::EffectDigest;
 use crate::fault_combinations::FaultCombinations;
 use crate::job_stream::Stream;
-use crate::licence_server::{Fate, Feature, LicenceServer};
+use crate::licence_server::{ClientState, Feature, LicenceServer};
 use crate::response_checks::Answers;
 use crate::state::{Reply, StateService};
 use crate::waiting_checks::Waiting;
@@ -55,38 +55,38 @@
     pub tasks: u32,
     pub gpus: f64,
     pub run_s: f64,
-    pub checkpoint_s: f64,
-    pub save_s: f64,
+    pub checkpoint_interval_s: f64,
+    pub checkpoint_save_s: f64,
     pub image: String,
     pub image_gb: f64,
-    pub done: BTreeSet<u32>,
-    pub saved_s: f64,
+    pub completed_tasks: BTreeSet<u32>,
+    pub checkpointed_s: f64,
     /// Submitted with a mistake: it fails everywhere.
-    pub broken: bool,
+    pub always_fails: bool,
     /// Seats that each task checks out.
-    pub counts: BTreeMap<String, u32>,
+    pub counted_units: BTreeMap<String, u32>,
     pub accepted: bool,
     /// When its user first knew of that, and when any question about it was last answered.
     pub accepted_at: Option<u64>,
-    pub known_at: Option<u64>,
+    pub last_answered_at: Option<u64>,
     /// When it first ran: of a gang all tasks together, of a service all replicas.
-    pub begun_at: Option<u64>,
-    pub wants_cancel: bool,
-    pub told: Option<String>,
-    pub cancelled_at: Option<u64>,
-    pub done_told_at: Option<u64>,
-    pub starts: u32,
+    pub started_at: Option<u64>,
+    pub cancel_requested: bool,
+    pub reported_status: Option<String>,
+    pub cancel_confirmed_at: Option<u64>,
+    pub completion_reported_at: Option<u64>,
+    pub task_starts: u32,
     pub class: String,
     /// When its user first asked, and asked for its end.
-    pub asked_at: Option<u64>,
-    pub withdrawn_at: Option<u64>,
+    pub submitted_at: Option<u64>,
+    pub cancel_requested_at: Option<u64>,
     /// It can never run, its user was told.
-    pub refused: bool,
+    pub rejected: bool,
     /// Tasks that were ever on a machine; of a gang, all of them once it ran.
-    pub started: BTreeSet<u32>,
+    pub started_tasks: BTreeSet<u32>,
     /// Replica time since it must be served, in ms: what there was, and what was asked for.
-    pub up_ms: u64,
-    pub due_ms: u64,
+    pub replica_up_ms: u64,
+    pub replica_wanted_ms: u64,
     /// Of a submit file: what its record says of machines, and which cluster it is of.
     pub spec: Option<Value>,
     pub cluster: Option<u64>,
@@ -94,20 +94,20 @@
 
 impl ObservedJob {
     /// Its user wants its end, from then on.
-    pub(crate) fn take_back(&mut self, at: u64) {
-        self.wants_cancel = true;
-        self.withdrawn_at.get_or_insert(at);
+    pub(crate) fn request_cancel(&mut self, at: u64) {
+        self.cancel_requested = true;
+        self.cancel_requested_at.get_or_insert(at);
     }
 }
 
 /// A submit file that a user sends until it is answered.
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct SubmittedFile {
     pub body: Vec<u8>,
-    pub next_at: u64,
+    pub next_attempt_at: u64,
     pub nodes: Vec<usize>,
     /// Status and body of the answer that settled it.
-    pub answer: Option<(u16, Value)>,
+    pub response: Option<(u16, Value)>,
 }
 
 /// What a controller asks of another system.
@@ -338,37 +338,37 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deviation {
     /// Carried out; the answer is lost.
-    LoseAnswer,
+    LoseResponse,
     /// Never carried out, and nobody says so.
-    Lose,
+    LoseRequest,
     /// Carried out 12 s later, when its sender has given up.
-    Late,
+    Delay,
     /// Its sender ends before it is carried out.
-    EndBefore,
+    CrashBefore,
     /// Its sender ends once it is carried out.
-    EndAfter,
+    CrashAfter,
     /// From now on the state service refuses its sender, for longer than a lease.
-    Lapse,
+    RefuseSender,
 }
 
 impl Deviation {
     pub const ALL: [Deviation; 6] = [
-        Deviation::LoseAnswer,
-        Deviation::Lose,
-        Deviation::Late,
-        Deviation::EndBefore,
-        Deviation::EndAfter,
-        Deviation::Lapse,
+        Deviation::LoseResponse,
+        Deviation::LoseRequest,
+        Deviation::Delay,
+        Deviation::CrashBefore,
+        Deviation::CrashAfter,
+        Deviation::RefuseSender,
     ];
 }
 
 /// A walk: acts of leaders are counted, and some of them go another way.
 #[derive(Debug, Clone, Default)]
-pub struct Walk {
+pub struct DeviationPlan {
     /// By the number of the act, counted from 0.
     pub deviations: BTreeMap<usize, Deviation>,
     /// Acts so far.
-    pub acts: usize,
+    pub leader_operations: usize,
 }
 
 /// How late a late call is carried out in a walk, in ms.
@@ -415,7 +415,7 @@
     pub(crate) shares_rate: bool,
     /// Calls dropped as their permits had run out.
     pub(crate) late_permits: u32,
-    pub(crate) walk: Option<Walk>,
+    pub(crate) deviation_plan: Option<DeviationPlan>,
     /// Acts of a replaced leader at the cloud that took effect, and of which no record told its
     /// successor.
     pub(crate) unknown_acts: u32,
@@ -439,7 +439,7 @@
     /// When anything last kept users from being answered.
     pub(crate) trouble_at: u64,
     /// Submit files that were sent, by name.
-    pub(crate) sent: BTreeMap<String, Sent>,
+    pub(crate) sent: BTreeMap<String, SubmittedFile>,
     /// How long tasks of submit files run, in s.
     pub(crate) condor_run_s: f64,
     pub(crate) books: AccountingCheck,
@@ -529,7 +529,7 @@
             begun: 0,
             shares_rate: false,
             late_permits: 0,
-            walk: None,
+            deviation_plan: None,
             unknown_acts: 0,
             warnings: Vec::new(),
             value_kb: overrides.value_kb,
@@ -772,7 +772,7 @@
 
     pub(crate) fn step(&mut self) {
         self.now += STEP_MS;
-        self.state.expire(self.now);
+        self.state.expire_leases(self.now);
         for index in 0..NODES {
             if self.nodes[index].node.is_none() && self.now >= self.nodes[index].restart_at {
                 self.boot(index);
@@ -986,7 +986,14 @@
                 outcome,
             } => {
                 if let Some(worker) = self.workers.get_mut(&worker) {
-                    worker.answered(number, agent_epoch, outcome, NODES, &self.jobs, self.now);
+                    worker.handle_heartbeat_response(
+                        number,
+                        agent_epoch,
+                        outcome,
+                        NODES,
+                        &self.jobs,
+                        self.now,
+                    );
                 }
             }
             Event::Frame { to, bytes } => {
@@ -1159,18 +1166,18 @@
         }
         match self.deviation(to, method, path, body) {
             None => (),
-            Some(Deviation::LoseAnswer) => silent = true,
-            Some(Deviation::Lose) => return,
-            Some(Deviation::Late) => {
+            Some(Deviation::LoseResponse) => silent = true,
+            Some(Deviation::LoseRequest) => return,
+            Some(Deviation::Delay) => {
                 self.post(WALK_LATE_MS, Event::Call(Call { life: 0, ..asked }));
                 return;
             }
-            Some(Deviation::EndBefore) => {
+            Some(Deviation::CrashBefore) => {
                 self.end(node, RESTART_MS);
                 return;
             }
-            Some(Deviation::EndAfter) => self.end(node, RESTART_MS),
-            Some(Deviation::Lapse) => {
+            Some(Deviation::CrashAfter) => self.end(node, RESTART_MS),
+            Some(Deviation::RefuseSender) => {
                 self.refused.insert(node, self.now + WALK_LAPSE_MS);
             }
         }
@@ -1192,26 +1199,26 @@
             }
         }
         let answer: Option<(u16, Vec<u8>)> = match to {
-            Destination::State if !self.state.admits(path, body, self.now) => {
+            Destination::State if !self.state.admits_request(path, body, self.now) => {
                 Some((429, json_bytes(&Value::Null)))
             }
             Destination::State => {
                 if self.state.outage || self.refuses(node) {
                     Some((503, json_bytes(&Value::Null)))
                 } else {
-                    let (changes, now) = (self.state.changes, self.now);
+                    let (changes, now) = (self.state.applied_changes, self.now);
                     let reply = self.state.handle(method, path, body, now);
                     self.calls
-                        .note("changes", (self.state.changes - changes) as usize, now);
-                    if self.state.changes > changes {
+                        .note("changes", (self.state.applied_changes - changes) as usize, now);
+                    if self.state.applied_changes > changes {
                         if let Err(problem) = self.books.learn(body) {
                             self.violation("owner_changed", problem);
                         }
                         learn_jobs(&mut self.jobs, body, self.condor_run_s);
                     }
                     match reply {
-                        Reply::Now(status, value) => Some((status, json_bytes(&value))),
-                        Reply::Wait { prefix, after, until } => {
+                        Reply::Immediate(status, value) => Some((status, json_bytes(&value))),
+                        Reply::LongPoll { prefix, after, until } => {
                             self.watches.push(Watch {
                                 node,
                                 life,
@@ -1231,7 +1238,7 @@
                     self.check_holder(node, path, body);
                 }
                 let (status, value) = self.cloud.handle(method, path, body, self.now);
-                for id in self.cloud.take_returned() {
+                for id in self.cloud.take_released() {
                     self.workers.remove(&id);
                 }
                 Some((status, json_bytes(&value)))
@@ -1249,9 +1256,9 @@
                     return;
                 }
                 Some(if path == "/do" {
-                    worker.direct(body, &self.jobs, self.now)
+                    worker.handle_direct_commands(body, &self.jobs, self.now)
                 } else {
-                    (200, worker.report(self.now))
+                    (200, worker.heartbeat(self.now))
                 })
             }
         };
@@ -1317,7 +1324,7 @@
     /// What becomes of this act of a leader in a walk: a transaction of its own, a direct command
     /// with orders, a rental or a return.
     fn deviation(&mut self, to: &Destination, method: &str, path: &str, body: &[u8]) -> Option<Deviation> {
-        let walk = self.walk.as_mut()?;
+        let plan = self.deviation_plan.as_mut()?;
         let text = String::from_utf8_lossy(body);
         let act = match to {
             Destination::State => path == "/multi" && text.contains("\"leader\""),
@@ -1328,8 +1335,8 @@
         if !act {
             return None;
         }
-        walk.acts += 1;
-        walk.deviations.get(&(walk.acts - 1)).copied()
+        plan.leader_operations += 1;
+        plan.deviations.get(&(plan.leader_operations - 1)).copied()
     }
 
     /// What a replaced leader does at the cloud must stand in the records that its successor reads:
@@ -1349,7 +1356,7 @@
                 let known = self.returns_on_record();
                 let there = |id: &String| {
                     let machine = self.cloud.machines.get(id);
-                    machine.is_some_and(|machine| machine.gone_at.is_none())
+                    machine.is_some_and(|machine| machine.removed_at.is_none())
                 };
                 let names = names.machines.into_iter();
                 names.filter(|id| there(id) && !known.contains(id)).collect()
@@ -1357,7 +1364,7 @@
             "/rentals" => {
                 let request: LaunchRequest = serde_json::from_slice(body).unwrap();
                 let key = format!("h/{}", request.request);
-                let known = self.state.value(&key).is_some() || self.cloud.knows(&request.request);
+                let known = self.state.value(&key).is_some() || self.cloud.has_executed(&request.request);
                 if known { Vec::new() } else { vec![request.request] }
             }
             _ => Vec::new(),
@@ -1370,7 +1377,7 @@
 
     /// Machines whose return stands in the records.
     fn returns_on_record(&self) -> BTreeSet<String> {
-        let shards = self.state.under("s/");
+        let shards = self.state.values_under("s/");
         let records = shards
             .filter_map(|value| ShardRecord::from_value(value).ok())
             .filter_map(|shard| shard.machines().ok())
@@ -1417,8 +1424,8 @@
             }
             let news = self
                 .state
-                .news(&watch.prefix, watch.after)
-                .or_else(|| (self.now >= watch.until).then(|| self.state.empty_news()));
+                .watch_response(&watch.prefix, watch.after)
+                .or_else(|| (self.now >= watch.until).then(|| self.state.empty_watch_response()));
             match news {
                 Some(news) => {
                     let outcome = Outcome::Answer {
@@ -1444,7 +1451,9 @@
             .machines
             .iter()
             .filter(|(id, machine)| {
-                machine.up_at <= self.now && machine.gone_at.is_none() && !self.workers.contains_key(*id)
+                machine.ready_at <= self.now
+                    && machine.removed_at.is_none()
+                    && !self.workers.contains_key(*id)
             })
             .map(|(id, _)| id.clone())
             .collect();
@@ -1457,13 +1466,13 @@
                 .iter()
                 .find(|known| known.name == machine.machine_type);
             worker.cache_gb = known.map_or(f64::INFINITY, |known| known.cache_gb);
-            worker.shares_rate = self.shares_rate;
+            worker.fetches_share_rate = self.shares_rate;
             self.workers.insert(id, worker);
         }
         let taken: Vec<String> = self
             .workers
             .values()
-            .filter(|worker| worker.notice_at.is_some_and(|at| self.now >= at))
+            .filter(|worker| worker.reclaim_at.is_some_and(|at| self.now >= at))
             .map(|worker| worker.id.clone())
             .collect();
         for id in taken {
@@ -1476,9 +1485,9 @@
                 continue;
             };
             let arrived = worker.step(&mut self.jobs, self.now);
-            self.begun += std::mem::take(&mut worker.begun);
+            self.begun += std::mem::take(&mut worker.fetches_started);
             let (node, agent_epoch) = (worker.node, worker.agent_epoch);
-            if let Some((number, body)) = worker.due_report(self.now) {
+            if let Some((number, body)) = worker.due_heartbeat(self.now) {
                 let event = Event::Report {
                     worker: id.clone(),
                     agent_epoch,
@@ -1489,7 +1498,7 @@
                 self.send(&id, &format!("n{node}"), event);
             }
             for task in arrived {
-                self.fetches += u32::from(self.now > task.since + STEP_MS);
+                self.fetches += u32::from(self.now > task.state_since + STEP_MS);
                 self.check_out(&id, &task);
                 self.check_start(&id, &task.job, task.index);
             }
@@ -1503,14 +1512,15 @@
             return;
         }
         let workers = &self.workers;
-        self.licences
-            .step(self.now, |client| Fate::on(workers.get(&client.host), client));
+        self.licences.step(self.now, |client| {
+            ClientState::of(workers.get(&client.host), client)
+        });
     }
 
     /// A task that came to be on a machine checks its seats out.
     fn check_out(&mut self, machine: &str, task: &worker::Task) {
-        let counts = &self.jobs[&task.job].counts;
-        for count in self.licences.admit(counts, machine, task) {
+        let counts = &self.jobs[&task.job].counted_units;
+        for count in self.licences.check_out_all(counts, machine, task) {
             self.violation(
                 "oversubscribed",
                 format!("{} is refused a seat of {count}", task.name()),
@@ -1526,7 +1536,7 @@
         let mut gangs: BTreeMap<(String, u64), Vec<TaskState>> = BTreeMap::new();
         for worker in self.workers.values() {
             let hung = self.now < worker.hung_until;
-            for task in worker.tasks.iter().filter(|task| task.on() && !hung) {
+            for task in worker.tasks.iter().filter(|task| task.is_on_machine() && !hung) {
                 gangs
                     .entry((task.job.clone(), task.attempt))
                     .or_default()
@@ -1541,29 +1551,28 @@
             }
             let all = states.len() as u32 == facts.tasks;
             let start = all && states.iter().all(|state| *state == TaskState::Waiting);
-            let done = facts.done.len() as u32 == facts.tasks;
+            let done = facts.completed_tasks.len() as u32 == facts.tasks;
             for task in self.workers.values_mut().flat_map(|worker| &mut worker.tasks) {
-                if task.job != job || task.attempt != attempt || !task.on() {
+                if task.job != job || task.attempt != attempt || !task.is_on_machine() {
                     continue;
                 }
                 if start {
                     ran.insert(job.clone());
                     task.state = TaskState::Running;
-                    task.since = self.now;
-                    task.progress_from = facts.saved_s;
+                    task.state_since = self.now;
+                    task.base_progress_s = facts.checkpointed_s;
                 } else if done && task.state == TaskState::Running {
                     task.exit(indigopath_controller::protocol::TaskEndCause::Done);
                 } else if task.state == TaskState::Running {
                     let missing = !all;
-                    task.lost_mates_at =
-                        missing.then(|| task.lost_mates_at.unwrap_or(self.now + GANG_PEER_MS));
+                    task.gang_exit_at = missing.then(|| task.gang_exit_at.unwrap_or(self.now + GANG_PEER_MS));
                 }
             }
         }
         for id in ran {
             if let Some(facts) = self.jobs.get_mut(&id) {
-                facts.started = (0..facts.tasks).collect();
-                facts.begun_at.get_or_insert(self.now);
+                facts.started_tasks = (0..facts.tasks).collect();
+                facts.started_at.get_or_insert(self.now);
             }
         }
     }
@@ -1580,10 +1589,10 @@
         self.step_clusters();
         for job in due {
             let facts = &self.jobs[&job];
-            let over = matches!(facts.told.as_deref(), Some("done" | "cancelled"));
+            let over = matches!(facts.reported_status.as_deref(), Some("done" | "cancelled"));
             let kind = if !facts.accepted {
                 UserKind::Submit
-            } else if facts.wants_cancel && !over {
+            } else if facts.cancel_requested && !over {
                 UserKind::Cancel
             } else {
                 UserKind::Poll
@@ -1601,8 +1610,8 @@
         let now = self.now;
         let mut due = Vec::new();
         for (name, sent) in &mut self.sent {
-            if sent.answer.is_none() && now >= sent.next_at {
-                sent.next_at = now + 1_000;
+            if sent.response.is_none() && now >= sent.next_attempt_at {
+                sent.next_attempt_at = now + 1_000;
                 sent.nodes.rotate_left(1);
                 due.push((name.clone(), sent.nodes[0]));
             }
@@ -1615,7 +1624,7 @@
 
     fn cluster_told(&mut self, name: &str, status: u16, body: &[u8]) {
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
-        let before = self.sent.get(name).and_then(|sent| sent.answer.clone());
+        let before = self.sent.get(name).and_then(|sent| sent.response.clone());
         match (&before, status) {
             // Come again.
             (_, 503) | (Some((201, _)), 201) => (),
@@ -1637,7 +1646,7 @@
             .sent
             .iter()
             .filter(|(_, sent)| self.sent.get(name).is_none_or(|own| own.body != sent.body))
-            .filter_map(|(_, sent)| Some(sent.answer.as_ref()?.1["cluster"].clone()))
+            .filter_map(|(_, sent)| Some(sent.response.as_ref()?.1["cluster"].clone()))
             .collect();
         if status == 201 && others.contains(&answer["cluster"]) {
             self.violation(
@@ -1658,7 +1667,7 @@
         if let Some(sent) = self.sent.get_mut(name)
             && status != 503
         {
-            sent.answer = Some((status, answer));
+            sent.response = Some((status, answer));
         }
     }
 
@@ -1740,7 +1749,7 @@
                 facts.accepted = true;
                 facts.accepted_at.get_or_insert(now);
             }
-            (UserKind::Submit, 400 | 422) if !facts.accepted => facts.refused = true,
+            (UserKind::Submit, 400 | 422) if !facts.accepted => facts.rejected = true,
             (_, 400 | 404 | 422) if facts.accepted => {
                 self.violation("forgotten", format!("{job} got {status}"));
                 return;
@@ -1753,7 +1762,7 @@
         }
         let answer: Value = serde_json::from_slice(body).unwrap();
         let told = answer["Status"].as_str().unwrap().to_owned();
-        self.jobs.get_mut(job).unwrap().known_at = Some(now);
+        self.jobs.get_mut(job).unwrap().last_answered_at = Some(now);
         self.told(job, &told);
     }
 
@@ -1761,15 +1770,15 @@
     fn told(&mut self, job: &str, told: &str) {
         let now = self.now;
         let facts = self.jobs.get_mut(job).unwrap();
-        let before = facts.told.replace(told.to_owned());
-        let complete = facts.done.len() as u32 == facts.tasks && facts.shape != "daemon";
+        let before = facts.reported_status.replace(told.to_owned());
+        let complete = facts.completed_tasks.len() as u32 == facts.tasks && facts.shape != "daemon";
         // A submit file's jobs are taken back under their cluster's number.
-        let (wanted, of_file) = (facts.wants_cancel, facts.cluster.is_some());
+        let (wanted, of_file) = (facts.cancel_requested, facts.cluster.is_some());
         if told == "cancelled" {
-            facts.cancelled_at.get_or_insert(now);
+            facts.cancel_confirmed_at.get_or_insert(now);
         }
         if told == "done" {
-            facts.done_told_at.get_or_insert(now);
+            facts.completion_reported_at.get_or_insert(now);
         }
         if let Some(before) = before.filter(|before| matches!(before.as_str(), "done" | "cancelled"))
             && before != told
@@ -1791,21 +1800,21 @@
             worker
                 .tasks
                 .iter()
-                .filter(|task| task.on())
+                .filter(|task| task.is_on_machine())
                 .map(move |task| (worker, task))
         })
     }
 
     fn check_start(&mut self, machine: &str, job: &str, index: u32) {
         let facts = self.jobs.get_mut(job).unwrap();
-        facts.starts += 1;
+        facts.task_starts += 1;
         self.note_start(job);
         let facts = self.jobs.get_mut(job).unwrap();
         if facts.shape != "gang" {
-            facts.started.insert(index);
+            facts.started_tasks.insert(index);
         }
         if facts.shape == "sweep" {
-            facts.begun_at.get_or_insert(self.now);
+            facts.started_at.get_or_insert(self.now);
         }
         let facts = facts.clone();
         self.check_protected_start(machine, job);
@@ -1860,7 +1869,10 @@
                 format!("{name} on {machine} ({machine_type}, {zone}, spot {spot})"),
             );
         }
-        if facts.cancelled_at.is_some_and(|at| self.now > at + CANCEL_MS) {
+        if facts
+            .cancel_confirmed_at
+            .is_some_and(|at| self.now > at + CANCEL_MS)
+        {
             self.violation("ran_cancelled", format!("{name} starts"));
         }
     }
@@ -1871,7 +1883,10 @@
         for (_, task) in self.on_machines() {
             let facts = &self.jobs[&task.job];
             *used.entry(facts.team.clone()).or_default() += facts.gpus;
-            if facts.cancelled_at.is_some_and(|at| self.now > at + CANCEL_MS) {
+            if facts
+                .cancel_confirmed_at
+                .is_some_and(|at| self.now > at + CANCEL_MS)
+            {
                 overdue.push(task.name());
             }
         }
@@ -1908,13 +1923,13 @@
         for (id, facts) in &mut self.jobs {
             let up = up.get(id).copied().unwrap_or(0);
             if facts.shape == "daemon" && up >= u64::from(facts.tasks) {
-                facts.begun_at.get_or_insert(now);
+                facts.started_at.get_or_insert(now);
             }
-            let due = facts.asked_at.is_some_and(|at| now >= at + SERVED_AFTER_MS);
-            if facts.shape == "daemon" && due && facts.withdrawn_at.is_none() {
+            let due = facts.submitted_at.is_some_and(|at| now >= at + SERVED_AFTER_MS);
+            if facts.shape == "daemon" && due && facts.cancel_requested_at.is_none() {
                 let tasks = u64::from(facts.tasks);
-                facts.due_ms += tasks * SERVED_STEP_MS;
-                facts.up_ms += up.min(tasks) * SERVED_STEP_MS;
+                facts.replica_wanted_ms += tasks * SERVED_STEP_MS;
+                facts.replica_up_ms += up.min(tasks) * SERVED_STEP_MS;
             }
         }
     }
@@ -1940,16 +1955,16 @@
 
     /// Of one job, if it counts.
     pub(crate) fn served_of(&self, facts: &ObservedJob) -> Option<(f64, f64)> {
-        let due_at = facts.asked_at? + SERVED_AFTER_MS;
-        let until = facts.withdrawn_at.unwrap_or(self.now);
-        if until < due_at || facts.refused || facts.broken {
+        let due_at = facts.submitted_at? + SERVED_AFTER_MS;
+        let until = facts.cancel_requested_at.unwrap_or(self.now);
+        if until < due_at || facts.rejected || facts.always_fails {
             return None;
         }
         let asked = f64::from(facts.tasks);
         let served = match facts.shape.as_str() {
-            "daemon" if facts.due_ms == 0 => return None,
-            "daemon" => asked * facts.up_ms as f64 / facts.due_ms as f64,
-            _ => facts.started.union(&facts.done).count() as f64,
+            "daemon" if facts.replica_wanted_ms == 0 => return None,
+            "daemon" => asked * facts.replica_up_ms as f64 / facts.replica_wanted_ms as f64,
+            _ => facts.started_tasks.union(&facts.completed_tasks).count() as f64,
         };
         Some((served, asked))
     }
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Changes that the service keeps for watches.
-const HISTORY: usize = 10_000;
+const WATCH_HISTORY_SIZE: usize = 10_000;
 
 #[derive(Default)]
 pub struct StateService {
@@ -17,29 +17,29 @@
     next_lease: u64,
     history: VecDeque<(u64, WatchEvent)>,
     pub outage: bool,
-    outage_began: Option<u64>,
+    outage_started_at: Option<u64>,
     /// Transactions that met a condition on the leader's key that no longer held.
-    pub fenced: u32,
+    pub fenced_transactions: u32,
     /// Puts and deletes so far.
-    pub changes: u64,
+    pub applied_changes: u64,
     /// Requests and changes a second that it takes, where a scenario sets them.
-    pub limits: Option<(f64, f64)>,
+    pub rate_limits: Option<(f64, f64)>,
     /// What of them is left, and as of when.
-    left: (f64, f64, u64),
+    remaining_quota: (f64, f64, u64),
     /// Changes up to here are told no longer, whatever their number.
-    forgot: u64,
+    compacted_revision: u64,
 }
 
 /// An answer, or a watch that goes on waiting.
 pub enum Reply {
-    Now(u16, Value),
-    Wait { prefix: String, after: u64, until: u64 },
+    Immediate(u16, Value),
+    LongPoll { prefix: String, after: u64, until: u64 },
 }
 
 impl StateService {
     pub fn start_outage(&mut self, now: u64) {
         self.outage = true;
-        self.outage_began = Some(now);
+        self.outage_started_at = Some(now);
     }
 
     pub fn end_outage(&mut self, now: u64) {
@@ -48,10 +48,10 @@
         for (ttl, expires) in self.leases.values_mut() {
             *expires = now + *ttl;
         }
-        self.outage_began = None;
+        self.outage_started_at = None;
     }
 
-    pub fn expire(&mut self, now: u64) {
+    pub fn expire_leases(&mut self, now: u64) {
         if self.outage {
             return;
         }
@@ -62,11 +62,11 @@
             .map(|(id, _)| *id)
             .collect();
         for lease in over {
-            self.end_lease(lease);
+            self.revoke_lease(lease);
         }
     }
 
-    fn end_lease(&mut self, lease: u64) -> bool {
+    fn revoke_lease(&mut self, lease: u64) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
         }
@@ -87,19 +87,19 @@
 
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.note(WatchEvent::Delete { key: key.to_owned() });
+            self.record_event(WatchEvent::Delete { key: key.to_owned() });
         }
     }
 
-    fn note(&mut self, event: WatchEvent) {
+    fn record_event(&mut self, event: WatchEvent) {
         self.history.push_back((self.revision, event));
-        if self.history.len() > HISTORY {
+        if self.history.len() > WATCH_HISTORY_SIZE {
             self.history.pop_front();
         }
     }
 
     /// Puts a value there, as some other build would have.
-    pub fn put(&mut self, key: &str, value: Value) {
+    pub fn put_externally(&mut self, key: &str, value: Value) {
         let body = json!({ "If": [], "Then": [{ "Put": key, "V": value }] });
         self.handle("POST", "/multi", body.to_string().as_bytes(), 0);
     }
@@ -109,7 +109,7 @@
     }
 
     /// Values of all keys with this prefix.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Value> {
+    pub fn values_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Value> {
         let keys = self.keys.iter().filter(move |(key, _)| key.starts_with(prefix));
         keys.map(|(_, (value, _, _))| value)
     }
@@ -119,7 +119,7 @@
     }
 
     /// What a watch would be told now, if anything.
-    pub fn news(&self, prefix: &str, after: u64) -> Option<Value> {
+    pub fn watch_response(&self, prefix: &str, after: u64) -> Option<Value> {
         // In the order of their revisions: most watches look at none of the 10,000.
         let since = self.history.partition_point(|(revision, _)| *revision <= after);
         let events: Vec<WatchEvent> = self
@@ -143,16 +143,16 @@
         })
     }
 
-    pub fn empty_news(&self) -> Value {
+    pub fn empty_watch_response(&self) -> Value {
         json!({ "Ledger": self.revision, "News": [] })
     }
 
     /// Whether a request is within the limits; bursts of one second are.
-    pub fn admits(&mut self, path: &str, body: &[u8], now: u64) -> bool {
-        let Some((requests, changes)) = self.limits else {
+    pub fn admits_request(&mut self, path: &str, body: &[u8], now: u64) -> bool {
+        let Some((requests, changes)) = self.rate_limits else {
             return true;
         };
-        let (mut left, mut left_changes, at) = self.left;
+        let (mut left, mut left_changes, at) = self.remaining_quota;
         let elapsed = now.saturating_sub(at) as f64 / 1000.0;
         left = (left + elapsed * requests).min(requests);
         left_changes = (left_changes + elapsed * changes).min(changes);
@@ -163,7 +163,7 @@
             left -= 1.0;
             left_changes -= wants;
         }
-        self.left = (left, left_changes, now);
+        self.remaining_quota = (left, left_changes, now);
         admits
     }
 
@@ -174,23 +174,23 @@
     }
 
     /// Somebody outside changes a record, or takes it away.
-    pub fn meddle(&mut self, key: &str, value: Option<Value>) {
+    pub fn modify_externally(&mut self, key: &str, value: Option<Value>) {
         self.revision += 1;
         match value {
             Some(value) => {
                 let version = self.revision;
                 self.keys.insert(key.to_owned(), (value.clone(), version, None));
                 let key = key.to_owned();
-                self.note(WatchEvent::Put { key, value, version });
+                self.record_event(WatchEvent::Put { key, value, version });
             }
             None => self.delete(key),
         }
     }
 
     /// Forgets all changes until now, as after 10,000 others.
-    pub fn forget_changes(&mut self) {
+    pub fn compact_history(&mut self) {
         self.history.clear();
-        self.forgot = self.revision;
+        self.compacted_revision = self.revision;
     }
 
     pub fn handle(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> Reply {
@@ -203,7 +203,7 @@
                 self.next_lease += 1;
                 self.leases
                     .insert(self.next_lease, (request.ttl_ms, now + request.ttl_ms));
-                Reply::Now(
+                Reply::Immediate(
                     200,
                     serde_json::to_value(LeaseResponse {
                         lease: self.next_lease,
@@ -211,28 +211,28 @@
                     .unwrap(),
                 )
             }
-            ("GET", "/store") => self.page(&query),
+            ("GET", "/store") => self.list_page(&query),
             ("GET", "/changes") => {
                 let after: u64 = query["From"].parse().unwrap();
                 let hold: u64 = query["HoldMs"].parse().unwrap();
-                let forgot = self.history.len() >= HISTORY && self.history[0].0 > after;
-                if forgot || after < self.forgot {
-                    return Reply::Now(410, json!({}));
+                let forgot = self.history.len() >= WATCH_HISTORY_SIZE && self.history[0].0 > after;
+                if forgot || after < self.compacted_revision {
+                    return Reply::Immediate(410, json!({}));
                 }
-                match self.news(query["Under"], after) {
-                    Some(news) => Reply::Now(200, news),
-                    None => Reply::Wait {
+                match self.watch_response(query["Under"], after) {
+                    Some(news) => Reply::Immediate(200, news),
+                    None => Reply::LongPoll {
                         prefix: query["Under"].to_owned(),
                         after,
                         until: now + hold,
                     },
                 }
             }
-            _ => self.one(method, path, now),
+            _ => self.handle_single_key(method, path, now),
         }
     }
 
-    fn one(&mut self, method: &str, path: &str, now: u64) -> Reply {
+    fn handle_single_key(&mut self, method: &str, path: &str, now: u64) -> Reply {
         if let Some(key) = path.strip_prefix("/store/") {
             return match self.keys.get(key) {
                 Some((value, version, lease)) => {
@@ -242,29 +242,29 @@
                         version: *version,
                         lease: *lease,
                     };
-                    Reply::Now(200, serde_json::to_value(item).unwrap())
+                    Reply::Immediate(200, serde_json::to_value(item).unwrap())
                 }
-                None => Reply::Now(404, json!({ "Ledger": self.revision })),
+                None => Reply::Immediate(404, json!({ "Ledger": self.revision })),
             };
         }
         let Some(rest) = path.strip_prefix("/holds/") else {
-            return Reply::Now(400, json!({}));
+            return Reply::Immediate(400, json!({}));
         };
         if method == "DELETE" {
-            let known = self.end_lease(rest.parse().unwrap());
-            return Reply::Now(if known { 200 } else { 404 }, json!({}));
+            let known = self.revoke_lease(rest.parse().unwrap());
+            return Reply::Immediate(if known { 200 } else { 404 }, json!({}));
         }
         let lease: u64 = rest.trim_end_matches("/touch").parse().unwrap();
         match self.leases.get_mut(&lease) {
             Some((ttl, expires)) => {
                 *expires = now + *ttl;
-                Reply::Now(200, json!({ "Permit": lease }))
+                Reply::Immediate(200, json!({ "Permit": lease }))
             }
-            None => Reply::Now(404, json!({})),
+            None => Reply::Immediate(404, json!({})),
         }
     }
 
-    fn page(&self, query: &BTreeMap<&str, &str>) -> Reply {
+    fn list_page(&self, query: &BTreeMap<&str, &str>) -> Reply {
         let prefix = query["Under"];
         let after = query.get("From").copied().unwrap_or("");
         let limit: usize = query.get("Limit").map_or(1000, |limit| limit.parse().unwrap());
@@ -282,7 +282,7 @@
             .collect();
         let more = items.len() > limit;
         items.truncate(limit);
-        Reply::Now(
+        Reply::Immediate(
             200,
             serde_json::to_value(StoredPage {
                 items,
@@ -319,18 +319,18 @@
             _ => false,
         });
         if lost_lease {
-            return Reply::Now(400, json!({ "error": "no such lease" }));
+            return Reply::Immediate(400, json!({ "error": "no such lease" }));
         }
         if !failed.is_empty() {
             let claim = transaction
                 .conditions
                 .iter()
                 .any(|condition| condition.key == "leader" && condition.version == 0);
-            self.fenced += u32::from(!claim && failed.iter().any(|key| key == "leader"));
-            return Reply::Now(409, json!({ "failed": failed, "Ledger": self.revision }));
+            self.fenced_transactions += u32::from(!claim && failed.iter().any(|key| key == "leader"));
+            return Reply::Immediate(409, json!({ "failed": failed, "Ledger": self.revision }));
         }
         self.revision += u64::from(!transaction.changes.is_empty());
-        self.changes += transaction.changes.len() as u64;
+        self.applied_changes += transaction.changes.len() as u64;
         for change in transaction.changes {
             match change {
                 Change::Put { key, value, lease } => {
@@ -344,7 +344,7 @@
                     );
                     self.keys
                         .insert(key.clone(), (value.clone(), self.revision, lease));
-                    self.note(WatchEvent::Put {
+                    self.record_event(WatchEvent::Put {
                         key,
                         value,
                         version: self.revision,
@@ -353,6 +353,6 @@
                 Change::Delete { key } => self.delete(&key),
             }
         }
-        Reply::Now(200, json!({ "Ledger": self.revision }))
+        Reply::Immediate(200, json!({ "Ledger": self.revision }))
     }
 }
--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -134,7 +134,7 @@
             || self
                 .workers
                 .values()
-                .any(|worker| self.now < worker.hung_until.max(worker.full_until))
+                .any(|worker| self.now < worker.hung_until.max(worker.refuses_starts_until))
     }
 
     /// Whether somebody waits beside room, so that more is to be seen.
@@ -221,7 +221,7 @@
     fn idle_rooms<'a>(&'a self, waiting: &'a Waiting) -> Vec<Room<'a>> {
         let sound = self.workers.values().filter(|worker| {
             let seen = waiting.rooms.get(&worker.id).map_or(0, VecDeque::len);
-            worker.notice_at.is_none() && !worker.faulty && seen == LOOKS
+            worker.reclaim_at.is_none() && !worker.faulty && seen == LOOKS
         });
         let rooms = sound.map(|worker| {
             let least = |a: Resources, b: &Resources| Resources {
@@ -255,7 +255,7 @@
                 continue;
             };
             *used.entry(&facts.team).or_default() += ask.needs;
-            for (count, units) in &facts.counts {
+            for (count, units) in &facts.counted_units {
                 *held.entry(count).or_default() += units;
             }
             let there = there.entry(&task.job).or_default();
@@ -266,9 +266,9 @@
         let none = There::default();
         let mut beside = BTreeMap::new();
         for (id, facts) in &self.jobs {
-            let over = facts.withdrawn_at.is_some() || facts.refused || facts.broken;
+            let over = facts.cancel_requested_at.is_some() || facts.rejected || facts.always_fails;
             let there = there.get(id.as_str()).unwrap_or(&none);
-            let placed = facts.done.union(&there.indexes).count() as u32;
+            let placed = facts.completed_tasks.union(&there.indexes).count() as u32;
             let Some(ask) = waiting.asks.get(id).filter(|_| !over && placed < facts.tasks) else {
                 continue;
             };
@@ -296,13 +296,13 @@
 
     /// Whether there are seats for so many more tasks. Shares of teams are not judged.
     fn has_units(&self, facts: &ObservedJob, tasks: u32, held: &BTreeMap<&str, u32>) -> bool {
-        facts.counts.iter().all(|(name, units)| {
+        facts.counted_units.iter().all(|(name, units)| {
             let Some(definition) = self.operator.counted_resources.get(name.as_str()) else {
                 return false;
             };
             let feature = self.licences.features.get(name);
             let (total, in_use) = feature.map_or((0, 0), |feature| (feature.total, feature.in_use()));
-            let others = feature.map_or(0, |feature| feature.others);
+            let others = feature.map_or(0, |feature| feature.external_units);
             let in_use = in_use.max(others + held.get(name.as_str()).copied().unwrap_or(0));
             definition.shares.is_empty() && in_use + units * tasks <= total.min(definition.units)
         })
--- a/crates/simulator/src/window_checks.rs
+++ b/crates/simulator/src/window_checks.rs
@@ -61,7 +61,7 @@
 impl Simulation {
     /// The best rank that protects the job now, by the true time of day.
     fn rank_now(&self, facts: &ObservedJob) -> Option<u16> {
-        if facts.shape != "daemon" || !facts.accepted || facts.withdrawn_at.is_some() {
+        if facts.shape != "daemon" || !facts.accepted || facts.cancel_requested_at.is_some() {
             return None;
         }
         let shifts =
@@ -128,14 +128,14 @@
         }
         let mut stops: Vec<(String, String)> = Vec::new();
         for worker in self.workers.values_mut() {
-            let stopped = std::mem::take(&mut worker.stopped);
-            if worker.notice_at.is_none() && !worker.faulty {
+            let stopped = std::mem::take(&mut worker.stopped_replicas);
+            if worker.reclaim_at.is_none() && !worker.faulty {
                 stops.extend(stopped.into_iter().map(|job| (worker.id.clone(), job)));
             }
         }
         for (machine, job) in stops {
             let facts = &self.jobs[&job];
-            if self.rank_now(facts).is_none() || facts.wants_cancel {
+            if self.rank_now(facts).is_none() || facts.cancel_requested {
                 continue;
             }
             let asked = self
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -13,23 +13,23 @@
 
 /// What the platform's settings say of workers, in ms.
 #[derive(Debug, Clone, Copy)]
-pub struct Times {
-    pub report_ms: u64,
+pub struct WorkerTimings {
+    pub heartbeat_interval_ms: u64,
     pub lease_ms: u64,
     pub gang_wait_ms: u64,
     /// Shortest time between two reports.
-    pub least_ms: u64,
+    pub min_heartbeat_gap_ms: u64,
     /// Wait before the next node is tried.
     pub retry_ms: u64,
 }
 
-impl Default for Times {
+impl Default for WorkerTimings {
     fn default() -> Self {
-        Times {
-            report_ms: 3_000,
+        WorkerTimings {
+            heartbeat_interval_ms: 3_000,
             lease_ms: 30_000,
             gang_wait_ms: 30_000,
-            least_ms: 500,
+            min_heartbeat_gap_ms: 500,
             retry_ms: 1_000,
         }
     }
@@ -41,18 +41,18 @@
     pub index: u32,
     pub attempt: u64,
     pub state: TaskState,
-    pub why: Option<TaskEndCause>,
-    pub saved: bool,
-    pub since: u64,
-    pub progress_from: f64,
+    pub end_cause: Option<TaskEndCause>,
+    pub checkpoint_saved: bool,
+    pub state_since: u64,
+    pub base_progress_s: f64,
     /// When it will have saved, and when its gang was told to stop.
-    pub stop_at: Option<u64>,
-    pub lost_mates_at: Option<u64>,
+    pub save_complete_at: Option<u64>,
+    pub gang_exit_at: Option<u64>,
 }
 
 impl Task {
     /// On its machine by the rules' reckoning: from having its image until it exits.
-    pub fn on(&self) -> bool {
+    pub fn is_on_machine(&self) -> bool {
         !matches!(self.state, TaskState::Exited | TaskState::Fetching)
     }
 
@@ -65,7 +65,7 @@
     pub id: String,
     /// Where direct commands reach it.
     pub addr: String,
-    pub times: Times,
+    pub timings: WorkerTimings,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -74,32 +74,32 @@
     pub token: u64,
     pub tasks: Vec<Task>,
     /// Images that it holds, with their size in GB, the latest used last.
-    images: Vec<(String, f64)>,
+    cached_images: Vec<(String, f64)>,
     /// How much of them it holds at most, in GB.
     pub cache_gb: f64,
     /// Images on their way, with what is left of each, in ms of a fetch alone.
-    fetching: BTreeMap<String, f64>,
+    fetch_remaining_ms: BTreeMap<String, f64>,
     /// Fetches at one time share the machine's rate.
-    pub shares_rate: bool,
+    pub fetches_share_rate: bool,
     /// Fetches begun since somebody last counted.
-    pub begun: u32,
-    stepped: u64,
+    pub fetches_started: u32,
+    last_step_at: u64,
     pub node: usize,
-    pub in_flight: Option<(u64, u64)>,
+    pub heartbeat_in_flight: Option<(u64, u64)>,
     /// When a higher token last counted as a change.
-    token_at: Option<u64>,
-    pub next_report: u64,
-    pub last_report: u64,
+    token_reported_at: Option<u64>,
+    pub next_heartbeat_at: u64,
+    pub last_heartbeat_at: u64,
     /// Sending time of the last answered report, or the agent epoch's beginning.
-    pub lease_from: u64,
+    pub lease_renewed_at: u64,
     pub hung_until: u64,
-    pub notice_at: Option<u64>,
+    pub reclaim_at: Option<u64>,
     pub faulty: bool,
     /// Until then it refuses whatever is to start, as if it were full.
-    pub full_until: u64,
+    pub refuses_starts_until: u64,
     /// Replicas that ran and were told to stop, by job, since this was last emptied.
-    pub stopped: Vec<String>,
-    reports: u64,
+    pub stopped_replicas: Vec<String>,
+    heartbeats_sent: u64,
 }
 
 impl Worker {
@@ -107,7 +107,7 @@
         Worker {
             id: id.to_owned(),
             addr: id.to_owned(),
-            times: Times::default(),
+            timings: WorkerTimings::default(),
             machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
@@ -115,28 +115,28 @@
             seq: 0,
             token: 0,
             tasks: Vec::new(),
-            images: Vec::new(),
+            cached_images: Vec::new(),
             cache_gb: f64::INFINITY,
-            fetching: BTreeMap::new(),
-            shares_rate: false,
-            begun: 0,
-            stepped: now,
+            fetch_remaining_ms: BTreeMap::new(),
+            fetches_share_rate: false,
+            fetches_started: 0,
+            last_step_at: now,
             node: 0,
-            in_flight: None,
-            token_at: None,
-            next_report: now,
-            last_report: 0,
-            lease_from: now,
+            heartbeat_in_flight: None,
+            token_reported_at: None,
+            next_heartbeat_at: now,
+            last_heartbeat_at: 0,
+            lease_renewed_at: now,
             hung_until: 0,
-            notice_at: None,
+            reclaim_at: None,
             faulty: false,
-            full_until: 0,
-            stopped: Vec::new(),
-            reports: 0,
+            refuses_starts_until: 0,
+            stopped_replicas: Vec::new(),
+            heartbeats_sent: 0,
         }
     }
 
-    pub fn report(&mut self, now: u64) -> Vec<u8> {
+    pub fn heartbeat(&mut self, now: u64) -> Vec<u8> {
         self.seq += 1;
         let report = Heartbeat {
             machine: self.id.clone(),
@@ -147,7 +147,7 @@
             agent_epoch: self.agent_epoch,
             seq: self.seq,
             token: self.token,
-            reclaim_notice_s: self.notice_at.map(|at| at.saturating_sub(now) as f64 / 1000.0),
+            reclaim_notice_s: self.reclaim_at.map(|at| at.saturating_sub(now) as f64 / 1000.0),
             tasks: self
                 .tasks
                 .iter()
@@ -155,8 +155,8 @@
                     task: task.name(),
                     attempt: task.attempt,
                     state: task.state,
-                    cause: task.why,
-                    checkpoint_saved: task.saved.then_some(true),
+                    cause: task.end_cause,
+                    checkpoint_saved: task.checkpoint_saved.then_some(true),
                 })
                 .collect(),
         };
@@ -164,35 +164,38 @@
     }
 
     /// The next report, if one is due: its number and body.
-    pub fn due_report(&mut self, now: u64) -> Option<(u64, Vec<u8>)> {
-        if self.in_flight.is_some() || now < self.next_report || now < self.hung_until {
+    pub fn due_heartbeat(&mut self, now: u64) -> Option<(u64, Vec<u8>)> {
+        if self.heartbeat_in_flight.is_some() || now < self.next_heartbeat_at || now < self.hung_until {
             return None;
         }
-        self.reports += 1;
-        self.in_flight = Some((self.reports, now));
-        self.last_report = now;
-        self.next_report = now + self.times.report_ms;
-        Some((self.reports, self.report(now)))
+        self.heartbeats_sent += 1;
+        self.heartbeat_in_flight = Some((self.heartbeats_sent, now));
+        self.last_heartbeat_at = now;
+        self.next_heartbeat_at = now + self.timings.heartbeat_interval_ms;
+        Some((self.heartbeats_sent, self.heartbeat(now)))
     }
 
-    fn changed(&mut self, now: u64) {
-        self.next_report = self
-            .next_report
-            .min((self.last_report + self.times.least_ms).max(now));
+    fn advance_heartbeat(&mut self, now: u64) {
+        self.next_heartbeat_at = self
+            .next_heartbeat_at
+            .min((self.last_heartbeat_at + self.timings.min_heartbeat_gap_ms).max(now));
     }
 
     /// Within half a lease a higher token counts as a change at most once.
-    fn see_token(&mut self, token: u64, now: u64) {
+    fn observe_token(&mut self, token: u64, now: u64) {
         if token > self.token {
             self.token = token;
-            if self.token_at.is_none_or(|at| now >= at + self.times.lease_ms / 2) {
-                self.token_at = Some(now);
-                self.changed(now);
+            if self
+                .token_reported_at
+                .is_none_or(|at| now >= at + self.timings.lease_ms / 2)
+            {
+                self.token_reported_at = Some(now);
+                self.advance_heartbeat(now);
             }
         }
     }
 
-    pub fn answered(
+    pub fn handle_heartbeat_response(
         &mut self,
         number: u64,
         agent_epoch: u64,
@@ -201,18 +204,18 @@
         jobs: &BTreeMap<String, ObservedJob>,
         now: u64,
     ) {
-        let Some((_, sent)) = self.in_flight.filter(|(current, _)| *current == number) else {
+        let Some((_, sent)) = self.heartbeat_in_flight.filter(|(current, _)| *current == number) else {
             return;
         };
-        self.in_flight = None;
+        self.heartbeat_in_flight = None;
         match outcome {
             Some((200, body)) => {
                 let answer: HeartbeatResponse = serde_json::from_slice(&body).unwrap();
                 if answer.token < self.token || agent_epoch != self.agent_epoch {
                     return;
                 }
-                self.see_token(answer.token, now);
-                self.lease_from = sent;
+                self.observe_token(answer.token, now);
+                self.lease_renewed_at = sent;
                 self.execute(&answer.commands, jobs, now);
             }
             Some((421, body)) => {
@@ -224,29 +227,34 @@
                 match to {
                     Some(node) if node != self.node && node < nodes => {
                         self.node = node;
-                        self.next_report = now + 100;
+                        self.next_heartbeat_at = now + 100;
                     }
-                    _ => self.try_next(nodes, now),
+                    _ => self.try_next_node(nodes, now),
                 }
             }
-            _ => self.try_next(nodes, now),
+            _ => self.try_next_node(nodes, now),
         }
     }
 
-    fn try_next(&mut self, nodes: usize, now: u64) {
+    fn try_next_node(&mut self, nodes: usize, now: u64) {
         self.node = (self.node + 1) % nodes;
-        self.next_report = now + self.times.retry_ms;
+        self.next_heartbeat_at = now + self.timings.retry_ms;
     }
 
     /// A direct command.
-    pub fn direct(&mut self, body: &[u8], jobs: &BTreeMap<String, ObservedJob>, now: u64) -> (u16, Vec<u8>) {
+    pub fn handle_direct_commands(
+        &mut self,
+        body: &[u8],
+        jobs: &BTreeMap<String, ObservedJob>,
+        now: u64,
+    ) -> (u16, Vec<u8>) {
         let orders: DirectCommands = serde_json::from_slice(body).unwrap();
         if orders.token < self.token || orders.agent_epoch != self.agent_epoch {
-            return (409, self.report(now));
+            return (409, self.heartbeat(now));
         }
-        self.see_token(orders.token, now);
+        self.observe_token(orders.token, now);
         self.execute(&orders.commands, jobs, now);
-        (200, self.report(now))
+        (200, self.heartbeat(now))
     }
 
     fn execute(&mut self, orders: &[WorkerCommand], jobs: &BTreeMap<String, ObservedJob>, now: u64) {
@@ -263,15 +271,15 @@
                     let grace_ms = (order.grace_s.unwrap_or(0.0) * 1000.0) as u64;
                     let task = &mut self.tasks[at];
                     let facts = &jobs[job];
-                    let save_ms = (facts.save_s * 1000.0) as u64;
+                    let save_ms = (facts.checkpoint_save_s * 1000.0) as u64;
                     if task.state == TaskState::Running && facts.shape == "daemon" {
-                        self.stopped.push(job.to_owned());
+                        self.stopped_replicas.push(job.to_owned());
                     }
                     match task.state {
-                        TaskState::Running if facts.checkpoint_s > 0.0 && grace_ms >= save_ms => {
+                        TaskState::Running if facts.checkpoint_interval_s > 0.0 && grace_ms >= save_ms => {
                             task.state = TaskState::Saving;
-                            task.progress_from += (now - task.since) as f64 / 1000.0;
-                            task.stop_at = Some(now + save_ms);
+                            task.base_progress_s += (now - task.state_since) as f64 / 1000.0;
+                            task.save_complete_at = Some(now + save_ms);
                         }
                         TaskState::Saving if grace_ms > 0 => (),
                         TaskState::Exited => (),
@@ -285,7 +293,7 @@
             }
         }
         if !orders.is_empty() {
-            self.changed(now);
+            self.advance_heartbeat(now);
         }
     }
 
@@ -295,12 +303,12 @@
             index,
             attempt,
             state: TaskState::Fetching,
-            why: None,
-            saved: false,
-            since: now,
-            progress_from: 0.0,
-            stop_at: None,
-            lost_mates_at: None,
+            end_cause: None,
+            checkpoint_saved: false,
+            state_since: now,
+            base_progress_s: 0.0,
+            save_complete_at: None,
+            gang_exit_at: None,
         };
         if !jobs.contains_key(job) {
             task.exit(TaskEndCause::Unknown);
@@ -310,7 +318,7 @@
             .any(|other| other.name() == task.name() && other.state != TaskState::Exited)
         {
             task.exit(TaskEndCause::Busy);
-        } else if now < self.full_until {
+        } else if now < self.refuses_starts_until {
             task.exit(TaskEndCause::NoRoom);
         }
         self.tasks.push(task);
@@ -321,20 +329,20 @@
         if now < self.hung_until {
             return Vec::new();
         }
-        if now > self.lease_from + self.times.lease_ms {
+        if now > self.lease_renewed_at + self.timings.lease_ms {
             self.tasks.clear();
             self.agent_epoch += 1;
-            self.lease_from = now;
-            self.changed(now);
+            self.lease_renewed_at = now;
+            self.advance_heartbeat(now);
         }
-        if let Some((_, sent)) = self.in_flight
+        if let Some((_, sent)) = self.heartbeat_in_flight
             && now >= sent + 4_000
         {
-            self.in_flight = None;
-            self.try_next(3, now);
+            self.heartbeat_in_flight = None;
+            self.try_next_node(3, now);
         }
-        self.fetch(jobs, now);
-        let gang_wait_ms = self.times.gang_wait_ms;
+        self.advance_fetches(jobs, now);
+        let gang_wait_ms = self.timings.gang_wait_ms;
         let mut arrived = Vec::new();
         let mut changed = false;
         for task in &mut self.tasks {
@@ -343,19 +351,27 @@
             let before = task.state;
             match task.state {
                 TaskState::Fetching => {
-                    let ready = self.images.iter().any(|(name, _)| *name == facts.image)
-                        || self.fetching.get(&facts.image).is_some_and(|left| *left <= 0.0);
+                    let ready = self.cached_images.iter().any(|(name, _)| *name == facts.image)
+                        || self
+                            .fetch_remaining_ms
+                            .get(&facts.image)
+                            .is_some_and(|left| *left <= 0.0);
                     if ready {
-                        self.fetching.remove(&facts.image);
-                        touch(&mut self.images, &facts.image, facts.image_gb, self.cache_gb);
+                        self.fetch_remaining_ms.remove(&facts.image);
+                        cache_image(
+                            &mut self.cached_images,
+                            &facts.image,
+                            facts.image_gb,
+                            self.cache_gb,
+                        );
                         arrived.push(task.clone());
-                        if facts.done.contains(&task.index) {
+                        if facts.completed_tasks.contains(&task.index) {
                             task.exit(TaskEndCause::Done);
-                        } else if self.faulty || facts.broken {
+                        } else if self.faulty || facts.always_fails {
                             task.exit(TaskEndCause::Error);
                         } else {
-                            task.since = now;
-                            task.progress_from = facts.saved_s;
+                            task.state_since = now;
+                            task.base_progress_s = facts.checkpointed_s;
                             task.state = if facts.shape == "gang" {
                                 TaskState::Waiting
                             } else {
@@ -364,26 +380,28 @@
                         }
                     }
                 }
-                TaskState::Waiting if now >= task.since + gang_wait_ms => task.exit(TaskEndCause::Alone),
+                TaskState::Waiting if now >= task.state_since + gang_wait_ms => {
+                    task.exit(TaskEndCause::Alone)
+                }
                 TaskState::Running if facts.shape != "daemon" => {
-                    let progress_s = task.progress_from + (now - task.since) as f64 / 1000.0;
-                    if task.lost_mates_at.is_some_and(|at| now >= at) {
+                    let progress_s = task.base_progress_s + (now - task.state_since) as f64 / 1000.0;
+                    if task.gang_exit_at.is_some_and(|at| now >= at) {
                         task.exit(TaskEndCause::Peers);
                     } else if progress_s >= facts.run_s {
-                        facts.done.insert(task.index);
+                        facts.completed_tasks.insert(task.index);
                         if facts.shape == "gang" {
-                            facts.done.extend(0..facts.tasks);
+                            facts.completed_tasks.extend(0..facts.tasks);
                         }
                         task.exit(TaskEndCause::Done);
-                    } else if facts.checkpoint_s > 0.0 {
-                        facts.saved_s = facts
-                            .saved_s
-                            .max((progress_s / facts.checkpoint_s).floor() * facts.checkpoint_s);
+                    } else if facts.checkpoint_interval_s > 0.0 {
+                        facts.checkpointed_s = facts.checkpointed_s.max(
+                            (progress_s / facts.checkpoint_interval_s).floor() * facts.checkpoint_interval_s,
+                        );
                     }
                 }
-                TaskState::Saving if task.stop_at.is_some_and(|at| now >= at) => {
-                    facts.saved_s = facts.saved_s.max(task.progress_from);
-                    task.saved = true;
+                TaskState::Saving if task.save_complete_at.is_some_and(|at| now >= at) => {
+                    facts.checkpointed_s = facts.checkpointed_s.max(task.base_progress_s);
+                    task.checkpoint_saved = true;
                     task.exit(TaskEndCause::Stopped);
                 }
                 _ => (),
@@ -391,52 +409,54 @@
             changed |= task.state != before;
         }
         if changed {
-            self.changed(now);
+            self.advance_heartbeat(now);
         }
         arrived
     }
 
     /// Images come nearer, once for all tasks that wait for them; a fetch that nobody waits for
     /// any more is given up.
-    fn fetch(&mut self, jobs: &BTreeMap<String, ObservedJob>, now: u64) {
+    fn advance_fetches(&mut self, jobs: &BTreeMap<String, ObservedJob>, now: u64) {
         let mut wanted: BTreeMap<&str, (f64, u64)> = BTreeMap::new();
         for task in self.tasks.iter().filter(|task| task.state == TaskState::Fetching) {
             let Some(facts) = jobs.get(&task.job) else {
                 continue;
             };
-            if self.images.iter().all(|(name, _)| *name != facts.image) {
-                let (_, since) = wanted.entry(&facts.image).or_insert((facts.image_gb, task.since));
-                *since = task.since.min(*since);
+            if self.cached_images.iter().all(|(name, _)| *name != facts.image) {
+                let (_, since) = wanted
+                    .entry(&facts.image)
+                    .or_insert((facts.image_gb, task.state_since));
+                *since = task.state_since.min(*since);
             }
         }
-        self.fetching
+        self.fetch_remaining_ms
             .retain(|image, _| wanted.contains_key(image.as_str()));
-        let shared = if self.shares_rate {
-            self.fetching.len().max(1)
+        let shared = if self.fetches_share_rate {
+            self.fetch_remaining_ms.len().max(1)
         } else {
             1
         };
-        let passed_ms = (now - std::mem::replace(&mut self.stepped, now)) as f64;
-        for left in self.fetching.values_mut() {
+        let passed_ms = (now - std::mem::replace(&mut self.last_step_at, now)) as f64;
+        for left in self.fetch_remaining_ms.values_mut() {
             *left -= passed_ms / shared as f64;
         }
         for (image, (gb, since)) in wanted {
-            if !self.fetching.contains_key(image) {
+            if !self.fetch_remaining_ms.contains_key(image) {
                 let left = (gb * 1000.0).floor() - (now - since) as f64;
-                self.begun += 1;
-                self.fetching.insert(image.to_owned(), left);
+                self.fetches_started += 1;
+                self.fetch_remaining_ms.insert(image.to_owned(), left);
             }
         }
     }
 
-    pub fn warn(&mut self, taken_at: u64, now: u64) {
-        self.notice_at = Some(taken_at);
-        self.changed(now);
+    pub fn give_reclaim_notice(&mut self, taken_at: u64, now: u64) {
+        self.reclaim_at = Some(taken_at);
+        self.advance_heartbeat(now);
     }
 }
 
 /// Notes an image as the latest used, and forgets the oldest beyond the cache.
-fn touch(images: &mut Vec<(String, f64)>, image: &str, gb: f64, cache_gb: f64) {
+fn cache_image(images: &mut Vec<(String, f64)>, image: &str, gb: f64, cache_gb: f64) {
     images.retain(|(name, _)| name != image);
     images.push((image.to_owned(), gb));
     while images.len() > 1 && images.iter().map(|(_, gb)| gb).sum::<f64>() > cache_gb {
@@ -447,6 +467,6 @@
 impl Task {
     pub fn exit(&mut self, why: TaskEndCause) {
         self.state = TaskState::Exited;
-        self.why = Some(why);
+        self.end_cause = Some(why);
     }
 }
