--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -1,9 +1,9 @@
-//! Where clusters are accepted and changed, at any node: step by step through the state
-//! service, so that a node may end between any two steps.
+//! Accepts, changes and lists the clusters of submit files. Any node can do so: each operation is a
+//! sequence of calls to the state service, and the node may crash between any two of them.
 //!
-//! A cluster is recorded while it is open (`j/~<cluster>`), and the leader starts nothing of
-//! it. Accepting it is one transaction, which takes the open record away. Whoever sends the
-//! same submission again, to any node, goes on where the records stand.
+//! While a cluster is being recorded it is open (`j/~<cluster>`), and the leader starts none of its
+//! jobs. A single transaction accepts the cluster and deletes the open record. A submission that is
+//! sent again, to any node, continues from what is recorded.
 
 use super::plan::{Plan, plan};
 use super::{
@@ -34,7 +34,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What is asked of clusters.
+/// A request to the submit file API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
     Submit,
@@ -50,14 +50,14 @@
     Remove,
 }
 
-/// A cluster, or one proc of it.
+/// A cluster, or one of its procs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
     pub cluster: u64,
     pub proc: Option<u32>,
 }
 
-/// Reads `7` or `7.3`.
+/// Parses `7` (a cluster) or `7.3` (a proc).
 pub fn parse_target(text: &str) -> Option<Target> {
     let (cluster, proc) = match text.split_once('.') {
         Some((cluster, proc)) => (cluster, Some(proc.parse().ok()?)),
@@ -70,10 +70,10 @@
     Some(Target { cluster, proc })
 }
 
-/// What a path under `/v1/condor` asks for, or the status that refuses it.
+/// Finds the route of a path under `/v1/condor`, or the HTTP status that rejects it.
 ///
 /// # Errors
-/// 404 or 405.
+/// 404 for an unknown path, 405 for a wrong method.
 pub fn route(method: &str, path: &str) -> Result<Route, u16> {
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let (wanted, route) = match parts[..] {
@@ -100,40 +100,40 @@
     if method == wanted { Ok(route) } else { Err(405) }
 }
 
-/// A step of an operation, for which a call is under way.
+/// A step of an operation: one call to the state service.
 #[derive(Debug, Clone, PartialEq)]
 enum Step {
     ReadKey,
-    /// The key's cluster is gone: given up, and cleared away.
-    DropKey,
+    /// Deletes a submission key whose cluster was abandoned and deleted.
+    DeleteStaleKey,
     ReadNumber,
-    Allocate {
+    AllocateNumber {
         cluster: u64,
         at_ms: u64,
     },
     ReadOpen,
-    /// Another node had planned something else.
-    Retake {
+    /// Replaces the plan of an open cluster for which another node had made a different one.
+    ReplacePlan {
         at_ms: u64,
     },
     ReadStaged {
-        ours: bool,
+        same_plan: bool,
     },
-    Clear,
-    Stage(Vec<usize>),
+    DeleteForeign,
+    StageJobs(Vec<usize>),
     Commit,
     ReadCluster,
     ReadJobs,
-    Apply(Vec<JobId>),
-    Latest,
-    Page,
-    ReadBook,
+    ApplyChanges(Vec<JobId>),
+    ReadLastNumber,
+    ReadClusters,
+    ReadTeamHistory,
     ReadEnded,
     ReadLive,
 }
 
 #[derive(Debug)]
-struct Submit {
+struct SubmitOperation {
     bundle: Arc<Bundle>,
     digest: String,
     cluster: u64,
@@ -141,77 +141,78 @@
     plan_digest: String,
     open_version: u64,
     at_ms: u64,
-    /// Jobs that are recorded, by position.
+    /// Positions in the plan of the jobs that are already recorded.
     staged: BTreeSet<usize>,
-    /// Records of another plan, to be cleared away first, with the versions read.
-    foreign: Vec<(String, u64)>,
+    /// Keys and versions of jobs recorded under another plan, which are deleted first.
+    foreign_jobs: Vec<(String, u64)>,
     key_version: u64,
 }
 
 #[derive(Debug)]
-struct Modify {
+struct ChangeOperation {
     target: Target,
     action: ClusterAction,
-    /// Who asks: another team's cluster does not exist for it.
-    asks: Team,
-    /// The cluster's record does not say whose it is, or names the asking team.
-    known: Option<bool>,
-    /// Jobs still to be changed: leave to do it, record, version.
-    left: Vec<(Access, JobSpec, u64)>,
-    done: u32,
-    not: Vec<ProcsOutcome>,
+    /// The requesting team, to which clusters of other teams are invisible.
+    requesting_team: Team,
+    /// Whether the cluster belongs to the requesting team; `None` if its record does not say.
+    belongs_to_requester: Option<bool>,
+    /// Jobs still to be changed: access right, new record, version read.
+    remaining: Vec<(Access, JobSpec, u64)>,
+    procs_done: u32,
+    unchanged: Vec<ProcsOutcome>,
 }
 
 #[derive(Debug)]
-enum Work {
-    Submit(Box<Submit>),
-    Modify(Modify),
+enum OperationKind {
+    Submit(Box<SubmitOperation>),
+    Change(ChangeOperation),
     History {
         cluster: Option<u64>,
-        asks: Team,
-        found: History,
+        requesting_team: Team,
+        history: History,
     },
 }
 
 #[derive(Debug)]
-struct Op {
+struct Operation {
     request: Option<RequestId>,
-    /// When whoever waits is told how far it is.
-    answer_at: Timestamp,
-    rounds: u32,
-    work: Work,
-    /// A step that waits for its share of the state service's changes.
-    waiting: Option<(Step, f64)>,
+    /// Time at which the client is told to retry if the operation has not finished by then.
+    response_due: Timestamp,
+    conflicts: u32,
+    kind: OperationKind,
+    /// A step, with its number of changes, that waits for the write budget.
+    throttled: Option<(Step, f64)>,
 }
 
-/// Operations on clusters that are under way at this node.
+/// Runs this node's operations on clusters.
 #[derive(Debug)]
 pub struct SubmitFileService {
-    ops: BTreeMap<u64, Op>,
-    next: u64,
+    operations: BTreeMap<u64, Operation>,
+    last_id: u64,
     calls: PendingCalls<(u64, Step)>,
-    pace: TokenBucket,
+    write_budget: TokenBucket,
 }
 
-/// What operations look at, beside the records.
+/// What operations depend on besides the stored records.
 pub struct Context<'a> {
     pub settings: &'a Settings,
     pub types: &'a [MachineType],
-    /// The cloud itself has told them, and not a former leader's record.
+    /// Whether the cloud has confirmed the machine types; else they come from a former leader's
+    /// record.
     pub types_confirmed: bool,
 }
 
-/// How an operation goes on.
-enum Next {
+/// What an operation does next.
+enum NextAction {
     Call(Step),
-    /// A step that changes so many keys.
-    Paced(Step, usize),
+    /// A step and the number of keys it changes, which count against the write budget.
+    ThrottledCall(Step, usize),
     Reply(u16, Vec<u8>),
     Error(u16, String),
-    /// The state service does not do its part now.
-    Later(&'static str),
-    /// Others changed the same: from here again.
-    Again(Step),
+    /// The operation cannot go on now; the client is told to retry.
+    RetryLater(&'static str),
+    /// Others changed the same records: the operation restarts from this step.
+    Restart(Step),
 }
 
 impl SubmitFileService {
@@ -219,14 +220,15 @@
         let rate = settings.deployment.state.write_rps * CLUSTER_WRITE_SHARE;
         let burst = CLUSTER_TXN_KEYS as f64;
         SubmitFileService {
-            ops: BTreeMap::new(),
-            next: 0,
+            operations: BTreeMap::new(),
+            last_id: 0,
             calls: PendingCalls::default(),
-            pace: TokenBucket::new(rate, burst, now),
+            write_budget: TokenBucket::new(rate, burst, now),
         }
     }
 
-    /// A submission. The same one, sent again while it is worked at, waits for the same.
+    /// Handles a submission. If the same submission is already in progress, the new request takes
+    /// over its response.
     pub fn submit(&mut self, request: RequestId, body: &[u8], context: &Context<'_>, io: &mut Io) {
         let bundle: Bundle = match serde_json::from_slice(body) {
             Ok(bundle) => bundle,
@@ -239,25 +241,28 @@
             return io.reply_retry_later(request, RETRY_AFTER_S, "machine types are not known yet");
         }
         let digest = bundle.digest();
-        let same = self.ops.values_mut().find_map(|op| match &op.work {
-            Work::Submit(submit) if submit.bundle.key == bundle.key => {
-                let same = submit.digest == digest;
-                Some((op, same))
-            }
-            _ => None,
-        });
+        let same = self
+            .operations
+            .values_mut()
+            .find_map(|operation| match &operation.kind {
+                OperationKind::Submit(submit) if submit.bundle.key == bundle.key => {
+                    let same = submit.digest == digest;
+                    Some((operation, same))
+                }
+                _ => None,
+            });
         match same {
-            Some((op, true)) => {
-                if let Some(before) = op.request.replace(request) {
+            Some((operation, true)) => {
+                if let Some(before) = operation.request.replace(request) {
                     io.reply_retry_later(before, RETRY_AFTER_S, "the same submission came again");
                 }
-                op.answer_at = io.now + CLUSTER_RESPONSE_MS;
+                operation.response_due = io.now + CLUSTER_RESPONSE_MS;
                 return;
             }
-            Some((_, false)) => return io.reply_error(request, 409, OTHER_KEY),
+            Some((_, false)) => return io.reply_error(request, 409, KEY_REUSED),
             None => (),
         }
-        let submit = Submit {
+        let submit = SubmitOperation {
             bundle: Arc::new(bundle),
             digest,
             cluster: 0,
@@ -266,12 +271,12 @@
             open_version: 0,
             at_ms: 0,
             staged: BTreeSet::new(),
-            foreign: Vec::new(),
+            foreign_jobs: Vec::new(),
             key_version: 0,
         };
-        self.begin(
+        self.start_operation(
             request,
-            Work::Submit(Box::new(submit)),
+            OperationKind::Submit(Box::new(submit)),
             Step::ReadKey,
             context,
             io,
@@ -283,81 +288,92 @@
         request: RequestId,
         target: Target,
         action: ClusterAction,
-        asks: Team,
+        requesting_team: Team,
         context: &Context<'_>,
         io: &mut Io,
     ) {
-        let work = Work::Modify(Modify {
+        let kind = OperationKind::Change(ChangeOperation {
             target,
             action,
-            asks,
-            known: None,
-            left: Vec::new(),
-            done: 0,
-            not: Vec::new(),
+            requesting_team,
+            belongs_to_requester: None,
+            remaining: Vec::new(),
+            procs_done: 0,
+            unchanged: Vec::new(),
         });
-        self.begin(request, work, Step::ReadCluster, context, io);
+        self.start_operation(request, kind, Step::ReadCluster, context, io);
     }
 
     pub fn history(
         &mut self,
         request: RequestId,
         cluster: Option<u64>,
-        asks: Team,
+        requesting_team: Team,
         context: &Context<'_>,
         io: &mut Io,
     ) {
-        let work = Work::History {
+        let kind = OperationKind::History {
             cluster,
-            asks,
-            found: History::default(),
+            requesting_team,
+            history: History::default(),
         };
         let first = if cluster.is_some() {
             Step::ReadCluster
         } else {
-            Step::Latest
+            Step::ReadLastNumber
         };
-        self.begin(request, work, first, context, io);
+        self.start_operation(request, kind, first, context, io);
     }
 
-    fn begin(&mut self, request: RequestId, work: Work, first: Step, context: &Context<'_>, io: &mut Io) {
-        if self.ops.len() >= MAX_CLUSTER_OPERATIONS
+    fn start_operation(
+        &mut self,
+        request: RequestId,
+        kind: OperationKind,
+        first: Step,
+        context: &Context<'_>,
+        io: &mut Io,
+    ) {
+        if self.operations.len() >= MAX_CLUSTER_OPERATIONS
             || !io.state_budget.try_take(1.0, USER_WRITE_RESERVE, io.now)
         {
             return io.reply_retry_later(request, RETRY_AFTER_S, "too many requests, come back later");
         }
-        self.next += 1;
-        let op = Op {
+        self.last_id += 1;
+        let operation = Operation {
             request: Some(request),
-            answer_at: io.now + CLUSTER_RESPONSE_MS,
-            rounds: 0,
-            work,
-            waiting: None,
+            response_due: io.now + CLUSTER_RESPONSE_MS,
+            conflicts: 0,
+            kind,
+            throttled: None,
         };
-        self.ops.insert(self.next, op);
-        self.call(self.next, first, context, io);
+        self.operations.insert(self.last_id, operation);
+        self.send_call(self.last_id, first, context, io);
     }
 
-    /// Goes on with what waited for its share, and tells who has waited for long.
+    /// Sends steps for which the write budget now suffices, and tells clients that have waited too
+    /// long to retry.
     pub fn run_due_work(&mut self, context: &Context<'_>, io: &mut Io) {
         let due: Vec<u64> = self
-            .ops
+            .operations
             .iter()
-            .filter(|(_, op)| op.waiting.is_some())
+            .filter(|(_, operation)| operation.throttled.is_some())
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            let waiting = self.ops.get_mut(&id).and_then(|op| op.waiting.take());
-            if let Some((step, changes)) = waiting {
-                self.paced(id, step, changes, context, io);
+            let throttled = self
+                .operations
+                .get_mut(&id)
+                .and_then(|operation| operation.throttled.take());
+            if let Some((step, changes)) = throttled {
+                self.call_throttled(id, step, changes, context, io);
             }
         }
-        for op in self.ops.values_mut() {
-            if io.now >= op.answer_at
-                && let Some(request) = op.request.take()
+        for operation in self.operations.values_mut() {
+            if io.now >= operation.response_due
+                && let Some(request) = operation.request.take()
             {
-                let text = match &op.work {
-                    Work::Submit(submit) => format!(
+                let text = match &operation.kind {
+                    OperationKind::Submit(submit) => format!(
                         "{} of {} jobs are recorded; send the same again",
                         submit.staged.len(),
                         submit.plan.as_ref().map_or(0, |plan| plan.jobs.len())
@@ -369,7 +385,8 @@
         }
     }
 
-    /// Whether an operation on clusters waits for this call; it goes on.
+    /// Handles the response to a call and continues its operation. Returns false if the call
+    /// belongs to no operation on clusters.
     pub fn handle_response(
         &mut self,
         call: CallId,
@@ -380,23 +397,27 @@
         let Some((id, step)) = self.calls.complete(call) else {
             return false;
         };
-        let Some(op) = self.ops.get_mut(&id) else {
+        let Some(operation) = self.operations.get_mut(&id) else {
             return true;
         };
-        let next = match &mut op.work {
-            Work::Submit(submit) => submit.follow(step, outcome, context, io),
-            Work::Modify(change) => change.follow(step, outcome, context),
-            Work::History { cluster, asks, found } => {
-                follow_history(*cluster, asks, found, &step, outcome, context)
-            }
+        let next_action = match &mut operation.kind {
+            OperationKind::Submit(submit) => submit.handle_step_response(step, outcome, context, io),
+            OperationKind::Change(change) => change.handle_step_response(step, outcome, context),
+            OperationKind::History {
+                cluster,
+                requesting_team,
+                history,
+            } => handle_history_response(*cluster, requesting_team, history, &step, outcome, context),
         };
-        match next {
-            Next::Call(step) => self.call(id, step, context, io),
-            Next::Paced(step, changes) => self.paced(id, step, changes as f64, context, io),
-            Next::Again(step) => {
-                op.rounds += 1;
-                if op.rounds > MAX_CLUSTER_ROUNDS {
-                    self.end(
+        match next_action {
+            NextAction::Call(step) => self.send_call(id, step, context, io),
+            NextAction::ThrottledCall(step, changes) => {
+                self.call_throttled(id, step, changes as f64, context, io)
+            }
+            NextAction::Restart(step) => {
+                operation.conflicts += 1;
+                if operation.conflicts > MAX_CLUSTER_ROUNDS {
+                    self.finish(
                         id,
                         |request, io| {
                             io.reply_retry_later(
@@ -408,20 +429,20 @@
                         io,
                     );
                 } else {
-                    self.call(id, step, context, io);
+                    self.send_call(id, step, context, io);
                 }
             }
-            Next::Reply(status, body) => self.end(
+            NextAction::Reply(status, body) => self.finish(
                 id,
                 |request, io| {
                     io.reply_bytes(request, status, crate::io::ContentType::Json, body);
                 },
                 io,
             ),
-            Next::Error(status, text) => {
-                self.end(id, |request, io| io.reply_error(request, status, &text), io)
+            NextAction::Error(status, text) => {
+                self.finish(id, |request, io| io.reply_error(request, status, &text), io)
             }
-            Next::Later(text) => self.end(
+            NextAction::RetryLater(text) => self.finish(
                 id,
                 |request, io| io.reply_retry_later(request, RETRY_AFTER_S, text),
                 io,
@@ -430,33 +451,39 @@
         true
     }
 
-    /// Takes a step once its changes are within this node's share; until then it waits.
-    fn paced(&mut self, id: u64, step: Step, changes: f64, context: &Context<'_>, io: &mut Io) {
-        if self.pace.try_take(changes, 0.0, io.now) {
-            self.call(id, step, context, io);
-        } else if let Some(op) = self.ops.get_mut(&id) {
-            op.waiting = Some((step, changes));
+    /// Sends a step once the write budget covers its changes; until then the step waits.
+    fn call_throttled(&mut self, id: u64, step: Step, changes: f64, context: &Context<'_>, io: &mut Io) {
+        if self.write_budget.try_take(changes, 0.0, io.now) {
+            self.send_call(id, step, context, io);
+        } else if let Some(operation) = self.operations.get_mut(&id) {
+            operation.throttled = Some((step, changes));
         }
     }
 
-    fn end(&mut self, id: u64, tell: impl FnOnce(RequestId, &mut Io), io: &mut Io) {
-        if let Some(op) = self.ops.remove(&id)
-            && let Some(request) = op.request
+    fn finish(&mut self, id: u64, send_response: impl FnOnce(RequestId, &mut Io), io: &mut Io) {
+        if let Some(operation) = self.operations.remove(&id)
+            && let Some(request) = operation.request
         {
-            tell(request, io);
+            send_response(request, io);
         }
     }
 
-    fn call(&mut self, id: u64, step: Step, context: &Context<'_>, io: &mut Io) {
-        let Some(op) = self.ops.get(&id) else { return };
-        let message = match &op.work {
-            Work::Submit(submit) => submit.message(&step, context),
-            Work::Modify(change) => change.message(&step, context, io.wall_ms),
-            Work::History { cluster, asks, found } => Some(history_message(*cluster, asks, found, &step)),
+    fn send_call(&mut self, id: u64, step: Step, context: &Context<'_>, io: &mut Io) {
+        let Some(operation) = self.operations.get(&id) else {
+            return;
         };
-        let Some((method, path, body)) = message else {
-            // A step without its part of the work: never planned so.
-            return self.end(
+        let state_request = match &operation.kind {
+            OperationKind::Submit(submit) => submit.state_request(&step, context),
+            OperationKind::Change(change) => change.state_request(&step, context, io.wall_ms),
+            OperationKind::History {
+                cluster,
+                requesting_team,
+                history,
+            } => Some(history_request(*cluster, requesting_team, history, &step)),
+        };
+        let Some((method, path, body)) = state_request else {
+            // Unreachable: the step does not belong to this kind of operation.
+            return self.finish(
                 id,
                 |request, io| io.reply_error(request, 503, "it cannot go on"),
                 io,
@@ -468,15 +495,15 @@
     }
 }
 
-const OTHER_KEY: &str = "another submission came under this key";
+const KEY_REUSED: &str = "another submission came under this key";
 
-type Message = (Method, String, Vec<u8>);
+type StateRequest = (Method, String, Vec<u8>);
 
-fn get(key: &str) -> Message {
+fn get(key: &str) -> StateRequest {
     (Method::Get, paths::key(key), Vec::new())
 }
 
-fn page(prefix: &str, after: Option<&str>) -> Message {
+fn get_page(prefix: &str, after: Option<&str>) -> StateRequest {
     (
         Method::Get,
         paths::page(prefix, after, STATE_PAGE_ITEMS),
@@ -484,7 +511,7 @@
     )
 }
 
-fn transaction(conditions: Vec<(String, u64)>, changes: Vec<Change>) -> Message {
+fn transaction(conditions: Vec<(String, u64)>, changes: Vec<Change>) -> StateRequest {
     let conditions = conditions
         .into_iter()
         .map(|(key, version)| Condition { key, version })
@@ -501,13 +528,13 @@
     }
 }
 
-/// Jobs that fit one transaction, if each takes so many changes.
-fn batch_size(context: &Context<'_>, changes_each: usize) -> usize {
+/// Jobs that fit into one transaction when each needs `changes_per_job` changes.
+fn batch_size(context: &Context<'_>, changes_per_job: usize) -> usize {
     let room = context.settings.deployment.state.txn_ops.min(CLUSTER_TXN_KEYS);
-    (room / changes_each).max(1)
+    (room / changes_per_job).max(1)
 }
 
-fn planned(
+fn plan_bundle(
     bundle: &Bundle,
     cluster: u64,
     at_ms: u64,
@@ -520,8 +547,8 @@
     plan(bundle, cluster, &site, at_ms, deployment.state.value_kb)
 }
 
-impl Submit {
-    fn message(&self, step: &Step, context: &Context<'_>) -> Option<Message> {
+impl SubmitOperation {
+    fn state_request(&self, step: &Step, context: &Context<'_>) -> Option<StateRequest> {
         let open = open_key(self.cluster);
         let at_open = || (open.clone(), self.open_version);
         Some(match step {
@@ -529,8 +556,8 @@
             Step::ReadNumber => get(NEXT_CLUSTER_KEY),
             Step::ReadOpen => get(&open),
             Step::ReadCluster => get(&cluster_key(self.cluster)),
-            Step::ReadStaged { .. } => page(&jobs_prefix(records::JOB_PREFIX, self.cluster), None),
-            Step::DropKey => {
+            Step::ReadStaged { .. } => get_page(&jobs_prefix(records::JOB_PREFIX, self.cluster), None),
+            Step::DeleteStaleKey => {
                 let key = submission_key(&self.bundle.key);
                 let conditions = vec![
                     (key.clone(), self.key_version),
@@ -539,10 +566,10 @@
                 ];
                 transaction(conditions, vec![Change::Delete { key }])
             }
-            Step::Allocate { cluster, at_ms } => {
+            Step::AllocateNumber { cluster, at_ms } => {
                 let key = submission_key(&self.bundle.key);
                 let conditions = vec![(NEXT_CLUSTER_KEY.to_owned(), self.open_version), (key.clone(), 0)];
-                let own = SubmissionKeyRecord {
+                let key_record = SubmissionKeyRecord {
                     cluster: *cluster,
                     digest: self.digest.clone(),
                 };
@@ -551,15 +578,15 @@
                     at_ms: *at_ms,
                     abandoned: false,
                 };
-                let next = NextClusterRecord { next: *cluster + 1 };
+                let next_record = NextClusterRecord { next: *cluster + 1 };
                 let changes = vec![
-                    put(NEXT_CLUSTER_KEY.to_owned(), &next),
-                    put(key, &own),
+                    put(NEXT_CLUSTER_KEY.to_owned(), &next_record),
+                    put(key, &key_record),
                     put(open_key(*cluster), &record),
                 ];
                 transaction(conditions, changes)
             }
-            Step::Retake { at_ms } => {
+            Step::ReplacePlan { at_ms } => {
                 let record = OpenClusterRecord {
                     plan: self.plan_digest.clone(),
                     at_ms: *at_ms,
@@ -567,18 +594,18 @@
                 };
                 transaction(vec![at_open()], vec![put(open.clone(), &record)])
             }
-            Step::Clear => {
-                let some = &self.foreign[..self.foreign.len().min(batch_size(context, 1))];
+            Step::DeleteForeign => {
+                let batch = &self.foreign_jobs[..self.foreign_jobs.len().min(batch_size(context, 1))];
                 let mut conditions = vec![at_open()];
-                conditions.extend(some.iter().cloned());
-                let changes = some.iter().map(|(key, _)| Change::Delete { key: key.clone() });
+                conditions.extend(batch.iter().cloned());
+                let changes = batch.iter().map(|(key, _)| Change::Delete { key: key.clone() });
                 transaction(conditions, changes.collect())
             }
-            Step::Stage(positions) => {
+            Step::StageJobs(positions) => {
                 let jobs = &self.plan.as_ref()?.jobs;
                 let mut conditions = vec![at_open()];
                 let mut changes = Vec::new();
-                for spec in positions.iter().filter_map(|at| jobs.get(*at)) {
+                for spec in positions.iter().filter_map(|position| jobs.get(*position)) {
                     conditions.push((records::job_key(&spec.id.0), 0));
                     conditions.push((records::ended_job_key(&spec.id.0), 0));
                     changes.push(put(records::job_key(&spec.id.0), spec));
@@ -594,7 +621,7 @@
                     procs: plan.procs,
                     jobs: plan.jobs.len() as u32,
                     at_ms: self.at_ms,
-                    teams: teams(plan),
+                    teams: plan_teams(plan),
                 };
                 let changes = vec![
                     Change::Delete { key: open.clone() },
@@ -606,110 +633,119 @@
         })
     }
 
-    /// Plans the file anew for the number and the time that hold; a refusal if it cannot be.
-    fn plan(&mut self, cluster: u64, at_ms: u64, context: &Context<'_>) -> Result<(), Next> {
+    /// Plans the file for the given cluster number and submission time; on failure, returns the
+    /// rejection.
+    fn plan(&mut self, cluster: u64, at_ms: u64, context: &Context<'_>) -> Result<(), NextAction> {
         let refused = |refused: SubmitRejection| match context.types_confirmed {
-            // Machines that do may be among those that only the cloud can tell of.
-            false if !refused.refused.is_empty() => Next::Later(MACHINE_TYPES_UNCONFIRMED),
-            _ => Next::Reply(422, json(&refused)),
+            // Suitable machines may be among types that only the cloud can confirm.
+            false if !refused.refused.is_empty() => NextAction::RetryLater(MACHINE_TYPES_UNCONFIRMED),
+            _ => NextAction::Reply(422, json(&refused)),
         };
-        let plan = planned(&self.bundle, cluster, at_ms, context).map_err(refused)?;
+        let plan = plan_bundle(&self.bundle, cluster, at_ms, context).map_err(refused)?;
         self.plan_digest = plan.digest();
         self.plan = Some(plan);
         self.at_ms = at_ms;
         Ok(())
     }
 
-    fn follow(&mut self, step: Step, outcome: &Outcome, context: &Context<'_>, io: &Io) -> Next {
-        const SILENT: Next = Next::Later("the state service does not answer");
+    fn handle_step_response(
+        &mut self,
+        step: Step,
+        outcome: &Outcome,
+        context: &Context<'_>,
+        io: &Io,
+    ) -> NextAction {
+        const STATE_UNAVAILABLE: NextAction = NextAction::RetryLater("the state service does not answer");
         match (step, outcome.status()) {
-            (Step::ReadKey, Some(404)) => Next::Call(Step::ReadNumber),
+            (Step::ReadKey, Some(404)) => NextAction::Call(Step::ReadNumber),
             (Step::ReadKey, Some(200)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
                 let Some((record, version)) = item.and_then(|item| {
                     Some((SubmissionKeyRecord::from_value(&item.value).ok()?, item.version))
                 }) else {
-                    return SILENT;
+                    return STATE_UNAVAILABLE;
                 };
                 if record.digest != self.digest {
-                    return Next::Error(409, OTHER_KEY.to_owned());
+                    return NextAction::Error(409, KEY_REUSED.to_owned());
                 }
                 self.cluster = record.cluster;
                 self.key_version = version;
-                Next::Call(Step::ReadOpen)
+                NextAction::Call(Step::ReadOpen)
             }
             (Step::ReadNumber, Some(200 | 404)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
                 let (next, version) = match (&item, outcome.status()) {
                     (Some(item), _) => match NextClusterRecord::from_value(&item.value) {
                         Ok(record) => (record.next, item.version),
-                        Err(_) => return SILENT,
+                        Err(_) => return STATE_UNAVAILABLE,
                     },
                     (None, Some(404)) => (1, 0),
-                    _ => return SILENT,
+                    _ => return STATE_UNAVAILABLE,
                 };
                 if next > super::MAX_CLUSTER {
-                    return Next::Error(503, "no cluster number is left".to_owned());
+                    return NextAction::Error(503, "no cluster number is left".to_owned());
                 }
                 let at_ms = io.wall_ms;
                 if let Err(refused) = self.plan(next, at_ms, context) {
                     return refused;
                 }
                 self.open_version = version;
-                Next::Paced(Step::Allocate { cluster: next, at_ms }, 3)
+                NextAction::ThrottledCall(Step::AllocateNumber { cluster: next, at_ms }, 3)
             }
-            (Step::Allocate { cluster, .. }, Some(200)) => {
+            (Step::AllocateNumber { cluster, .. }, Some(200)) => {
                 let Some(answer) = outcome.read::<TransactionResponse>(&[200]) else {
-                    return SILENT;
+                    return STATE_UNAVAILABLE;
                 };
                 self.cluster = cluster;
                 self.open_version = answer.revision;
-                self.stage(context)
+                self.next_staging_step(context)
+            }
+            // Another submission took the number, or another node is recording the same submission.
+            (Step::AllocateNumber { .. } | Step::DeleteStaleKey, Some(200 | 409)) => {
+                NextAction::Restart(Step::ReadKey)
             }
-            // Another took the number, or another node has the same submission.
-            (Step::Allocate { .. } | Step::DropKey, Some(200 | 409)) => Next::Again(Step::ReadKey),
             (Step::ReadOpen, Some(200)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
                 let Some((record, version)) = item
                     .and_then(|item| Some((OpenClusterRecord::from_value(&item.value).ok()?, item.version)))
                 else {
-                    return SILENT;
+                    return STATE_UNAVAILABLE;
                 };
                 if record.abandoned {
-                    return Next::Later("it was left open for too long and is being cleared away");
+                    return NextAction::RetryLater("it was left open for too long and is being cleared away");
                 }
                 self.open_version = version;
                 if let Err(refused) = self.plan(self.cluster, record.at_ms, context) {
                     return refused;
                 }
                 if record.plan == self.plan_digest {
-                    Next::Call(Step::ReadStaged { ours: true })
+                    NextAction::Call(Step::ReadStaged { same_plan: true })
                 } else {
-                    Next::Paced(Step::Retake { at_ms: record.at_ms }, 1)
+                    NextAction::ThrottledCall(Step::ReplacePlan { at_ms: record.at_ms }, 1)
                 }
             }
-            (Step::ReadOpen, Some(404)) => Next::Call(Step::ReadCluster),
+            (Step::ReadOpen, Some(404)) => NextAction::Call(Step::ReadCluster),
             (Step::ReadCluster, Some(200)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
                 match item.and_then(|item| ClusterRecord::from_value(&item.value).ok()) {
-                    Some(record) => self.accepted(record.procs, record.jobs),
-                    None => SILENT,
+                    Some(record) => self.accepted_response(record.procs, record.jobs),
+                    None => STATE_UNAVAILABLE,
                 }
             }
-            (Step::ReadCluster, Some(404)) => Next::Paced(Step::DropKey, 1),
-            (Step::Retake { .. }, Some(200)) => {
+            (Step::ReadCluster, Some(404)) => NextAction::ThrottledCall(Step::DeleteStaleKey, 1),
+            (Step::ReplacePlan { .. }, Some(200)) => {
                 let Some(answer) = outcome.read::<TransactionResponse>(&[200]) else {
-                    return SILENT;
+                    return STATE_UNAVAILABLE;
                 };
                 self.open_version = answer.revision;
-                Next::Call(Step::ReadStaged { ours: false })
+                NextAction::Call(Step::ReadStaged { same_plan: false })
             }
-            (Step::ReadStaged { ours }, Some(200)) => {
+            (Step::ReadStaged { same_plan }, Some(200)) => {
                 let Some(page) = outcome.read::<StoredPage>(&[200]) else {
-                    return SILENT;
+                    return STATE_UNAVAILABLE;
                 };
                 self.staged.clear();
-                self.foreign.clear();
+                self.foreign_jobs.clear();
                 for item in page.items {
                     let position = self.plan.as_ref().and_then(|plan| {
                         plan.jobs
@@ -717,22 +753,22 @@
                             .position(|spec| item.key == records::job_key(&spec.id.0))
                     });
                     match position {
-                        Some(position) if ours => {
+                        Some(position) if same_plan => {
                             self.staged.insert(position);
                         }
-                        _ => self.foreign.push((item.key, item.version)),
+                        _ => self.foreign_jobs.push((item.key, item.version)),
                     }
                 }
-                self.stage(context)
+                self.next_staging_step(context)
             }
-            (Step::Clear, Some(200)) => {
-                let done = self.foreign.len().min(batch_size(context, 1));
-                self.foreign.drain(..done);
-                self.stage(context)
+            (Step::DeleteForeign, Some(200)) => {
+                let deleted = self.foreign_jobs.len().min(batch_size(context, 1));
+                self.foreign_jobs.drain(..deleted);
+                self.next_staging_step(context)
             }
-            (Step::Stage(positions), Some(200)) => {
+            (Step::StageJobs(positions), Some(200)) => {
                 self.staged.extend(positions);
-                self.stage(context)
+                self.next_staging_step(context)
             }
             (Step::Commit, Some(200)) => {
                 let (procs, jobs) = self
@@ -744,48 +780,52 @@
                     self.cluster,
                     self.bundle.owner
                 );
-                self.accepted(procs, jobs)
-            }
-            (Step::Retake { .. } | Step::Clear | Step::Stage(_) | Step::Commit, Some(409)) => {
-                Next::Again(Step::ReadOpen)
+                self.accepted_response(procs, jobs)
             }
-            _ => SILENT,
+            (
+                Step::ReplacePlan { .. } | Step::DeleteForeign | Step::StageJobs(_) | Step::Commit,
+                Some(409),
+            ) => NextAction::Restart(Step::ReadOpen),
+            _ => STATE_UNAVAILABLE,
         }
     }
 
-    /// The next thing to record.
-    fn stage(&self, context: &Context<'_>) -> Next {
-        if !self.foreign.is_empty() {
-            return Next::Paced(Step::Clear, self.foreign.len().min(batch_size(context, 1)));
+    /// Returns the next step of recording the plan.
+    fn next_staging_step(&self, context: &Context<'_>) -> NextAction {
+        if !self.foreign_jobs.is_empty() {
+            return NextAction::ThrottledCall(
+                Step::DeleteForeign,
+                self.foreign_jobs.len().min(batch_size(context, 1)),
+            );
         }
         let Some(plan) = &self.plan else {
-            return Next::Later("it is not planned");
+            return NextAction::RetryLater("it is not planned");
         };
         let mut bytes = 0;
         let mut positions = Vec::new();
-        for (at, spec) in plan.jobs.iter().enumerate() {
-            if self.staged.contains(&at) {
+        for (position, spec) in plan.jobs.iter().enumerate() {
+            if self.staged.contains(&position) {
                 continue;
             }
             bytes += spec.to_text().get().len() + 256;
             if positions.len() >= batch_size(context, 1) || (bytes > MAX_TXN_BYTES && !positions.is_empty()) {
                 break;
             }
-            positions.push(at);
+            positions.push(position);
         }
         if positions.is_empty() {
-            return Next::Paced(Step::Commit, 2);
+            return NextAction::ThrottledCall(Step::Commit, 2);
         }
         let changes = positions.len();
-        Next::Paced(Step::Stage(positions), changes)
+        NextAction::ThrottledCall(Step::StageJobs(positions), changes)
     }
 
-    fn accepted(&self, procs: u32, jobs: u32) -> Next {
+    fn accepted_response(&self, procs: u32, jobs: u32) -> NextAction {
         let (held, notes) = match &self.plan {
             Some(plan) => (plan.held.clone(), plan.notes.clone()),
             None => Default::default(),
         };
-        Next::Reply(
+        NextAction::Reply(
             201,
             json(&AcceptedCluster {
                 cluster: self.cluster,
@@ -798,30 +838,31 @@
     }
 }
 
-/// Teams of a plan's jobs.
-fn teams(plan: &Plan) -> Vec<String> {
+/// Returns the teams of a plan's jobs, each once.
+fn plan_teams(plan: &Plan) -> Vec<String> {
     let teams: BTreeSet<&String> = plan.jobs.iter().map(|spec| &spec.team).collect();
     teams.into_iter().cloned().collect()
 }
 
-/// Whether a cluster is the asking team's too; `None` if its record does not say.
-fn is_its(record: &ClusterRecord, asks: &Team, settings: &Settings) -> Option<bool> {
+/// Whether some of a cluster's jobs belong to the requesting team; `None` if its record does not
+/// say.
+fn belongs_to_team(record: &ClusterRecord, requesting_team: &Team, settings: &Settings) -> Option<bool> {
     let any = record
         .teams
         .iter()
-        .any(|team| authorization::is_same_team(team, asks, settings));
+        .any(|team| authorization::is_same_team(team, requesting_team, settings));
     (!record.teams.is_empty()).then_some(any)
 }
 
-impl Modify {
-    fn message(&self, step: &Step, context: &Context<'_>, wall_ms: u64) -> Option<Message> {
+impl ChangeOperation {
+    fn state_request(&self, step: &Step, context: &Context<'_>, wall_ms: u64) -> Option<StateRequest> {
         Some(match step {
             Step::ReadCluster => get(&cluster_key(self.target.cluster)),
-            Step::ReadJobs => page(&jobs_prefix(records::JOB_PREFIX, self.target.cluster), None),
-            Step::Apply(_) => {
+            Step::ReadJobs => get_page(&jobs_prefix(records::JOB_PREFIX, self.target.cluster), None),
+            Step::ApplyChanges(_) => {
                 let mut conditions = Vec::new();
                 let mut changes = Vec::new();
-                for (access, spec, version) in self.next(context) {
+                for (access, spec, version) in self.next_batch(context) {
                     let key = records::job_key(access.job());
                     conditions.push((key.clone(), *version));
                     if self.action == ClusterAction::Remove {
@@ -839,8 +880,8 @@
         })
     }
 
-    /// Keys that change with each job.
-    fn changes_each(&self) -> usize {
+    /// Number of keys that change with each job.
+    fn changes_per_job(&self) -> usize {
         if self.action == ClusterAction::Remove {
             2
         } else {
@@ -848,77 +889,83 @@
         }
     }
 
-    /// The jobs that go into the next transaction.
-    fn next(&self, context: &Context<'_>) -> &[(Access, JobSpec, u64)] {
+    /// Returns the jobs of the next transaction.
+    fn next_batch(&self, context: &Context<'_>) -> &[(Access, JobSpec, u64)] {
         let mut bytes = 0;
-        let most = batch_size(context, self.changes_each());
-        let fitting = self.left.iter().take(most).take_while(|(_, spec, _)| {
+        let most = batch_size(context, self.changes_per_job());
+        let fitting = self.remaining.iter().take(most).take_while(|(_, spec, _)| {
             bytes += spec.to_text().get().len() + 256;
             bytes <= MAX_TXN_BYTES
         });
         let count = fitting.count().max(1);
-        &self.left[..count.min(self.left.len())]
+        &self.remaining[..count.min(self.remaining.len())]
     }
 
-    fn follow(&mut self, step: Step, outcome: &Outcome, context: &Context<'_>) -> Next {
-        const SILENT: Next = Next::Later("the state service does not answer");
+    fn handle_step_response(&mut self, step: Step, outcome: &Outcome, context: &Context<'_>) -> NextAction {
+        const STATE_UNAVAILABLE: NextAction = NextAction::RetryLater("the state service does not answer");
         match (step, outcome.status()) {
             (Step::ReadCluster, Some(200)) => {
                 let item = outcome.read::<StoredItem>(&[200]);
                 let Some(record) = item.and_then(|item| ClusterRecord::from_value(&item.value).ok()) else {
-                    return SILENT;
+                    return STATE_UNAVAILABLE;
                 };
-                self.known = is_its(&record, &self.asks, context.settings);
-                if self.known == Some(false) {
-                    return no_cluster(self.target.cluster);
+                self.belongs_to_requester = belongs_to_team(&record, &self.requesting_team, context.settings);
+                if self.belongs_to_requester == Some(false) {
+                    return unknown_cluster(self.target.cluster);
                 }
-                Next::Call(Step::ReadJobs)
+                NextAction::Call(Step::ReadJobs)
             }
-            (Step::ReadCluster, Some(404)) => no_cluster(self.target.cluster),
+            (Step::ReadCluster, Some(404)) => unknown_cluster(self.target.cluster),
             (Step::ReadJobs, Some(200)) => {
                 let Some(page) = outcome.read::<StoredPage>(&[200]) else {
-                    return SILENT;
+                    return STATE_UNAVAILABLE;
                 };
-                self.left.clear();
-                self.not.clear();
+                self.remaining.clear();
+                self.unchanged.clear();
                 if self.action != ClusterAction::Remove {
-                    // Those that were changed before are found again, as they were asked to be.
-                    self.done = 0;
+                    // Jobs changed before a restart are read again, already in the requested state,
+                    // and counted anew.
+                    self.procs_done = 0;
                 }
                 let mut found_any = false;
                 for item in page.items {
                     let Ok(spec) = JobSpec::from_value(&item.value) else {
                         continue;
                     };
-                    // Another team's procs of the same file are not there.
-                    let Ok(access) = authorization::access(&spec, &self.asks, context.settings) else {
+                    // Other teams' procs of the same file are invisible to this team.
+                    let Ok(access) = authorization::access(&spec, &self.requesting_team, context.settings)
+                    else {
                         continue;
                     };
-                    self.known = Some(true);
-                    found_any |= self.sort(access, spec, item.version, context);
+                    self.belongs_to_requester = Some(true);
+                    found_any |= self.classify(access, spec, item.version, context);
                 }
-                if self.known.is_none() && self.done == 0 {
-                    return no_cluster(self.target.cluster);
+                if self.belongs_to_requester.is_none() && self.procs_done == 0 {
+                    return unknown_cluster(self.target.cluster);
                 }
                 if let Some(proc) = self.target.proc.filter(|_| !found_any) {
-                    return Next::Error(404, format!("{}.{proc} is not in the queue", self.target.cluster));
+                    return NextAction::Error(
+                        404,
+                        format!("{}.{proc} is not in the queue", self.target.cluster),
+                    );
                 }
-                self.go_on(context)
+                self.next_step(context)
             }
-            (Step::Apply(changed), Some(200)) => {
+            (Step::ApplyChanges(changed), Some(200)) => {
                 let is_done = |spec: &JobSpec| changed.contains(&spec.id);
-                let procs = self.left.iter().filter(|(_, spec, _)| is_done(spec));
-                self.done += procs.map(|(_, spec, _)| procs_of(spec)).sum::<u32>();
-                self.left.retain(|(_, spec, _)| !is_done(spec));
-                self.go_on(context)
+                let procs = self.remaining.iter().filter(|(_, spec, _)| is_done(spec));
+                self.procs_done += procs.map(|(_, spec, _)| proc_count(spec)).sum::<u32>();
+                self.remaining.retain(|(_, spec, _)| !is_done(spec));
+                self.next_step(context)
             }
-            (Step::Apply(_), Some(409)) => Next::Again(Step::ReadJobs),
-            _ => SILENT,
+            (Step::ApplyChanges(_), Some(409)) => NextAction::Restart(Step::ReadJobs),
+            _ => STATE_UNAVAILABLE,
         }
     }
 
-    /// Puts a live job where it belongs; whether it is one that is meant.
-    fn sort(&mut self, access: Access, spec: JobSpec, version: u64, context: &Context<'_>) -> bool {
+    /// Sorts a live job into those to be changed, those already done and those left unchanged.
+    /// Returns whether the request applies to it.
+    fn classify(&mut self, access: Access, spec: JobSpec, version: u64, context: &Context<'_>) -> bool {
         let Some(origin) = spec.condor.clone() else {
             return false;
         };
@@ -927,7 +974,7 @@
                 return false;
             }
             if origin.procs.count() > 1 {
-                self.not.push(ProcsOutcome {
+                self.unchanged.push(ProcsOutcome {
                     procs: origin.procs.text(),
                     verdict: "unchanged".to_owned(),
                     reason: format!(
@@ -939,10 +986,10 @@
             }
         }
         match self.action {
-            ClusterAction::Remove => self.left.push((access, spec, version)),
+            ClusterAction::Remove => self.remaining.push((access, spec, version)),
             ClusterAction::Hold => {
                 if origin.holds.iter().any(|hold| hold.reason == HoldReason::User) {
-                    self.done += procs_of(&spec);
+                    self.procs_done += proc_count(&spec);
                     return true;
                 }
                 let mut origin = (*origin).clone();
@@ -950,7 +997,7 @@
                     reason: HoldReason::User,
                     text: "its user holds it".to_owned(),
                 });
-                self.left.push((access, with_origin(spec, origin), version));
+                self.remaining.push((access, with_origin(spec, origin), version));
             }
             ClusterAction::Release => self.release(access, spec, &origin, version, context),
         }
@@ -965,7 +1012,7 @@
         version: u64,
         context: &Context<'_>,
     ) {
-        // What the settings in force no longer ask for goes as well.
+        // Holds that the current settings no longer require are released as well.
         let settings = context.settings;
         let default_team = settings
             .operator
@@ -973,38 +1020,38 @@
             .as_ref()
             .and_then(|condor| condor.default_team.as_deref());
         let spec = without_obsolete_holds(&spec, &settings.deployment, default_team).unwrap_or(spec);
-        let mut now = spec.condor.as_deref().unwrap_or(origin).clone();
-        now.holds.retain(|hold| hold.reason != HoldReason::User);
-        if let Some(reason) = now.held() {
-            self.not.push(ProcsOutcome {
-                procs: now.procs.text(),
+        let mut updated = spec.condor.as_deref().unwrap_or(origin).clone();
+        updated.holds.retain(|hold| hold.reason != HoldReason::User);
+        if let Some(reason) = updated.held() {
+            self.unchanged.push(ProcsOutcome {
+                procs: updated.procs.text(),
                 verdict: "held".to_owned(),
                 reason,
             });
         }
-        if now.holds.len() < origin.holds.len() {
-            self.left.push((access, with_origin(spec, now), version));
-        } else if now.holds.is_empty() {
-            self.done += procs_of(&spec);
+        if updated.holds.len() < origin.holds.len() {
+            self.remaining.push((access, with_origin(spec, updated), version));
+        } else if updated.holds.is_empty() {
+            self.procs_done += proc_count(&spec);
         }
     }
 
-    fn go_on(&self, context: &Context<'_>) -> Next {
-        if self.left.is_empty() {
+    fn next_step(&self, context: &Context<'_>) -> NextAction {
+        if self.remaining.is_empty() {
             let body = json(&ChangeSummary {
                 cluster: self.target.cluster,
-                procs: self.done,
-                not: self.not.clone(),
+                procs: self.procs_done,
+                not: self.unchanged.clone(),
             });
-            return Next::Reply(200, body);
+            return NextAction::Reply(200, body);
         }
         let ids: Vec<JobId> = self
-            .next(context)
+            .next_batch(context)
             .iter()
             .map(|(_, spec, _)| spec.id.clone())
             .collect();
-        let changes = ids.len() * self.changes_each();
-        Next::Paced(Step::Apply(ids), changes)
+        let changes = ids.len() * self.changes_per_job();
+        NextAction::ThrottledCall(Step::ApplyChanges(ids), changes)
     }
 }
 
@@ -1015,51 +1062,57 @@
     }
 }
 
-fn procs_of(spec: &JobSpec) -> u32 {
+fn proc_count(spec: &JobSpec) -> u32 {
     spec.condor.as_ref().map_or(0, |origin| origin.procs.count())
 }
 
-fn no_cluster(cluster: u64) -> Next {
-    Next::Error(404, format!("there is no cluster {cluster}"))
+fn unknown_cluster(cluster: u64) -> NextAction {
+    NextAction::Error(404, format!("there is no cluster {cluster}"))
 }
 
-fn history_message(cluster: Option<u64>, asks: &Team, found: &History, step: &Step) -> Message {
+fn history_request(
+    cluster: Option<u64>,
+    requesting_team: &Team,
+    history: &History,
+    step: &Step,
+) -> StateRequest {
     let cluster = cluster.unwrap_or(0);
     match step {
-        Step::Latest => get(NEXT_CLUSTER_KEY),
-        Step::ReadBook => page(&team_key_prefix(asks), None),
-        Step::ReadEnded => page(&jobs_prefix(records::ENDED_JOB_PREFIX, cluster), None),
-        Step::ReadLive => page(&jobs_prefix(records::JOB_PREFIX, cluster), None),
-        Step::Page => {
-            // The number before the first that is shown; none begins the page.
-            let after = found.clusters.first().map(|record| cluster_key(record.cluster));
-            page(CLUSTER_PREFIX, after.as_deref())
+        Step::ReadLastNumber => get(NEXT_CLUSTER_KEY),
+        Step::ReadTeamHistory => get_page(&team_key_prefix(requesting_team), None),
+        Step::ReadEnded => get_page(&jobs_prefix(records::ENDED_JOB_PREFIX, cluster), None),
+        Step::ReadLive => get_page(&jobs_prefix(records::JOB_PREFIX, cluster), None),
+        Step::ReadClusters => {
+            // The page begins after this key; without it, at the first cluster.
+            let after = history.clusters.first().map(|record| cluster_key(record.cluster));
+            get_page(CLUSTER_PREFIX, after.as_deref())
         }
         _ => get(&cluster_key(cluster)),
     }
 }
 
-fn follow_history(
+fn handle_history_response(
     cluster: Option<u64>,
-    asks: &Team,
-    found: &mut History,
+    requesting_team: &Team,
+    history: &mut History,
     step: &Step,
     outcome: &Outcome,
     context: &Context<'_>,
-) -> Next {
-    const SILENT: Next = Next::Later("the state service does not answer");
+) -> NextAction {
+    const STATE_UNAVAILABLE: NextAction = NextAction::RetryLater("the state service does not answer");
     let settings = context.settings;
     match (step, outcome.status()) {
-        (Step::Latest, Some(404)) => Next::Call(Step::ReadBook),
-        (Step::Latest, Some(200)) => {
+        (Step::ReadLastNumber, Some(404)) => NextAction::Call(Step::ReadTeamHistory),
+        (Step::ReadLastNumber, Some(200)) => {
             let item = outcome.read::<StoredItem>(&[200]);
-            let Some(next) = item.and_then(|item| NextClusterRecord::from_value(&item.value).ok()) else {
-                return SILENT;
+            let Some(next_record) = item.and_then(|item| NextClusterRecord::from_value(&item.value).ok())
+            else {
+                return STATE_UNAVAILABLE;
             };
-            // A stand-in for where the page begins; it is replaced by what is read.
-            let before = next.next.saturating_sub(1 + HISTORY_CLUSTERS_SHOWN);
+            // A placeholder that says where the page begins; the records read replace it.
+            let before = next_record.next.saturating_sub(1 + HISTORY_CLUSTERS_SHOWN);
             if before > 0 {
-                found.clusters = vec![ClusterRecord {
+                history.clusters = vec![ClusterRecord {
                     cluster: before,
                     owner: String::new(),
                     file: String::new(),
@@ -1069,81 +1122,84 @@
                     teams: Vec::new(),
                 }];
             }
-            Next::Call(Step::Page)
+            NextAction::Call(Step::ReadClusters)
         }
-        (Step::Page, Some(200)) => match outcome.read::<StoredPage>(&[200]) {
+        (Step::ReadClusters, Some(200)) => match outcome.read::<StoredPage>(&[200]) {
             Some(page) => {
                 let records = page
                     .items
                     .iter()
                     .filter_map(|item| ClusterRecord::from_value(&item.value).ok());
-                found.clusters = records
-                    .filter(|record| is_its(record, asks, settings) == Some(true))
-                    .map(|record| of_one_team(record, asks, settings))
+                history.clusters = records
+                    .filter(|record| belongs_to_team(record, requesting_team, settings) == Some(true))
+                    .map(|record| redact_other_teams(record, requesting_team, settings))
                     .collect();
-                Next::Call(Step::ReadBook)
+                NextAction::Call(Step::ReadTeamHistory)
             }
-            None => SILENT,
+            None => STATE_UNAVAILABLE,
         },
-        (Step::ReadBook, Some(200)) => match outcome.read::<StoredPage>(&[200]) {
+        (Step::ReadTeamHistory, Some(200)) => match outcome.read::<StoredPage>(&[200]) {
             Some(page) => {
                 let items: Vec<_> = page
                     .items
                     .into_iter()
                     .map(|item| (item.key, item.value))
                     .collect();
-                // A page that cannot be read is the leader's to mend.
-                found.book = indigopath_accounting::read_history(asks, &items).ok();
-                Next::Reply(200, json(found))
+                // An invalid page is reported and rebuilt by the leader.
+                history.book = indigopath_accounting::read_history(requesting_team, &items).ok();
+                NextAction::Reply(200, json(history))
             }
-            None => SILENT,
+            None => STATE_UNAVAILABLE,
         },
-        (Step::ReadCluster, Some(404)) => no_cluster(cluster.unwrap_or(0)),
+        (Step::ReadCluster, Some(404)) => unknown_cluster(cluster.unwrap_or(0)),
         (Step::ReadCluster, Some(200)) => {
             let item = outcome.read::<StoredItem>(&[200]);
             match item.and_then(|item| ClusterRecord::from_value(&item.value).ok()) {
-                Some(record) if is_its(&record, asks, settings) == Some(false) => no_cluster(record.cluster),
+                Some(record) if belongs_to_team(&record, requesting_team, settings) == Some(false) => {
+                    unknown_cluster(record.cluster)
+                }
                 Some(record) => {
-                    found.clusters = vec![record];
-                    Next::Call(Step::ReadLive)
+                    history.clusters = vec![record];
+                    NextAction::Call(Step::ReadLive)
                 }
-                None => SILENT,
+                None => STATE_UNAVAILABLE,
             }
         }
-        // Live jobs first: what ends meanwhile is seen among the ended ones, perhaps twice.
+        // Live jobs are read first: a job that ends in between appears among the ended ones, and
+        // perhaps in both.
         (Step::ReadLive, Some(200)) => match outcome.read::<StoredPage>(&[200]) {
             Some(page) => {
                 let live = page.items.iter().filter_map(|item| {
                     let spec = JobSpec::from_value(&item.value).ok()?;
-                    let access = authorization::access(&spec, asks, settings).ok()?;
+                    let access = authorization::access(&spec, requesting_team, settings).ok()?;
                     let held = spec.condor.as_ref()?.held().is_some();
                     let state = if held { "held" } else { "live" };
                     Some(history_job(&access, spec.tasks, state, None))
                 });
-                found.jobs = live.collect();
-                Next::Call(Step::ReadEnded)
+                history.jobs = live.collect();
+                NextAction::Call(Step::ReadEnded)
             }
-            None => SILENT,
+            None => STATE_UNAVAILABLE,
         },
         (Step::ReadEnded, Some(200)) => match outcome.read::<StoredPage>(&[200]) {
             Some(page) => {
-                let named = found
+                let belongs_to_requester = history
                     .clusters
                     .first()
-                    .and_then(|record| is_its(record, asks, settings));
+                    .and_then(|record| belongs_to_team(record, requesting_team, settings));
                 let ended = page.items.iter().filter_map(|item| {
                     let ended = EndedJobRecord::from_value(&item.value).ok()?;
                     let id: Arc<str> = Arc::from(item.key.strip_prefix(records::ENDED_JOB_PREFIX)?);
                     let entry = ended.entry();
-                    // An earlier build did not write whose it was; its cluster may say.
+                    // Records of earlier builds lack the team; the cluster's record may name it.
                     let team = match entry {
                         Some(entry) => entry.team().name(),
-                        None if named == Some(true) => asks.name(),
+                        None if belongs_to_requester == Some(true) => requesting_team.name(),
                         None => return None,
                     };
                     let owner =
                         Owner::from_record(&id, authorization::requesting_team(Some(team), settings).name());
-                    let access = Access::for_team(&owner, asks).ok()?;
+                    let access = Access::for_team(&owner, requesting_team).ok()?;
                     let state = match ended.end {
                         Ending::Done => "completed",
                         Ending::Cancelled => "removed",
@@ -1151,28 +1207,28 @@
                     Some(history_job(&access, ended.tasks, state, entry.cloned()))
                 });
                 let ended: Vec<HistoryJob> = ended.collect();
-                found
+                history
                     .jobs
                     .retain(|live| ended.iter().all(|ended_job| ended_job.job != live.job));
-                found.jobs.extend(ended);
-                found.jobs.sort_by(|a, b| a.job.cmp(&b.job));
-                let unknown = found.clusters.iter().all(|record| record.teams.is_empty());
-                if unknown && found.jobs.is_empty() {
-                    return no_cluster(cluster.unwrap_or(0));
+                history.jobs.extend(ended);
+                history.jobs.sort_by(|a, b| a.job.cmp(&b.job));
+                let unknown = history.clusters.iter().all(|record| record.teams.is_empty());
+                if unknown && history.jobs.is_empty() {
+                    return unknown_cluster(cluster.unwrap_or(0));
                 }
-                let records = std::mem::take(&mut found.clusters).into_iter();
-                found.clusters = records
-                    .map(|record| of_one_team(record, asks, settings))
+                let records = std::mem::take(&mut history.clusters).into_iter();
+                history.clusters = records
+                    .map(|record| redact_other_teams(record, requesting_team, settings))
                     .collect();
-                Next::Reply(200, json(found))
+                NextAction::Reply(200, json(history))
             }
-            None => SILENT,
+            None => STATE_UNAVAILABLE,
         },
-        _ => SILENT,
+        _ => STATE_UNAVAILABLE,
     }
 }
 
-/// One job for display, to whom the gate let through to it.
+/// Describes one job to a requester that has access to it.
 fn history_job(access: &Access, tasks: u32, state: &str, entry: Option<Entry>) -> HistoryJob {
     HistoryJob {
         access_proof: AccessProof::from_access(access),
@@ -1183,12 +1239,12 @@
     }
 }
 
-/// A cluster's record as one of its teams may see it: the others are not named.
-fn of_one_team(record: ClusterRecord, asks: &Team, settings: &Settings) -> ClusterRecord {
+/// Removes the names of other teams from a cluster's record.
+fn redact_other_teams(record: ClusterRecord, requesting_team: &Team, settings: &Settings) -> ClusterRecord {
     let teams = record
         .teams
         .iter()
-        .filter(|team| authorization::is_same_team(team, asks, settings));
+        .filter(|team| authorization::is_same_team(team, requesting_team, settings));
     ClusterRecord {
         teams: teams.cloned().collect(),
         ..record
--- a/crates/controller/src/condor/mod.rs
+++ b/crates/controller/src/condor/mod.rs
@@ -1,5 +1,5 @@
-//! HTCondor submit files on this core: what they are held against, the jobs that they
-//! become, and the operations on their clusters.
+//! HTCondor submit files in the controller: the site against which they are matched, the jobs that
+//! are created from them, and the operations on their clusters.
 
 mod cluster_api;
 mod plan;
@@ -24,42 +24,43 @@
 impl Record for OpenClusterRecord {}
 impl Record for ClusterRecord {}
 
-/// What the numbers of jobs of submit files begin with; twenty digits in all, the most that
-/// an id has. Users' own ids of that form are refused where submit files are served.
+/// Prefix of the ids of jobs from submit files, which have twenty digits, the most that an id
+/// allows. Where submit files are served, users cannot choose ids of this form.
 const JOB_ID_PREFIX: &str = "wk-99";
 
-/// Digits of a cluster's number in an id.
+/// Digits of the cluster number in a job id.
 const CLUSTER_DIGITS: usize = 10;
 
-/// Digits of a job's number within its cluster.
+/// Digits of the job's index within its cluster in a job id.
 const INDEX_DIGITS: usize = 8;
 
-/// Largest number of a cluster.
+/// Largest cluster number.
 pub const MAX_CLUSTER: u64 = 9_999_999_999;
 
-/// The id of a cluster's job.
+/// Returns the id of a cluster's job.
 pub fn job_id(cluster: u64, index: u32) -> JobId {
     JobId(Arc::from(format!(
         "{JOB_ID_PREFIX}{cluster:0CLUSTER_DIGITS$}{index:0INDEX_DIGITS$}"
     )))
 }
 
-/// Whether an id is of the form that submit files' jobs have.
+/// Whether an id has the form reserved for jobs from submit files.
 pub fn is_reserved(id: &JobId) -> bool {
     id.0.starts_with(JOB_ID_PREFIX) && id.0.len() == JOB_ID_PREFIX.len() + CLUSTER_DIGITS + INDEX_DIGITS
 }
 
-/// Prefix of the keys of a cluster's live, or ended, jobs.
+/// Returns the common prefix of the keys of a cluster's jobs, below the prefix of live or of ended
+/// jobs.
 pub fn jobs_prefix(prefix: &str, cluster: u64) -> String {
     format!("{prefix}{JOB_ID_PREFIX}{cluster:0CLUSTER_DIGITS$}")
 }
 
-/// Key that stands while a cluster is being recorded.
+/// Returns the key of an open cluster's record, which exists while the cluster is being recorded.
 pub fn open_key(cluster: u64) -> String {
     format!("{}{OPEN_MARKER}{cluster:0CLUSTER_DIGITS$}", records::JOB_PREFIX)
 }
 
-/// The cluster of such a key.
+/// Parses a key made by [`open_key`] and returns its cluster.
 pub fn parse_open_key(key: &str) -> Option<u64> {
     key.strip_prefix(records::JOB_PREFIX)?
         .strip_prefix(OPEN_MARKER)?
@@ -67,7 +68,7 @@
         .ok()
 }
 
-/// The site as submit files see it.
+/// Describes the site as submit files are matched against it.
 pub fn site(
     deployment: &Deployment,
     types: &[MachineType],
@@ -99,14 +100,14 @@
     }
 }
 
-/// Whether a team's limit would ever let tasks of the job that run together start.
-fn within_limit(spec: &JobSpec, team: &crate::settings::Team) -> bool {
+/// Whether the team's limit allows the tasks of the job that run together.
+fn fits_team_limit(spec: &JobSpec, team: &crate::settings::Team) -> bool {
     let together = spec.shape.concurrent_tasks(u64::from(spec.tasks));
     team.allows(&spec.needs.scaled_by(together as f64))
 }
 
-/// The job without those of its holds that the settings in force no longer call for; `None`
-/// if they call for all of them.
+/// Returns the job without the holds that the current settings no longer require; `None` if they
+/// require all of them.
 pub fn without_obsolete_holds(
     spec: &JobSpec,
     deployment: &Deployment,
@@ -114,7 +115,7 @@
 ) -> Option<JobSpec> {
     let origin = spec.condor.as_ref()?;
     origin.holds.iter().find(|hold| hold.reason != HoldReason::User)?;
-    let named = if spec.team.is_empty() {
+    let team_name = if spec.team.is_empty() {
         default_team?
     } else {
         &spec.team
@@ -122,19 +123,19 @@
     let team = deployment
         .teams
         .iter()
-        .find(|team| team.name.eq_ignore_ascii_case(named))?;
+        .find(|team| team.name.eq_ignore_ascii_case(team_name))?;
     let mut origin = (**origin).clone();
     let before = origin.holds.len();
     origin.holds.retain(|hold| match hold.reason {
         HoldReason::User => true,
         HoldReason::Team => false,
-        HoldReason::Limit => !within_limit(spec, team),
+        HoldReason::Limit => !fits_team_limit(spec, team),
     });
     if origin.holds.len() == before {
         return None;
     }
-    // A team that was not known when the file came had no limit to be held against.
-    if !within_limit(spec, team) && origin.holds.iter().all(|hold| hold.reason != HoldReason::Limit) {
+    // A job whose team was unknown at submission was not yet checked against the team's limit.
+    if !fits_team_limit(spec, team) && origin.holds.iter().all(|hold| hold.reason != HoldReason::Limit) {
         origin.holds.push(indigopath_condor::Hold {
             reason: HoldReason::Limit,
             text: format!("it needs more at once than team {}'s limit", team.name),
@@ -147,7 +148,7 @@
     })
 }
 
-/// How a cluster's job stands.
+/// State of a live job from a submit file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RowState {
@@ -156,8 +157,8 @@
     Held,
 }
 
-/// Marks what was told to somebody whom the gate let through to the job: nothing else makes one
-/// here. Read back by a client, it says nothing.
+/// Evidence that a value was built for a requester with access to the job: in the controller it is
+/// only created from an [`Access`]. On a value that a client has deserialized it proves nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AccessProof(());
 
@@ -171,7 +172,7 @@
     }
 }
 
-/// A live job of a submit file, for display.
+/// A live job from a submit file, for display.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QueueRow {
     #[serde(skip, default = "AccessProof::unchecked")]
@@ -181,10 +182,10 @@
     pub procs: String,
     pub owner: String,
     pub team: String,
-    /// Time of day, in ms since 1970.
+    /// Unix time in ms.
     pub submitted_ms: u64,
     pub state: RowState,
-    /// Its tasks run together and are one proc.
+    /// The job's tasks run together and form one proc.
     pub gang: bool,
     pub tasks: u32,
     pub done: u32,
@@ -193,9 +194,10 @@
     pub cmd: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hold: Option<String>,
-    /// Its user may release it: nothing else holds it.
+    /// The user can release the job: it has no other hold.
     pub releasable: bool,
-    /// What it waits for: `nothing`, `held`, `recording`, `retry`, `units`, `machines` or `turn`.
+    /// What the job waits for: `nothing`, `held`, `recording`, `retry`, `units`, `machines` or
+    /// `turn`.
     #[serde(default)]
     pub waits: String,
 }
@@ -205,20 +207,20 @@
     pub jobs: Vec<QueueRow>,
 }
 
-/// What a submitter is told of an accepted cluster.
+/// The response to an accepted submission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedCluster {
     pub cluster: u64,
     pub procs: u32,
     pub jobs: u32,
-    /// Procs that wait for a reason, with it.
+    /// Procs that are held, with the reason.
     #[serde(default)]
     pub held: Vec<ProcsOutcome>,
     #[serde(default)]
     pub notes: Vec<String>,
 }
 
-/// What became of some procs.
+/// A verdict on some procs, and its reason.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProcsOutcome {
     pub procs: String,
@@ -226,7 +228,7 @@
     pub reason: String,
 }
 
-/// A file that is not taken, as a whole.
+/// The response to a submission that is rejected as a whole.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SubmitRejection {
     pub error: String,
@@ -234,39 +236,39 @@
     pub refused: Vec<ProcsOutcome>,
 }
 
-/// What came of holding, releasing or removing.
+/// The response to a request to hold, release or remove procs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeSummary {
     pub cluster: u64,
-    /// Procs that are as they were asked to be.
+    /// Number of procs that are in the requested state.
     pub procs: u32,
-    /// Those that are not, and why.
+    /// Procs that are not, and why.
     #[serde(default)]
     pub not: Vec<ProcsOutcome>,
 }
 
-/// One job of a cluster, live or over.
+/// One job of a cluster, live or ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HistoryJob {
     #[serde(skip, default = "AccessProof::unchecked")]
     pub access_proof: AccessProof,
     pub job: String,
-    /// Its tasks, or those that were done when it ended.
+    /// Number of tasks, or for an ended job the number that had completed.
     pub tasks: u32,
     pub state: String,
-    /// How it ended, where its record says so.
+    /// How the job ended, if its record says so.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub entry: Option<Entry>,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
-    /// The latest last.
+    /// Clusters, the latest last.
     pub clusters: Vec<ClusterRecord>,
-    /// Of a single cluster.
+    /// Jobs, if a single cluster was requested.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub jobs: Vec<HistoryJob>,
-    /// The asking team's book, where no cluster is named.
+    /// The requesting team's accounting history, if no cluster was requested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub book: Option<TeamHistory>,
 }
--- a/crates/controller/src/condor/plan.rs
+++ b/crates/controller/src/condor/plan.rs
@@ -1,4 +1,4 @@
-//! From a submission to the jobs that it becomes.
+//! Plans the jobs that a submission becomes.
 
 use super::{ProcsOutcome, SubmitRejection, job_id};
 use crate::constants::{MAX_DURATION_S, MAX_NAME_BYTES, MAX_VALUE_SHARE};
@@ -13,7 +13,7 @@
 };
 use std::sync::Arc;
 
-/// The jobs of a cluster, and what its submitter is told.
+/// The jobs of a cluster, and what the response tells its submitter.
 #[derive(Debug)]
 pub struct Plan {
     pub jobs: Vec<JobSpec>,
@@ -22,25 +22,25 @@
     pub notes: Vec<String>,
 }
 
-/// Most reasons that an answer lists; more are of a kind.
-const REASONS_SHOWN: usize = 20;
+/// Maximum number of reasons in a response; further ones are usually alike.
+const MAX_REASONS: usize = 20;
 
-/// Longest program with arguments that is kept for display, in letters.
-const CMD_SHOWN: usize = 120;
+/// Maximum length of the command line kept for display, in characters.
+const MAX_CMD_CHARS: usize = 120;
 
 impl Plan {
-    /// What of it two nodes have to agree on.
+    /// Returns the digest by which two nodes tell whether they made the same plan.
     pub fn digest(&self) -> String {
         let jobs = serde_json::to_vec(&self.jobs).unwrap_or_default();
         blake3::hash(&jobs).to_hex()[..32].to_owned()
     }
 }
 
-/// Plans a submission as a cluster of this number. `submitted_ms` counts as its time, and
-/// `value_kb` is what a record may take.
+/// Plans a submission as the cluster with the given number. `submitted_ms` is recorded as its
+/// submission time, and `value_kb` limits the size of a record.
 ///
 /// # Errors
-/// Why it is not taken: the file cannot be read, or some proc is refused or could never run.
+/// Returns a rejection if the file cannot be parsed, or if any proc is refused or could never run.
 pub fn plan(
     bundle: &Bundle,
     cluster: u64,
@@ -48,24 +48,24 @@
     submitted_ms: u64,
     value_kb: f64,
 ) -> Result<Plan, SubmitRejection> {
-    let refused = |error: String| SubmitRejection {
+    let rejection = |error: String| SubmitRejection {
         error,
         refused: Vec::new(),
     };
     let submission = read(&bundle.text, &bundle.file, cluster, bundle.at_s, bundle)
-        .map_err(|error| refused(error.to_string()))?;
+        .map_err(|error| rejection(error.to_string()))?;
     if submission.procs() > MAX_CLUSTER_PROCS {
-        return Err(refused(format!(
+        return Err(rejection(format!(
             "the file has {} procs; at most {MAX_CLUSTER_PROCS} are taken at once: split it",
             submission.procs()
         )));
     }
     if submission.procs() == 0 {
-        return Err(refused("the file has no procs".to_owned()));
+        return Err(rejection("the file has no procs".to_owned()));
     }
     let results = match_submission_at_most(&submission, cluster, bundle.at_s, site, MAX_CLUSTER_JOBS)
-        .map_err(|error| refused(error.to_string()))?;
-    let bad = told(&results, |verdict| {
+        .map_err(|error| rejection(error.to_string()))?;
+    let bad = outcomes_with(&results, |verdict| {
         matches!(verdict, Verdict::Refused | Verdict::Never)
     });
     if let Some(first) = bad.first() {
@@ -74,60 +74,60 @@
             refused: bad,
         });
     }
-    let arrays = arrays(&results).map_err(|error| refused(error.to_string()))?;
+    let arrays = arrays(&results).map_err(|error| rejection(error.to_string()))?;
     let mut jobs = Vec::with_capacity(arrays.len());
     for (index, array) in (0u32..).zip(&arrays) {
         let outcome = &results.outcomes[array.outcome];
         let Some(request) = &outcome.request else { continue };
-        let mut spec = job(request, outcome, array, site);
+        let mut spec = job_spec(request, outcome, array, site);
         spec.id = job_id(cluster, index);
         spec.submitted_ms = submitted_ms;
         spec.condor = Some(Arc::new(SubmitOrigin {
             cluster,
             procs: ProcSet::new(&array.procs),
             owner: bundle.owner.clone(),
-            cmd: cmd(&submission, array.procs.first().copied().unwrap_or(0)),
+            cmd: command_line(&submission, array.procs.first().copied().unwrap_or(0)),
             holds: request.holds.clone(),
         }));
         for (what, name) in [("class", &spec.class), ("team", &spec.team)] {
             if name.len() > MAX_NAME_BYTES {
-                return Err(refused(format!("the name of its {what} is too long")));
+                return Err(rejection(format!("the name of its {what} is too long")));
             }
         }
         if spec.image.is_empty() || spec.image.len() > MAX_NAME_BYTES {
-            return Err(refused("the name of its image is too long".to_owned()));
+            return Err(rejection("the name of its image is too long".to_owned()));
         }
         if !(0.0..=MAX_DURATION_S).contains(&spec.estimate_s) {
-            return Err(refused("its estimate is out of range".to_owned()));
+            return Err(rejection("its estimate is out of range".to_owned()));
         }
         if spec.to_text().get().len() as f64 > value_kb * 1024.0 * MAX_VALUE_SHARE {
-            return Err(refused("a record of it would be too large".to_owned()));
+            return Err(rejection("a record of it would be too large".to_owned()));
         }
         jobs.push(spec);
     }
     Ok(Plan {
         jobs,
         procs: submission.procs() as u32,
-        held: told(&results, |verdict| verdict == Verdict::Held),
+        held: outcomes_with(&results, |verdict| verdict == Verdict::Held),
         notes: notes(&submission)
             .into_iter()
-            .take(REASONS_SHOWN)
+            .take(MAX_REASONS)
             .map(|(place, text)| format!("{place}: {text}"))
             .collect(),
     })
 }
 
-/// Procs with some verdicts and their reasons.
-fn told(results: &MatchResults, which: impl Fn(Verdict) -> bool) -> Vec<ProcsOutcome> {
+/// Returns the procs with selected verdicts, with their reasons.
+fn outcomes_with(results: &MatchResults, selected: impl Fn(Verdict) -> bool) -> Vec<ProcsOutcome> {
     let mut found = Vec::new();
-    for (at, outcome) in results.outcomes.iter().enumerate() {
-        if found.len() >= REASONS_SHOWN {
+    for (position, outcome) in results.outcomes.iter().enumerate() {
+        if found.len() >= MAX_REASONS {
             break;
         }
-        if which(outcome.verdict) {
+        if selected(outcome.verdict) {
             let procs = (0u32..)
                 .zip(&results.outcome_of_proc)
-                .filter(|(_, of)| **of as usize == at);
+                .filter(|(_, of)| **of as usize == position);
             let procs: Vec<u32> = procs.map(|(proc, _)| proc).collect();
             found.push(ProcsOutcome {
                 procs: ProcSet::new(&procs).text(),
@@ -139,10 +139,10 @@
     found
 }
 
-fn job(request: &Request, outcome: &Outcome, array: &JobArray, site: &Site) -> JobSpec {
+fn job_spec(request: &Request, outcome: &Outcome, array: &JobArray, site: &Site) -> JobSpec {
     let kinds = KindSet::of(outcome, &site.kinds);
     let spot = kinds.any_spot();
-    // Without an expression nothing needs to be kept: new machine types do as well.
+    // Without an expression, machine types added later fit as well: no kinds are stored.
     let any = request.requirements.is_none() && outcome.ranks.is_empty();
     JobSpec {
         id: job_id(0, 0),
@@ -181,8 +181,8 @@
     }
 }
 
-/// The program of a proc, with its arguments, as far as they are shown.
-fn cmd(submission: &Submission, proc: u32) -> String {
+/// Returns a proc's executable and arguments, shortened for display.
+fn command_line(submission: &Submission, proc: u32) -> String {
     let mut words = [String::new(), String::new()];
     let found = submission
         .batches
@@ -199,5 +199,5 @@
             }
         }
     }
-    words.join(" ").trim().chars().take(CMD_SHOWN).collect()
+    words.join(" ").trim().chars().take(MAX_CMD_CHARS).collect()
 }
