--- a/crates/protection_windows/src/window_state/services.rs
+++ b/crates/protection_windows/src/window_state/services.rs
@@ -37,7 +37,7 @@
 /// The result of comparing the live services with the protected ones.
 #[derive(Default)]
 struct ServiceScan {
-    /// ServicesRecord that are protected.
+    /// Live services that are protected.
     protected: BTreeSet<Name>,
     new: Vec<NewService>,
     /// Numbers of values whose services changed.
