--- a/crates/protection_windows/src/definition.rs
+++ b/crates/protection_windows/src/definition.rs
@@ -161,7 +161,7 @@
     let days = names.iter().map(|day| {
         let known = DAYS.iter().find(|(name, _)| name == day);
         let (_, weekday) =
-            known.ok_or_else(|| FieldProblem::new(".days", format!("{day} is none of mon to sun")))?;
+            known.ok_or_else(|| FieldProblem::new(".days", format!("{day} is not one of mon to sun")))?;
         Ok(weekday.to_monday_zero_offset())
     });
     days.collect()
@@ -170,7 +170,7 @@
 fn parse_closed_days(definition: &Definition) -> Result<BTreeSet<Day>, FieldProblem> {
     let days = definition.closed.iter().map(|day| {
         let date = (day.len() == 10).then(|| day.parse::<Day>().ok()).flatten();
-        date.ok_or_else(|| FieldProblem::new(".closed", format!("{day} is no day, as 2026-12-25 is")))
+        date.ok_or_else(|| FieldProblem::new(".closed", format!("{day} is not a date such as 2026-12-25")))
     });
     days.collect()
 }
@@ -227,7 +227,7 @@
 }
 
 fn invalid_time(text: &str) -> String {
-    format!("{text} is no time of day, as 06:00 is")
+    format!("{text} is not a time of day such as 06:00")
 }
 
 /// Parses a time of day. The second value is whether it is `24:00`.
