--- a/crates/protection_windows/src/definition/tests.rs
+++ b/crates/protection_windows/src/definition/tests.rs
@@ -27,14 +27,35 @@
         (r#"{ "rank": 70000 }"#, "rank: "),
         (r#"{ "classes": [] }"#, "classes: must not be empty"),
         (r#"{ "classes": [""] }"#, "classes: a class must not be empty"),
-        (r#"{ "days": ["monday"] }"#, "days: monday is not one of mon to sun"),
+        (
+            r#"{ "days": ["monday"] }"#,
+            "days: monday is not one of mon to sun",
+        ),
         (r#"{ "days": [] }"#, "days: must not be empty"),
-        (r#"{ "from": "6:00" }"#, "from: 6:00 is not a time of day such as 06:00"),
-        (r#"{ "from": "24:00" }"#, "from: 24:00 is not a time of day such as 06:00"),
-        (r#"{ "to": "22:60" }"#, "to: 22:60 is not a time of day such as 06:00"),
-        (r#"{ "to": "+1:00" }"#, "to: +1:00 is not a time of day such as 06:00"),
-        (r#"{ "closed": ["25.12.2026"] }"#, "closed: 25.12.2026 is not a date such as 2026-12-25"),
-        (r#"{ "closed": ["2026-02-30"] }"#, "closed: 2026-02-30 is not a date such as 2026-12-25"),
+        (
+            r#"{ "from": "6:00" }"#,
+            "from: 6:00 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "from": "24:00" }"#,
+            "from: 24:00 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "to": "22:60" }"#,
+            "to: 22:60 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "to": "+1:00" }"#,
+            "to: +1:00 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "closed": ["25.12.2026"] }"#,
+            "closed: 25.12.2026 is not a date such as 2026-12-25",
+        ),
+        (
+            r#"{ "closed": ["2026-02-30"] }"#,
+            "closed: 2026-02-30 is not a date such as 2026-12-25",
+        ),
         (r#"{ "lead_s": 4000 }"#, "lead_s: must be between 0 and 3600 s"),
     ] {
         let error = check(&definitions(change), |team| team == "red").unwrap_err();
