--- a/crates/condor/src/cluster.rs
+++ b/crates/condor/src/cluster.rs
@@ -37,14 +37,14 @@
     pub reads: BTreeMap<String, String>,
     /// Paths that a pattern matches.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub matches: Vec<Matched>,
+    pub matches: Vec<MatchedPaths>,
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub environment: BTreeMap<String, String>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Matched {
+pub struct MatchedPaths {
     pub pattern: String,
     pub what: PathKind,
     pub paths: Vec<String>,
@@ -136,7 +136,7 @@
 
     fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
         let paths = self.files.matching_paths(pattern, what)?;
-        self.bundle.borrow_mut().matches.push(Matched {
+        self.bundle.borrow_mut().matches.push(MatchedPaths {
             pattern: pattern.to_owned(),
             what,
             paths: paths.clone(),
@@ -184,7 +184,7 @@
 
 impl KindSet {
     /// The kinds that an outcome allows.
-    pub fn of(outcome: &Outcome, kinds: &MachineKinds) -> KindSet {
+    pub fn from_outcome(outcome: &Outcome, kinds: &MachineKinds) -> KindSet {
         let rank = |at: usize| outcome.ranks.get(at).copied().unwrap_or(0.0);
         let mut ranks: Vec<f64> = outcome.kinds.ones().map(rank).collect();
         ranks.sort_by(|a, b| b.total_cmp(a));
@@ -304,7 +304,7 @@
 
 impl SubmitOrigin {
     /// Why it is held, if it is.
-    pub fn held(&self) -> Option<String> {
+    pub fn hold_text(&self) -> Option<String> {
         let texts: Vec<&str> = self.holds.iter().map(|hold| hold.text.as_str()).collect();
         (!texts.is_empty()).then(|| texts.join("; "))
     }
@@ -330,7 +330,7 @@
 ///
 /// # Errors
 /// There are too many to be recorded.
-pub fn arrays(results: &MatchResults) -> Result<Vec<JobArray>, TooManyJobs> {
+pub fn group_into_arrays(results: &MatchResults) -> Result<Vec<JobArray>, TooManyJobs> {
     let mut arrays: Vec<JobArray> = Vec::new();
     let mut array_of: BTreeMap<usize, usize> = BTreeMap::new();
     for (proc, at) in (0u32..).zip(&results.outcome_of_proc) {
--- a/crates/condor/src/matchmaking.rs
+++ b/crates/condor/src/matchmaking.rs
@@ -133,7 +133,7 @@
                 results.outcome_of_proc.push(*at);
                 continue;
             }
-            let given = batch.given(proc);
+            let given = batch.entries(proc);
             let (outcome, shared) =
                 match request::read(given, self.cluster, proc.process, self.now_s, self.site) {
                     Err(problems) => (refused(&problems, self.site), true),
@@ -165,7 +165,7 @@
         }
         if let Err(error) = request
             .counts
-            .check(&self.site.counts, u64::from(request.together()))
+            .check(&self.site.counts, u64::from(request.concurrent_tasks()))
         {
             let reason = format!("concurrency_limits: {error}");
             return (
@@ -268,7 +268,7 @@
     /// Whether spot machines are out because nobody asked for them: an expression says for
     /// itself which kinds do.
     fn spot_allowed(request: &Request) -> bool {
-        request.spot.unwrap_or(request.requirements.is_some())
+        request.allow_spot.unwrap_or(request.requirements.is_some())
     }
 
     fn kinds(&mut self, request: &Request, ad: &Ad, names: &FxHashSet<Arc<str>>) -> FixedBitSet {
@@ -325,14 +325,14 @@
         let zone = any || names.contains("zone");
         let spot = any || names.contains("spot") || names.contains("rate");
         // Kinds that do not differ in what it looks at come to the same.
-        let mut by_class: Vec<Option<bool>> = vec![None; all.classes()];
+        let mut by_class: Vec<Option<bool>> = vec![None; all.equivalence_class_count()];
         let mut holds = FixedBitSet::with_capacity(all.all().len());
         for (at, kind) in all.all().iter().enumerate() {
             let beyond = self.evaluator.spent() > MAX_EVALUATION_STEPS;
             if beyond || (!of_machines && !kinds.contains(at)) {
                 continue;
             }
-            let class = all.class(kind, zone, spot);
+            let class = all.equivalence_class(kind, zone, spot);
             let truth = match by_class.get(class).copied().flatten() {
                 Some(truth) => truth,
                 None => {
@@ -482,7 +482,7 @@
 /// What a request asks for beyond its team's limit, if anything.
 fn over_limit(request: &Request, site: &Site) -> Option<String> {
     let team = site.teams.iter().find(|team| team.name == request.team)?;
-    let together = f64::from(request.together());
+    let together = f64::from(request.concurrent_tasks());
     let over = |what: &str, each: f64, most: f64| {
         let all = each * together;
         (most > 0.0 && !within(all, most)).then(|| {
--- a/crates/condor/src/request.rs
+++ b/crates/condor/src/request.rs
@@ -46,7 +46,7 @@
     pub class: String,
     /// A gang of so many tasks, if it runs in the parallel universe.
     pub gang: Option<u32>,
-    pub level: PriorityBand,
+    pub priority: PriorityBand,
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -54,7 +54,7 @@
     pub image_gb: f64,
     pub estimate_s: f64,
     /// What the file says of spot machines, if it says anything.
-    pub spot: Option<bool>,
+    pub allow_spot: Option<bool>,
     pub counts: Demand,
     pub requirements: Option<SourceExpr>,
     pub rank: Option<SourceExpr>,
@@ -71,7 +71,7 @@
 
 impl Request {
     /// Tasks that run together.
-    pub fn together(&self) -> u32 {
+    pub fn concurrent_tasks(&self) -> u32 {
         self.gang.unwrap_or(1)
     }
 }
@@ -469,7 +469,7 @@
         })
     }
 
-    fn level(&mut self) -> PriorityBand {
+    fn priority(&mut self) -> PriorityBand {
         let number = self.number(Field::Priority, 0.0, -1e9, 1e9);
         self.put(&NAMES.job_prio, Value::number(number));
         let nice = self.get(Field::Nice).is_some_and(|(entry, text)| {
@@ -526,7 +526,7 @@
     fn finish(mut self) -> Result<ParsedRequest, Vec<Problem>> {
         self.put(&NAMES.job_universe, Value::Int(5));
         let universe = self.universe().unwrap_or("vanilla");
-        let level = self.level();
+        let priority = self.priority();
         let gang = self.gang(universe);
         let cpus = self.number(Field::Cpus, 1.0, 0.0, 1e6);
         self.put(&NAMES.request_cpus, Value::number(cpus));
@@ -540,7 +540,7 @@
         let (image, image_gb) = self.image(universe);
         let duration = self.number(Field::Duration, DEFAULT_ESTIMATE_S, 0.0, 1e9);
         let estimate_s = self.own_number("RuntimeS", duration, 1e9);
-        let spot = match self.own("AllowSpot") {
+        let allow_spot = match self.own("AllowSpot") {
             None => None,
             Some((_, value)) if value.truth().is_some() => value.truth(),
             Some((entry, value)) => {
@@ -576,14 +576,14 @@
             team,
             class,
             gang,
-            level,
+            priority,
             cpus,
             gpus,
             memory_gb: memory_mib / MIB_PER_GB,
             image,
             image_gb,
             estimate_s,
-            spot,
+            allow_spot,
             counts,
             requirements,
             rank,
--- a/crates/condor/src/site.rs
+++ b/crates/condor/src/site.rs
@@ -215,22 +215,22 @@
     }
 
     /// The kinds of a set.
-    pub fn of<'k>(&'k self, set: &'k FixedBitSet) -> impl Iterator<Item = &'k MachineKind> {
+    pub fn in_set<'k>(&'k self, set: &'k FixedBitSet) -> impl Iterator<Item = &'k MachineKind> {
         set.ones().filter_map(|at| self.all.get(at))
     }
 
     /// The kinds of a set, by name.
-    pub fn names(&self, set: &FixedBitSet) -> Vec<String> {
-        self.of(set).map(ToString::to_string).collect()
+    pub fn names_in_set(&self, set: &FixedBitSet) -> Vec<String> {
+        self.in_set(set).map(ToString::to_string).collect()
     }
 
     /// Number of a kind among those that differ in what an expression looks at.
-    pub(crate) fn class(&self, kind: &MachineKind, zone: bool, spot: bool) -> usize {
+    pub(crate) fn equivalence_class(&self, kind: &MachineKind, zone: bool, spot: bool) -> usize {
         let zone_number = if zone { kind.type_and_zone.1 } else { 0 };
         (kind.type_and_zone.0 * self.zones + zone_number) * 2 + usize::from(spot && kind.spot)
     }
 
-    pub(crate) fn classes(&self) -> usize {
+    pub(crate) fn equivalence_class_count(&self) -> usize {
         self.types * self.zones * 2
     }
 }
--- a/crates/condor/src/submit.rs
+++ b/crates/condor/src/submit.rs
@@ -70,7 +70,7 @@
 
 impl Batch {
     /// Everything that a proc has, with its value.
-    pub fn given<'b>(&'b self, proc: &'b Proc) -> impl Iterator<Item = (&'b SubmitEntry, &'b str)> {
+    pub fn entries<'b>(&'b self, proc: &'b Proc) -> impl Iterator<Item = (&'b SubmitEntry, &'b str)> {
         let fixed = self.fixed.iter().map(|(entry, value)| (entry, &**value));
         fixed.chain(self.varying.iter().zip(proc.values.iter().map(|value| &**value)))
     }
--- a/crates/condor/tests/corpus.rs
+++ b/crates/condor/tests/corpus.rs
@@ -142,7 +142,11 @@
     for (proc, lines) in expected {
         let outcome = outcomes[proc];
         let reason = outcome.reason.clone().unwrap_or_default();
-        let found: BTreeSet<String> = site.kinds.of(&outcome.kinds).map(ToString::to_string).collect();
+        let found: BTreeSet<String> = site
+            .kinds
+            .in_set(&outcome.kinds)
+            .map(ToString::to_string)
+            .collect();
         for line in lines {
             let (what, words) = line.split_once(" ~ ").unwrap_or((line, ""));
             let (word, named) = what.trim().split_once(' ').unwrap_or((what.trim(), ""));
--- a/crates/controller/src/condor/cluster_api.rs
+++ b/crates/controller/src/condor/cluster_api.rs
@@ -1022,7 +1022,7 @@
         let spec = without_obsolete_holds(&spec, &settings.deployment, default_team).unwrap_or(spec);
         let mut updated = spec.condor.as_deref().unwrap_or(origin).clone();
         updated.holds.retain(|hold| hold.reason != HoldReason::User);
-        if let Some(reason) = updated.held() {
+        if let Some(reason) = updated.hold_text() {
             self.unchanged.push(ProcsOutcome {
                 procs: updated.procs.text(),
                 verdict: "held".to_owned(),
@@ -1172,7 +1172,7 @@
                 let live = page.items.iter().filter_map(|item| {
                     let spec = JobSpec::from_value(&item.value).ok()?;
                     let access = authorization::access(&spec, requesting_team, settings).ok()?;
-                    let held = spec.condor.as_ref()?.held().is_some();
+                    let held = spec.condor.as_ref()?.hold_text().is_some();
                     let state = if held { "held" } else { "live" };
                     Some(history_job(&access, spec.tasks, state, None))
                 });
--- a/crates/controller/src/condor/plan.rs
+++ b/crates/controller/src/condor/plan.rs
@@ -5,7 +5,7 @@
 use crate::model::{JobSpec, Resources};
 use crate::protocol::{Priority, Shape};
 use crate::storage::records::Record;
-use indigopath_condor::cluster::{JobArray, arrays};
+use indigopath_condor::cluster::{JobArray, group_into_arrays};
 use indigopath_condor::constants::{MAX_CLUSTER_JOBS, MAX_CLUSTER_PROCS};
 use indigopath_condor::{
     Bundle, EntryKind, KindSet, MatchResults, Outcome, PriorityBand, ProcSet, Request, Site, Submission,
@@ -74,7 +74,7 @@
             refused: bad,
         });
     }
-    let arrays = arrays(&results).map_err(|error| rejection(error.to_string()))?;
+    let arrays = group_into_arrays(&results).map_err(|error| rejection(error.to_string()))?;
     let mut jobs = Vec::with_capacity(arrays.len());
     for (index, array) in (0u32..).zip(&arrays) {
         let outcome = &results.outcomes[array.outcome];
@@ -140,7 +140,7 @@
 }
 
 fn job_spec(request: &Request, outcome: &Outcome, array: &JobArray, site: &Site) -> JobSpec {
-    let kinds = KindSet::of(outcome, &site.kinds);
+    let kinds = KindSet::from_outcome(outcome, &site.kinds);
     let spot = kinds.any_spot();
     // Without an expression, machine types added later fit as well: no kinds are stored.
     let any = request.requirements.is_none() && outcome.ranks.is_empty();
@@ -152,7 +152,7 @@
             Some(_) => Shape::Gang,
             None => Shape::Array,
         },
-        priority: match request.level {
+        priority: match request.priority {
             PriorityBand::High => Priority::High,
             PriorityBand::Normal => Priority::Normal,
             PriorityBand::Low => Priority::Low,
@@ -189,7 +189,7 @@
         .iter()
         .find_map(|batch| Some((batch, batch.procs.iter().find(|own| own.process == proc)?)));
     if let Some((batch, proc)) = found {
-        for (entry, value) in batch.given(proc) {
+        for (entry, value) in batch.entries(proc) {
             if let EntryKind::Command(command) = entry.kind {
                 match command.name {
                     "executable" => words[0] = value.to_owned(),
--- a/crates/controller/src/leader/counted_resources/status.rs
+++ b/crates/controller/src/leader/counted_resources/status.rs
@@ -203,7 +203,7 @@
                 first.shortage.count,
                 first.shortage.reason.text()
             )
-        } else if let Some(reason) = job.spec.condor.as_ref().and_then(|part| part.held()) {
+        } else if let Some(reason) = job.spec.condor.as_ref().and_then(|origin| origin.hold_text()) {
             format!("it is held: {reason}")
         } else if job.parked {
             "its cluster is not accepted yet".to_owned()
--- a/crates/controller/src/leader/submit_clusters.rs
+++ b/crates/controller/src/leader/submit_clusters.rs
@@ -33,8 +33,8 @@
 impl SubmitClusters {
     /// Whether no task of the job may start.
     pub(super) fn is_parked(&self, spec: &JobSpec) -> bool {
-        let part = spec.condor.as_ref();
-        part.is_some_and(|part| !part.holds.is_empty() || self.open.contains_key(&part.cluster))
+        let origin = spec.condor.as_ref();
+        origin.is_some_and(|origin| !origin.holds.is_empty() || self.open.contains_key(&origin.cluster))
     }
 }
 
@@ -214,8 +214,8 @@
     ) -> Vec<QueueRow> {
         let blocked = self.blocked_jobs();
         let jobs = self.jobs.values().filter_map(|job| {
-            let part = job.spec.condor.as_ref()?;
-            if self.submit_clusters.open.contains_key(&part.cluster) {
+            let origin = job.spec.condor.as_ref()?;
+            if self.submit_clusters.open.contains_key(&origin.cluster) {
                 return None;
             }
             let access = authorization::access(&job.spec, requesting_team, settings).ok()?;
@@ -225,17 +225,17 @@
                 .get(&job.spec.id)
                 .copied()
                 .unwrap_or((0, 0));
-            let held_by_limit = part.holds.iter().any(|hold| hold.reason != HoldReason::User);
+            let held_by_limit = origin.holds.iter().any(|hold| hold.reason != HoldReason::User);
             Some(QueueRow {
                 access_proof: AccessProof::from_access(&access),
                 waits: LeaderTerm::wait_reason(job, &blocked, now).as_str().to_owned(),
                 job: job.spec.id.to_string(),
-                cluster: part.cluster,
-                procs: part.procs.text(),
-                owner: part.owner.clone(),
+                cluster: origin.cluster,
+                procs: origin.procs.text(),
+                owner: origin.owner.clone(),
                 team: job.spec.team.clone(),
                 submitted_ms: job.spec.submitted_ms,
-                state: if !part.holds.is_empty() {
+                state: if !origin.holds.is_empty() {
                     RowState::Held
                 } else if running > 0 {
                     RowState::Running
@@ -247,9 +247,9 @@
                 done,
                 running,
                 memory_gb: job.spec.needs.memory_gb,
-                cmd: part.cmd.clone(),
-                hold: part.held(),
-                releasable: !part.holds.is_empty() && !held_by_limit,
+                cmd: origin.cmd.clone(),
+                hold: origin.hold_text(),
+                releasable: !origin.holds.is_empty() && !held_by_limit,
             })
         });
         jobs.collect()
--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -129,7 +129,7 @@
 
     /// The largest share of any resource of `whole` that these amounts are.
     pub fn share_of(&self, whole: &Resources) -> f64 {
-        let share = |part: f64, whole: f64| if part > 0.0 { part / whole } else { 0.0 };
+        let share = |origin: f64, whole: f64| if origin > 0.0 { origin / whole } else { 0.0 };
         share(self.cpus, whole.cpus)
             .max(share(self.gpus, whole.gpus))
             .max(share(self.memory_gb, whole.memory_gb))
@@ -137,7 +137,7 @@
 
     /// The smallest free share of any resource of `whole`, of which these amounts are free.
     pub fn free_share_of(&self, whole: &Resources) -> f64 {
-        let share = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 1.0 };
+        let share = |origin: f64, whole: f64| if whole > 0.0 { origin / whole } else { 1.0 };
         share(self.cpus, whole.cpus)
             .min(share(self.gpus, whole.gpus))
             .min(share(self.memory_gb, whole.memory_gb))
@@ -250,7 +250,7 @@
 
     /// The cluster of a submit file that the job belongs to.
     pub fn cluster(&self) -> Option<u64> {
-        self.condor.as_ref().map(|part| part.cluster)
+        self.condor.as_ref().map(|origin| origin.cluster)
     }
 
     /// Maximum number of its tasks in one zone.
--- a/crates/experiments/src/corpus.rs
+++ b/crates/experiments/src/corpus.rs
@@ -114,7 +114,7 @@
                         .filter(|of| **of as usize == at)
                         .count(),
                     verdict: format!("{:?}", outcome.verdict).to_lowercase(),
-                    kinds: site.kinds.names(&outcome.kinds).join(", "),
+                    kinds: site.kinds.names_in_set(&outcome.kinds).join(", "),
                     reason: outcome.reason.clone().unwrap_or_default(),
                 });
             }
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -539,7 +539,7 @@
     let kinds: Vec<Vec<String>> = judged
         .outcomes
         .iter()
-        .map(|outcome| site.kinds.names(&outcome.kinds))
+        .map(|outcome| site.kinds.names_in_set(&outcome.kinds))
         .collect();
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     match format {
