--- a/crates/accounting/src/job_accounting/repair.rs
+++ b/crates/accounting/src/job_accounting/repair.rs
@@ -28,7 +28,7 @@
     /// Replaces accounts that differ from the records of ended jobs, and returns the differences.
     /// `rebuild` must contain the ends that were appended since its scan started.
     pub fn repair(&mut self, rebuild: Rebuild) -> Vec<Difference> {
-        let upto = rebuild.scan_revision;
+        let scan_revision = rebuild.scan_revision;
         let rebuilt = rebuild.finish(self.page_bytes);
         let current = self.with_pending();
         let mut differences = self.replace_different(&current, &rebuilt);
@@ -38,9 +38,12 @@
         if !differences.is_empty() {
             self.add_pending_to_unrepaired();
             // The accounts now contain everything that the scan returned.
-            let at = self.last_position().clone().max(Position::after_revision(upto));
+            let position = self
+                .last_position()
+                .clone()
+                .max(Position::after_revision(scan_revision));
             self.pending.clear();
-            self.head.position = at;
+            self.head.position = position;
             self.head.unowned = rebuilt.unowned;
             self.head_changed = true;
         }
--- a/crates/accounting/src/records.rs
+++ b/crates/accounting/src/records.rs
@@ -47,6 +47,7 @@
     #[serde(rename = "v")]
     format: u16,
     /// The position of the last ended job that the accounts contain.
+    #[serde(rename = "at")]
     pub(crate) position: Position,
     /// Number of ended jobs whose records name no owner.
     pub(crate) unowned: u64,
