--- a/crates/accounting/src/fair/tests.rs
+++ b/crates/accounting/src/fair/tests.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_team_that_fills_the_queue_is_evicted_from() {
+fn items_of_a_team_that_fills_the_queue_are_evicted() {
     let mut queue = FairQueue::new(10);
     for item in 0..10 {
         queue.push(&team(0), 1, 1, item).unwrap();
--- a/crates/accounting/src/job_accounting/repair.rs
+++ b/crates/accounting/src/job_accounting/repair.rs
@@ -74,11 +74,11 @@
         for team in teams {
             let account = current.by_team.get(team).unwrap_or(&empty);
             let records = rebuilt.by_team.get(team).unwrap_or(&empty);
-            let found = differences_of(team, account, records);
-            if found.is_empty() {
+            let team_differences = differences_of(team, account, records);
+            if team_differences.is_empty() {
                 continue;
             }
-            differences.extend(found);
+            differences.extend(team_differences);
             let recorded = self.accounts.get(team).unwrap_or(&empty);
             let parts: Vec<TeamPart> = recorded
                 .parts()
--- a/crates/protection_windows/src/window_state.rs
+++ b/crates/protection_windows/src/window_state.rs
@@ -53,7 +53,7 @@
     /// A value could not be read or is too large, so nothing is written.
     writes_disabled: bool,
     /// The first update has run.
-    is_updated: bool,
+    has_updated: bool,
     /// The next update reports that a value is too large.
     report_too_large: bool,
     reported_missing: BTreeSet<Name>,
@@ -76,7 +76,7 @@
             sent: SentWindows::default(),
             min_time_ms: 0,
             writes_disabled: false,
-            is_updated: false,
+            has_updated: false,
             report_too_large: false,
             reported_missing: BTreeSet::new(),
             reported_exhausted: false,
--- a/crates/protection_windows/src/window_state/services.rs
+++ b/crates/protection_windows/src/window_state/services.rs
@@ -134,11 +134,11 @@
     fn drop_unprotected(&mut self, protected: &BTreeSet<Name>) {
         let mut dropped = Vec::new();
         self.services.retain(|id, service| {
-            let stays = protected.contains(id);
-            if !stays && service.position.is_some() {
+            let is_protected = protected.contains(id);
+            if !is_protected && service.position.is_some() {
                 dropped.push((service.page, entry_bytes(id)));
             }
-            stays
+            is_protected
         });
         for (number, bytes) in dropped {
             if let Some(page) = self.pages.get_mut(&number) {
--- a/crates/protection_windows/src/window_state/windows.rs
+++ b/crates/protection_windows/src/window_state/windows.rs
@@ -102,7 +102,7 @@
             closes_ms: window.closes_ms,
             rank: schedule.rank,
             // At the first update, a previous leader may already have started to protect.
-            active: !self.is_updated,
+            active: !self.has_updated,
         };
         self.windows.insert(key, open);
         events.push(Event::Opened {
@@ -174,6 +174,6 @@
             let has_started = window.ready_ms.is_some_and(|ready| time >= ready);
             window.active |= window.stage == Stage::Open || window.stage == Stage::Opening && has_started;
         }
-        self.is_updated = true;
+        self.has_updated = true;
     }
 }
