--- a/crates/condor/src/cluster.rs
+++ b/crates/condor/src/cluster.rs
@@ -1,12 +1,12 @@
-//! Clusters: what a submitter sends, the arrays that its procs become, and what is recorded of
-//! them.
+//! Clusters: the submission that a client sends, the job arrays into which its procs are grouped,
+//! and the stored records.
 //!
 //! | key | value | written by |
 //! |---|---|---|
-//! | `n/cluster` | [`NextClusterRecord`]: the next number | whoever takes one |
-//! | `k/<key>` | [`SubmissionKeyRecord`]: which cluster a submission became | the node that takes its number |
-//! | `j/~<cluster>` | [`OpenClusterRecord`]: it is being recorded, and nothing of it starts | the same; gone once it is accepted |
-//! | `c/<cluster>` | [`ClusterRecord`]: it is accepted | the node that accepts it |
+//! | `n/cluster` | [`NextClusterRecord`]: the next cluster number | the node that takes a number |
+//! | `k/<key>` | [`SubmissionKeyRecord`]: the cluster that a submission became | the node that takes its number |
+//! | `j/~<cluster>` | [`OpenClusterRecord`]: the cluster is being recorded, and none of its jobs starts | the same node; deleted when the cluster is accepted |
+//! | `c/<cluster>` | [`ClusterRecord`]: the cluster is accepted | the node that accepts it |
 
 use crate::constants::{MAX_CLUSTER_JOBS, MAX_OWNER_BYTES};
 use crate::matchmaking::{MatchResults, Outcome};
@@ -19,23 +19,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A submission with everything that its file asks of the place from which it is sent, so
-/// that any node makes the same of it.
+/// A submission with everything that its file reads from the submitting host, so that every node
+/// parses it alike.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// Chosen by the submitter: a submission with the same key is the same, sent again.
+    /// Idempotency key chosen by the submitter: a submission with the same key is a retry.
     pub key: String,
     pub owner: String,
-    /// Name of the file, for messages.
+    /// Name of the submit file, for messages.
     pub file: String,
     pub text: String,
-    /// Time of submission, in s since 1970.
+    /// Time of submission: Unix time in s.
     pub at_s: i64,
-    /// Texts of other files, by path.
+    /// Contents of the other files read, by path.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub reads: BTreeMap<String, String>,
-    /// Paths that a pattern matches.
+    /// Paths matched by the file's patterns.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub matches: Vec<MatchedPaths>,
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
@@ -50,23 +50,23 @@
     pub paths: Vec<String>,
 }
 
-/// Longest key, in bytes.
+/// Maximum length of a submission key, in bytes.
 const MAX_KEY_BYTES: usize = 64;
 
 impl Bundle {
-    /// What is wrong with it, apart from its text.
+    /// Validates everything but the text of the file.
     ///
     /// # Errors
-    /// The field that cannot be used, and why.
+    /// Returns the invalid field and the reason.
     pub fn check(&self) -> Result<(), String> {
-        let plain = |text: &str| {
+        let is_plain = |text: &str| {
             text.bytes()
                 .all(|byte| byte.is_ascii_alphanumeric() || b"-_.@".contains(&byte))
         };
-        if self.key.len() < 8 || self.key.len() > MAX_KEY_BYTES || !plain(&self.key) {
+        if self.key.len() < 8 || self.key.len() > MAX_KEY_BYTES || !is_plain(&self.key) {
             return Err(format!("key must be 8 to {MAX_KEY_BYTES} letters and digits"));
         }
-        if self.owner.is_empty() || self.owner.len() > MAX_OWNER_BYTES || !plain(&self.owner) {
+        if self.owner.is_empty() || self.owner.len() > MAX_OWNER_BYTES || !is_plain(&self.owner) {
             return Err(format!("owner must be 1 to {MAX_OWNER_BYTES} letters and digits"));
         }
         if self.file.is_empty() || self.file.len() > 4_096 {
@@ -75,9 +75,9 @@
         Ok(())
     }
 
-    /// Tells submissions apart that carry the same key.
+    /// Returns a digest that distinguishes submissions with the same key.
     pub fn digest(&self) -> String {
-        // Plain data: it serialises always, and the same way each time.
+        // Serialization of plain data cannot fail, and is deterministic.
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         blake3::hash(&bytes).to_hex().to_string()
     }
@@ -90,11 +90,11 @@
     }
 
     fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
-        let found = self
+        let matched = self
             .matches
             .iter()
             .find(|matched| matched.pattern == pattern && matched.what == what);
-        found
+        matched
             .map(|matched| matched.paths.clone())
             .ok_or_else(|| "its matches were not sent along".to_owned())
     }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Notes what a file asks for while it is read, to be sent along.
+/// Records what a submit file reads while it is parsed, to be sent along with it.
 pub struct Recorder<'f> {
     files: &'f dyn SubmitEnvironment,
     bundle: RefCell<Bundle>,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// What was asked for.
+    /// Returns the recorded reads.
     pub fn finish(self) -> Bundle {
         self.bundle.into_inner()
     }
@@ -154,15 +154,15 @@
     }
 }
 
-/// Why work is not to start yet.
+/// Why a job is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HoldReason {
-    /// A user asked for it, in the file or later; a user takes it back.
+    /// A user holds it, in the submit file or later, and can release it.
     User,
-    /// It asks for more than its team's limit; over once the limit allows it.
+    /// It needs more than its team's limit; released once the limit allows it.
     Limit,
-    /// Its team is none here; over once it is.
+    /// Its team does not exist; released once it does.
     Team,
 }
 
@@ -173,28 +173,31 @@
     pub text: String,
 }
 
-/// Steps of a type's ordinary and spot machines, by zone.
-type Zones = BTreeMap<Arc<str>, [Option<u16>; 2]>;
+/// Preference steps of a machine type's ordinary and spot machines, by zone.
+type StepsByZone = BTreeMap<Arc<str>, [Option<u16>; 2]>;
 
-/// Kinds of machines that a job may use, each with its step down from the one that the job
-/// likes best.
+/// Kinds of machines that a job may use, each with its preference step: how many ranks it is below
+/// the kind that the job prefers most.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct KindSet(BTreeMap<Arc<str>, Zones>);
+pub struct KindSet(BTreeMap<Arc<str>, StepsByZone>);
 
 impl KindSet {
-    /// The kinds that an outcome allows.
+    /// Returns the kinds that an outcome allows.
     pub fn from_outcome(outcome: &Outcome, kinds: &MachineKinds) -> KindSet {
-        let rank = |at: usize| outcome.ranks.get(at).copied().unwrap_or(0.0);
+        let rank = |position: usize| outcome.ranks.get(position).copied().unwrap_or(0.0);
         let mut ranks: Vec<f64> = outcome.kinds.ones().map(rank).collect();
         ranks.sort_by(|a, b| b.total_cmp(a));
         ranks.dedup();
         let mut set = KindSet::default();
-        for (at, kind) in kinds.all().iter().enumerate() {
-            if !outcome.kinds.contains(at) {
+        for (position, kind) in kinds.all().iter().enumerate() {
+            if !outcome.kinds.contains(position) {
                 continue;
             }
-            let step = ranks.iter().position(|other| *other == rank(at)).unwrap_or(0);
+            let step = ranks
+                .iter()
+                .position(|other| *other == rank(position))
+                .unwrap_or(0);
             let zones = set.0.entry(Arc::from(kind.machine_type.as_str())).or_default();
             let steps = zones.entry(Arc::from(kind.zone.as_str())).or_default();
             steps[usize::from(kind.spot)] = Some(u16::try_from(step).unwrap_or(u16::MAX));
@@ -202,38 +205,39 @@
         set
     }
 
-    /// How far a kind is from the one liked best; `None` if it may not be used.
+    /// Returns how many ranks a kind is below the most preferred one; `None` if the job may not use
+    /// it.
     pub fn preference_step(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         self.0.get(machine_type)?.get(zone)?[usize::from(spot)]
     }
 
-    /// Whether any of them is a spot machine.
+    /// Whether any of the kinds is a spot machine.
     pub fn any_spot(&self) -> bool {
         let mut steps = self.0.values().flat_map(BTreeMap::values);
         steps.any(|[_, spot]| spot.is_some())
     }
 }
 
-/// Numbers of procs.
+/// A non-empty set of proc numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcSet {
     first: u32,
     count: u32,
-    /// A bitmap from the first on, unless they follow each other.
+    /// A base64 bitmap that begins at the first number; `None` if the numbers are consecutive.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     bits: Option<String>,
 }
 
 impl ProcSet {
-    /// Of numbers in their order, of which there is at least one.
+    /// Creates the set from ascending numbers, of which there must be at least one.
     pub fn new(numbers: &[u32]) -> ProcSet {
         let first = numbers.first().copied().unwrap_or(0);
         let last = numbers.last().copied().unwrap_or(first);
         let span = (last - first) as usize + 1;
         let mut bits = vec![0u8; span.div_ceil(8)];
         for number in numbers {
-            let at = (number - first) as usize;
-            bits[at / 8] |= 1 << (at % 8);
+            let position = (number - first) as usize;
+            bits[position / 8] |= 1 << (position % 8);
         }
         ProcSet {
             first,
@@ -246,7 +250,7 @@
         self.count
     }
 
-    /// All of them, in their order.
+    /// Returns all numbers in ascending order.
     pub fn numbers(&self) -> Vec<u32> {
         let Some(bits) = &self.bits else {
             return (self.first..self.first.saturating_add(self.count)).collect();
@@ -256,7 +260,7 @@
             let ones = (0..8).filter(move |bit| bits >> bit & 1 == 1);
             ones.map(move |bit| byte * 8 + bit)
         });
-        set.map(|at| self.first + at).collect()
+        set.map(|position| self.first + position).collect()
     }
 
     pub fn contains(&self, number: u32) -> bool {
@@ -266,7 +270,7 @@
         }
     }
 
-    /// As in `0-2,5`, and no longer than is bearable.
+    /// Formats the set as in `0-2,5`, with at most 8 ranges.
     pub fn text(&self) -> String {
         let mut ranges: Vec<(u32, u32)> = Vec::new();
         for number in self.numbers() {
@@ -290,60 +294,60 @@
     }
 }
 
-/// What a job keeps of the file that it came from.
+/// What a job's record keeps of the submit file that it came from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmitOrigin {
     pub cluster: u64,
     pub procs: ProcSet,
     pub owner: String,
-    /// The program and its arguments, for display.
+    /// The executable and its arguments, for display.
     pub cmd: String,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub holds: Vec<Hold>,
 }
 
 impl SubmitOrigin {
-    /// Why it is held, if it is.
+    /// Why the job is held, if it is.
     pub fn hold_text(&self) -> Option<String> {
         let texts: Vec<&str> = self.holds.iter().map(|hold| hold.text.as_str()).collect();
         (!texts.is_empty()).then(|| texts.join("; "))
     }
 }
 
-/// Procs that ask for the same.
+/// Procs with the same request, which become one job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobArray {
-    /// Position of their outcome.
+    /// Index of their outcome in the match results.
     pub outcome: usize,
     pub procs: Vec<u32>,
 }
 
-/// A cluster that would be more jobs than one may be.
+/// The cluster would have more jobs than allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the file makes {0} different requests or more; at most {MAX_CLUSTER_JOBS} are taken at once: split it"
 )]
 pub struct TooManyJobs(pub usize);
 
-/// The arrays of a cluster, in the order of their first procs. A proc that is a gang is one
-/// by itself.
+/// Groups the procs of a cluster into job arrays, in the order of their first procs. A proc that is
+/// a gang becomes an array of its own.
 ///
 /// # Errors
-/// There are too many to be recorded.
+/// There are more arrays than a cluster may have jobs.
 pub fn group_into_arrays(results: &MatchResults) -> Result<Vec<JobArray>, TooManyJobs> {
     let mut arrays: Vec<JobArray> = Vec::new();
-    let mut array_of: BTreeMap<usize, usize> = BTreeMap::new();
-    for (proc, at) in (0u32..).zip(&results.outcome_of_proc) {
-        let outcome = *at as usize;
+    let mut array_by_outcome: BTreeMap<usize, usize> = BTreeMap::new();
+    for (proc, position) in (0u32..).zip(&results.outcome_of_proc) {
+        let outcome = *position as usize;
         let request = results
             .outcomes
             .get(outcome)
             .and_then(|outcome| outcome.request.as_ref());
-        let alone = request.is_some_and(|request| request.gang.is_some());
-        match array_of.get(&outcome) {
-            Some(array) if !alone => arrays[*array].procs.push(proc),
+        let is_gang = request.is_some_and(|request| request.gang.is_some());
+        match array_by_outcome.get(&outcome) {
+            Some(array) if !is_gang => arrays[*array].procs.push(proc),
             _ => {
-                array_of.insert(outcome, arrays.len());
+                array_by_outcome.insert(outcome, arrays.len());
                 arrays.push(JobArray {
                     outcome,
                     procs: vec![proc],
@@ -357,15 +361,15 @@
     Ok(arrays)
 }
 
-/// Prefix of the records of which cluster a submission became.
+/// Key prefix of the records that map submission keys to clusters.
 pub const SUBMISSION_KEY_PREFIX: &str = "k/";
-/// The next cluster's number.
+/// Key of the next cluster number.
 pub const NEXT_CLUSTER_KEY: &str = "n/cluster";
-/// Prefix of accepted clusters.
+/// Key prefix of accepted clusters.
 pub const CLUSTER_PREFIX: &str = "c/";
-/// What stands before the number in the key of an open cluster, under the jobs' prefix. It
-/// comes after every job's name, so that whoever reads page by page learns last which are
-/// open still: what is open no longer by then was accepted or given up.
+/// Precedes the cluster number in the key of an open cluster, below the prefix of jobs. It sorts
+/// after every job id, so that a page-by-page read learns last which clusters are still open: a
+/// cluster that is no longer open by then was accepted or abandoned.
 pub const OPEN_MARKER: &str = "~";
 
 pub fn submission_key(key: &str) -> String {
@@ -384,18 +388,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmissionKeyRecord {
     pub cluster: u64,
-    /// Of what was submitted under the key.
+    /// Digest of the submission with this key.
     pub digest: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenClusterRecord {
-    /// Digest of the jobs that it is to have: two nodes that made something else of the same
-    /// file must not mix.
+    /// Digest of the planned jobs: two nodes that planned the same file differently must not mix
+    /// their jobs.
     pub plan: String,
-    /// Time of day at which it was opened, in ms since 1970.
+    /// Unix time, in ms, at which the cluster was opened.
     pub at_ms: u64,
-    /// The leader has given it up.
+    /// The leader has abandoned the cluster.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub abandoned: bool,
 }
@@ -408,7 +412,7 @@
     pub procs: u32,
     pub jobs: u32,
     pub at_ms: u64,
-    /// Teams of its jobs, as the file names them. Not in records of earlier builds.
+    /// Teams of the cluster's jobs, as named in the file. Missing in records of earlier builds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<String>,
 }
--- a/crates/condor/src/cluster/tests.rs
+++ b/crates/condor/src/cluster/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #[test]
-    fn procs_are_kept_as_they_are(numbers in prop::collection::btree_set(0u32..20_000, 1..200)) {
+    fn proc_sets_round_trip(numbers in prop::collection::btree_set(0u32..20_000, 1..200)) {
         let numbers: Vec<u32> = numbers.into_iter().collect();
         let procs = ProcSet::new(&numbers);
         let text = serde_json::to_string(&procs).unwrap();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn procs_are_shown_as_ranges() {
+fn proc_sets_are_formatted_as_ranges() {
     assert_eq!(ProcSet::new(&[0, 1, 2, 5, 7, 8]).text(), "0-2,5,7-8");
     assert_eq!(ProcSet::new(&[4]).text(), "4");
 }
--- a/crates/condor/src/macros.rs
+++ b/crates/condor/src/macros.rs
@@ -1,4 +1,4 @@
-//! Macros: what a file defines, and what values come to once they are expanded.
+//! Macros: the definitions of a submit file, and the expansion of values.
 
 use crate::constants::{MAX_DEFINITIONS, MAX_NESTING_DEPTH, MAX_VALUE_BYTES};
 use crate::printf;
@@ -10,55 +10,56 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A value as the file gives it.
+/// A name's definition in a submit file.
 #[derive(Debug, Clone)]
 pub struct Definition {
-    /// The name as written.
+    /// The name as written in the file.
     pub name: Arc<str>,
     pub template: Template,
     line: Arc<Line>,
-    /// Byte of the line at which the value begins.
-    begins: usize,
+    /// Byte offset in the line at which the value begins.
+    value_offset: usize,
     used: Arc<AtomicBool>,
 }
 
 impl Definition {
-    /// Where its name stands.
+    /// Returns the location of the name.
     pub fn location(&self) -> SourceLocation {
         self.line.location(0)
     }
 
-    /// Where a byte of its value stands; without macros in it, that of the expanded value.
+    /// Returns the location of a byte of the expanded value, or of the value's beginning if the
+    /// value contains macros.
     pub fn location_in_value(&self, byte: usize) -> SourceLocation {
-        match self.template.plain() {
-            Some(_) => self.line.location(self.begins + byte),
-            None => self.line.location(self.begins),
+        match self.template.as_literal() {
+            Some(_) => self.line.location(self.value_offset + byte),
+            None => self.line.location(self.value_offset),
         }
     }
 
-    /// Whether something else in the file refers to it.
+    /// Whether anything else in the file refers to the definition.
     pub fn is_used(&self) -> bool {
         self.used.load(Ordering::Relaxed)
     }
 
     fn error(&self, byte: usize, problem: impl Into<String>) -> SubmitError {
-        self.line.error(self.begins + byte, problem)
+        self.line.error(self.value_offset + byte, problem)
     }
 }
 
-/// What a proc has of its own.
+/// The proc for which a value is expanded.
 #[derive(Debug, Clone, Copy)]
-pub struct Live<'a> {
+pub struct ProcContext<'a> {
     pub cluster: u64,
     pub process: usize,
     pub step: usize,
     pub row: usize,
-    /// The variables of its `queue` statement, by lower-case name.
+    /// Variables of the `queue` statement with their values, by lower-case name.
     pub items: &'a [(Arc<str>, &'a str)],
 }
 
-/// Names that differ from proc to proc.
-pub const LIVE: [&str; 8] = [
+/// Built-in macros that differ between procs.
+pub const PER_PROC_MACROS: [&str; 8] = [
     "cluster",
     "clusterid",
     "process",
@@ -69,16 +70,16 @@
     "node",
 ];
 
-/// Everything that a file has defined so far.
+/// All definitions of a file so far.
 pub struct Macros<'f> {
     table: FxHashMap<Arc<str>, Definition>,
     files: &'f dyn SubmitEnvironment,
-    /// Names that are not defined and were used all the same.
+    /// Undefined names that were referred to, with the location of the first reference.
     undefined: RefCell<Vec<(Arc<str>, SourceLocation)>>,
 }
 
 impl<'f> Macros<'f> {
-    /// `now_s` in s since 1970 is the time of submission.
+    /// Creates the built-in definitions. `now_s` is the time of submission as Unix time in s.
     pub fn new(file: &str, now_s: i64, files: &'f dyn SubmitEnvironment) -> Macros<'f> {
         let mut macros = Macros {
             table: FxHashMap::default(),
@@ -102,7 +103,7 @@
                     pieces: Arc::from([Piece::Text(Arc::from(value))]),
                 },
                 line: Arc::new(Line::built_in()),
-                begins: 0,
+                value_offset: 0,
                 used: Arc::new(AtomicBool::new(true)),
             };
             macros
@@ -112,52 +113,54 @@
         macros
     }
 
-    /// Defines a name by a value that begins at a byte of a line.
+    /// Defines a name by the value at a byte offset of a line.
     ///
     /// # Errors
-    /// The value holds a macro that does not end, or too much is defined.
+    /// The value contains an unterminated macro, is too long, or too many names are defined.
     pub fn define(
         &mut self,
         name: &str,
         line: &Arc<Line>,
-        begins: usize,
+        value_offset: usize,
         value: &str,
     ) -> Result<(), SubmitError> {
         let key: Arc<str> = Arc::from(name.to_ascii_lowercase());
         if value.len() > MAX_VALUE_BYTES {
             return Err(line.error(
-                begins,
+                value_offset,
                 format!("the value is longer than {MAX_VALUE_BYTES} bytes"),
             ));
         }
-        let read = |text: &str| {
-            template::parse(text).map_err(|at| {
+        let parse = |text: &str| {
+            template::parse(text).map_err(|offset| {
                 line.error(
-                    begins + at.min(value.len()),
+                    value_offset + offset.min(value.len()),
                     "this macro does not end, or is too deep",
                 )
             })
         };
-        let mut template = read(value)?;
-        // What refers to itself means what it was before.
-        let own = |piece: &Piece| matches!(piece, Piece::Macro { name, .. } if *name == key);
-        if template.pieces.iter().any(own) {
+        let mut template = parse(value)?;
+        // A reference to the name itself stands for the previous definition.
+        let refers_to_itself = |piece: &Piece| matches!(piece, Piece::Macro { name, .. } if *name == key);
+        if template.pieces.iter().any(refers_to_itself) {
             let mut pieces = Vec::new();
             for piece in template.pieces.iter() {
                 match piece {
-                    Piece::Macro { default, .. } if own(piece) => match (self.table.get(&key), default) {
-                        (Some(before), _) => {
-                            before.used.store(true, Ordering::Relaxed);
-                            pieces.extend(before.template.pieces.iter().cloned());
+                    Piece::Macro { default, .. } if refers_to_itself(piece) => {
+                        match (self.table.get(&key), default) {
+                            (Some(previous), _) => {
+                                previous.used.store(true, Ordering::Relaxed);
+                                pieces.extend(previous.template.pieces.iter().cloned());
+                            }
+                            (None, Some(default)) => pieces.extend(default.pieces.iter().cloned()),
+                            (None, None) => (),
                         }
-                        (None, Some(default)) => pieces.extend(default.pieces.iter().cloned()),
-                        (None, None) => (),
-                    },
+                    }
                     other => pieces.push(other.clone()),
                 }
             }
             if pieces.len() > MAX_VALUE_BYTES / 8 {
-                return Err(line.error(begins, "the value has grown too long"));
+                return Err(line.error(value_offset, "the value has grown too long"));
             }
             template = Template {
                 pieces: Arc::from(pieces),
@@ -167,7 +170,7 @@
             name: Arc::from(name),
             template,
             line: line.clone(),
-            begins,
+            value_offset,
             used: Arc::new(AtomicBool::new(false)),
         };
         self.table.insert(key, definition);
@@ -181,37 +184,36 @@
         self.table.get(name.to_ascii_lowercase().as_str())
     }
 
-    /// Lower-case names and what they are defined as, those of the file alone, in their order
-    /// there.
+    /// Returns the file's own definitions with their lower-case names, in file order.
     pub fn iter(&self) -> Vec<(&Arc<str>, &Definition)> {
-        let own = self
+        let from_file = self
             .table
             .iter()
             .filter(|(_, definition)| !definition.line.is_built_in());
-        let mut all: Vec<_> = own.collect();
+        let mut all: Vec<_> = from_file.collect();
         all.sort_by_cached_key(|(key, definition)| (definition.location(), (*key).clone()));
         all
     }
 
-    /// Names that were used and stood for nothing, each once.
+    /// Takes the undefined names that were referred to, each once.
     pub fn take_undefined(&self) -> Vec<(Arc<str>, SourceLocation)> {
         std::mem::take(&mut *self.undefined.borrow_mut())
     }
 
-    /// Whether a value differs from proc to proc.
-    pub fn varies(&self, template: &Template, variables: &[Arc<str>]) -> bool {
+    /// Whether a value can differ between procs.
+    pub fn varies_by_proc(&self, template: &Template, variables: &[Arc<str>]) -> bool {
         self.varies_within(template, variables, 0)
     }
 
     fn varies_within(&self, template: &Template, variables: &[Arc<str>], depth: usize) -> bool {
-        // Too deep is an error once it is expanded.
+        // Nesting that is too deep is reported when the value is expanded.
         if depth > MAX_NESTING_DEPTH {
             return true;
         }
         template.pieces.iter().any(|piece| match piece {
-            Piece::Text(_) | Piece::OfMachine { .. } => false,
+            Piece::Text(_) | Piece::MachineMacro { .. } => false,
             Piece::Macro { name, default, .. } => {
-                LIVE.contains(&&**name)
+                PER_PROC_MACROS.contains(&&**name)
                     || variables.contains(name)
                     || self
                         .table
@@ -221,113 +223,130 @@
                         .as_ref()
                         .is_some_and(|default| self.varies_within(default, variables, depth + 1))
             }
-            // What a function names is seen only once it is expanded.
-            Piece::Computed { .. } | Piece::Function { .. } => true,
+            // The names that a function refers to are known only after expansion.
+            Piece::ComputedName { .. } | Piece::Function { .. } => true,
         })
     }
 
-    /// A definition's value for a proc, or for none.
+    /// Expands a definition, for a proc if one is given.
     ///
     /// # Errors
-    /// A macro that needs itself, a function that makes no sense, or too long a value.
-    pub fn value(&self, definition: &Definition, live: Option<&Live<'_>>) -> Result<String, SubmitError> {
-        if let Some(text) = definition.template.plain() {
+    /// A macro refers to itself, a function call is invalid, or the value is too long.
+    pub fn expand_definition(
+        &self,
+        definition: &Definition,
+        proc: Option<&ProcContext<'_>>,
+    ) -> Result<String, SubmitError> {
+        if let Some(text) = definition.template.as_literal() {
             return Ok(text.to_owned());
         }
         let mut out = String::new();
-        self.expand(&definition.template, definition, live, 0, &mut out)?;
+        self.expand(&definition.template, definition, proc, 0, &mut out)?;
         Ok(out)
     }
 
-    /// The value of a text in a line, such as a condition or a list of items.
+    /// Expands a text in a line, such as a condition or a list of items.
     ///
     /// # Errors
-    /// As for a definition's value.
-    pub fn text(&self, line: &Arc<Line>, begins: usize, text: &str) -> Result<String, SubmitError> {
+    /// As for [`Macros::expand_definition`].
+    pub fn expand_text(
+        &self,
+        line: &Arc<Line>,
+        value_offset: usize,
+        text: &str,
+    ) -> Result<String, SubmitError> {
         if !text.contains('$') {
             return Ok(text.to_owned());
         }
         let template = template::parse(text)
-            .map_err(|at| line.error(begins + at, "this macro does not end, or is too deep"))?;
+            .map_err(|offset| line.error(value_offset + offset, "this macro does not end, or is too deep"))?;
         let definition = Definition {
             name: Arc::from(""),
             template,
             line: line.clone(),
-            begins,
+            value_offset,
             used: Arc::new(AtomicBool::new(true)),
         };
-        self.value(&definition, None)
+        self.expand_definition(&definition, None)
     }
 
     fn expand(
         &self,
         template: &Template,
-        of: &Definition,
-        live: Option<&Live<'_>>,
+        definition: &Definition,
+        proc: Option<&ProcContext<'_>>,
         depth: usize,
         out: &mut String,
     ) -> Result<(), SubmitError> {
         if depth > MAX_NESTING_DEPTH {
-            return Err(of.error(0, "its macros need each other, or are too deep"));
+            return Err(definition.error(0, "its macros need each other, or are too deep"));
         }
         for piece in template.pieces.iter() {
             match piece {
                 Piece::Text(text) => out.push_str(text),
-                Piece::Macro { name, default, at } => {
-                    if !self.named(name, live, depth, out)? {
+                Piece::Macro {
+                    name,
+                    default,
+                    offset,
+                } => {
+                    if !self.expand_name(name, proc, depth, out)? {
                         match default {
-                            Some(default) => self.expand(default, of, live, depth + 1, out)?,
-                            None => self.not_defined(name, of, *at),
+                            Some(default) => self.expand(default, definition, proc, depth + 1, out)?,
+                            None => self.record_undefined(name, definition, *offset),
                         }
                     }
                 }
-                Piece::Computed { name, at } => {
+                Piece::ComputedName { name, offset } => {
                     let mut computed = String::new();
-                    self.expand(name, of, live, depth + 1, &mut computed)?;
+                    self.expand(name, definition, proc, depth + 1, &mut computed)?;
                     let name = computed.trim().to_ascii_lowercase();
-                    if !self.named(&name, live, depth, out)? {
-                        self.not_defined(&name, of, *at);
+                    if !self.expand_name(&name, proc, depth, out)? {
+                        self.record_undefined(&name, definition, *offset);
                     }
                 }
-                Piece::Function { name, argument, at } => {
-                    let mut given = String::new();
-                    self.expand(argument, of, live, depth + 1, &mut given)?;
-                    let value = self
-                        .function(name, &given, live, depth)?
-                        .map_err(|problem| of.error(*at, format!("${name}({given}): {problem}")))?;
+                Piece::Function {
+                    name,
+                    argument,
+                    offset,
+                } => {
+                    let mut expanded = String::new();
+                    self.expand(argument, definition, proc, depth + 1, &mut expanded)?;
+                    let value = self.function(name, &expanded, proc, depth)?.map_err(|problem| {
+                        definition.error(*offset, format!("${name}({expanded}): {problem}"))
+                    })?;
                     out.push_str(&value);
                 }
-                Piece::OfMachine { at } => {
+                Piece::MachineMacro { offset } => {
                     let problem =
                         "$$() would be filled in from the machine that is matched, which is not done here";
-                    return Err(of.error(*at, problem));
+                    return Err(definition.error(*offset, problem));
                 }
             }
             if out.len() > MAX_VALUE_BYTES {
-                return Err(of.error(0, format!("the value is longer than {MAX_VALUE_BYTES} bytes")));
+                return Err(definition.error(0, format!("the value is longer than {MAX_VALUE_BYTES} bytes")));
             }
         }
         Ok(())
     }
 
-    /// Appends what a lower-case name stands for; `false` if it is not defined.
-    fn named(
+    /// Appends the value of a lower-case name; returns `false` if the name is not defined.
+    fn expand_name(
         &self,
         name: &str,
-        live: Option<&Live<'_>>,
+        proc: Option<&ProcContext<'_>>,
         depth: usize,
         out: &mut String,
     ) -> Result<bool, SubmitError> {
-        if let Some(live) = live {
-            if let Some((_, value)) = live.items.iter().find(|(known, _)| **known == *name) {
+        if let Some(proc) = proc {
+            if let Some((_, value)) = proc.items.iter().find(|(known, _)| **known == *name) {
                 out.push_str(value);
                 return Ok(true);
             }
             let number = match name {
-                "cluster" | "clusterid" => Some(live.cluster),
-                "process" | "procid" => Some(live.process as u64),
-                "step" => Some(live.step as u64),
-                "row" | "itemindex" => Some(live.row as u64),
+                "cluster" | "clusterid" => Some(proc.cluster),
+                "process" | "procid" => Some(proc.process as u64),
+                "step" => Some(proc.step as u64),
+                "row" | "itemindex" => Some(proc.row as u64),
                 _ => None,
             };
             if let Some(number) = number {
@@ -339,22 +358,30 @@
             return Ok(false);
         };
         definition.used.store(true, Ordering::Relaxed);
-        self.expand(&definition.template, definition, live, depth + 1, out)?;
+        self.expand(&definition.template, definition, proc, depth + 1, out)?;
         Ok(true)
     }
 
-    fn not_defined(&self, name: &str, of: &Definition, at: usize) {
-        // The number of a parallel job's node is known only where it runs.
+    fn record_undefined(&self, name: &str, definition: &Definition, offset: usize) {
+        // `$(Node)` of a parallel job is known only where the job runs.
         let mut undefined = self.undefined.borrow_mut();
         if name != "node" && undefined.iter().all(|(known, _)| **known != *name) {
-            undefined.push((Arc::from(name), of.line.location(of.begins + at)));
+            undefined.push((
+                Arc::from(name),
+                definition.line.location(definition.value_offset + offset),
+            ));
         }
     }
 
-    /// What a word stands for: a macro's value if it is the name of one, else itself.
-    fn word(&self, word: &str, live: Option<&Live<'_>>, depth: usize) -> Result<String, SubmitError> {
+    /// Returns the value of the macro with this name, or the word itself if there is none.
+    fn resolve_word(
+        &self,
+        word: &str,
+        proc: Option<&ProcContext<'_>>,
+        depth: usize,
+    ) -> Result<String, SubmitError> {
         let mut out = String::new();
-        if self.named(&word.to_ascii_lowercase(), live, depth, &mut out)? {
+        if self.expand_name(&word.to_ascii_lowercase(), proc, depth, &mut out)? {
             return Ok(out);
         }
         Ok(word.to_owned())
@@ -363,42 +390,42 @@
     fn function(
         &self,
         name: &str,
-        given: &str,
-        live: Option<&Live<'_>>,
+        expanded: &str,
+        proc: Option<&ProcContext<'_>>,
         depth: usize,
     ) -> Result<Result<String, String>, SubmitError> {
-        let first = given.split(',').next().unwrap_or_default().trim();
+        let first = expanded.split(',').next().unwrap_or_default().trim();
         Ok(match name {
             "INT" | "REAL" | "STRING" => {
-                // The format is what follows the last comma, if it is one.
-                let (item, format) = match given.rsplit_once(',') {
+                // What follows the last comma is the format, if it begins with a percent sign.
+                let (item, format) = match expanded.rsplit_once(',') {
                     Some((item, format)) if format.trim_start().starts_with('%') => {
                         (item.trim(), Some(format.trim()))
                     }
-                    _ => (given.trim(), None),
+                    _ => (expanded.trim(), None),
                 };
-                let text = self.word(item, live, depth)?;
-                converted(name, &text, format)
+                let text = self.resolve_word(item, proc, depth)?;
+                convert(name, &text, format)
             }
             "EVAL" => {
-                let text = self.word(given.trim(), live, depth)?;
-                evaluated(&text).map(|value| match value {
+                let text = self.resolve_word(expanded.trim(), proc, depth)?;
+                evaluate_constant(&text).map(|value| match value {
                     Value::Str(text) => text.to_string(),
                     other => other.to_string(),
                 })
             }
             "CHOICE" => {
-                let rest: Vec<&str> = given.split(',').skip(1).map(str::trim).collect();
-                let index = self.word(first, live, depth)?;
+                let rest: Vec<&str> = expanded.split(',').skip(1).map(str::trim).collect();
+                let index = self.resolve_word(first, proc, depth)?;
                 let items: Vec<String> = match &rest[..] {
                     [list] => {
-                        let list = self.word(list, live, depth)?;
+                        let list = self.resolve_word(list, proc, depth)?;
                         let entries = list.split([',', ' ', '\t']).filter(|entry| !entry.is_empty());
                         entries.map(str::to_owned).collect()
                     }
                     items => items.iter().map(|item| (*item).to_owned()).collect(),
                 };
-                match evaluated(&index) {
+                match evaluate_constant(&index) {
                     Ok(Value::Int(index)) => usize::try_from(index)
                         .ok()
                         .and_then(|index| items.get(index).cloned())
@@ -408,9 +435,12 @@
                 }
             }
             "SUBSTR" => {
-                let numbers: Vec<Result<i64, _>> =
-                    given.split(',').skip(1).map(|text| text.trim().parse()).collect();
-                let text = self.word(first, live, depth)?;
+                let numbers: Vec<Result<i64, _>> = expanded
+                    .split(',')
+                    .skip(1)
+                    .map(|text| text.trim().parse())
+                    .collect();
+                let text = self.resolve_word(first, proc, depth)?;
                 match &numbers[..] {
                     [Ok(start)] => Ok(part(&text, *start, None)),
                     [Ok(start), Ok(length)] => Ok(part(&text, *start, Some(*length))),
@@ -418,23 +448,26 @@
                 }
             }
             "ENV" => {
-                let (variable, default) = match given.split_once(':') {
+                let (variable, default) = match expanded.split_once(':') {
                     Some((variable, default)) => (variable, Some(default)),
-                    None => (given, None),
+                    None => (expanded, None),
                 };
                 self.files
                     .env_var(variable.trim())
                     .or_else(|| default.map(str::to_owned))
                     .ok_or_else(|| "the environment has no such variable".to_owned())
             }
-            "BASENAME" => Ok(path_parts(&self.word(given.trim(), live, depth)?, "nx")),
-            "DIRNAME" => Ok(path_parts(&self.word(given.trim(), live, depth)?, "p")),
+            "BASENAME" => Ok(path_parts(
+                &self.resolve_word(expanded.trim(), proc, depth)?,
+                "nx",
+            )),
+            "DIRNAME" => Ok(path_parts(&self.resolve_word(expanded.trim(), proc, depth)?, "p")),
             "RANDOM_CHOICE" | "RANDOM_INTEGER" => Err(
                 "a submission that is repeated would draw anew, so that it is refused; use $CHOICE or $INT"
                     .to_owned(),
             ),
             name if is_path_function(name) => {
-                let path = self.word(given.trim(), live, depth)?;
+                let path = self.resolve_word(expanded.trim(), proc, depth)?;
                 let parts = &name[1..];
                 if parts.contains('f') && !path.starts_with('/') {
                     let folder = self.files.env_var("PWD").unwrap_or_default();
@@ -451,8 +484,8 @@
     }
 }
 
-/// A text's value as an expression by itself.
-pub fn evaluated(text: &str) -> Result<Value, String> {
+/// Evaluates an expression that refers to no attributes.
+pub fn evaluate_constant(text: &str) -> Result<Value, String> {
     let expr = Expr::parse(text).map_err(|error| error.problem)?;
     let mut evaluator = Evaluator::new(0);
     match evaluator.evaluate(&expr, &Ad::default(), None) {
@@ -464,20 +497,20 @@
     }
 }
 
-fn converted(name: &str, text: &str, format: Option<&str>) -> Result<String, String> {
+fn convert(name: &str, text: &str, format: Option<&str>) -> Result<String, String> {
     if name == "STRING" {
-        let text = match evaluated(text) {
+        let text = match evaluate_constant(text) {
             Ok(Value::Str(text)) => text.to_string(),
             _ => text.to_owned(),
         };
         let format = format.unwrap_or("%s");
         return printf::string(format, &text).ok_or_else(|| format!("{format:?} is no format for a string"));
     }
-    let value = evaluated(text)?;
+    let value = evaluate_constant(text)?;
     let number = value
         .as_number()
         .ok_or_else(|| format!("{text:?} is {}, not a number", value.type_name()))?;
-    let written = match (name, &value) {
+    let formatted = match (name, &value) {
         ("INT", Value::Int(value)) => printf::int(format.unwrap_or("%d"), *value),
         ("INT", _) => printf::int(format.unwrap_or("%d"), number as i64),
         _ => match format {
@@ -485,11 +518,12 @@
             None => Some(Value::Real(number).to_string()),
         },
     };
-    written.ok_or_else(|| format!("{:?} is no format for it", format.unwrap_or_default()))
+    formatted.ok_or_else(|| format!("{:?} is no format for it", format.unwrap_or_default()))
 }
 
-/// The parts of a path that letters name: p for its folder, d for its last folder, n for its
-/// name, x for its extension; b takes their separators off, q puts all in quotes.
+/// Returns the parts of a path that the letters select: `p` for the directory, `d` for its last
+/// component, `n` for the file name, `x` for the extension. `b` removes separators, `q` quotes the
+/// result, and `u` and `w` convert the separators.
 fn path_parts(path: &str, parts: &str) -> String {
     let path = path.trim().trim_matches('"');
     let path = if parts.contains('u') {
@@ -501,11 +535,11 @@
     };
     let separators = ['/', '\\'];
     let (folder, file) = match path.rfind(separators) {
-        Some(at) => path.split_at(at + 1),
+        Some(offset) => path.split_at(offset + 1),
         None => ("", path.as_str()),
     };
     let (name, extension) = match file.rfind('.') {
-        Some(at) if at > 0 => file.split_at(at),
+        Some(offset) if offset > 0 => file.split_at(offset),
         _ => (file, ""),
     };
     let bare = parts.contains('b');
@@ -518,7 +552,9 @@
         out.push_str(folder);
     } else if parts.contains('d') {
         let folder = folder.trim_end_matches(separators);
-        let last = folder.rfind(separators).map_or(folder, |at| &folder[at + 1..]);
+        let last = folder
+            .rfind(separators)
+            .map_or(folder, |offset| &folder[offset + 1..]);
         out.push_str(last);
         if !last.is_empty() {
             out.push('/');
--- a/crates/condor/src/macros/tests.rs
+++ b/crates/condor/src/macros/tests.rs
@@ -1,7 +1,7 @@
 use super::path_parts;
 
 #[test]
-fn parts_of_a_path_are_those_of_the_manual() {
+fn path_parts_follow_the_manual() {
     for (parts, expected) in [
         ("p", "/a/b/"),
         ("d", "b/"),
--- a/crates/condor/src/queue.rs
+++ b/crates/condor/src/queue.rs
@@ -1,4 +1,4 @@
-//! `queue` statements: how many procs, and for which items.
+//! Parses `queue` statements: how many procs to create, and for which items.
 
 use crate::source::PathKind;
 use winnow::Parser;
@@ -7,29 +7,29 @@
 use winnow::error::ContextError;
 use winnow::token::{one_of, rest, take_until, take_while};
 
-type Failed = ContextError;
+type ParseError = ContextError;
 
-/// A statement in parts; lists are still text.
+/// A parsed statement, with its lists still as text.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Queue<'t> {
-    /// An expression; one proc an item if there is none.
+    /// Expression for the number of procs per item; 1 if absent.
     pub count: Option<&'t str>,
-    /// Variables, `Item` if none is named.
+    /// Names of the variables; `Item` if none is given.
     pub variables: Vec<&'t str>,
     pub source: Source<'t>,
 }
 
-/// Where items come from.
+/// Where the items come from.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Source<'t> {
-    /// There are none: one row.
+    /// No items: a single row.
     None,
     In(Slice, &'t str),
     From(Slice, &'t str),
     Matching(Slice, PathKind, &'t str),
 }
 
-/// `[start:end:step]` of a list, as in Python.
+/// A slice `[start:end:step]` of a list, as in Python.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Slice {
     start: Option<i64>,
@@ -38,68 +38,75 @@
 }
 
 impl Slice {
-    /// What of a list is meant; `None` if the step is 0.
-    pub fn of<T: Clone>(self, items: Vec<T>) -> Option<Vec<T>> {
+    /// Returns the selected part of a list; `None` if the step is 0.
+    pub fn select<T: Clone>(self, items: Vec<T>) -> Option<Vec<T>> {
         if self == Slice::default() {
             return Some(items);
         }
         let count = items.len() as i64;
         let step = self.step.unwrap_or(1);
-        let within = |at: i64, least: i64, most: i64| {
-            let at = if at < 0 { at.saturating_add(count) } else { at };
-            at.clamp(least, most)
+        let clamp_index = |index: i64, min: i64, max: i64| {
+            let index = if index < 0 {
+                index.saturating_add(count)
+            } else {
+                index
+            };
+            index.clamp(min, max)
         };
-        let mut taken = Vec::new();
+        let mut selected = Vec::new();
         if step > 0 {
-            let mut at = within(self.start.unwrap_or(0), 0, count);
-            let end = within(self.end.unwrap_or(count), 0, count);
-            while at < end {
-                taken.extend(items.get(at as usize).cloned());
-                at = at.saturating_add(step);
+            let mut index = clamp_index(self.start.unwrap_or(0), 0, count);
+            let end = clamp_index(self.end.unwrap_or(count), 0, count);
+            while index < end {
+                selected.extend(items.get(index as usize).cloned());
+                index = index.saturating_add(step);
             }
         } else if step < 0 {
-            let mut at = self.start.map_or(count - 1, |start| within(start, -1, count - 1));
-            let end = self.end.map_or(-1, |end| within(end, -1, count - 1));
-            while at > end {
-                taken.extend(items.get(at as usize).cloned());
-                at = at.saturating_add(step);
+            let mut index = self
+                .start
+                .map_or(count - 1, |start| clamp_index(start, -1, count - 1));
+            let end = self.end.map_or(-1, |end| clamp_index(end, -1, count - 1));
+            while index > end {
+                selected.extend(items.get(index as usize).cloned());
+                index = index.saturating_add(step);
             }
         } else {
             return None;
         }
-        Some(taken)
+        Some(selected)
     }
 }
 
-/// Whether a line is a `queue` statement; what follows the word.
+/// Returns what follows the keyword if a line is a `queue` statement.
 pub fn statement(line: &str) -> Option<&str> {
     let mut input = line;
-    let word: Result<_, Failed> = Caseless("queue").parse_next(&mut input);
+    let keyword: Result<_, ParseError> = Caseless("queue").parse_next(&mut input);
     let after = input.trim_start();
-    // "queue = 3" and "queue_at" are something else.
+    // "queue = 3" is an assignment, and "queue_at" another name.
     let ends = input.is_empty() || input.starts_with([' ', '\t', '(']);
-    (word.is_ok() && ends && !after.starts_with('=')).then_some(input)
+    (keyword.is_ok() && ends && !after.starts_with('=')).then_some(input)
 }
 
-/// Reads what follows `queue`.
+/// Parses what follows `queue`.
 ///
 /// # Errors
-/// The byte at which it is none, and why.
+/// Returns the byte offset of the error, and a description.
 pub fn parse(text: &str) -> Result<Queue<'_>, (usize, String)> {
-    let (before, source) = match keyword(text) {
+    let (before, source) = match find_keyword(text) {
         None => (text, Source::None),
-        Some((before, word, after)) => {
+        Some((before, keyword, after)) => {
             let mut input = after;
-            let source = source(word, &mut input).map_err(|problem| (text.len() - input.len(), problem))?;
+            let source =
+                parse_source(keyword, &mut input).map_err(|problem| (text.len() - input.len(), problem))?;
             (before, source)
         }
     };
     let mut input = before;
     let (count, variables) = match source {
-        // An expression, to the end.
+        // Everything up to the end is the count.
         Source::None => (Some(input.trim()).filter(|count| !count.is_empty()), Vec::new()),
         _ => {
-            let parsed: Result<_, Failed> = (opt(count), names).parse_next(&mut input);
+            let parsed: Result<_, ParseError> = (opt(parse_count), parse_names).parse_next(&mut input);
             parsed.map_err(|_| {
                 (
                     before.len() - input.len(),
@@ -108,10 +115,10 @@
             })?
         }
     };
-    let source_named = source != Source::None;
+    let has_source = source != Source::None;
     Ok(Queue {
         count,
-        variables: if variables.is_empty() && source_named {
+        variables: if variables.is_empty() && has_source {
             vec!["Item"]
         } else {
             variables
@@ -120,23 +127,24 @@
     })
 }
 
-/// The first `in`, `from` or `matching` that stands by itself, and what is around it.
-fn keyword(text: &str) -> Option<(&str, &'static str, &str)> {
-    let mut from = 0;
+/// Finds the first `in`, `from` or `matching` that is a word of its own, and the text before and
+/// after it.
+fn find_keyword(text: &str) -> Option<(&str, &'static str, &str)> {
+    let mut offset = 0;
     for word in text.split([' ', '\t', ',', '(', ')']) {
-        let at = from;
-        from += word.len() + 1;
+        let start = offset;
+        offset += word.len() + 1;
         for known in ["in", "from", "matching"] {
             if word.eq_ignore_ascii_case(known) {
-                return Some((&text[..at], known, &text[at + word.len()..]));
+                return Some((&text[..start], known, &text[start + word.len()..]));
             }
         }
     }
     None
 }
 
-/// A number, or an expression in brackets.
-fn count<'t>(input: &mut &'t str) -> Result<&'t str, Failed> {
+/// Parses a number, or an expression in parentheses.
+fn parse_count<'t>(input: &mut &'t str) -> Result<&'t str, ParseError> {
     let number = take_while(1.., |next: char| next.is_ascii_digit() || "+-*/".contains(next));
     let bracketed = ('(', take_until(0.., ")"), ')').take();
     terminated(
@@ -146,7 +154,7 @@
     .parse_next(input)
 }
 
-fn names<'t>(input: &mut &'t str) -> Result<Vec<&'t str>, Failed> {
+fn parse_names<'t>(input: &mut &'t str) -> Result<Vec<&'t str>, ParseError> {
     let name = (
         one_of(|next: char| next.is_ascii_alphabetic() || next == '_'),
         take_while(0.., |next: char| {
@@ -173,10 +181,10 @@
     .parse_next(input)
 }
 
-fn source<'t>(word: &str, input: &mut &'t str) -> Result<Source<'t>, String> {
-    let mut what = PathKind::Any;
-    if word == "matching" {
-        let named: Result<Option<PathKind>, Failed> = opt(preceded(
+fn parse_source<'t>(keyword: &str, input: &mut &'t str) -> Result<Source<'t>, String> {
+    let mut path_kind = PathKind::Any;
+    if keyword == "matching" {
+        let parsed: Result<Option<PathKind>, ParseError> = opt(preceded(
             multispace1,
             terminated(
                 alt((
@@ -188,39 +196,39 @@
             ),
         ))
         .parse_next(input);
-        // Without a word, files.
-        what = named.ok().flatten().unwrap_or(PathKind::Files);
+        // Without a word, only files match.
+        path_kind = parsed.ok().flatten().unwrap_or(PathKind::Files);
     }
-    let slice = slice(input)?;
-    let list: Result<&str, Failed> = preceded(multispace0, rest).parse_next(input);
+    let slice = parse_slice(input)?;
+    let list: Result<&str, ParseError> = preceded(multispace0, rest).parse_next(input);
     let list = list.unwrap_or_default().trim_end();
     if list.is_empty() {
-        return Err(format!("nothing follows {word:?}"));
+        return Err(format!("nothing follows {keyword:?}"));
     }
-    Ok(match word {
+    Ok(match keyword {
         "in" => Source::In(slice, list),
         "from" => Source::From(slice, list),
-        _ => Source::Matching(slice, what, list),
+        _ => Source::Matching(slice, path_kind, list),
     })
 }
 
-fn slice(input: &mut &str) -> Result<Slice, String> {
-    let inside: Result<Option<&str>, Failed> =
+fn parse_slice(input: &mut &str) -> Result<Slice, String> {
+    let inside: Result<Option<&str>, ParseError> =
         opt(delimited((multispace0, '['), take_until(0.., "]"), ']')).parse_next(input);
     let Ok(Some(inside)) = inside else {
         return Ok(Slice::default());
     };
-    let bad = || format!("[{inside}] is no slice: one is [start:end:step]");
+    let invalid = || format!("[{inside}] is no slice: one is [start:end:step]");
     let mut parts = Vec::new();
     for part in inside.split(':') {
         let part = part.trim();
         parts.push(match part {
             "" => None,
-            number => Some(number.parse::<i64>().map_err(|_| bad())?),
+            number => Some(number.parse::<i64>().map_err(|_| invalid())?),
         });
     }
     let slice = match parts[..] {
-        // A single number is that item alone.
+        // A single number selects one item.
         [Some(only)] => Slice {
             start: Some(only),
             end: if only == -1 { None } else { Some(only + 1) },
@@ -232,14 +240,14 @@
             step: None,
         },
         [start, end, step] if step != Some(0) => Slice { start, end, step },
-        _ => return Err(bad()),
+        _ => return Err(invalid()),
     };
     Ok(slice)
 }
 
-/// The values of a statement's variables for an item: commas and blanks separate, and the last
-/// variable takes all that is left.
-pub fn split(item: &str, variables: usize) -> Vec<&str> {
+/// Splits an item into the values of a statement's variables. Commas and blanks separate values,
+/// and the last variable takes the rest.
+pub fn split_item(item: &str, variables: usize) -> Vec<&str> {
     let item = item.trim();
     if item.contains('\u{1f}') {
         let mut parts: Vec<&str> = item.splitn(variables, '\u{1f}').map(str::trim).collect();
@@ -247,14 +255,17 @@
         return parts;
     }
     let mut parts = Vec::with_capacity(variables);
-    let mut left = item;
+    let mut rest_of_item = item;
     while parts.len() + 1 < variables {
-        let end = left.find([',', ' ', '\t']).unwrap_or(left.len());
-        parts.push(&left[..end]);
-        left = left[end..].trim_start();
-        left = left.strip_prefix(',').unwrap_or(left).trim_start();
+        let end = rest_of_item.find([',', ' ', '\t']).unwrap_or(rest_of_item.len());
+        parts.push(&rest_of_item[..end]);
+        rest_of_item = rest_of_item[end..].trim_start();
+        rest_of_item = rest_of_item
+            .strip_prefix(',')
+            .unwrap_or(rest_of_item)
+            .trim_start();
     }
-    parts.push(left);
+    parts.push(rest_of_item);
     parts
 }
 
--- a/crates/condor/src/queue/tests.rs
+++ b/crates/condor/src/queue/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn statements_are_told_from_assignments() {
+fn queue_assignments_are_not_statements() {
     assert_eq!(statement("queue"), Some(""));
     assert_eq!(statement("Queue 3"), Some(" 3"));
     assert_eq!(statement("queue(2)"), Some("(2)"));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn every_form_is_read() {
+fn all_forms_are_parsed() {
     let read = |text| parse(text).unwrap();
     assert_eq!(read("").count, None);
     assert_eq!(read(" 2 * 3 ").count, Some("2 * 3"));
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn slices_are_those_of_python() {
+fn slices_select_as_in_python() {
     let of = |text: &str| {
         let parsed = parse(text).unwrap();
         let Source::In(slice, _) = parsed.source else {
             panic!("{text}")
         };
-        slice.of((0..5).collect::<Vec<i32>>()).unwrap()
+        slice.select((0..5).collect::<Vec<i32>>()).unwrap()
     };
     assert_eq!(of(" in [1:3] x"), [1, 2]);
     assert_eq!(of(" in [::2] x"), [0, 2, 4]);
@@ -68,17 +68,17 @@
 
 #[test]
 fn the_last_variable_takes_the_rest() {
-    assert_eq!(split("a, b c, d", 2), ["a", "b c, d"]);
-    assert_eq!(split("a  b", 3), ["a", "b", ""]);
-    assert_eq!(split("a\u{1f}b, c\u{1f}", 3), ["a", "b, c", ""]);
+    assert_eq!(split_item("a, b c, d", 2), ["a", "b c, d"]);
+    assert_eq!(split_item("a  b", 3), ["a", "b", ""]);
+    assert_eq!(split_item("a\u{1f}b, c\u{1f}", 3), ["a", "b, c", ""]);
 }
 
 proptest! {
     #[test]
     fn no_text_panics(text in "[ 0-9a-c,()\\[\\]:inmatching-]{0,50}", count in 0usize..6) {
         if let Ok(Queue { source: Source::In(slice, _), .. }) = parse(&text) {
-            let _ = slice.of(vec![0; count]);
+            let _ = slice.select(vec![0; count]);
         }
-        let _ = split(&text, count.max(1));
+        let _ = split_item(&text, count.max(1));
     }
 }
--- a/crates/condor/src/source.rs
+++ b/crates/condor/src/source.rs
@@ -1,11 +1,11 @@
-//! Text with its places, and where a file's other files come from.
+//! Source text with locations, and the access of submit files to the submitting host.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Where something stands, counted from 1.
+/// A location in a source file. Lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLocation {
     pub file: Arc<str>,
@@ -19,7 +19,7 @@
     }
 }
 
-/// A text that cannot be read as submit language.
+/// An error in the text of a submit file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{location}: {problem}")]
 pub struct SubmitError {
@@ -27,25 +27,25 @@
     pub problem: String,
 }
 
-/// What a submit file may ask of the place from which it is submitted.
+/// What a submit file may read from the host on which it is submitted.
 pub trait SubmitEnvironment {
-    /// The text of a file.
+    /// Returns the contents of a file.
     ///
     /// # Errors
-    /// Why it cannot be had.
+    /// Why the file cannot be read.
     fn read_file(&self, path: &str) -> Result<String, String>;
 
-    /// Paths that match a pattern, in their order.
+    /// Returns the paths that match a pattern, in order.
     ///
     /// # Errors
-    /// The pattern is none, or a folder cannot be read.
+    /// The pattern is invalid, or a directory cannot be read.
     fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String>;
 
-    /// A variable of the submitter's environment.
+    /// Returns a variable of the submitter's environment.
     fn env_var(&self, name: &str) -> Option<String>;
 }
 
-/// What `queue … matching` looks for.
+/// The kinds of paths that `queue … matching` finds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PathKind {
@@ -54,7 +54,7 @@
     Any,
 }
 
-/// A line with its continuations joined, and where its parts stood.
+/// A line joined with its continuation lines, and the locations of its parts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
     pub text: String,
@@ -63,7 +63,7 @@
 }
 
 impl Line {
-    /// Of what no file defines.
+    /// Returns the line of definitions that no file contains.
     pub(crate) fn built_in() -> Line {
         Line {
             text: String::new(),
@@ -76,7 +76,7 @@
         self.parts.is_empty()
     }
 
-    /// Where a byte of the text stood.
+    /// Returns the location of a byte of the text.
     pub fn location(&self, byte: usize) -> SourceLocation {
         let (from, line, column) = self
             .parts
@@ -89,11 +89,11 @@
         while !self.text.is_char_boundary(end) {
             end -= 1;
         }
-        let letters = self.text.get(from..end).map_or(0, |text| text.chars().count());
+        let chars = self.text.get(from..end).map_or(0, |text| text.chars().count());
         SourceLocation {
             file: self.file.clone(),
             line,
-            column: column + letters as u32,
+            column: column + chars as u32,
         }
     }
 
@@ -105,24 +105,24 @@
     }
 }
 
-/// Lines of a file. Continuations are joined, unless a statement reads the lines that follow
-/// it one by one.
+/// The lines of a file. Continuation lines are joined, unless a statement reads the lines that
+/// follow it one by one.
 pub struct Lines<'t> {
-    rest: std::iter::Enumerate<std::str::Lines<'t>>,
+    remaining: std::iter::Enumerate<std::str::Lines<'t>>,
     file: Arc<str>,
 }
 
 impl<'t> Lines<'t> {
     pub fn new(text: &'t str, file: Arc<str>) -> Lines<'t> {
         Lines {
-            rest: text.lines().enumerate(),
+            remaining: text.lines().enumerate(),
             file,
         }
     }
 
-    /// The next line as it stands.
+    /// Returns the next line unchanged.
     pub fn raw(&mut self) -> Option<&'t str> {
-        self.rest.next().map(|(_, text)| text)
+        self.remaining.next().map(|(_, text)| text)
     }
 }
 
@@ -133,14 +133,14 @@
         let mut text = String::new();
         let mut parts = Vec::new();
         loop {
-            let Some((number, line)) = self.rest.next() else {
+            let Some((number, line)) = self.remaining.next() else {
                 if parts.is_empty() {
                     return None;
                 }
                 break;
             };
             let trimmed = line.trim_start();
-            // A comment between continued lines is none of them.
+            // Comments between continuation lines are skipped.
             if !parts.is_empty() && trimmed.starts_with('#') {
                 continue;
             }
--- a/crates/condor/src/source/tests.rs
+++ b/crates/condor/src/source/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn joined_lines_know_where_their_parts_stood() {
+fn joined_lines_keep_the_locations_of_their_parts() {
     let text = "a = 1\n  b = 2 && \\\n# not this\n    é == 3\\\n\n# c \\\nd";
     let lines: Vec<Line> = Lines::new(text, Arc::from("f")).collect();
     let texts: Vec<&str> = lines.iter().map(|line| line.text.as_str()).collect();
--- a/crates/condor/src/submit.rs
+++ b/crates/condor/src/submit.rs
@@ -5,7 +5,7 @@
 use crate::constants::{
     MAX_EXPANDED_BYTES, MAX_FILE_BYTES, MAX_FILE_PROCS, MAX_NESTING_DEPTH, MAX_QUEUE_VARIABLES,
 };
-use crate::macros::{Definition, Live, Macros, evaluated};
+use crate::macros::{Definition, Macros, ProcContext, evaluate_constant};
 use crate::queue::{self, Source};
 use crate::source::{Line, Lines, SourceLocation, SubmitEnvironment, SubmitError};
 use indigopath_classad::{nearest, versions};
@@ -224,7 +224,7 @@
         let text = &line.text[begins..];
         let inner = text.trim_start();
         let begins = line.text.len() - inner.len();
-        let text = self.macros.text(line, begins, inner)?;
+        let text = self.macros.expand_text(line, begins, inner)?;
         let (negated, text) = match text.trim().strip_prefix('!') {
             Some(rest) if !rest.starts_with('=') => (true, rest.trim()),
             _ => (false, text.trim()),
@@ -261,7 +261,7 @@
                 "" => return Err(line.error(begins, "a condition is missing")),
                 "yes" | "t" => true,
                 "no" | "f" => false,
-                _ => evaluated(text)
+                _ => evaluate_constant(text)
                     .and_then(|value| {
                         let problem = || format!("it is {}, neither true nor false", value.type_name());
                         value.truth().ok_or_else(problem)
@@ -365,7 +365,7 @@
         };
         let how = how.trim().to_ascii_lowercase();
         let begins = line.text.len() - path.trim_start().len();
-        let path = self.macros.text(line, begins, path.trim())?;
+        let path = self.macros.expand_text(line, begins, path.trim())?;
         if how.starts_with("command") || path.ends_with('|') {
             return Err(line.error(
                 0,
@@ -434,7 +434,7 @@
             return Ok(());
         }
         let head = listed.map_or(raw, |at| &raw[..at]);
-        let mut text = self.macros.text(line, begins, head)?;
+        let mut text = self.macros.expand_text(line, begins, head)?;
         if inline.is_some() {
             text.push_str("()");
         }
@@ -442,7 +442,7 @@
             queue::parse(&text).map_err(|(at, problem)| line.error(begins + at.min(raw.len()), problem))?;
         let count = match parsed.count {
             None => 1,
-            Some(count) => match evaluated(count) {
+            Some(count) => match evaluate_constant(count) {
                 Ok(value)
                     if value
                         .as_number()
@@ -479,7 +479,7 @@
         let expand = |items: Vec<String>| -> Result<Vec<String>, SubmitError> {
             items
                 .into_iter()
-                .map(|item| self.macros.text(line, begins, &item))
+                .map(|item| self.macros.expand_text(line, begins, &item))
                 .collect()
         };
         let (slice, items) = match source {
@@ -541,7 +541,9 @@
                 (slice, found)
             }
         };
-        let items = slice.of(items).ok_or_else(|| fail("a slice steps by 0".into()))?;
+        let items = slice
+            .select(items)
+            .ok_or_else(|| fail("a slice steps by 0".into()))?;
         Ok(Some(items))
     }
 
@@ -578,20 +580,20 @@
                 kind,
                 definition: definition.clone(),
             };
-            if self.macros.varies(&definition.template, variables) {
+            if self.macros.varies_by_proc(&definition.template, variables) {
                 batch.varying.push(entry);
             } else {
-                let value = self.macros.value(definition, None)?;
+                let value = self.macros.expand_definition(definition, None)?;
                 batch.fixed.push((entry, Arc::from(value)));
             }
         }
         let none = [String::new()];
         for (row, item) in items.as_deref().unwrap_or(&none).iter().enumerate() {
-            let values = queue::split(item, variables.len().max(1));
+            let values = queue::split_item(item, variables.len().max(1));
             let values: Vec<(Arc<str>, &str)> = variables.iter().cloned().zip(values).collect();
             for step in 0..count {
                 let process = first + batch.procs.len();
-                let live = Live {
+                let live = ProcContext {
                     cluster: self.cluster,
                     process,
                     step,
@@ -600,7 +602,7 @@
                 };
                 let mut own: Vec<Box<str>> = Vec::with_capacity(batch.varying.len());
                 for entry in &batch.varying {
-                    let value = self.macros.value(&entry.definition, Some(&live))?;
+                    let value = self.macros.expand_definition(&entry.definition, Some(&live))?;
                     self.expanded += value.len();
                     own.push(Box::from(value));
                 }
--- a/crates/condor/src/template.rs
+++ b/crates/condor/src/template.rs
@@ -1,4 +1,4 @@
-//! Values with macros in them: `$(name:default)`, `$INT(name)` and their kin.
+//! Parses values that contain macros: `$(name:default)`, `$INT(name)` and similar.
 
 use crate::constants::MAX_NESTING_DEPTH;
 use std::sync::Arc;
@@ -8,42 +8,42 @@
 use winnow::stream::{LocatingSlice, Location};
 use winnow::token::{any, take_while};
 
-/// A part of a value.
+/// One piece of a value.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Piece {
     Text(Arc<str>),
-    /// `$(name)` or `$(name:default)`, with the lower-case name.
+    /// `$(name)` or `$(name:default)`, with the name in lower case.
     Macro {
         name: Arc<str>,
         default: Option<Template>,
-        at: usize,
+        offset: usize,
     },
-    /// `$(a$(b))`: the name has to be expanded first.
-    Computed {
+    /// `$(a$(b))`: the name contains macros itself and is expanded first.
+    ComputedName {
         name: Template,
-        at: usize,
+        offset: usize,
     },
-    /// `$INT(…)`: the function's name in capitals, and what stands between the brackets.
+    /// `$INT(…)`: the function's name in upper case, and the text between the parentheses.
     Function {
         name: Arc<str>,
         argument: Template,
-        at: usize,
+        offset: usize,
     },
-    /// `$$(…)`: what a machine would fill in.
-    OfMachine {
-        at: usize,
+    /// `$$(…)`: a macro that HTCondor expands from the matched machine.
+    MachineMacro {
+        offset: usize,
     },
 }
 
-/// A value in parts.
+/// A parsed value.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Template {
     pub pieces: Arc<[Piece]>,
 }
 
 impl Template {
-    /// The text, if it has no macros.
-    pub fn plain(&self) -> Option<&str> {
+    /// Returns the text if the value contains no macros.
+    pub fn as_literal(&self) -> Option<&str> {
         match &*self.pieces {
             [] => Some(""),
             [Piece::Text(text)] => Some(text),
@@ -53,46 +53,46 @@
 }
 
 type Input<'t> = LocatingSlice<&'t str>;
-type Failed = ErrMode<ContextError>;
+type ParseError = ErrMode<ContextError>;
 
-/// Reads a value.
+/// Parses a value.
 ///
 /// # Errors
-/// The byte at which a macro begins that does not end, or is nested too deeply.
+/// Returns the byte offset of a macro that is unterminated or nested too deeply.
 pub fn parse(text: &str) -> Result<Template, usize> {
     let mut input = LocatingSlice::new(text);
-    let mut unfinished = None;
-    pieces(&mut input, "", 0, &mut unfinished)
-        .map_err(|_| unfinished.unwrap_or_else(|| text.len().saturating_sub(input.len())))
+    let mut error_offset = None;
+    parse_pieces(&mut input, "", 0, &mut error_offset)
+        .map_err(|_| error_offset.unwrap_or_else(|| text.len().saturating_sub(input.len())))
 }
 
-/// Pieces up to the end, or up to one of the letters in `until`, which is not taken.
-fn pieces(
+/// Parses pieces up to the end, or up to one of the characters in `until`, which is not consumed.
+fn parse_pieces(
     input: &mut Input<'_>,
     until: &str,
     depth: usize,
-    unfinished: &mut Option<usize>,
-) -> Result<Template, Failed> {
+    error_offset: &mut Option<usize>,
+) -> Result<Template, ParseError> {
     if depth > MAX_NESTING_DEPTH {
-        unfinished.get_or_insert(input.current_token_start());
+        error_offset.get_or_insert(input.current_token_start());
         return Err(ErrMode::Cut(ContextError::new()));
     }
     let mut pieces: Vec<Piece> = Vec::new();
     let mut text = String::new();
-    // Brackets that open in the text close in it.
-    let mut open = 0usize;
+    // Parentheses that are open in the text itself.
+    let mut open_parentheses = 0usize;
     loop {
-        let plain: &str = take_while(0.., |next: char| {
+        let literal: &str = take_while(0.., |next: char| {
             next != '$' && next != '(' && !until.contains(next)
         })
         .parse_next(input)?;
-        text.push_str(plain);
+        text.push_str(literal);
         if input.is_empty() {
             break;
         }
-        let at = input.current_token_start();
+        let offset = input.current_token_start();
         if input.starts_with('$') {
-            match special(input, at, depth, unfinished)? {
+            match parse_macro(input, offset, depth, error_offset)? {
                 Some(piece) => {
                     if !text.is_empty() {
                         pieces.push(Piece::Text(Arc::from(std::mem::take(&mut text))));
@@ -105,11 +105,11 @@
         }
         let next: char = input.chars().next().unwrap_or_default();
         if next == '(' {
-            open += usize::from(until.contains(')'));
-        } else if open == 0 {
+            open_parentheses += usize::from(until.contains(')'));
+        } else if open_parentheses == 0 {
             break;
         } else if next == ')' {
-            open -= 1;
+            open_parentheses -= 1;
         }
         text.push(any.parse_next(input)?);
     }
@@ -121,35 +121,35 @@
     })
 }
 
-/// What begins with a dollar sign; `None` if it is just one.
-fn special(
+/// Parses what begins with a dollar sign; returns `None` if it is a plain one.
+fn parse_macro(
     input: &mut Input<'_>,
-    at: usize,
+    offset: usize,
     depth: usize,
-    unfinished: &mut Option<usize>,
-) -> Result<Option<Piece>, Failed> {
+    error_offset: &mut Option<usize>,
+) -> Result<Option<Piece>, ParseError> {
     let begin: Option<&str> = opt(alt(("$$(", "$("))).parse_next(input)?;
     match begin {
         Some("$$(") => {
-            pieces(input, ")", depth + 1, unfinished)?;
-            close(input, at, unfinished)?;
-            Ok(Some(Piece::OfMachine { at }))
+            parse_pieces(input, ")", depth + 1, error_offset)?;
+            expect_close(input, offset, error_offset)?;
+            Ok(Some(Piece::MachineMacro { offset }))
         }
         Some(_) => {
-            let name = pieces(input, ":)", depth + 1, unfinished)?;
+            let name = parse_pieces(input, ":)", depth + 1, error_offset)?;
             let colon: Option<&str> = opt(":").parse_next(input)?;
             let default = match colon {
-                Some(_) => Some(pieces(input, ")", depth + 1, unfinished)?),
+                Some(_) => Some(parse_pieces(input, ")", depth + 1, error_offset)?),
                 None => None,
             };
-            close(input, at, unfinished)?;
-            Ok(Some(match name.plain() {
+            expect_close(input, offset, error_offset)?;
+            Ok(Some(match name.as_literal() {
                 Some(name) => Piece::Macro {
                     name: Arc::from(name.trim().to_ascii_lowercase()),
                     default,
-                    at,
+                    offset,
                 },
-                None => Piece::Computed { name, at },
+                None => Piece::ComputedName { name, offset },
             }))
         }
         None => {
@@ -162,9 +162,9 @@
             let Some((_, name, _)) = name else {
                 return Ok(None);
             };
-            let argument = pieces(input, ")", depth + 1, unfinished)?;
-            close(input, at, unfinished)?;
-            // The letters after F say which parts of a path are meant, and keep their case.
+            let argument = parse_pieces(input, ")", depth + 1, error_offset)?;
+            expect_close(input, offset, error_offset)?;
+            // The letters after F select parts of a path, and are case-sensitive.
             let name = if is_path_function(name) {
                 name.to_owned()
             } else {
@@ -173,22 +173,26 @@
             Ok(Some(Piece::Function {
                 name: Arc::from(name),
                 argument,
-                at,
+                offset,
             }))
         }
     }
 }
 
-/// `F` and letters of parts of a path.
+/// Whether a name is a path function: `F` and letters that select parts of a path.
 pub fn is_path_function(name: &str) -> bool {
     name.strip_prefix(['F', 'f'])
         .is_some_and(|parts| parts.chars().all(|part| "fpdnxquwba".contains(part)))
 }
 
-fn close(input: &mut Input<'_>, at: usize, unfinished: &mut Option<usize>) -> Result<(), Failed> {
+fn expect_close(
+    input: &mut Input<'_>,
+    offset: usize,
+    error_offset: &mut Option<usize>,
+) -> Result<(), ParseError> {
     let closed: Option<char> = opt(')').parse_next(input)?;
     if closed.is_none() {
-        unfinished.get_or_insert(at);
+        error_offset.get_or_insert(offset);
         return Err(ErrMode::Cut(ContextError::new()));
     }
     Ok(())
--- a/crates/condor/src/template/tests.rs
+++ b/crates/condor/src/template/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn parts_are_told_apart() {
+fn pieces_are_parsed() {
     let template = parse("a$(B:x$(c))-$INT(n, %d)$5 f(1) $$(Arch) $Fnx(p)").unwrap();
     let kinds: Vec<String> = template
         .pieces
@@ -10,9 +10,9 @@
         .map(|piece| match piece {
             Piece::Text(text) => format!("{text:?}"),
             Piece::Macro { name, default, .. } => format!("{name}:{}", default.is_some()),
-            Piece::Computed { .. } => "computed".to_owned(),
+            Piece::ComputedName { .. } => "computed".to_owned(),
             Piece::Function { name, .. } => name.to_string(),
-            Piece::OfMachine { at } => format!("machine {at}"),
+            Piece::MachineMacro { offset } => format!("machine {offset}"),
         })
         .collect();
     let expected = [
--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -129,7 +129,7 @@
 
     /// The largest share of any resource of `whole` that these amounts are.
     pub fn share_of(&self, whole: &Resources) -> f64 {
-        let share = |origin: f64, whole: f64| if origin > 0.0 { origin / whole } else { 0.0 };
+        let share = |part: f64, whole: f64| if part > 0.0 { part / whole } else { 0.0 };
         share(self.cpus, whole.cpus)
             .max(share(self.gpus, whole.gpus))
             .max(share(self.memory_gb, whole.memory_gb))
@@ -137,7 +137,7 @@
 
     /// The smallest free share of any resource of `whole`, of which these amounts are free.
     pub fn free_share_of(&self, whole: &Resources) -> f64 {
-        let share = |origin: f64, whole: f64| if whole > 0.0 { origin / whole } else { 1.0 };
+        let share = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 1.0 };
         share(self.cpus, whole.cpus)
             .min(share(self.gpus, whole.gpus))
             .min(share(self.memory_gb, whole.memory_gb))
@@ -220,7 +220,7 @@
     /// Machine kinds that the requirements expression of the job allows, if it had one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kinds: Option<Arc<KindSet>>,
-    /// The job's part of its cluster, if it came from a submit file.
+    /// The submit file that the job came from, if it did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub condor: Option<Arc<SubmitOrigin>>,
     /// Wall-clock time of the submission at the accepting node, in ms since 1970.
