--- a/crates/condor/src/matchmaking.rs
+++ b/crates/condor/src/matchmaking.rs
@@ -571,7 +571,7 @@
         .collect();
     let mut told = FxHashSet::default();
     for batch in &submission.batches {
-        for entry in batch.fixed.iter().map(|(entry, _)| entry).chain(&batch.varying) {
+        for entry in batch.shared.iter().map(|(entry, _)| entry).chain(&batch.varying) {
             if let EntryKind::Command(command) = entry.kind
                 && let Effect::Noted(why) = command.effect
                 && told.insert(command.name)
--- a/crates/condor/src/submit.rs
+++ b/crates/condor/src/submit.rs
@@ -1,5 +1,5 @@
-//! A submit file, read from its first line to its last, as condor users expect: what stands
-//! above a `queue` statement holds for it.
+//! Parses submit files from the first line to the last. As in HTCondor, a `queue` statement uses
+//! the definitions that precede it.
 
 use crate::commands::{self, Command};
 use crate::constants::{
@@ -11,17 +11,18 @@
 use indigopath_classad::{nearest, versions};
 use std::sync::Arc;
 
-/// The version that `if version >= …` asks about: that of the language read here.
+/// The version with which `if version` conditions compare: that of the submit language supported
+/// here.
 pub const LANGUAGE_VERSION: &str = "23.0.0";
 
-/// Something that the submitter should know, and that stops nothing.
+/// Information for the submitter that does not prevent the submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
     pub location: SourceLocation,
     pub text: String,
 }
 
-/// A file as read: its procs, batch by batch.
+/// A parsed submit file.
 #[derive(Debug, Default)]
 pub struct Submission {
     pub batches: Vec<Batch>,
@@ -37,14 +38,14 @@
 /// The procs of one `queue` statement.
 #[derive(Debug)]
 pub struct Batch {
-    /// Commands and attributes that all its procs share.
-    pub fixed: Vec<(SubmitEntry, Arc<str>)>,
-    /// Those that differ from proc to proc.
+    /// Commands and attributes with the same value for all procs.
+    pub shared: Vec<(SubmitEntry, Arc<str>)>,
+    /// Commands and attributes whose value differs between procs.
     pub varying: Vec<SubmitEntry>,
     pub procs: Vec<Proc>,
 }
 
-/// A command or an attribute of the job, and where it was given.
+/// A command or job attribute, with its definition.
 #[derive(Debug, Clone)]
 pub struct SubmitEntry {
     pub kind: EntryKind,
@@ -58,28 +59,28 @@
     Attribute,
 }
 
-/// One proc.
+/// One proc of a cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proc {
     pub process: u32,
     pub step: u32,
     pub row: u32,
-    /// Values of what varies, in the batch's order.
+    /// Values of the batch's varying entries, in their order.
     pub values: Box<[Box<str>]>,
 }
 
 impl Batch {
-    /// Everything that a proc has, with its value.
+    /// Returns all entries of a proc with their values.
     pub fn entries<'b>(&'b self, proc: &'b Proc) -> impl Iterator<Item = (&'b SubmitEntry, &'b str)> {
-        let fixed = self.fixed.iter().map(|(entry, value)| (entry, &**value));
-        fixed.chain(self.varying.iter().zip(proc.values.iter().map(|value| &**value)))
+        let shared = self.shared.iter().map(|(entry, value)| (entry, &**value));
+        shared.chain(self.varying.iter().zip(proc.values.iter().map(|value| &**value)))
     }
 }
 
-/// Reads a submit file.
+/// Parses a submit file.
 ///
 /// # Errors
-/// The first place at which it cannot be read as submit language, or grows out of bounds.
+/// Returns the first error, or the location at which the file exceeds a limit.
 pub fn read(
     text: &str,
     file: &str,
@@ -92,8 +93,8 @@
         files,
         cluster,
         submission: Submission::default(),
-        bytes: 0,
-        expanded: 0,
+        source_bytes: 0,
+        expanded_bytes: 0,
     };
     let file: Arc<str> = Arc::from(file);
     reader.file(text, file.clone(), 0)?;
@@ -108,7 +109,7 @@
             problem: "there is no queue statement".to_owned(),
         });
     }
-    reader.note_what_was_not_used();
+    reader.note_unused_names();
     Ok(reader.submission)
 }
 
@@ -117,24 +118,25 @@
     files: &'f dyn SubmitEnvironment,
     cluster: u64,
     submission: Submission,
-    bytes: usize,
-    expanded: usize,
+    source_bytes: usize,
+    expanded_bytes: usize,
 }
 
-/// An `if` that is open.
-struct Branch {
+/// An `if` without its `endif` so far.
+struct Conditional {
     line: Arc<Line>,
-    /// The lines that follow count.
+    /// Whether the lines that follow are in effect.
     active: bool,
-    /// One of its branches has been taken.
+    /// Whether one of its branches has been taken.
     taken: bool,
-    /// What is around it counts.
-    outer: bool,
-    ended: bool,
+    /// Whether the lines around the `if` are in effect.
+    outer_active: bool,
+    has_else: bool,
 }
 
-/// The first word of a line, in lower case, if it stands by itself, and what follows it.
-fn word(text: &str) -> Option<(String, usize)> {
+/// Returns the first word of a line in lower case, if it is a keyword rather than an assigned name,
+/// and the offset behind it.
+fn leading_keyword(text: &str) -> Option<(String, usize)> {
     let end = text
         .find(|next: char| !next.is_ascii_alphabetic())
         .unwrap_or(text.len());
@@ -144,7 +146,7 @@
         .then(|| (text[..end].to_ascii_lowercase(), end))
 }
 
-/// Whether a text may name a macro, a command or an attribute.
+/// Whether a text is a valid name of a macro, command or attribute.
 fn is_name(text: &str) -> bool {
     let mut bytes = text.bytes();
     bytes
@@ -155,12 +157,12 @@
 
 impl Reader<'_> {
     fn file(&mut self, text: &str, file: Arc<str>, depth: usize) -> Result<(), SubmitError> {
-        let mut branches: Vec<Branch> = Vec::new();
+        let mut branches: Vec<Conditional> = Vec::new();
         let mut lines = Lines::new(text, file);
-        self.bytes += text.len();
+        self.source_bytes += text.len();
         while let Some(line) = lines.next() {
             let line = Arc::new(line);
-            if self.bytes > MAX_FILE_BYTES {
+            if self.source_bytes > MAX_FILE_BYTES {
                 return Err(line.error(
                     0,
                     format!("the file and what it includes are longer than {MAX_FILE_BYTES} bytes"),
@@ -181,34 +183,34 @@
         }
     }
 
-    /// `if`, `elif`, `else`, `endif`; whether the line is one of them.
-    fn branch(&self, line: &Arc<Line>, branches: &mut Vec<Branch>) -> Result<bool, SubmitError> {
-        let Some((word, end)) = word(&line.text) else {
+    /// Handles `if`, `elif`, `else` and `endif`; returns whether the line is one of them.
+    fn branch(&self, line: &Arc<Line>, branches: &mut Vec<Conditional>) -> Result<bool, SubmitError> {
+        let Some((keyword, end)) = leading_keyword(&line.text) else {
             return Ok(false);
         };
-        match word.as_str() {
+        match keyword.as_str() {
             "if" => {
                 if branches.len() >= MAX_NESTING_DEPTH {
                     return Err(line.error(0, format!("more than {MAX_NESTING_DEPTH} ifs are open")));
                 }
-                let outer = branches.last().is_none_or(|branch| branch.active);
-                let active = outer && self.condition(line, end)?;
-                branches.push(Branch {
+                let outer_active = branches.last().is_none_or(|branch| branch.active);
+                let active = outer_active && self.condition(line, end)?;
+                branches.push(Conditional {
                     line: line.clone(),
                     active,
                     taken: active,
-                    outer,
-                    ended: false,
+                    outer_active,
+                    has_else: false,
                 });
             }
             "elif" | "else" => {
-                let Some(branch) = branches.last_mut().filter(|branch| !branch.ended) else {
-                    return Err(line.error(0, format!("there is no if for this {word}")));
+                let Some(branch) = branches.last_mut().filter(|branch| !branch.has_else) else {
+                    return Err(line.error(0, format!("there is no if for this {keyword}")));
                 };
-                let open = branch.outer && !branch.taken;
-                branch.active = open && (word == "else" || self.condition(line, end)?);
+                let open = branch.outer_active && !branch.taken;
+                branch.active = open && (keyword == "else" || self.condition(line, end)?);
                 branch.taken |= branch.active;
-                branch.ended = word == "else";
+                branch.has_else = keyword == "else";
             }
             "endif" => {
                 if branches.pop().is_none() {
@@ -220,19 +222,19 @@
         Ok(true)
     }
 
-    fn condition(&self, line: &Arc<Line>, begins: usize) -> Result<bool, SubmitError> {
-        let text = &line.text[begins..];
+    fn condition(&self, line: &Arc<Line>, offset: usize) -> Result<bool, SubmitError> {
+        let text = &line.text[offset..];
         let inner = text.trim_start();
-        let begins = line.text.len() - inner.len();
-        let text = self.macros.expand_text(line, begins, inner)?;
+        let offset = line.text.len() - inner.len();
+        let text = self.macros.expand_text(line, offset, inner)?;
         let (negated, text) = match text.trim().strip_prefix('!') {
             Some(rest) if !rest.starts_with('=') => (true, rest.trim()),
             _ => (false, text.trim()),
         };
-        let holds = match word(text) {
+        let is_true = match leading_keyword(text) {
             Some((first, end)) if first == "defined" => {
                 let name = text[end..].trim();
-                // A macro that was expanded to nothing, or to something, tells.
+                // For a macro reference, whether it expanded to anything.
                 match inner.contains("$(") {
                     true => !name.is_empty(),
                     false => {
@@ -246,7 +248,7 @@
                 let operator = ["==", ">=", "<=", "!=", ">", "<"]
                     .into_iter()
                     .find(|operator| rest.starts_with(operator))
-                    .ok_or_else(|| line.error(begins, "a comparison is missing after \"version\""))?;
+                    .ok_or_else(|| line.error(offset, "a comparison is missing after \"version\""))?;
                 let order = versions(LANGUAGE_VERSION, rest[operator.len()..].trim());
                 match operator {
                     "==" => order.is_eq(),
@@ -258,7 +260,7 @@
                 }
             }
             _ => match text.to_ascii_lowercase().as_str() {
-                "" => return Err(line.error(begins, "a condition is missing")),
+                "" => return Err(line.error(offset, "a condition is missing")),
                 "yes" | "t" => true,
                 "no" | "f" => false,
                 _ => evaluate_constant(text)
@@ -266,10 +268,10 @@
                         let problem = || format!("it is {}, neither true nor false", value.type_name());
                         value.truth().ok_or_else(problem)
                     })
-                    .map_err(|problem| line.error(begins, format!("this is no condition: {problem}")))?,
+                    .map_err(|problem| line.error(offset, format!("this is no condition: {problem}")))?,
             },
         };
-        Ok(holds != negated)
+        Ok(is_true != negated)
     }
 
     fn statement(
@@ -280,12 +282,12 @@
         depth: usize,
     ) -> Result<(), SubmitError> {
         if let Some(after) = queue::statement(&line.text) {
-            let begins = line.text.len() - after.len();
-            return self.queue(line, begins, lines, active);
+            let offset = line.text.len() - after.len();
+            return self.queue(line, offset, lines, active);
         }
-        if let Some((word, end)) = word(&line.text) {
+        if let Some((keyword, end)) = leading_keyword(&line.text) {
             let rest = line.text[end..].trim();
-            match word.as_str() {
+            match keyword.as_str() {
                 "include" if active => return self.include(line, rest, depth),
                 "use" if active => {
                     return Err(line.error(0, "templates of a pool's configuration (use) are not known here"));
@@ -319,11 +321,11 @@
         let multiline = line.text[..equals].trim_end().strip_suffix('@');
         let name = multiline.unwrap_or(&line.text[..equals]).trim();
         let value = line.text[equals + 1..].trim();
-        let mut begins = line.text.len() - line.text[equals + 1..].trim_start().len();
+        let mut offset = line.text.len() - line.text[equals + 1..].trim_start().len();
         let joined;
         let mut value = value;
         if multiline.is_some() {
-            // Up to a line that says the same tag.
+            // The value ends at a line with the same tag.
             let end = format!("@{value}");
             let mut parts: Vec<&str> = Vec::new();
             loop {
@@ -335,7 +337,7 @@
             }
             joined = parts.join("\n");
             value = &joined;
-            begins = 0;
+            offset = 0;
         }
         if !active {
             return Ok(());
@@ -344,17 +346,17 @@
             let (scope, rest) = name.split_once('.')?;
             scope.eq_ignore_ascii_case("my").then_some(rest)
         });
-        let plain = attribute.unwrap_or(name);
-        if !is_name(plain) || (attribute.is_some() && plain.contains('.')) {
+        let attribute_name = attribute.unwrap_or(name);
+        if !is_name(attribute_name) || (attribute.is_some() && attribute_name.contains('.')) {
             return Err(line.error(0, format!("{name:?} is no name")));
         }
         match attribute {
             Some(attribute) => self
                 .macros
-                .define(&format!("MY.{attribute}"), line, begins, value),
+                .define(&format!("MY.{attribute}"), line, offset, value),
             None => {
                 let name = commands::find(name).map_or(name, |command| command.name);
-                self.macros.define(name, line, begins, value)
+                self.macros.define(name, line, offset, value)
             }
         }
     }
@@ -364,8 +366,8 @@
             return Err(line.error(0, "\":\" and a file are missing after \"include\""));
         };
         let how = how.trim().to_ascii_lowercase();
-        let begins = line.text.len() - path.trim_start().len();
-        let path = self.macros.expand_text(line, begins, path.trim())?;
+        let offset = line.text.len() - path.trim_start().len();
+        let path = self.macros.expand_text(line, offset, path.trim())?;
         if how.starts_with("command") || path.ends_with('|') {
             return Err(line.error(
                 0,
@@ -384,12 +386,12 @@
         match self.files.read_file(&path) {
             Ok(text) => self.file(&text, Arc::from(path.as_str()), depth + 1),
             Err(_) if how == "ifexist" => Ok(()),
-            Err(problem) => Err(line.error(begins, format!("{path}: {problem}"))),
+            Err(problem) => Err(line.error(offset, format!("{path}: {problem}"))),
         }
     }
 
-    /// The items of a list in brackets that may go on over lines.
-    fn bracketed(
+    /// Returns the items of a parenthesized list, which may span lines.
+    fn parenthesized_items(
         &self,
         line: &Arc<Line>,
         first: &str,
@@ -399,7 +401,7 @@
         let mut next = Some(first);
         while let Some(text) = next {
             let trimmed = text.trim();
-            // Brackets of macros close in their own line.
+            // Macros close their parentheses on the same line.
             let closes = trimmed.matches(')').count() > trimmed.matches('(').count();
             if let Some(last) = trimmed.strip_suffix(')').filter(|_| closes) {
                 if !last.trim().is_empty() {
@@ -418,28 +420,28 @@
     fn queue(
         &mut self,
         line: &Arc<Line>,
-        begins: usize,
+        offset: usize,
         lines: &mut Lines<'_>,
         active: bool,
     ) -> Result<(), SubmitError> {
-        let raw = &line.text[begins..];
-        // A list's brackets are looked for before macros are expanded: the lines that follow
-        // belong to it even where the statement does not count.
-        let listed = list_begins(raw);
-        let inline = match listed {
-            Some(at) => Some(self.bracketed(line, &raw[at + 1..], lines)?),
+        let raw = &line.text[offset..];
+        // The list is read before macros are expanded: its lines belong to the statement even if
+        // the statement is not in effect.
+        let list_start = find_list_start(raw);
+        let inline_items = match list_start {
+            Some(index) => Some(self.parenthesized_items(line, &raw[index + 1..], lines)?),
             None => None,
         };
         if !active {
             return Ok(());
         }
-        let head = listed.map_or(raw, |at| &raw[..at]);
-        let mut text = self.macros.expand_text(line, begins, head)?;
-        if inline.is_some() {
+        let before_list = list_start.map_or(raw, |index| &raw[..index]);
+        let mut text = self.macros.expand_text(line, offset, before_list)?;
+        if inline_items.is_some() {
             text.push_str("()");
         }
-        let parsed =
-            queue::parse(&text).map_err(|(at, problem)| line.error(begins + at.min(raw.len()), problem))?;
+        let parsed = queue::parse(&text)
+            .map_err(|(index, problem)| line.error(offset + index.min(raw.len()), problem))?;
         let count = match parsed.count {
             None => 1,
             Some(count) => match evaluate_constant(count) {
@@ -450,16 +452,16 @@
                 {
                     value.as_number().unwrap_or(0.0) as usize
                 }
-                Ok(value) => return Err(line.error(begins, format!("{value} is no number of procs"))),
+                Ok(value) => return Err(line.error(offset, format!("{value} is no number of procs"))),
                 Err(problem) => {
-                    return Err(line.error(begins, format!("{count:?} is no number of procs: {problem}")));
+                    return Err(line.error(offset, format!("{count:?} is no number of procs: {problem}")));
                 }
             },
         };
         if parsed.variables.len() > MAX_QUEUE_VARIABLES {
-            return Err(line.error(begins, format!("more than {MAX_QUEUE_VARIABLES} variables")));
+            return Err(line.error(offset, format!("more than {MAX_QUEUE_VARIABLES} variables")));
         }
-        let items = self.items(line, begins, &parsed.source, inline)?;
+        let items = self.items(line, offset, &parsed.source, inline_items)?;
         let variables: Vec<Arc<str>> = parsed
             .variables
             .iter()
@@ -471,21 +473,21 @@
     fn items(
         &self,
         line: &Arc<Line>,
-        begins: usize,
+        offset: usize,
         source: &Source<'_>,
-        inline: Option<Vec<String>>,
+        inline_items: Option<Vec<String>>,
     ) -> Result<Option<Vec<String>>, SubmitError> {
-        let fail = |problem: String| line.error(begins, problem);
+        let item_error = |problem: String| line.error(offset, problem);
         let expand = |items: Vec<String>| -> Result<Vec<String>, SubmitError> {
             items
                 .into_iter()
-                .map(|item| self.macros.expand_text(line, begins, &item))
+                .map(|item| self.macros.expand_text(line, offset, &item))
                 .collect()
         };
         let (slice, items) = match source {
             Source::None => return Ok(None),
             Source::In(slice, list) => {
-                let text = match inline {
+                let text = match inline_items {
                     Some(lines) => expand(lines)?.join(","),
                     None => (*list).to_owned(),
                 };
@@ -495,24 +497,26 @@
                 (slice, entries.map(str::to_owned).collect())
             }
             Source::From(slice, list) => {
-                let items: Vec<String> = match inline {
+                let items: Vec<String> = match inline_items {
                     Some(lines) => expand(lines)?,
                     None if list.ends_with('|') => {
-                        return Err(fail(
+                        return Err(item_error(
                             "items that a command prints are not read: no command is run to submit".into(),
                         ));
                     }
                     None if *list == "-" => {
-                        return Err(fail("items are not read from standard input".into()));
+                        return Err(item_error("items are not read from standard input".into()));
                     }
                     None => {
                         let path = list.trim_matches('"');
                         let text = self
                             .files
                             .read_file(path)
-                            .map_err(|problem| fail(format!("{path}: {problem}")))?;
+                            .map_err(|problem| item_error(format!("{path}: {problem}")))?;
                         if text.len() > MAX_FILE_BYTES {
-                            return Err(fail(format!("{path} is longer than {MAX_FILE_BYTES} bytes")));
+                            return Err(item_error(format!(
+                                "{path} is longer than {MAX_FILE_BYTES} bytes"
+                            )));
                         }
                         let lines = text.lines().map(str::trim);
                         lines
@@ -523,8 +527,8 @@
                 };
                 (slice, items)
             }
-            Source::Matching(slice, what, list) => {
-                let text = match inline {
+            Source::Matching(slice, path_kind, list) => {
+                let text = match inline_items {
                     Some(lines) => expand(lines)?.join(" "),
                     None => (*list).to_owned(),
                 };
@@ -532,8 +536,8 @@
                 for pattern in text.split([',', ' ', '\t']).filter(|pattern| !pattern.is_empty()) {
                     let paths = self
                         .files
-                        .matching_paths(pattern, *what)
-                        .map_err(|problem| fail(format!("{pattern}: {problem}")))?;
+                        .matching_paths(pattern, *path_kind)
+                        .map_err(|problem| item_error(format!("{pattern}: {problem}")))?;
                     found.extend(paths);
                 }
                 let mut seen = std::collections::HashSet::new();
@@ -543,7 +547,7 @@
         };
         let items = slice
             .select(items)
-            .ok_or_else(|| fail("a slice steps by 0".into()))?;
+            .ok_or_else(|| item_error("a slice steps by 0".into()))?;
         Ok(Some(items))
     }
 
@@ -566,7 +570,7 @@
             );
         }
         let mut batch = Batch {
-            fixed: Vec::new(),
+            shared: Vec::new(),
             varying: Vec::new(),
             procs: Vec::with_capacity(rows * count),
         };
@@ -584,7 +588,7 @@
                 batch.varying.push(entry);
             } else {
                 let value = self.macros.expand_definition(definition, None)?;
-                batch.fixed.push((entry, Arc::from(value)));
+                batch.shared.push((entry, Arc::from(value)));
             }
         }
         let none = [String::new()];
@@ -593,7 +597,7 @@
             let values: Vec<(Arc<str>, &str)> = variables.iter().cloned().zip(values).collect();
             for step in 0..count {
                 let process = first + batch.procs.len();
-                let live = ProcContext {
+                let proc_context = ProcContext {
                     cluster: self.cluster,
                     process,
                     step,
@@ -602,11 +606,13 @@
                 };
                 let mut own: Vec<Box<str>> = Vec::with_capacity(batch.varying.len());
                 for entry in &batch.varying {
-                    let value = self.macros.expand_definition(&entry.definition, Some(&live))?;
-                    self.expanded += value.len();
+                    let value = self
+                        .macros
+                        .expand_definition(&entry.definition, Some(&proc_context))?;
+                    self.expanded_bytes += value.len();
                     own.push(Box::from(value));
                 }
-                if self.expanded > MAX_EXPANDED_BYTES {
+                if self.expanded_bytes > MAX_EXPANDED_BYTES {
                     return Err(line.error(
                         0,
                         format!("its procs' values take more than {MAX_EXPANDED_BYTES} bytes"),
@@ -628,8 +634,9 @@
         self.submission.notes.push(Note { location, text });
     }
 
-    /// A name that is no command and that nothing refers to is a slip more often than not.
-    fn note_what_was_not_used(&mut self) {
+    /// Adds notes on names that are neither commands nor referred to, which are often misspelt, and
+    /// on undefined macros.
+    fn note_unused_names(&mut self) {
         let mut notes = Vec::new();
         for (key, definition) in self.macros.iter() {
             if commands::find(key).is_none() && !key.starts_with("my.") && !definition.is_used() {
@@ -653,12 +660,12 @@
     }
 }
 
-/// Where the brackets of a list open in what follows `queue`, if it has one: after the word
-/// that says so, a slice, and nothing else.
-fn list_begins(text: &str) -> Option<usize> {
+/// Returns the offset of the list's opening parenthesis in what follows `queue`, if there is one:
+/// it follows `in`, `from` or `matching` and perhaps a slice, with nothing in between.
+fn find_list_start(text: &str) -> Option<usize> {
     let lower = text.to_ascii_lowercase();
-    let at = lower.match_indices('(').map(|(at, _)| at).find(|at| {
-        let before = lower[..*at].trim_end();
+    let index = lower.match_indices('(').map(|(index, _)| index).find(|index| {
+        let before = lower[..*index].trim_end();
         let before = match before.strip_suffix(']') {
             Some(sliced) => sliced.rfind('[').map_or(before, |open| sliced[..open].trim_end()),
             None => before,
@@ -671,5 +678,5 @@
                     .is_some_and(|rest| rest.is_empty() || rest.ends_with([' ', '\t']))
             })
     })?;
-    Some(at)
+    Some(index)
 }
