--- a/crates/condor/src/matchmaking.rs
+++ b/crates/condor/src/matchmaking.rs
@@ -1,4 +1,4 @@
-//! Which machines do for a proc, and if none do, why not.
+//! Matches procs against the kinds of machines, and explains why a proc matches none.
 
 use crate::cluster::{Hold, HoldReason, TooManyJobs};
 use crate::constants::{
@@ -15,85 +15,91 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// What becomes of a proc.
+/// The result of matching a proc.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
-    /// There are machines that do.
+    /// Some kinds of machines are suitable.
     Match,
-    /// No kind of machine does.
+    /// No kind of machine is suitable.
     Never,
-    /// It asks for what is not there, or is not done here.
+    /// It asks for something that does not exist or is unsupported.
     Refused,
-    /// It may run once its reason is gone.
+    /// It may run once the reason of the hold no longer applies.
     Held,
 }
 
-/// The same for all procs that ask for the same.
+/// The result for a request, shared by all procs with the same request.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     pub verdict: Verdict,
-    /// Kinds of machines that do.
+    /// The suitable kinds of machines.
     pub kinds: FixedBitSet,
-    /// How much each kind is liked, in the order of kinds; empty if none is preferred.
+    /// Rank of each kind, in the order of kinds; empty if none is preferred.
     pub ranks: Vec<f64>,
     pub reason: Option<String>,
     pub request: Option<Arc<Request>>,
 }
 
-/// Outcomes, and which of them is each proc's.
+/// The outcomes of a file's requests, and the outcome of each proc.
 #[derive(Debug, Default)]
 pub struct MatchResults {
     pub outcomes: Vec<Outcome>,
-    /// By proc, a position in `outcomes`.
+    /// For each proc, an index into `outcomes`.
     pub outcome_of_proc: Vec<u32>,
 }
 
 impl MatchResults {
-    /// Outcomes proc by proc.
+    /// Returns the outcome of each proc in order.
     pub fn procs(&self) -> impl Iterator<Item = &Outcome> {
         self.outcome_of_proc
             .iter()
-            .filter_map(|at| self.outcomes.get(*at as usize))
+            .filter_map(|index| self.outcomes.get(*index as usize))
     }
 }
 
-/// Judges every proc of a file. Those that ask for the same are judged once.
+/// Matches every proc of a file. Procs with the same request are matched once.
 pub fn match_submission(submission: &Submission, cluster: u64, now_s: i64, site: &Site) -> MatchResults {
     match_until(submission, cluster, now_s, site, usize::MAX)
 }
 
-/// The same for who takes only so many different requests.
+/// As [`match_submission`], but accepts a limited number of different requests.
 ///
 /// # Errors
-/// There are more; no time is spent on those beyond.
+/// There are more different requests; those beyond the limit are not evaluated.
 pub fn match_submission_at_most(
     submission: &Submission,
     cluster: u64,
     now_s: i64,
     site: &Site,
-    most: usize,
+    max_outcomes: usize,
 ) -> Result<MatchResults, TooManyJobs> {
-    let results = match_until(submission, cluster, now_s, site, most);
-    if results.outcomes.len() > most {
+    let results = match_until(submission, cluster, now_s, site, max_outcomes);
+    if results.outcomes.len() > max_outcomes {
         return Err(TooManyJobs(results.outcomes.len()));
     }
     Ok(results)
 }
 
-/// Judges until there are more than `most` outcomes.
-fn match_until(submission: &Submission, cluster: u64, now_s: i64, site: &Site, most: usize) -> MatchResults {
+/// Matches procs until there are more than `max_outcomes` outcomes.
+fn match_until(
+    submission: &Submission,
+    cluster: u64,
+    now_s: i64,
+    site: &Site,
+    max_outcomes: usize,
+) -> MatchResults {
     let mut matchmaker = Matchmaker {
         site,
         evaluator: Evaluator::new(now_s),
         cluster,
         now_s,
-        matched: FxHashMap::default(),
-        terms: FxHashMap::default(),
+        capacity_cache: FxHashMap::default(),
+        term_cache: FxHashMap::default(),
     };
     let mut results = MatchResults::default();
     for batch in &submission.batches {
-        matchmaker.batch(batch, most, &mut results);
+        matchmaker.batch(batch, max_outcomes, &mut results);
     }
     results
 }
@@ -103,34 +109,35 @@
     evaluator: Evaluator,
     cluster: u64,
     now_s: i64,
-    /// What requests without an expression come to, by what they need.
-    matched: FxHashMap<[u64; 4], FixedBitSet>,
-    /// Terms that look at machines alone, by their fingerprint, and the kinds that they hold
-    /// for.
-    terms: FxHashMap<u64, (Expr, FixedBitSet)>,
+    /// Cache of the kinds with enough capacity, by the requested amounts and whether spot is allowed.
+    capacity_cache: FxHashMap<[u64; 4], FixedBitSet>,
+    /// Cache of terms that depend on machines alone, by fingerprint, with the kinds for which they
+    /// are true.
+    term_cache: FxHashMap<u64, (Expr, FixedBitSet)>,
 }
 
-/// Attributes that tell procs apart which otherwise ask for the same.
-const OWN: [&str; 8] = ["procid", "args", "environment", "in", "out", "err", "iwd", "cmd"];
+/// Attributes that differ between procs with otherwise equal requests: an outcome that depends on
+/// them is not shared.
+const PER_PROC_ATTRIBUTES: [&str; 8] = ["procid", "args", "environment", "in", "out", "err", "iwd", "cmd"];
 
 impl Matchmaker<'_> {
-    fn batch(&mut self, batch: &Batch, most: usize, results: &mut MatchResults) {
-        // What merely says what runs does not change where it may.
-        let telling: Vec<usize> = batch
+    fn batch(&mut self, batch: &Batch, max_outcomes: usize, results: &mut MatchResults) {
+        // Values that only say what to run do not affect the match.
+        let relevant: Vec<usize> = batch
             .varying
             .iter()
             .enumerate()
-            .filter(|(_, entry)| tells(entry))
-            .map(|(at, _)| at)
+            .filter(|(_, entry)| affects_match(entry))
+            .map(|(index, _)| index)
             .collect();
         let mut known: FxHashMap<Vec<&str>, u32> = FxHashMap::default();
         for proc in &batch.procs {
-            if results.outcomes.len() > most {
+            if results.outcomes.len() > max_outcomes {
                 return;
             }
-            let values: Vec<&str> = telling.iter().map(|at| &*proc.values[*at]).collect();
-            if let Some(at) = known.get(&values) {
-                results.outcome_of_proc.push(*at);
+            let values: Vec<&str> = relevant.iter().map(|index| &*proc.values[*index]).collect();
+            if let Some(index) = known.get(&values) {
+                results.outcome_of_proc.push(*index);
                 continue;
             }
             let given = batch.entries(proc);
@@ -140,26 +147,29 @@
                     Ok(reading) => self.request(reading),
                 };
             results.outcomes.push(outcome);
-            let at = results.outcomes.len() as u32 - 1;
-            results.outcome_of_proc.push(at);
+            let index = results.outcomes.len() as u32 - 1;
+            results.outcome_of_proc.push(index);
             if shared {
-                known.insert(values, at);
+                known.insert(values, index);
             }
         }
     }
 
-    /// What becomes of a request, and whether others with the same telling values share it.
+    /// Matches a request. Also returns whether procs with the same relevant values share the
+    /// outcome.
     fn request(&mut self, reading: ParsedRequest) -> (Outcome, bool) {
         let ParsedRequest { request, ad } = reading;
         if self.evaluator.spent() > MAX_EVALUATION_STEPS {
-            return (self.too_costly(), true);
+            return (self.out_of_budget(), true);
         }
         let mut names = FxHashSet::default();
         let mut problems = Vec::new();
-        for asked in [&request.requirements, &request.rank].into_iter().flatten() {
-            self.check(asked, &ad, &mut names, &mut problems);
+        for source_expr in [&request.requirements, &request.rank].into_iter().flatten() {
+            self.check(source_expr, &ad, &mut names, &mut problems);
         }
-        let shared = !OWN.iter().any(|own| names.contains(*own));
+        let shared = !PER_PROC_ATTRIBUTES
+            .iter()
+            .any(|attribute| names.contains(*attribute));
         if !problems.is_empty() {
             return (refused(&problems, self.site), shared);
         }
@@ -168,22 +178,19 @@
             .check(&self.site.counts, u64::from(request.concurrent_tasks()))
         {
             let reason = format!("concurrency_limits: {error}");
-            return (
-                self.without_kinds(Verdict::Refused, reason, Some(request)),
-                shared,
-            );
+            return (self.unmatched(Verdict::Refused, reason, Some(request)), shared);
         }
         let kinds = self.kinds(&request, &ad, &names);
         if self.evaluator.spent() > MAX_EVALUATION_STEPS {
-            return (self.too_costly(), shared);
+            return (self.out_of_budget(), shared);
         }
         if kinds.is_clear() {
-            let reason = self.why_none(&request, &ad);
-            return (self.without_kinds(Verdict::Never, reason, Some(request)), shared);
+            let reason = self.explain_no_match(&request, &ad);
+            return (self.unmatched(Verdict::Never, reason, Some(request)), shared);
         }
         let ranks = self.ranks(&request, &ad);
         let mut holds = request.holds.clone();
-        let limit = over_limit(&request, self.site);
+        let limit = team_limit_excess(&request, self.site);
         holds.extend(limit.map(|text| Hold {
             reason: HoldReason::Limit,
             text,
@@ -205,12 +212,12 @@
         (outcome, shared)
     }
 
-    fn too_costly(&self) -> Outcome {
+    fn out_of_budget(&self) -> Outcome {
         let reason = "the file's expressions take too many steps to be matched: split it";
-        self.without_kinds(Verdict::Refused, reason.to_owned(), None)
+        self.unmatched(Verdict::Refused, reason.to_owned(), None)
     }
 
-    fn without_kinds(&self, verdict: Verdict, reason: String, request: Option<Request>) -> Outcome {
+    fn unmatched(&self, verdict: Verdict, reason: String, request: Option<Request>) -> Outcome {
         Outcome {
             verdict,
             kinds: FixedBitSet::with_capacity(self.site.kinds.all().len()),
@@ -220,36 +227,37 @@
         }
     }
 
-    /// Whether every name in an expression, and in what it refers to, is somebody's.
+    /// Checks that every name in an expression, and in the attributes that it refers to, is an
+    /// attribute of the job or of some machine.
     fn check(
         &self,
-        asked: &SourceExpr,
+        source_expr: &SourceExpr,
         ad: &Ad,
         names: &mut FxHashSet<Arc<str>>,
         problems: &mut Vec<Problem>,
     ) {
-        let location = |at| asked.entry.definition.location_in_value(at);
-        let what = &asked.entry.definition.name;
-        for (function, at) in asked.expr.calls() {
+        let location = |index| source_expr.entry.definition.location_in_value(index);
+        let what = &source_expr.entry.definition.name;
+        for (function, index) in source_expr.expr.calls() {
             if !function.steady {
                 let text = format!(
                     "{what}: {}() changes with time, and a match is made once",
                     function.name
                 );
                 problems.push(Problem {
-                    location: location(at),
+                    location: location(index),
                     text,
                 });
             }
         }
-        let mut walk = Walk {
+        let mut walker = ReferenceWalker {
             ad,
             kinds: &self.site.kinds,
             names,
-            open: Vec::new(),
+            visiting: Vec::new(),
         };
-        for reference in asked.expr.references() {
-            if let Err(text) = walk.follow(&reference) {
+        for reference in source_expr.expr.references() {
+            if let Err(text) = walker.check_reference(&reference) {
                 let location = location(reference.at);
                 let text = format!("{what}: {text}");
                 if problems.len() < MAX_PROBLEMS_SHOWN {
@@ -259,14 +267,14 @@
         }
     }
 
-    fn fits(request: &Request, kind: &MachineKind) -> bool {
-        within(request.cpus, kind.cpus)
-            && within(request.gpus, kind.gpus)
-            && within(request.memory_gb, kind.memory_gb)
+    fn has_capacity(request: &Request, kind: &MachineKind) -> bool {
+        at_most(request.cpus, kind.cpus)
+            && at_most(request.gpus, kind.gpus)
+            && at_most(request.memory_gb, kind.memory_gb)
     }
 
-    /// Whether spot machines are out because nobody asked for them: an expression says for
-    /// itself which kinds do.
+    /// Whether spot machines are allowed. Without `+AllowSpot` they are if there is a requirements
+    /// expression, which then decides on the kinds itself.
     fn spot_allowed(request: &Request) -> bool {
         request.allow_spot.unwrap_or(request.requirements.is_some())
     }
@@ -276,93 +284,100 @@
         let spot = Self::spot_allowed(request);
         let needs = [request.cpus, request.gpus, request.memory_gb].map(f64::to_bits);
         let needs_key = [needs[0], needs[1], needs[2], u64::from(spot)];
-        let base = self.matched.entry(needs_key).or_insert_with(|| {
+        let base = self.capacity_cache.entry(needs_key).or_insert_with(|| {
             let fitting = all
                 .iter()
-                .map(|kind| (spot || !kind.spot) && Self::fits(request, kind));
+                .map(|kind| (spot || !kind.spot) && Self::has_capacity(request, kind));
             fitting
                 .enumerate()
-                .filter(|(_, fits)| *fits)
-                .map(|(at, _)| at)
+                .filter(|(_, has_capacity)| *has_capacity)
+                .map(|(index, _)| index)
                 .collect::<FixedBitSet>()
         });
         let mut kinds = base.clone();
         kinds.grow(all.len());
-        let Some(asked) = &request.requirements else {
+        let Some(source_expr) = &request.requirements else {
             return kinds;
         };
-        // All terms must hold: each is asked of the kinds that those before it leave.
-        for term in asked.expr.terms() {
+        // All terms must be true: each is evaluated only for the kinds that the previous ones
+        // leave.
+        for term in source_expr.expr.terms() {
             if kinds.is_clear() {
                 break;
             }
-            self.narrow(term, ad, names, &mut kinds);
+            self.restrict_to_term(term, ad, names, &mut kinds);
         }
         kinds
     }
 
-    /// Leaves the kinds for which a term holds. What does not look at the job comes to the
-    /// same for every request, and files repeat themselves: it is remembered.
-    fn narrow(&mut self, term: &Expr, ad: &Ad, names: &FxHashSet<Arc<str>>, kinds: &mut FixedBitSet) {
+    /// Restricts the kinds to those for which a term is true. Terms that do not depend on the job
+    /// have the same result for every request, and files repeat them: their results are cached.
+    fn restrict_to_term(
+        &mut self,
+        term: &Expr,
+        ad: &Ad,
+        names: &FxHashSet<Arc<str>>,
+        kinds: &mut FixedBitSet,
+    ) {
         let calls = term.calls();
-        // What eval() looks at is known only once it has.
-        let any = calls.iter().any(|(function, _)| function.name == "eval");
-        let of_machines = !any
+        // The attributes that eval() refers to are known only after evaluation.
+        let uses_eval = calls.iter().any(|(function, _)| function.name == "eval");
+        let depends_on_machine_only = !uses_eval
             && term.references().iter().all(|reference| match reference.scope {
                 Scope::Target => true,
                 Scope::Any => !ad.contains(reference.name),
                 Scope::My => false,
             });
         let fingerprint = term.fingerprint();
-        if of_machines
-            && let Some((known, holds)) = self.terms.get(&fingerprint)
+        if depends_on_machine_only
+            && let Some((known, holds)) = self.term_cache.get(&fingerprint)
             && known == term
         {
             kinds.intersect_with(holds);
             return;
         }
         let all = &self.site.kinds;
-        let zone = any || names.contains("zone");
-        let spot = any || names.contains("spot") || names.contains("rate");
-        // Kinds that do not differ in what it looks at come to the same.
-        let mut by_class: Vec<Option<bool>> = vec![None; all.equivalence_class_count()];
+        let zone = uses_eval || names.contains("zone");
+        let spot = uses_eval || names.contains("spot") || names.contains("rate");
+        // Kinds with equal attributes as far as the term refers to them give the same result.
+        let mut truth_by_class: Vec<Option<bool>> = vec![None; all.equivalence_class_count()];
         let mut holds = FixedBitSet::with_capacity(all.all().len());
-        for (at, kind) in all.all().iter().enumerate() {
-            let beyond = self.evaluator.spent() > MAX_EVALUATION_STEPS;
-            if beyond || (!of_machines && !kinds.contains(at)) {
+        for (index, kind) in all.all().iter().enumerate() {
+            let over_budget = self.evaluator.spent() > MAX_EVALUATION_STEPS;
+            if over_budget || (!depends_on_machine_only && !kinds.contains(index)) {
                 continue;
             }
-            let class = all.equivalence_class(kind, zone, spot);
-            let truth = match by_class.get(class).copied().flatten() {
+            let equivalence_class = all.equivalence_class(kind, zone, spot);
+            let truth = match truth_by_class.get(equivalence_class).copied().flatten() {
                 Some(truth) => truth,
                 None => {
                     let value = self.evaluator.evaluate(term, ad, Some(&kind.ad));
                     let truth = value.truth() == Some(true);
-                    if let Some(known) = by_class.get_mut(class) {
+                    if let Some(known) = truth_by_class.get_mut(equivalence_class) {
                         *known = Some(truth);
                     }
                     truth
                 }
             };
-            holds.set(at, truth);
+            holds.set(index, truth);
         }
         kinds.intersect_with(&holds);
-        if of_machines {
-            if self.terms.len() >= TERM_CACHE_SIZE {
-                self.terms.clear();
+        if depends_on_machine_only {
+            if self.term_cache.len() >= TERM_CACHE_SIZE {
+                self.term_cache.clear();
             }
-            self.terms.insert(fingerprint, (term.clone(), holds));
+            self.term_cache.insert(fingerprint, (term.clone(), holds));
         }
     }
 
     fn ranks(&mut self, request: &Request, ad: &Ad) -> Vec<f64> {
-        let Some(asked) = &request.rank else {
+        let Some(source_expr) = &request.rank else {
             return Vec::new();
         };
         let kinds = &self.site.kinds;
         let mut rank = |kind: &MachineKind| {
-            let value = self.evaluator.evaluate(&asked.expr, ad, Some(&kind.ad));
-            // What is no number is no preference.
+            let value = self.evaluator.evaluate(&source_expr.expr, ad, Some(&kind.ad));
+            // A rank that is not a number counts as 0.
             value.as_number().filter(|rank| rank.is_finite()).unwrap_or(0.0)
         };
         let ranks: Vec<f64> = kinds.all().iter().map(&mut rank).collect();
@@ -372,14 +387,14 @@
         ranks
     }
 
-    /// Term by term, which kinds each excludes.
-    fn why_none(&mut self, request: &Request, ad: &Ad) -> String {
+    /// Explains why no kind is suitable: which kinds each term and each amount excludes.
+    fn explain_no_match(&mut self, request: &Request, ad: &Ad) -> String {
         let kinds = &self.site.kinds;
         if kinds.all().is_empty() {
             return "no kind of machine is known".to_owned();
         }
         let mut parts = Vec::new();
-        let mut tell = |what: String, excluded: Vec<&MachineKind>| {
+        let mut add_exclusion = |what: String, excluded: Vec<&MachineKind>| {
             let names = excluded.iter().take(MAX_KINDS_SHOWN).map(ToString::to_string);
             let names = names.collect::<Vec<_>>().join(", ");
             let shown = match excluded.len() {
@@ -390,16 +405,16 @@
             };
             parts.push(format!("{what} excludes {shown}"));
         };
-        let without = |does: &dyn Fn(&MachineKind) -> bool| -> Vec<&MachineKind> {
-            kinds.all().iter().filter(|kind| !does(kind)).collect()
+        let kinds_without = |is_suitable: &dyn Fn(&MachineKind) -> bool| -> Vec<&MachineKind> {
+            kinds.all().iter().filter(|kind| !is_suitable(kind)).collect()
         };
-        if let Some(asked) = &request.requirements {
-            for term in asked.expr.terms().into_iter().take(MAX_TERMS_SHOWN) {
+        if let Some(source_expr) = &request.requirements {
+            for term in source_expr.expr.terms().into_iter().take(MAX_TERMS_SHOWN) {
                 if self.evaluator.spent() > MAX_EVALUATION_STEPS {
                     break;
                 }
                 let mut excluded = Vec::new();
-                let mut because = Vec::new();
+                let mut causes = Vec::new();
                 for kind in kinds.all() {
                     let value = self.evaluator.evaluate(term, ad, Some(&kind.ad));
                     if value.truth() == Some(true) {
@@ -414,38 +429,38 @@
                         }
                         _ => continue,
                     };
-                    if !because.contains(&why) {
-                        because.push(why);
+                    if !causes.contains(&why) {
+                        causes.push(why);
                     }
                 }
-                let location = asked.entry.definition.location_in_value(term.at);
+                let location = source_expr.entry.definition.location_in_value(term.at);
                 let mut what = format!("{term} ({}:{})", location.line, location.column);
-                if !because.is_empty() {
-                    what = format!("{what}, being {},", because.join(" or "));
+                if !causes.is_empty() {
+                    what = format!("{what}, being {},", causes.join(" or "));
                 }
-                tell(what, excluded);
+                add_exclusion(what, excluded);
             }
         }
         if !Self::spot_allowed(request) {
-            tell("no +AllowSpot".to_owned(), without(&|kind| !kind.spot));
+            add_exclusion("no +AllowSpot".to_owned(), kinds_without(&|kind| !kind.spot));
         }
-        tell(
+        add_exclusion(
             format!("request_cpus {}", request.cpus),
-            without(&|kind| within(request.cpus, kind.cpus)),
+            kinds_without(&|kind| at_most(request.cpus, kind.cpus)),
         );
-        tell(
+        add_exclusion(
             format!("request_gpus {}", request.gpus),
-            without(&|kind| within(request.gpus, kind.gpus)),
+            kinds_without(&|kind| at_most(request.gpus, kind.gpus)),
         );
-        tell(
+        add_exclusion(
             format!("request_memory {:.0} MiB", request.memory_gb * MIB_PER_GB),
-            without(&|kind| within(request.memory_gb, kind.memory_gb)),
+            kinds_without(&|kind| at_most(request.memory_gb, kind.memory_gb)),
         );
         format!("no kind of machine does: {}", parts.join("; "))
     }
 }
 
-fn tells(entry: &SubmitEntry) -> bool {
+fn affects_match(entry: &SubmitEntry) -> bool {
     match entry.kind {
         EntryKind::Attribute => true,
         EntryKind::Command(command) => match command.effect {
@@ -474,49 +489,49 @@
     }
 }
 
-/// Whether an amount is no more than another, sums of decimals allowed for.
-fn within(amount: f64, most: f64) -> bool {
-    amount <= most + 1e-6
+/// Whether an amount is at most another, with a tolerance for sums of decimal fractions.
+fn at_most(amount: f64, limit: f64) -> bool {
+    amount <= limit + 1e-6
 }
 
-/// What a request asks for beyond its team's limit, if anything.
-fn over_limit(request: &Request, site: &Site) -> Option<String> {
+/// Describes by what a request exceeds its team's limit, if it does.
+fn team_limit_excess(request: &Request, site: &Site) -> Option<String> {
     let team = site.teams.iter().find(|team| team.name == request.team)?;
     let together = f64::from(request.concurrent_tasks());
-    let over = |what: &str, each: f64, most: f64| {
+    let excess = |what: &str, each: f64, limit: f64| {
         let all = each * together;
-        (most > 0.0 && !within(all, most)).then(|| {
+        (limit > 0.0 && !at_most(all, limit)).then(|| {
             format!(
-                "it needs {all} {what} at once, more than team {}'s limit of {most}",
+                "it needs {all} {what} at once, more than team {}'s limit of {limit}",
                 team.name
             )
         })
     };
-    over("CPUs", request.cpus, team.cpus_max).or_else(|| over("GPUs", request.gpus, team.gpus_max))
+    excess("CPUs", request.cpus, team.cpus_max).or_else(|| excess("GPUs", request.gpus, team.gpus_max))
 }
 
-/// Follows names from an expression through the job's own attributes.
-struct Walk<'a> {
+/// Follows the references of an expression through the job's attributes.
+struct ReferenceWalker<'a> {
     ad: &'a Ad,
     kinds: &'a MachineKinds,
-    /// Lower-case names that were met.
+    /// Lower-case names that were referred to.
     names: &'a mut FxHashSet<Arc<str>>,
-    open: Vec<Name>,
+    visiting: Vec<Name>,
 }
 
-impl Walk<'_> {
-    fn follow(&mut self, reference: &Reference<'_>) -> Result<(), String> {
+impl ReferenceWalker<'_> {
+    fn check_reference(&mut self, reference: &Reference<'_>) -> Result<(), String> {
         let name = reference.name;
         let of_job = reference.scope != Scope::Target && self.ad.contains(name);
         let of_machine = reference.scope != Scope::My && self.kinds.attributes().contains(name);
         if !of_job && !of_machine {
-            return Err(self.unknown(reference));
+            return Err(self.unknown_attribute(reference));
         }
         self.names.insert(name.shared_key());
         if !of_job {
             return Ok(());
         }
-        if self.open.contains(name) {
+        if self.visiting.contains(name) {
             return Err(format!("{name} refers to itself"));
         }
         let Some(expr) = self.ad.get(name.text()) else {
@@ -525,18 +540,18 @@
         if matches!(expr.kind, indigopath_classad::Kind::Literal(_)) {
             return Ok(());
         }
-        self.open.push(name.clone());
+        self.visiting.push(name.clone());
         for inner in expr.references() {
-            self.follow(&inner)
+            self.check_reference(&inner)
                 .map_err(|text| format!("{text} (in {name})"))?;
         }
-        self.open.pop();
+        self.visiting.pop();
         Ok(())
     }
 
-    fn unknown(&self, reference: &Reference<'_>) -> String {
+    fn unknown_attribute(&self, reference: &Reference<'_>) -> String {
         let job: Vec<&Name> = self.ad.names().collect();
-        let (whose, scope) = match reference.scope {
+        let (lacking, scope) = match reference.scope {
             Scope::Any => ("neither the job nor any machine has", ""),
             Scope::My => ("the job does not have", "MY."),
             Scope::Target => ("no machine has", "TARGET."),
@@ -551,30 +566,30 @@
                     .filter(|_| reference.scope != Scope::My),
             );
         let known: Vec<&str> = known.map(Name::text).collect();
-        let near = nearest(reference.name.text(), known.iter().copied());
-        let text = format!("{whose} an attribute {scope}{}", reference.name);
-        if near.is_empty() {
+        let nearest_names = nearest(reference.name.text(), known.iter().copied());
+        let text = format!("{lacking} an attribute {scope}{}", reference.name);
+        if nearest_names.is_empty() {
             let shown = &known[known.len().saturating_sub(MAX_NAMES_SHOWN)..];
             format!("{text}; there are {}", shown.join(", "))
         } else {
-            format!("{text}; the nearest are {}", near.join(", "))
+            format!("{text}; the nearest are {}", nearest_names.join(", "))
         }
     }
 }
 
-/// Everything that the submitter should know of commands that change nothing here.
+/// Returns the parser's notes, and a note on each command that has no effect here.
 pub fn notes(submission: &Submission) -> Vec<(SourceLocation, String)> {
     let mut notes: Vec<(SourceLocation, String)> = submission
         .notes
         .iter()
         .map(|note| (note.location.clone(), note.text.clone()))
         .collect();
-    let mut told = FxHashSet::default();
+    let mut noted_commands = FxHashSet::default();
     for batch in &submission.batches {
         for entry in batch.shared.iter().map(|(entry, _)| entry).chain(&batch.varying) {
             if let EntryKind::Command(command) = entry.kind
                 && let Effect::Noted(why) = command.effect
-                && told.insert(command.name)
+                && noted_commands.insert(command.name)
             {
                 let text = format!("{} changes nothing here: {why}", command.name);
                 notes.push((entry.definition.location(), text));
