--- a/crates/condor/src/commands.rs
+++ b/crates/condor/src/commands.rs
@@ -1,36 +1,37 @@
-//! Every command of submit files that is known here, and what becomes of it. What is not in
-//! this table is a macro, and said to be unused if nothing refers to it.
+//! The commands of submit files, and their effects. A name that is not in this table is a macro,
+//! and is noted as unused if nothing refers to it.
 
 use rustc_hash::FxHashMap;
 use std::sync::LazyLock;
 
-/// A command.
+/// A command of submit files.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Command {
-    /// As the manual writes it.
+    /// The name used in HTCondor's manual.
     pub name: &'static str,
     aliases: &'static [&'static str],
     pub effect: Effect,
 }
 
-/// What a command does here.
+/// The effect of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// It says something of the job.
-    Means(Field),
-    /// It is kept with the job, as this attribute of its ad, for whoever runs its commands.
-    Carried(&'static str),
-    /// It changes nothing here, and why.
-    Noted(&'static str),
-    /// It would change what happens, which is not done here. One of the values in `unless`
-    /// asks for nothing, and is taken.
-    Refused {
-        why: &'static str,
-        unless: &'static [&'static str],
+    /// Sets a field of the request.
+    SetsField(Field),
+    /// Is copied to this attribute of the job's ClassAd, for use by whatever runs the job's
+    /// commands.
+    CopiedToAd(&'static str),
+    /// Has no effect, for the given reason, and is reported in a note.
+    Ignored(&'static str),
+    /// Is unsupported, and the proc is refused. Values in `accepted_values` request nothing and are
+    /// accepted.
+    Unsupported {
+        reason: &'static str,
+        accepted_values: &'static [&'static str],
     },
 }
 
-/// What of a job a command sets.
+/// A field of the request that a command sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Field {
     Universe,
@@ -50,240 +51,256 @@
     Hold,
 }
 
-const fn means(name: &'static str, aliases: &'static [&'static str], field: Field) -> Command {
+const fn sets_field(name: &'static str, aliases: &'static [&'static str], field: Field) -> Command {
     Command {
         name,
         aliases,
-        effect: Effect::Means(field),
+        effect: Effect::SetsField(field),
     }
 }
 
-const fn carried(name: &'static str, aliases: &'static [&'static str], attribute: &'static str) -> Command {
+const fn copied_to_ad(
+    name: &'static str,
+    aliases: &'static [&'static str],
+    attribute: &'static str,
+) -> Command {
     Command {
         name,
         aliases,
-        effect: Effect::Carried(attribute),
+        effect: Effect::CopiedToAd(attribute),
     }
 }
 
-const fn noted(name: &'static str, why: &'static str) -> Command {
+const fn ignored(name: &'static str, reason: &'static str) -> Command {
     Command {
         name,
         aliases: &[],
-        effect: Effect::Noted(why),
+        effect: Effect::Ignored(reason),
     }
 }
 
-const fn refused(name: &'static str, why: &'static str, unless: &'static [&'static str]) -> Command {
+const fn unsupported(
+    name: &'static str,
+    reason: &'static str,
+    accepted_values: &'static [&'static str],
+) -> Command {
     Command {
         name,
         aliases: &[],
-        effect: Effect::Refused { why, unless },
+        effect: Effect::Unsupported {
+            reason,
+            accepted_values,
+        },
     }
 }
 
-const MAIL: &str = "no mail is sent";
-const FILES: &str = "files are where the image and the site put them; none are moved";
-const KILLING: &str = "tasks are stopped as the site's workers do";
-const DISPLAY: &str = "it is for display only";
-const SPOOL: &str = "nothing is spooled";
-const NO: &[&str] = &["false", "no", "0", "f", "n"];
-const YES: &[&str] = &["true", "yes", "1", "t", "y"];
-const ALWAYS: &[&str] = &[];
-const PERIODIC: &str = "it would act on jobs by an expression that is looked at again and again";
-const RETRIES: &str = "a task that fails is tried again by the site's own rule";
-const LATER: &str = "jobs start as soon as there is room, and not at a time";
-const GRID: &str = "there is no grid universe here";
-const VM: &str = "there is no vm universe here";
-const JAVA: &str = "there is no java universe here";
-const GPU: &str =
+const NO_MAIL: &str = "no mail is sent";
+const NO_FILE_TRANSFER: &str = "files are where the image and the site put them; none are moved";
+const SITE_STOPS_TASKS: &str = "tasks are stopped as the site's workers do";
+const DISPLAY_ONLY: &str = "it is for display only";
+const NO_SPOOLING: &str = "nothing is spooled";
+const FALSE_VALUES: &[&str] = &["false", "no", "0", "f", "n"];
+const TRUE_VALUES: &[&str] = &["true", "yes", "1", "t", "y"];
+const NO_VALUES: &[&str] = &[];
+const NO_PERIODIC_EXPRESSIONS: &str =
+    "it would act on jobs by an expression that is looked at again and again";
+const SITE_RETRIES: &str = "a task that fails is tried again by the site's own rule";
+const NO_DEFERRAL: &str = "jobs start as soon as there is room, and not at a time";
+const NO_GRID_UNIVERSE: &str = "there is no grid universe here";
+const NO_VM_UNIVERSE: &str = "there is no vm universe here";
+const NO_JAVA_UNIVERSE: &str = "there is no java universe here";
+const NO_GPU_PROPERTIES: &str =
     "machines say how many GPUs they have, and nothing more of them; use requirements on what is declared";
-const TOKENS: &str = "no credentials are handed to tasks";
-const NETWORK: &str = "containers get no network of their own";
-const LIMIT: &str = "nothing stops a task for running long; use allowed_job_duration for an estimate";
-const CHECKPOINT: &str = "an exit status does not ask for another run";
-const LAZY: &str = "a file is taken as a whole, at once";
+const NO_CREDENTIALS: &str = "no credentials are handed to tasks";
+const NO_CONTAINER_NETWORK: &str = "containers get no network of their own";
+const NO_TIME_LIMIT: &str = "nothing stops a task for running long; use allowed_job_duration for an estimate";
+const NO_CHECKPOINT_EXIT: &str = "an exit status does not ask for another run";
+const NO_LATE_MATERIALIZATION: &str = "a file is taken as a whole, at once";
 
 static COMMANDS: [Command; 155] = [
-    means("universe", &[], Field::Universe),
-    means("request_cpus", &["requestcpus"], Field::Cpus),
-    means("request_gpus", &["requestgpus"], Field::Gpus),
-    means("request_memory", &["requestmemory"], Field::Memory),
-    means("accounting_group", &["acct_group"], Field::Team),
-    means("priority", &["prio"], Field::Priority),
-    means("nice_user", &[], Field::Nice),
-    means("container_image", &[], Field::ContainerImage),
-    means("docker_image", &[], Field::DockerImage),
-    means("concurrency_limits", &[], Field::Counts),
-    means("machine_count", &["node_count"], Field::MachineCount),
-    means("allowed_job_duration", &[], Field::Duration),
-    means("requirements", &[], Field::Requirements),
-    means("rank", &["preferences"], Field::Rank),
-    means("hold", &[], Field::Hold),
-    carried("executable", &["cmd"], "Cmd"),
-    carried("arguments", &["args"], "Args"),
-    carried("environment", &["env"], "Environment"),
-    carried("initialdir", &["initial_dir", "job_iwd"], "Iwd"),
-    carried("input", &["stdin"], "In"),
-    carried("output", &["stdout"], "Out"),
-    carried("error", &["stderr"], "Err"),
-    carried("log", &["userlog"], "UserLog"),
-    carried("batch_name", &["job_batch_name", "jobbatchname"], "JobBatchName"),
-    carried("description", &[], "JobDescription"),
-    carried("accounting_group_user", &["acct_group_user"], "AcctGroupUser"),
-    noted("notification", MAIL),
-    noted("notify_user", MAIL),
-    noted("email_attributes", MAIL),
-    noted("should_transfer_files", FILES),
-    noted("when_to_transfer_output", FILES),
-    noted("transfer_input_files", FILES),
-    noted("transfer_output_files", FILES),
-    noted("transfer_output_remaps", FILES),
-    noted("transfer_executable", FILES),
-    noted("transfer_input", FILES),
-    noted("transfer_output", FILES),
-    noted("transfer_error", FILES),
-    noted("transfer_plugins", FILES),
-    noted("preserve_relative_paths", FILES),
-    noted("output_destination", FILES),
-    noted("public_input_files", FILES),
-    noted("max_transfer_input_mb", FILES),
-    noted("max_transfer_output_mb", FILES),
-    noted("encrypt_input_files", FILES),
-    noted("encrypt_output_files", FILES),
-    noted("dont_encrypt_input_files", FILES),
-    noted("dont_encrypt_output_files", FILES),
-    noted("file_remaps", FILES),
-    noted("append_files", FILES),
-    noted("copy_to_spool", SPOOL),
-    noted("skip_filechecks", SPOOL),
-    noted("fetch_files", FILES),
-    noted("compress_files", FILES),
-    noted("local_files", FILES),
-    noted("want_io_proxy", FILES),
-    noted("stream_input", FILES),
-    noted("stream_output", FILES),
-    noted("stream_error", FILES),
-    noted("buffer_files", FILES),
-    noted("buffer_size", FILES),
-    noted("buffer_block_size", FILES),
-    noted(
+    sets_field("universe", &[], Field::Universe),
+    sets_field("request_cpus", &["requestcpus"], Field::Cpus),
+    sets_field("request_gpus", &["requestgpus"], Field::Gpus),
+    sets_field("request_memory", &["requestmemory"], Field::Memory),
+    sets_field("accounting_group", &["acct_group"], Field::Team),
+    sets_field("priority", &["prio"], Field::Priority),
+    sets_field("nice_user", &[], Field::Nice),
+    sets_field("container_image", &[], Field::ContainerImage),
+    sets_field("docker_image", &[], Field::DockerImage),
+    sets_field("concurrency_limits", &[], Field::Counts),
+    sets_field("machine_count", &["node_count"], Field::MachineCount),
+    sets_field("allowed_job_duration", &[], Field::Duration),
+    sets_field("requirements", &[], Field::Requirements),
+    sets_field("rank", &["preferences"], Field::Rank),
+    sets_field("hold", &[], Field::Hold),
+    copied_to_ad("executable", &["cmd"], "Cmd"),
+    copied_to_ad("arguments", &["args"], "Args"),
+    copied_to_ad("environment", &["env"], "Environment"),
+    copied_to_ad("initialdir", &["initial_dir", "job_iwd"], "Iwd"),
+    copied_to_ad("input", &["stdin"], "In"),
+    copied_to_ad("output", &["stdout"], "Out"),
+    copied_to_ad("error", &["stderr"], "Err"),
+    copied_to_ad("log", &["userlog"], "UserLog"),
+    copied_to_ad("batch_name", &["job_batch_name", "jobbatchname"], "JobBatchName"),
+    copied_to_ad("description", &[], "JobDescription"),
+    copied_to_ad("accounting_group_user", &["acct_group_user"], "AcctGroupUser"),
+    ignored("notification", NO_MAIL),
+    ignored("notify_user", NO_MAIL),
+    ignored("email_attributes", NO_MAIL),
+    ignored("should_transfer_files", NO_FILE_TRANSFER),
+    ignored("when_to_transfer_output", NO_FILE_TRANSFER),
+    ignored("transfer_input_files", NO_FILE_TRANSFER),
+    ignored("transfer_output_files", NO_FILE_TRANSFER),
+    ignored("transfer_output_remaps", NO_FILE_TRANSFER),
+    ignored("transfer_executable", NO_FILE_TRANSFER),
+    ignored("transfer_input", NO_FILE_TRANSFER),
+    ignored("transfer_output", NO_FILE_TRANSFER),
+    ignored("transfer_error", NO_FILE_TRANSFER),
+    ignored("transfer_plugins", NO_FILE_TRANSFER),
+    ignored("preserve_relative_paths", NO_FILE_TRANSFER),
+    ignored("output_destination", NO_FILE_TRANSFER),
+    ignored("public_input_files", NO_FILE_TRANSFER),
+    ignored("max_transfer_input_mb", NO_FILE_TRANSFER),
+    ignored("max_transfer_output_mb", NO_FILE_TRANSFER),
+    ignored("encrypt_input_files", NO_FILE_TRANSFER),
+    ignored("encrypt_output_files", NO_FILE_TRANSFER),
+    ignored("dont_encrypt_input_files", NO_FILE_TRANSFER),
+    ignored("dont_encrypt_output_files", NO_FILE_TRANSFER),
+    ignored("file_remaps", NO_FILE_TRANSFER),
+    ignored("append_files", NO_FILE_TRANSFER),
+    ignored("copy_to_spool", NO_SPOOLING),
+    ignored("skip_filechecks", NO_SPOOLING),
+    ignored("fetch_files", NO_FILE_TRANSFER),
+    ignored("compress_files", NO_FILE_TRANSFER),
+    ignored("local_files", NO_FILE_TRANSFER),
+    ignored("want_io_proxy", NO_FILE_TRANSFER),
+    ignored("stream_input", NO_FILE_TRANSFER),
+    ignored("stream_output", NO_FILE_TRANSFER),
+    ignored("stream_error", NO_FILE_TRANSFER),
+    ignored("buffer_files", NO_FILE_TRANSFER),
+    ignored("buffer_size", NO_FILE_TRANSFER),
+    ignored("buffer_block_size", NO_FILE_TRANSFER),
+    ignored(
         "getenv",
         "tasks get the environment that the image and the site give them",
     ),
-    noted("allow_arguments_v1", DISPLAY),
-    noted(
+    ignored("allow_arguments_v1", DISPLAY_ONLY),
+    ignored(
         "request_disk",
         "machines here declare no disk; put what has to hold into requirements",
     ),
-    noted("image_size", "request_memory says what a task needs"),
-    noted("coresize", "no core files are kept"),
-    noted("leave_in_queue", "ended jobs are kept in the history"),
-    noted("log_xml", DISPLAY),
-    noted("dagman_log", DISPLAY),
-    noted("submit_event_notes", DISPLAY),
-    noted("submit_event_user_notes", DISPLAY),
-    noted("job_machine_attrs", DISPLAY),
-    noted("job_machine_attrs_history_length", DISPLAY),
-    noted("job_ad_information_attrs", DISPLAY),
-    noted("loglevel", DISPLAY),
-    noted("kill_sig", KILLING),
-    noted("kill_sig_timeout", KILLING),
-    noted("hold_kill_sig", KILLING),
-    noted("remove_kill_sig", KILLING),
-    noted("want_graceful_removal", KILLING),
-    noted("job_max_vacate_time", KILLING),
-    noted(
+    ignored("image_size", "request_memory says what a task needs"),
+    ignored("coresize", "no core files are kept"),
+    ignored("leave_in_queue", "ended jobs are kept in the history"),
+    ignored("log_xml", DISPLAY_ONLY),
+    ignored("dagman_log", DISPLAY_ONLY),
+    ignored("submit_event_notes", DISPLAY_ONLY),
+    ignored("submit_event_user_notes", DISPLAY_ONLY),
+    ignored("job_machine_attrs", DISPLAY_ONLY),
+    ignored("job_machine_attrs_history_length", DISPLAY_ONLY),
+    ignored("job_ad_information_attrs", DISPLAY_ONLY),
+    ignored("loglevel", DISPLAY_ONLY),
+    ignored("kill_sig", SITE_STOPS_TASKS),
+    ignored("kill_sig_timeout", SITE_STOPS_TASKS),
+    ignored("hold_kill_sig", SITE_STOPS_TASKS),
+    ignored("remove_kill_sig", SITE_STOPS_TASKS),
+    ignored("want_graceful_removal", SITE_STOPS_TASKS),
+    ignored("job_max_vacate_time", SITE_STOPS_TASKS),
+    ignored(
         "keep_claim_idle",
         "machines that are idle are given back by the site's own rule",
     ),
-    noted("stack_size", "tasks run with the limits of the site's workers"),
-    noted("run_as_owner", "tasks run as the site's workers run them"),
-    noted("load_profile", "tasks run as the site's workers run them"),
-    noted("rendezvousdir", "there is none"),
-    noted("use_local_credentials", "no credentials are used"),
-    noted("warn_on_lint", DISPLAY),
-    noted("remote_initialdir", FILES),
-    noted("container_target_dir", "tasks begin where the image says"),
-    noted(
+    ignored("stack_size", "tasks run with the limits of the site's workers"),
+    ignored("run_as_owner", "tasks run as the site's workers run them"),
+    ignored("load_profile", "tasks run as the site's workers run them"),
+    ignored("rendezvousdir", "there is none"),
+    ignored("use_local_credentials", "no credentials are used"),
+    ignored("warn_on_lint", DISPLAY_ONLY),
+    ignored("remote_initialdir", NO_FILE_TRANSFER),
+    ignored("container_target_dir", "tasks begin where the image says"),
+    ignored(
         "docker_pull_policy",
         "an image is fetched where no machine with room has it",
     ),
-    noted("ulog_execute_attrs", DISPLAY),
-    refused("periodic_hold", PERIODIC, NO),
-    refused("periodic_hold_reason", PERIODIC, &[""]),
-    refused("periodic_hold_subcode", PERIODIC, &["", "0"]),
-    refused("periodic_release", PERIODIC, NO),
-    refused("periodic_remove", PERIODIC, NO),
-    refused("periodic_vacate", PERIODIC, NO),
-    refused("on_exit_hold", RETRIES, NO),
-    refused("on_exit_hold_reason", RETRIES, &[""]),
-    refused("on_exit_hold_subcode", RETRIES, &["", "0"]),
-    refused("on_exit_remove", RETRIES, YES),
-    refused("max_retries", RETRIES, &["0"]),
-    refused("retry_until", RETRIES, ALWAYS),
-    refused("success_exit_code", RETRIES, &["0"]),
-    refused("retry_request_memory", RETRIES, ALWAYS),
-    refused("retry_request_memory_increase", RETRIES, ALWAYS),
-    refused("retry_request_memory_max", RETRIES, ALWAYS),
-    refused("checkpoint_exit_code", CHECKPOINT, ALWAYS),
-    refused("transfer_checkpoint_files", CHECKPOINT, ALWAYS),
-    refused("checkpoint_destination", CHECKPOINT, ALWAYS),
-    refused("allowed_execute_duration", LIMIT, ALWAYS),
-    refused("deferral_time", LATER, ALWAYS),
-    refused("deferral_window", LATER, ALWAYS),
-    refused("deferral_prep_time", LATER, ALWAYS),
-    refused("cron_minute", LATER, ALWAYS),
-    refused("cron_hour", LATER, ALWAYS),
-    refused("cron_day_of_month", LATER, ALWAYS),
-    refused("cron_month", LATER, ALWAYS),
-    refused("cron_day_of_week", LATER, ALWAYS),
-    refused("cron_window", LATER, ALWAYS),
-    refused("cron_prep_time", LATER, ALWAYS),
-    refused("next_job_start_delay", LATER, &["0"]),
-    refused("noop_job", "every job is run", NO),
-    refused("noop_job_exit_code", "every job is run", ALWAYS),
-    refused("noop_job_exit_signal", "every job is run", ALWAYS),
-    refused("max_idle", LAZY, ALWAYS),
-    refused("max_materialize", LAZY, ALWAYS),
-    refused("job_lease_duration", "a task's lease is the site's own", ALWAYS),
-    refused(
+    ignored("ulog_execute_attrs", DISPLAY_ONLY),
+    unsupported("periodic_hold", NO_PERIODIC_EXPRESSIONS, FALSE_VALUES),
+    unsupported("periodic_hold_reason", NO_PERIODIC_EXPRESSIONS, &[""]),
+    unsupported("periodic_hold_subcode", NO_PERIODIC_EXPRESSIONS, &["", "0"]),
+    unsupported("periodic_release", NO_PERIODIC_EXPRESSIONS, FALSE_VALUES),
+    unsupported("periodic_remove", NO_PERIODIC_EXPRESSIONS, FALSE_VALUES),
+    unsupported("periodic_vacate", NO_PERIODIC_EXPRESSIONS, FALSE_VALUES),
+    unsupported("on_exit_hold", SITE_RETRIES, FALSE_VALUES),
+    unsupported("on_exit_hold_reason", SITE_RETRIES, &[""]),
+    unsupported("on_exit_hold_subcode", SITE_RETRIES, &["", "0"]),
+    unsupported("on_exit_remove", SITE_RETRIES, TRUE_VALUES),
+    unsupported("max_retries", SITE_RETRIES, &["0"]),
+    unsupported("retry_until", SITE_RETRIES, NO_VALUES),
+    unsupported("success_exit_code", SITE_RETRIES, &["0"]),
+    unsupported("retry_request_memory", SITE_RETRIES, NO_VALUES),
+    unsupported("retry_request_memory_increase", SITE_RETRIES, NO_VALUES),
+    unsupported("retry_request_memory_max", SITE_RETRIES, NO_VALUES),
+    unsupported("checkpoint_exit_code", NO_CHECKPOINT_EXIT, NO_VALUES),
+    unsupported("transfer_checkpoint_files", NO_CHECKPOINT_EXIT, NO_VALUES),
+    unsupported("checkpoint_destination", NO_CHECKPOINT_EXIT, NO_VALUES),
+    unsupported("allowed_execute_duration", NO_TIME_LIMIT, NO_VALUES),
+    unsupported("deferral_time", NO_DEFERRAL, NO_VALUES),
+    unsupported("deferral_window", NO_DEFERRAL, NO_VALUES),
+    unsupported("deferral_prep_time", NO_DEFERRAL, NO_VALUES),
+    unsupported("cron_minute", NO_DEFERRAL, NO_VALUES),
+    unsupported("cron_hour", NO_DEFERRAL, NO_VALUES),
+    unsupported("cron_day_of_month", NO_DEFERRAL, NO_VALUES),
+    unsupported("cron_month", NO_DEFERRAL, NO_VALUES),
+    unsupported("cron_day_of_week", NO_DEFERRAL, NO_VALUES),
+    unsupported("cron_window", NO_DEFERRAL, NO_VALUES),
+    unsupported("cron_prep_time", NO_DEFERRAL, NO_VALUES),
+    unsupported("next_job_start_delay", NO_DEFERRAL, &["0"]),
+    unsupported("noop_job", "every job is run", FALSE_VALUES),
+    unsupported("noop_job_exit_code", "every job is run", NO_VALUES),
+    unsupported("noop_job_exit_signal", "every job is run", NO_VALUES),
+    unsupported("max_idle", NO_LATE_MATERIALIZATION, NO_VALUES),
+    unsupported("max_materialize", NO_LATE_MATERIALIZATION, NO_VALUES),
+    unsupported(
+        "job_lease_duration",
+        "a task's lease is the site's own",
+        NO_VALUES,
+    ),
+    unsupported(
         "concurrency_limits_expr",
         "units are held by name and number; use concurrency_limits",
-        ALWAYS,
+        NO_VALUES,
     ),
-    refused("require_gpus", GPU, &["", "true"]),
-    refused("gpus_minimum_capability", GPU, ALWAYS),
-    refused("gpus_maximum_capability", GPU, ALWAYS),
-    refused("gpus_minimum_memory", GPU, ALWAYS),
-    refused("gpus_minimum_runtime", GPU, ALWAYS),
-    refused("cuda_version", GPU, ALWAYS),
-    refused("grid_resource", GRID, ALWAYS),
-    refused("globus_rsl", GRID, ALWAYS),
-    refused("x509userproxy", TOKENS, ALWAYS),
-    refused("use_x509userproxy", TOKENS, NO),
-    refused("use_oauth_services", TOKENS, &[""]),
-    refused("use_scitokens", TOKENS, NO),
-    refused("scitokens_file", TOKENS, ALWAYS),
-    refused("container_service_names", NETWORK, ALWAYS),
-    refused("docker_network_type", NETWORK, ALWAYS),
-    refused("vm_type", VM, ALWAYS),
-    refused("vm_memory", VM, ALWAYS),
-    refused("vm_disk", VM, ALWAYS),
-    refused("java_vm_args", JAVA, ALWAYS),
-    refused("jar_files", JAVA, ALWAYS),
-    refused(
+    unsupported("require_gpus", NO_GPU_PROPERTIES, &["", "true"]),
+    unsupported("gpus_minimum_capability", NO_GPU_PROPERTIES, NO_VALUES),
+    unsupported("gpus_maximum_capability", NO_GPU_PROPERTIES, NO_VALUES),
+    unsupported("gpus_minimum_memory", NO_GPU_PROPERTIES, NO_VALUES),
+    unsupported("gpus_minimum_runtime", NO_GPU_PROPERTIES, NO_VALUES),
+    unsupported("cuda_version", NO_GPU_PROPERTIES, NO_VALUES),
+    unsupported("grid_resource", NO_GRID_UNIVERSE, NO_VALUES),
+    unsupported("globus_rsl", NO_GRID_UNIVERSE, NO_VALUES),
+    unsupported("x509userproxy", NO_CREDENTIALS, NO_VALUES),
+    unsupported("use_x509userproxy", NO_CREDENTIALS, FALSE_VALUES),
+    unsupported("use_oauth_services", NO_CREDENTIALS, &[""]),
+    unsupported("use_scitokens", NO_CREDENTIALS, FALSE_VALUES),
+    unsupported("scitokens_file", NO_CREDENTIALS, NO_VALUES),
+    unsupported("container_service_names", NO_CONTAINER_NETWORK, NO_VALUES),
+    unsupported("docker_network_type", NO_CONTAINER_NETWORK, NO_VALUES),
+    unsupported("vm_type", NO_VM_UNIVERSE, NO_VALUES),
+    unsupported("vm_memory", NO_VM_UNIVERSE, NO_VALUES),
+    unsupported("vm_disk", NO_VM_UNIVERSE, NO_VALUES),
+    unsupported("java_vm_args", NO_JAVA_UNIVERSE, NO_VALUES),
+    unsupported("jar_files", NO_JAVA_UNIVERSE, NO_VALUES),
+    unsupported(
         "allow_startup_script",
         "tasks are started by the site's workers alone",
-        NO,
+        FALSE_VALUES,
     ),
-    refused("manifest", "no list of files is made", NO),
-    refused(
+    unsupported("manifest", "no list of files is made", FALSE_VALUES),
+    unsupported(
         "starter_debug",
         "tasks are started by the site's workers alone",
-        ALWAYS,
+        NO_VALUES,
     ),
-    refused(
+    unsupported(
         "append_requirements",
         "it is set by a pool's configuration; write it into requirements",
         &[""],
@@ -298,7 +315,7 @@
     names.collect()
 });
 
-/// A command by its name or another that it goes by, without case.
+/// Finds a command by its name or an alias, ignoring case.
 pub fn find(name: &str) -> Option<&'static Command> {
     if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
         BY_NAME.get(name.to_ascii_lowercase().as_str()).copied()
@@ -307,7 +324,7 @@
     }
 }
 
-/// Names of all commands.
+/// Returns the names of all commands.
 pub fn names() -> impl Iterator<Item = &'static str> {
     COMMANDS.iter().map(|command| command.name)
 }
--- a/crates/condor/src/commands/tests.rs
+++ b/crates/condor/src/commands/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_name_is_one_commands() {
+fn command_names_are_unique() {
     let names = COMMANDS
         .iter()
         .map(|command| 1 + command.aliases.len())
--- a/crates/condor/src/matchmaking.rs
+++ b/crates/condor/src/matchmaking.rs
@@ -421,7 +421,7 @@
                         continue;
                     }
                     excluded.push(kind);
-                    let why = match value {
+                    let cause = match value {
                         Value::Undefined => "UNDEFINED".to_owned(),
                         Value::Error => {
                             let fault = self.evaluator.fault().map(ToString::to_string);
@@ -429,8 +429,8 @@
                         }
                         _ => continue,
                     };
-                    if !causes.contains(&why) {
-                        causes.push(why);
+                    if !causes.contains(&cause) {
+                        causes.push(cause);
                     }
                 }
                 let location = source_expr.entry.definition.location_in_value(term.at);
@@ -464,8 +464,8 @@
     match entry.kind {
         EntryKind::Attribute => true,
         EntryKind::Command(command) => match command.effect {
-            Effect::Means(_) | Effect::Refused { .. } => true,
-            Effect::Carried(_) | Effect::Noted(_) => false,
+            Effect::SetsField(_) | Effect::Unsupported { .. } => true,
+            Effect::CopiedToAd(_) | Effect::Ignored(_) => false,
         },
     }
 }
@@ -588,10 +588,10 @@
     for batch in &submission.batches {
         for entry in batch.shared.iter().map(|(entry, _)| entry).chain(&batch.varying) {
             if let EntryKind::Command(command) = entry.kind
-                && let Effect::Noted(why) = command.effect
+                && let Effect::Ignored(cause) = command.effect
                 && noted_commands.insert(command.name)
             {
-                let text = format!("{} changes nothing here: {why}", command.name);
+                let text = format!("{} changes nothing here: {cause}", command.name);
                 notes.push((entry.definition.location(), text));
             }
         }
--- a/crates/condor/src/request.rs
+++ b/crates/condor/src/request.rs
@@ -1,4 +1,4 @@
-//! What a proc asks for, in the scheduler's own terms.
+//! Converts the commands and attributes of a proc to a request in the scheduler's terms.
 
 use crate::cluster::{Hold, HoldReason};
 use crate::commands::{Effect, Field};
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, LazyLock};
 
-/// Why a proc is refused, and where its file says so.
+/// Why a proc is refused, with the location in its file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
     pub location: SourceLocation,
@@ -24,7 +24,8 @@
     }
 }
 
-/// HTCondor's numbers order a submitter's own jobs; here they become bands.
+/// The priority band that an HTCondor job priority is mapped to. In HTCondor, the numbers only
+/// order the jobs of one submitter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PriorityBand {
     High,
@@ -32,7 +33,7 @@
     Low,
 }
 
-/// An expression of a file.
+/// An expression of a submit file.
 #[derive(Debug, Clone)]
 pub struct SourceExpr {
     pub expr: Arc<Expr>,
@@ -44,7 +45,7 @@
 pub struct Request {
     pub team: String,
     pub class: String,
-    /// A gang of so many tasks, if it runs in the parallel universe.
+    /// Number of tasks of a gang, if the proc runs in the parallel universe.
     pub gang: Option<u32>,
     pub priority: PriorityBand,
     pub cpus: f64,
@@ -53,37 +54,37 @@
     pub image: Arc<str>,
     pub image_gb: f64,
     pub estimate_s: f64,
-    /// What the file says of spot machines, if it says anything.
+    /// Whether spot machines are allowed, if the file says so.
     pub allow_spot: Option<bool>,
     pub counts: Demand,
     pub requirements: Option<SourceExpr>,
     pub rank: Option<SourceExpr>,
-    /// Why it is not to start yet.
+    /// Holds that keep the proc from starting.
     pub holds: Vec<Hold>,
 }
 
-/// A request, and what is needed only to judge it.
+/// A request, and what is needed only for matching it.
 pub struct ParsedRequest {
     pub request: Request,
-    /// What the job says of itself.
+    /// The job's own ClassAd.
     pub ad: Ad,
 }
 
 impl Request {
-    /// Tasks that run together.
+    /// Number of tasks that run concurrently.
     pub fn concurrent_tasks(&self) -> u32 {
         self.gang.unwrap_or(1)
     }
 }
 
-/// Most tasks of a gang.
-const MAX_GANG: f64 = 100_000.0;
+/// Maximum number of tasks of a gang.
+const MAX_GANG_TASKS: f64 = 100_000.0;
 
-/// Attributes of a job that are there whatever its file says.
+/// The supported universes, with the value of `JobUniverse`.
 const UNIVERSES: [(&str, i64); 4] = [("vanilla", 5), ("docker", 5), ("container", 5), ("parallel", 11)];
 
-/// Attributes that every job has, made once.
-struct Names {
+/// Names of attributes that every job has, created once.
+struct AttributeNames {
     cluster_id: Name,
     proc_id: Name,
     q_date: Name,
@@ -95,7 +96,7 @@
     accounting_group: Name,
 }
 
-static NAMES: LazyLock<Names> = LazyLock::new(|| Names {
+static NAMES: LazyLock<AttributeNames> = LazyLock::new(|| AttributeNames {
     cluster_id: Name::new("ClusterId"),
     proc_id: Name::new("ProcId"),
     q_date: Name::new("QDate"),
@@ -107,26 +108,26 @@
     accounting_group: Name::new("AccountingGroup"),
 });
 
-/// Attributes of an ordinary job.
-const USUAL: usize = 24;
+/// Number of attributes of a typical job.
+const TYPICAL_ATTRIBUTE_COUNT: usize = 24;
 
 struct Builder<'a> {
     site: &'a Site,
-    given: Vec<(Field, &'a SubmitEntry, &'a str)>,
+    fields: Vec<(Field, &'a SubmitEntry, &'a str)>,
     ad: Ad,
-    /// Where the file gives attributes of its own.
-    entries: Vec<(Name, &'a SubmitEntry)>,
+    /// The job attributes that the file defines.
+    attributes: Vec<(Name, &'a SubmitEntry)>,
     evaluator: Evaluator,
     problems: Vec<Problem>,
     holds: Vec<Hold>,
 }
 
-/// Reads what a proc is given.
+/// Converts the entries of a proc to a request.
 ///
 /// # Errors
-/// Everything for which it is refused.
+/// Returns all reasons for which the proc is refused.
 pub fn read<'a>(
-    given: impl Iterator<Item = (&'a SubmitEntry, &'a str)>,
+    entries: impl Iterator<Item = (&'a SubmitEntry, &'a str)>,
     cluster: u64,
     process: u32,
     now_s: i64,
@@ -134,60 +135,66 @@
 ) -> Result<ParsedRequest, Vec<Problem>> {
     let mut builder = Builder {
         site,
-        given: Vec::new(),
-        ad: Ad::with_capacity(USUAL),
-        entries: Vec::new(),
+        fields: Vec::new(),
+        ad: Ad::with_capacity(TYPICAL_ATTRIBUTE_COUNT),
+        attributes: Vec::new(),
         evaluator: Evaluator::new(now_s),
         problems: Vec::new(),
         holds: Vec::new(),
     };
-    builder.put(&NAMES.cluster_id, Value::Int(cluster as i64));
-    builder.put(&NAMES.proc_id, Value::Int(i64::from(process)));
-    builder.put(&NAMES.q_date, Value::Int(now_s));
-    for (entry, value) in given {
-        builder.take(entry, value);
+    builder.set_attribute(&NAMES.cluster_id, Value::Int(cluster as i64));
+    builder.set_attribute(&NAMES.proc_id, Value::Int(i64::from(process)));
+    builder.set_attribute(&NAMES.q_date, Value::Int(now_s));
+    for (entry, value) in entries {
+        builder.add_entry(entry, value);
     }
     builder.finish()
 }
 
 impl<'a> Builder<'a> {
-    fn take(&mut self, entry: &'a SubmitEntry, value: &'a str) {
+    fn add_entry(&mut self, entry: &'a SubmitEntry, value: &'a str) {
         match entry.kind {
-            EntryKind::Attribute => self.attribute(entry, value),
+            EntryKind::Attribute => self.add_attribute(entry, value),
             EntryKind::Command(command) => match command.effect {
-                Effect::Means(field) => self.given.push((field, entry, value)),
-                Effect::Carried(attribute) => {
+                Effect::SetsField(field) => self.fields.push((field, entry, value)),
+                Effect::CopiedToAd(attribute) => {
                     if !value.is_empty() {
                         self.ad.set(attribute, Value::from(value.trim_matches('"')));
                     }
                 }
-                Effect::Noted(_) => (),
-                Effect::Refused { why, unless } => {
+                Effect::Ignored(_) => (),
+                Effect::Unsupported {
+                    reason,
+                    accepted_values,
+                } => {
                     let value = value.trim().trim_matches('"');
-                    if !unless.iter().any(|same| value.eq_ignore_ascii_case(same)) {
-                        self.refuse(entry, 0, format!("{} is not taken: {why}", command.name));
+                    if !accepted_values
+                        .iter()
+                        .any(|same| value.eq_ignore_ascii_case(same))
+                    {
+                        self.refuse(entry, 0, format!("{} is not taken: {reason}", command.name));
                     }
                 }
             },
         }
     }
 
-    fn refuse(&mut self, entry: &SubmitEntry, at: usize, text: String) {
-        let location = if at == 0 {
+    fn refuse(&mut self, entry: &SubmitEntry, offset: usize, text: String) {
+        let location = if offset == 0 {
             entry.definition.location()
         } else {
-            entry.definition.location_in_value(at)
+            entry.definition.location_in_value(offset)
         };
         self.problems.push(Problem { location, text });
     }
 
-    fn attribute(&mut self, entry: &'a SubmitEntry, value: &str) {
-        // Defined under "MY.", which is no part of the name.
+    fn add_attribute(&mut self, entry: &'a SubmitEntry, value: &str) {
+        // Defined as "MY.<name>"; the prefix is not part of the name.
         let name = Name::new(entry.definition.name.get(3..).unwrap_or_default());
         match Expr::parse(value) {
             Ok(expr) => {
                 self.ad.insert(name.clone(), expr);
-                self.entries.push((name, entry));
+                self.attributes.push((name, entry));
             }
             Err(error) => {
                 let location = entry.definition.location_in_value(error.at);
@@ -201,18 +208,18 @@
         self.holds.push(Hold { reason, text });
     }
 
-    fn put(&mut self, name: &Name, value: Value) {
+    fn set_attribute(&mut self, name: &Name, value: Value) {
         self.ad.insert(name.clone(), Expr::literal(value));
     }
 
-    /// A command's value, unless it is empty.
+    /// Returns a command's value, unless it is empty.
     fn get(&self, field: Field) -> Option<(&'a SubmitEntry, &'a str)> {
-        // The last that was given: two commands may mean the same.
-        let found = self.given.iter().rev().find(|(known, ..)| *known == field)?;
+        // The last definition counts: several commands may set the same field.
+        let found = self.fields.iter().rev().find(|(known, ..)| *known == field)?;
         Some((found.1, found.2.trim())).filter(|(_, value)| !value.is_empty())
     }
 
-    /// The value of an expression that looks at the job alone.
+    /// Evaluates an expression that refers to the job alone.
     fn evaluate(&mut self, entry: &SubmitEntry, text: &str) -> Option<Value> {
         let expr = match Expr::parse(text) {
             Ok(expr) => expr,
@@ -225,8 +232,8 @@
         };
         match self.evaluator.evaluate(&expr, &self.ad, None) {
             Value::Undefined => {
-                let why = "its value depends on what the job does not say".to_owned();
-                self.refuse(entry, 0, format!("{}: {why}", entry.definition.name));
+                let reason = "its value depends on what the job does not say".to_owned();
+                self.refuse(entry, 0, format!("{}: {reason}", entry.definition.name));
                 None
             }
             Value::Error => {
@@ -242,13 +249,13 @@
         }
     }
 
-    fn number(&mut self, field: Field, default: f64, least: f64, most: f64) -> f64 {
+    fn number(&mut self, field: Field, default: f64, min: f64, max: f64) -> f64 {
         let Some((entry, text)) = self.get(field) else {
             return default;
         };
         match self.evaluate(entry, text).map(|value| value.as_number()) {
             None => default,
-            Some(Some(number)) if (least..=most).contains(&number) => number,
+            Some(Some(number)) if (min..=max).contains(&number) => number,
             Some(_) => {
                 self.refuse(
                     entry,
@@ -260,21 +267,21 @@
         }
     }
 
-    /// A number of an attribute of the job's own.
-    fn own(&mut self, name: &str) -> Option<(&'a SubmitEntry, Value)> {
-        let named = |(known, _): &&(Name, &'a SubmitEntry)| known.text().eq_ignore_ascii_case(name);
-        let entry = self.entries.iter().rev().find(named)?.1;
+    /// Returns a job attribute defined in the file, evaluated.
+    fn file_attribute(&mut self, name: &str) -> Option<(&'a SubmitEntry, Value)> {
+        let has_name = |(known, _): &&(Name, &'a SubmitEntry)| known.text().eq_ignore_ascii_case(name);
+        let entry = self.attributes.iter().rev().find(has_name)?.1;
         let expr = self.ad.get(name)?.clone();
         Some((entry, self.evaluator.evaluate(&expr, &self.ad, None)))
     }
 
-    fn own_number(&mut self, name: &str, default: f64, most: f64) -> f64 {
-        match self.own(name) {
+    fn file_number(&mut self, name: &str, default: f64, max: f64) -> f64 {
+        match self.file_attribute(name) {
             None => default,
             Some((_, value))
                 if value
                     .as_number()
-                    .is_some_and(|number| (0.0..=most).contains(&number)) =>
+                    .is_some_and(|number| (0.0..=max).contains(&number)) =>
             {
                 value.as_number().unwrap_or(default)
             }
@@ -285,8 +292,8 @@
         }
     }
 
-    fn own_text(&mut self, name: &str) -> Option<String> {
-        match self.own(name)? {
+    fn file_text(&mut self, name: &str) -> Option<String> {
+        match self.file_attribute(name)? {
             (_, Value::Str(text)) if !text.is_empty() => Some(text.to_string()),
             (entry, value) => {
                 self.refuse(entry, 0, format!("+{name} = {value} is no text"));
@@ -299,10 +306,10 @@
         let Some((entry, text)) = self.get(Field::Memory) else {
             return DEFAULT_MEMORY_MIB;
         };
-        if let Some(mib) = in_mib(text) {
+        if let Some(mib) = parse_mib(text) {
             return mib;
         }
-        // In MiB, as an expression.
+        // An expression whose value is in MiB.
         match self.evaluate(entry, text).map(|value| value.as_number()) {
             None => DEFAULT_MEMORY_MIB,
             Some(Some(mib)) if mib.is_finite() && mib >= 0.0 => mib,
@@ -336,12 +343,12 @@
         match known {
             Some(team) => team.name.clone(),
             None => {
-                let near = nearest(first, teams.iter().map(|team| team.name.as_str()));
-                let mut why = format!("accounting_group {text:?} is no team here");
-                if !near.is_empty() {
-                    why = format!("{why}; the nearest are {}", near.join(", "));
+                let nearest_names = nearest(first, teams.iter().map(|team| team.name.as_str()));
+                let mut reason = format!("accounting_group {text:?} is no team here");
+                if !nearest_names.is_empty() {
+                    reason = format!("{reason}; the nearest are {}", nearest_names.join(", "));
                 }
-                self.hold(HoldReason::Team, why);
+                self.hold(HoldReason::Team, reason);
                 first.to_owned()
             }
         }
@@ -356,7 +363,7 @@
             .find(|(name, number)| name.eq_ignore_ascii_case(text) || *text == number.to_string());
         match known {
             Some((name, number)) => {
-                self.put(&NAMES.job_universe, Value::Int(*number));
+                self.set_attribute(&NAMES.job_universe, Value::Int(*number));
                 Some(name)
             }
             None => {
@@ -372,17 +379,17 @@
     fn image(&mut self, universe: &str) -> (Arc<str>, f64) {
         let container = self.get(Field::ContainerImage);
         let docker = self.get(Field::DockerImage);
-        let given = container.or(docker).map(|(_, text)| text);
-        let asked_for = match universe {
+        let image_command = container.or(docker).map(|(_, text)| text);
+        let missing_command = match universe {
             "docker" => docker.is_none().then_some("docker_image"),
-            "container" => given.is_none().then_some("container_image"),
+            "container" => image_command.is_none().then_some("container_image"),
             _ => None,
         };
-        if let (Some(command), Some((entry, _))) = (asked_for, self.get(Field::Universe)) {
+        if let (Some(command), Some((entry, _))) = (missing_command, self.get(Field::Universe)) {
             self.refuse(entry, 0, format!("the {universe} universe needs {command}"));
         }
-        let size = self.own_number("ImageGb", self.site.settings.default_image_gb, 1e6);
-        let image = match given {
+        let size = self.file_number("ImageGb", self.site.settings.default_image_gb, 1e6);
+        let image = match image_command {
             Some(text) => {
                 let text = text.trim_matches('"');
                 text.strip_prefix("docker://").unwrap_or(text)
@@ -390,8 +397,8 @@
             None => match &self.site.settings.default_image {
                 Some(image) => image.as_str(),
                 None => {
-                    if asked_for.is_none() {
-                        self.without_image();
+                    if missing_command.is_none() {
+                        self.refuse_missing_image();
                     }
                     ""
                 }
@@ -406,10 +413,11 @@
         (Arc::from(image), size)
     }
 
-    /// There is no command to point at: the file's first will do.
-    fn without_image(&mut self) {
-        let first = self.given.first().map(|(_, entry, _)| *entry);
-        let first = first.or_else(|| self.entries.first().map(|(_, entry)| *entry));
+    /// Refuses a proc without an image. There is no command to point at, so the problem is located
+    /// at the file's first entry.
+    fn refuse_missing_image(&mut self) {
+        let first = self.fields.first().map(|(_, entry, _)| *entry);
+        let first = first.or_else(|| self.attributes.first().map(|(_, entry)| *entry));
         let text = "container_image is not given, and the operators name no default image".to_owned();
         match first {
             Some(entry) => self.refuse(entry, 0, text),
@@ -428,7 +436,7 @@
         let Some((entry, text)) = self.get(Field::Counts) else {
             return Demand::default();
         };
-        let mut asked: BTreeMap<String, u64> = BTreeMap::new();
+        let mut requested: BTreeMap<String, u64> = BTreeMap::new();
         for limit in text
             .trim_matches('"')
             .split([',', ' ', '\t'])
@@ -452,18 +460,18 @@
                 .keys()
                 .find(|known| known.eq_ignore_ascii_case(name));
             match known {
-                Some(known) => *asked.entry(known.to_string()).or_default() += units,
+                Some(known) => *requested.entry(known.to_string()).or_default() += units,
                 None => {
-                    let near = nearest(name, self.site.counts.keys().map(|known| &**known));
+                    let nearest_names = nearest(name, self.site.counts.keys().map(|known| &**known));
                     let mut text = format!("concurrency_limits: there is no count {name:?} here");
-                    if !near.is_empty() {
-                        text = format!("{text}; the nearest are {}", near.join(", "));
+                    if !nearest_names.is_empty() {
+                        text = format!("{text}; the nearest are {}", nearest_names.join(", "));
                     }
                     self.refuse(entry, 0, text);
                 }
             }
         }
-        Demand::new(&asked).unwrap_or_else(|error| {
+        Demand::new(&requested).unwrap_or_else(|error| {
             self.refuse(entry, 0, format!("concurrency_limits: {error}"));
             Demand::default()
         })
@@ -471,7 +479,7 @@
 
     fn priority(&mut self) -> PriorityBand {
         let number = self.number(Field::Priority, 0.0, -1e9, 1e9);
-        self.put(&NAMES.job_prio, Value::number(number));
+        self.set_attribute(&NAMES.job_prio, Value::number(number));
         let nice = self.get(Field::Nice).is_some_and(|(entry, text)| {
             self.evaluate(entry, text)
                 .and_then(|value| value.truth())
@@ -487,10 +495,10 @@
     }
 
     fn gang(&mut self, universe: &str) -> Option<u32> {
-        let given = self.get(Field::MachineCount);
-        let number = self.number(Field::MachineCount, 1.0, 1.0, MAX_GANG);
+        let machine_count = self.get(Field::MachineCount);
+        let number = self.number(Field::MachineCount, 1.0, 1.0, MAX_GANG_TASKS);
         if number.fract() != 0.0
-            && let Some((entry, text)) = given
+            && let Some((entry, text)) = machine_count
         {
             self.refuse(entry, 0, format!("machine_count = {text} is no whole number"));
         }
@@ -499,7 +507,7 @@
             self.ad.set("MaxHosts", Value::Int(number as i64));
             return Some(number as u32);
         }
-        if let Some((entry, _)) = given.filter(|_| number > 1.0) {
+        if let Some((entry, _)) = machine_count.filter(|_| number > 1.0) {
             let text =
                 "machine_count asks for tasks that run together, which is the parallel universe".to_owned();
             self.refuse(entry, 0, text);
@@ -524,23 +532,23 @@
     }
 
     fn finish(mut self) -> Result<ParsedRequest, Vec<Problem>> {
-        self.put(&NAMES.job_universe, Value::Int(5));
+        self.set_attribute(&NAMES.job_universe, Value::Int(5));
         let universe = self.universe().unwrap_or("vanilla");
         let priority = self.priority();
         let gang = self.gang(universe);
         let cpus = self.number(Field::Cpus, 1.0, 0.0, 1e6);
-        self.put(&NAMES.request_cpus, Value::number(cpus));
+        self.set_attribute(&NAMES.request_cpus, Value::number(cpus));
         let gpus = self.number(Field::Gpus, 0.0, 0.0, 1e6);
-        self.put(&NAMES.request_gpus, Value::number(gpus));
+        self.set_attribute(&NAMES.request_gpus, Value::number(gpus));
         let memory_mib = self.memory_mib();
-        self.put(&NAMES.request_memory, Value::number(memory_mib.ceil()));
+        self.set_attribute(&NAMES.request_memory, Value::number(memory_mib.ceil()));
         let team = self.team();
-        self.put(&NAMES.accounting_group, Value::from(team.as_str()));
+        self.set_attribute(&NAMES.accounting_group, Value::from(team.as_str()));
         let counts = self.counts();
         let (image, image_gb) = self.image(universe);
         let duration = self.number(Field::Duration, DEFAULT_ESTIMATE_S, 0.0, 1e9);
-        let estimate_s = self.own_number("RuntimeS", duration, 1e9);
-        let allow_spot = match self.own("AllowSpot") {
+        let estimate_s = self.file_number("RuntimeS", duration, 1e9);
+        let allow_spot = match self.file_attribute("AllowSpot") {
             None => None,
             Some((_, value)) if value.truth().is_some() => value.truth(),
             Some((entry, value)) => {
@@ -554,7 +562,7 @@
         };
         let default_class = self.site.settings.default_class.clone();
         let class = self
-            .own_text("JobClass")
+            .file_text("JobClass")
             .or(default_class)
             .unwrap_or_else(|| "condor".to_owned());
         if let Some((entry, text)) = self.get(Field::Hold)
@@ -593,11 +601,12 @@
     }
 }
 
-/// An amount with a unit, in MiB: K, M, G and T count in steps of 1024, with or without a B.
-fn in_mib(text: &str) -> Option<f64> {
+/// Parses an amount with a unit and returns it in MiB. The units K, M, G and T are powers of 1024,
+/// with or without a B.
+fn parse_mib(text: &str) -> Option<f64> {
     let digits = text
         .find(|next: char| !next.is_ascii_digit() && next != '.')
-        .filter(|at| *at > 0)?;
+        .filter(|offset| *offset > 0)?;
     let (number, unit) = text.split_at(digits);
     let number: f64 = number.parse().ok()?;
     let unit = unit.trim().to_ascii_uppercase();
--- a/crates/condor/src/request/tests.rs
+++ b/crates/condor/src/request/tests.rs
@@ -1,7 +1,7 @@
-use super::in_mib;
+use super::parse_mib;
 
 #[test]
-fn amounts_carry_their_units() {
+fn memory_amounts_are_parsed_with_units() {
     for (text, mib) in [
         ("4 GB", Some(4096.0)),
         ("4G", Some(4096.0)),
@@ -14,6 +14,6 @@
         ("GB", None),
         ("4 cups", None),
     ] {
-        assert_eq!(in_mib(text), mib, "{text}");
+        assert_eq!(parse_mib(text), mib, "{text}");
     }
 }
