--- a/crates/condor/src/constants.rs
+++ b/crates/condor/src/constants.rs
@@ -1,67 +1,68 @@
-//! Every constant of submit files, with unit and reason.
+//! Limits and defaults of submit files.
 
-/// Longest submit file with all that it includes, in bytes: 100,000 items of 80 letters.
+/// Maximum size of a submit file with all included files, in bytes: 100,000 items of 80 characters.
 pub const MAX_FILE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Longest value of a command once its macros are expanded, in bytes.
+/// Maximum length of a command's value after macro expansion, in bytes.
 pub const MAX_VALUE_BYTES: usize = 32 * 1024;
 
-/// Deepest nesting of macros that stand for others, of files that include others, and of
-/// `if`. Every level is a level of recursion.
+/// Maximum nesting of macros, of included files and of `if`. Every level is a level of recursion.
 pub const MAX_NESTING_DEPTH: usize = 32;
 
-/// Procs of one file. What is more should be split: a cluster is shown and removed as one.
+/// Maximum number of procs of one file. Larger files should be split, because a cluster is shown
+/// and removed as a whole.
 pub const MAX_FILE_PROCS: usize = 100_000;
 
-/// Bytes of all procs' own values together: what bounds a node's memory for one file.
+/// Maximum total size of the expanded values that differ between procs, in bytes. It bounds a
+/// node's memory for one file.
 pub const MAX_EXPANDED_BYTES: usize = 64 * 1024 * 1024;
 
-/// Commands and macros that a file may define.
+/// Maximum number of commands and macros that a file defines.
 pub const MAX_DEFINITIONS: usize = 2_000;
 
-/// Variables of one `queue` statement.
+/// Maximum number of variables of one `queue` statement.
 pub const MAX_QUEUE_VARIABLES: usize = 64;
 
-/// Memory of a task whose file asks for none, in MiB: what HTCondor's own default is.
+/// Memory, in MiB, of a task whose file requests none: HTCondor's own default.
 pub const DEFAULT_MEMORY_MIB: f64 = 128.0;
 
-/// Estimate, in s, of a task whose file gives none: placement then expects it to hold its
-/// machine for long, which errs on the side of those who wait.
+/// Estimated duration, in s, of a task whose file gives none. Placement then expects the task to
+/// hold its machine for long, which errs in favor of waiting jobs.
 pub const DEFAULT_ESTIMATE_S: f64 = 3_600.0;
 
-/// MiB in a GB as machines are sold here.
+/// MiB per GB of machine memory, as the cloud counts it.
 pub const MIB_PER_GB: f64 = 1_024.0;
 
-/// Problems that one proc's reason lists.
+/// Maximum number of problems in the reason for one proc.
 pub const MAX_PROBLEMS_SHOWN: usize = 8;
 
-/// Terms of a requirement that its reason goes through.
+/// Maximum number of terms of a requirements expression that its reason explains.
 pub const MAX_TERMS_SHOWN: usize = 24;
 
-/// Kinds of machines that a reason lists for a term before it only counts them.
+/// Maximum number of kinds of machines that a reason lists per term; more are only counted.
 pub const MAX_KINDS_SHOWN: usize = 6;
 
-/// Known names that a reason lists where none is like the one asked for.
+/// Maximum number of known names that a reason lists if none is similar to the requested one.
 pub const MAX_NAMES_SHOWN: usize = 12;
 
-/// Most attributes that operators may declare of a machine type.
+/// Maximum number of attributes that operators may declare of a machine type.
 pub const MAX_DECLARED_ATTRIBUTES: usize = 100;
 
-/// Jobs that one cluster may become: each is a record, and the state service takes some tens
-/// of changes a second.
+/// Maximum number of jobs of one cluster. Each is a record, and the state service accepts some tens
+/// of changes per second.
 pub const MAX_CLUSTER_JOBS: usize = 200;
 
-/// Procs of a cluster that a controller takes: what a tenth of a core expands in a fraction
-/// of a second. More are for `explain`, on the submitter's own machine.
+/// Maximum number of procs of a cluster that a controller accepts: a tenth of a core expands as
+/// many in a fraction of a second. `explain`, which runs on the submitter's machine, accepts more.
 pub const MAX_CLUSTER_PROCS: usize = 20_000;
 
-/// Longest name of a submitter, in bytes.
+/// Maximum length of a submitter's name, in bytes.
 pub const MAX_OWNER_BYTES: usize = 64;
 
-/// Terms whose kinds are remembered while a file is judged.
+/// Maximum number of cached terms while a file is matched.
 pub const TERM_CACHE_SIZE: usize = 4_096;
 
-/// Steps that the expressions of one file may take altogether: some 300 for each of 10,000
-/// requirements, and a tenth of a second of a core, which a controller with a tenth of one
+/// Maximum number of evaluation steps for all expressions of one file: some 300 for each of 10,000
+/// requirements. They take a tenth of a second of a core, which a controller with a tenth of a core
 /// can spare without losing its leases.
 pub const MAX_EVALUATION_STEPS: u64 = 3_000_000;
--- a/crates/condor/src/lib.rs
+++ b/crates/condor/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTCondor submit files, without input or output: the submit language, what its commands
-//! mean to the scheduler, and which kinds of machines do for what they ask.
+//! HTCondor submit files, without I/O: parsing the submit language, converting its commands to
+//! scheduler requests, and matching the requests with kinds of machines.
 //!
 //! ```
 //! use indigopath_condor::{CondorSettings, SubmitEnvironment, MachineKinds, MachineType, PathKind, Site, Verdict};
--- a/crates/condor/src/macros.rs
+++ b/crates/condor/src/macros.rs
@@ -504,17 +504,18 @@
             _ => text.to_owned(),
         };
         let format = format.unwrap_or("%s");
-        return printf::string(format, &text).ok_or_else(|| format!("{format:?} is no format for a string"));
+        return printf::format_string(format, &text)
+            .ok_or_else(|| format!("{format:?} is no format for a string"));
     }
     let value = evaluate_constant(text)?;
     let number = value
         .as_number()
         .ok_or_else(|| format!("{text:?} is {}, not a number", value.type_name()))?;
     let formatted = match (name, &value) {
-        ("INT", Value::Int(value)) => printf::int(format.unwrap_or("%d"), *value),
-        ("INT", _) => printf::int(format.unwrap_or("%d"), number as i64),
+        ("INT", Value::Int(value)) => printf::format_int(format.unwrap_or("%d"), *value),
+        ("INT", _) => printf::format_int(format.unwrap_or("%d"), number as i64),
         _ => match format {
-            Some(format) => printf::real(format, number),
+            Some(format) => printf::format_real(format, number),
             None => Some(Value::Real(number).to_string()),
         },
     };
--- a/crates/condor/src/site.rs
+++ b/crates/condor/src/site.rs
@@ -1,5 +1,5 @@
-//! What submit files are held against: kinds of machines with their ads, teams, and what
-//! operators set.
+//! The site against which submit files are matched: kinds of machines with their ClassAds, teams,
+//! and the operators' settings.
 
 use crate::constants::{MAX_DECLARED_ATTRIBUTES, MIB_PER_GB};
 use fixedbitset::FixedBitSet;
@@ -9,24 +9,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The operators' `condor { … }`.
+/// The `condor { … }` block of the operators' settings.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CondorSettings {
-    /// Team of files that name none.
+    /// Team of submit files that name none.
     pub default_team: Option<String>,
-    /// Class of all their jobs, unless a file says `+JobClass`.
+    /// Class of the jobs of all submit files, unless a file sets `+JobClass`.
     pub default_class: Option<String>,
-    /// Image of files that name none.
+    /// Image of submit files that name none.
     pub default_image: Option<String>,
-    /// Size of an image whose file does not say `+ImageGb`, in GB.
+    /// Image size, in GB, unless a file sets `+ImageGb`.
     pub default_image_gb: f64,
-    /// What machine types have beyond what the cloud says, by type.
+    /// Attributes of machine types, by type, that the cloud does not report.
     #[serde(rename = "machine")]
     pub machines: BTreeMap<String, BTreeMap<String, DeclaredValue>>,
 }
 
-/// A declared attribute's value.
+/// The value of a declared attribute.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum DeclaredValue {
@@ -49,11 +49,11 @@
     }
 }
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{field}: {problem}")]
 pub struct CondorSettingsError {
-    /// Path to the field, such as `condor.machine.g8.OpSys`.
+    /// Path of the field, such as `condor.machine.g8.OpSys`.
     pub field: String,
     pub problem: String,
 }
@@ -61,56 +61,57 @@
 /// Attributes that every machine has.
 pub const MACHINE_ATTRIBUTES: [&str; 7] = ["Cpus", "Gpus", "Memory", "MachineType", "Zone", "Spot", "Rate"];
 
-/// Largest image that settings may name, in GB.
+/// Maximum image size in the settings, in GB.
 const MAX_IMAGE_GB: f64 = 1e6;
 
 impl CondorSettings {
-    /// Checks what can be checked without the cloud; `is_team` says which teams there are.
+    /// Validates the settings as far as is possible without the cloud. `is_team` returns whether a
+    /// team exists.
     ///
     /// # Errors
-    /// The first field that cannot be used, and why.
+    /// Returns the first invalid field and the reason.
     pub fn check(&self, is_team: impl Fn(&str) -> bool) -> Result<(), CondorSettingsError> {
-        let bad = |field: String, problem: &str| {
+        let invalid = |field: String, problem: &str| {
             Err(CondorSettingsError {
                 field: format!("condor.{field}"),
                 problem: problem.to_owned(),
             })
         };
         if self.default_team.as_deref().is_some_and(|team| !is_team(team)) {
-            return bad("default_team".to_owned(), "there is no such team");
+            return invalid("default_team".to_owned(), "there is no such team");
         }
         for (field, value) in [
             ("default_class", &self.default_class),
             ("default_image", &self.default_image),
         ] {
             if value.as_deref() == Some("") {
-                return bad(field.to_owned(), "must not be empty");
+                return invalid(field.to_owned(), "must not be empty");
             }
         }
         if !(0.0..=MAX_IMAGE_GB).contains(&self.default_image_gb) {
-            return bad("default_image_gb".to_owned(), "must be a size in GB");
+            return invalid("default_image_gb".to_owned(), "must be a size in GB");
         }
         for (machine, declared) in &self.machines {
             if declared.len() > MAX_DECLARED_ATTRIBUTES {
-                return bad(format!("machine.{machine}"), "declares too much");
+                return invalid(format!("machine.{machine}"), "declares too much");
             }
             let mut seen = BTreeSet::new();
             for name in declared.keys() {
                 let field = format!("machine.{machine}.{name}");
-                let plain = name
+                let is_plain = name
                     .bytes()
                     .all(|byte| byte.is_ascii_alphanumeric() || byte == b'_');
-                if !plain || name.is_empty() {
-                    return bad(field, "a name has letters, digits and underscores");
+                if !is_plain || name.is_empty() {
+                    return invalid(field, "a name has letters, digits and underscores");
                 }
                 if MACHINE_ATTRIBUTES
                     .iter()
                     .any(|known| known.eq_ignore_ascii_case(name))
                 {
-                    return bad(field, "every machine has it, as the cloud says");
+                    return invalid(field, "every machine has it, as the cloud says");
                 }
                 if !seen.insert(name.to_ascii_lowercase()) {
-                    return bad(field, "is declared more than once");
+                    return invalid(field, "is declared more than once");
                 }
             }
         }
@@ -118,21 +119,21 @@
     }
 }
 
-/// A machine type as the cloud offers it.
+/// A machine type offered by the cloud.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct MachineType {
     pub name: String,
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
-    /// Price an hour.
+    /// Price per hour.
     pub price: f64,
-    /// Price an hour as a spot machine.
+    /// Price per hour as a spot machine.
     pub spot_price: f64,
     pub zones: Vec<String>,
 }
 
-/// A team and the most that it may use at a time; 0 is no limit.
+/// A team and its limits on concurrent use; 0 is no limit.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Team {
     pub name: String,
@@ -140,7 +141,7 @@
     pub gpus_max: f64,
 }
 
-/// What can be rented: a type in a zone, spot or not.
+/// A kind of machine that can be rented: a type in a zone, spot or not.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineKind {
     pub machine_type: String,
@@ -150,7 +151,7 @@
     pub gpus: f64,
     pub memory_gb: f64,
     pub ad: Ad,
-    /// Number of its type, and of its zone.
+    /// Indexes of its machine type and its zone.
     pub(crate) type_and_zone: (usize, usize),
 }
 
@@ -161,7 +162,7 @@
     }
 }
 
-/// All kinds, in the order of their names.
+/// All kinds of machines, sorted by name.
 #[derive(Debug, Clone, Default)]
 pub struct MachineKinds {
     all: Vec<MachineKind>,
@@ -171,17 +172,17 @@
 }
 
 impl MachineKinds {
-    /// Of these types, in those of their zones where the site may rent.
+    /// Creates the kinds of the machine types, in those of their zones that the site uses.
     pub fn new(types: &[MachineType], zones: &[String], settings: &CondorSettings) -> MachineKinds {
         let mut all = Vec::new();
         let mut attributes = BTreeSet::new();
-        for (number, machine_type) in types.iter().enumerate() {
-            for (zone_number, zone) in zones.iter().enumerate() {
+        for (type_index, machine_type) in types.iter().enumerate() {
+            for (zone_index, zone) in zones.iter().enumerate() {
                 if !machine_type.zones.contains(zone) {
                     continue;
                 }
                 for spot in [false, true] {
-                    let ad = ad_of(machine_type, zone, spot, settings);
+                    let ad = machine_ad(machine_type, zone, spot, settings);
                     attributes.extend(ad.names().cloned());
                     all.push(MachineKind {
                         machine_type: machine_type.name.clone(),
@@ -191,7 +192,7 @@
                         gpus: machine_type.gpus,
                         memory_gb: machine_type.memory_gb,
                         ad,
-                        type_and_zone: (number, zone_number),
+                        type_and_zone: (type_index, zone_index),
                     });
                 }
             }
@@ -209,25 +210,26 @@
         &self.all
     }
 
-    /// Names that some machine has.
+    /// Names of attributes that some machine has.
     pub fn attributes(&self) -> &BTreeSet<Name> {
         &self.attributes
     }
 
-    /// The kinds of a set.
+    /// Returns the kinds in a set.
     pub fn in_set<'k>(&'k self, set: &'k FixedBitSet) -> impl Iterator<Item = &'k MachineKind> {
-        set.ones().filter_map(|at| self.all.get(at))
+        set.ones().filter_map(|index| self.all.get(index))
     }
 
-    /// The kinds of a set, by name.
+    /// Returns the names of the kinds in a set.
     pub fn names_in_set(&self, set: &FixedBitSet) -> Vec<String> {
         self.in_set(set).map(ToString::to_string).collect()
     }
 
-    /// Number of a kind among those that differ in what an expression looks at.
+    /// Returns the number of a kind's equivalence class: kinds of one class do not differ in the
+    /// attributes that an expression refers to. `zone` and `spot` say whether it refers to these.
     pub(crate) fn equivalence_class(&self, kind: &MachineKind, zone: bool, spot: bool) -> usize {
-        let zone_number = if zone { kind.type_and_zone.1 } else { 0 };
-        (kind.type_and_zone.0 * self.zones + zone_number) * 2 + usize::from(spot && kind.spot)
+        let zone_index = if zone { kind.type_and_zone.1 } else { 0 };
+        (kind.type_and_zone.0 * self.zones + zone_index) * 2 + usize::from(spot && kind.spot)
     }
 
     pub(crate) fn equivalence_class_count(&self) -> usize {
@@ -235,7 +237,7 @@
     }
 }
 
-fn ad_of(machine_type: &MachineType, zone: &str, spot: bool, settings: &CondorSettings) -> Ad {
+fn machine_ad(machine_type: &MachineType, zone: &str, spot: bool, settings: &CondorSettings) -> Ad {
     let mut ad = Ad::default();
     ad.set("Cpus", Value::number(machine_type.cpus));
     ad.set("Gpus", Value::number(machine_type.gpus));
@@ -256,7 +258,7 @@
     ad
 }
 
-/// A site as text, for corpora and experiments.
+/// A site in a file, for tests and experiments.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteFile {
@@ -278,7 +280,7 @@
     }
 }
 
-/// Everything that a file is held against.
+/// Everything against which submit files are matched.
 #[derive(Debug, Clone, Default)]
 pub struct Site {
     pub kinds: MachineKinds,
