--- a/crates/indigopath/src/client.rs
+++ b/crates/indigopath/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking controllers: the first that can answer does.
+//! An HTTP client that tries one controller after another until one can answer.
 
 use clap::{Args, ValueEnum};
 use comfy_table::{CellAlignment, Table, presets};
@@ -8,16 +8,16 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Longest wait for a node's answer, in ms: a node answers from memory, or tells within a
-/// few seconds how far it is.
-const TIMEOUT_MS: u64 = 6_000;
+/// Longest wait for the response of a controller, in ms: it responds from memory, or reports the
+/// progress of a request within a few seconds.
+const RESPONSE_TIMEOUT_MS: u64 = 6_000;
 
-/// For how long controllers are asked again while none of them leads: a lease that runs out (2.5 s), an
-/// election and the reading of the records, twice.
-const LEADER_WAIT: Duration = Duration::from_secs(15);
+/// How long requests are retried while no controller leads: twice the time for a lease to expire
+/// (2.5 s), an election and the recovery of the records.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Pause before they are asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Args, Clone)]
 pub struct Nodes {
@@ -48,104 +48,110 @@
 #[derive(Debug, Error)]
 pub enum ClientError {
     #[error("no controller is named: give --node ADDRESS:PORT, or set INDIGOPATH_NODES")]
-    NoNode,
+    NoNodes,
     #[error("no controller that can tell answered: {0}")]
-    NoAnswer(String),
-    /// A controller's refusal: its status, and the body with the reason.
-    #[error("{}", error_of(.1))]
+    NoResponse(String),
+    /// A controller rejected the request: the status and the body with the reason.
+    #[error("{}", error_message(.1))]
     Refused(u16, String),
     #[error("a controller's answer cannot be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
+    InvalidResponse(#[from] serde_json::Error),
 }
 
-/// What came of asking every controller once.
-enum Round {
-    /// The body of the answer of whoever could tell.
+/// The outcome of trying every controller once.
+enum RoundOutcome {
+    /// The body of the response of a controller that could answer.
     Answered(String),
-    /// Some are there, and none of them leads for the moment.
-    NobodyLeads(String),
-    /// Asking again would not help, or could do a thing twice.
+    /// Some controllers respond, but none leads at the moment.
+    NoLeader(String),
+    /// A retry would not help, or could execute the request twice.
     Failed(String),
 }
 
 impl Nodes {
-    /// What a path shows.
+    /// Sends a GET request and parses the response.
     ///
     /// # Errors
-    /// Nobody who can tell answers, the answer is a refusal, or it cannot be read.
+    /// No controller can answer, the request is rejected, or the response is invalid.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
-        self.ask(path, None)
+        self.request(path, None)
     }
 
-    /// What comes of a request.
+    /// Sends a POST request and parses the response.
     ///
     /// # Errors
-    /// As above.
+    /// See [`Nodes::get`].
     pub fn post<T: DeserializeOwned>(&self, path: &str, body: &str) -> Result<T, ClientError> {
-        self.ask(path, Some(body))
+        self.request(path, Some(body))
     }
 
-    fn ask<T: DeserializeOwned>(&self, path: &str, body: Option<&str>) -> Result<T, ClientError> {
+    fn request<T: DeserializeOwned>(&self, path: &str, body: Option<&str>) -> Result<T, ClientError> {
         if self.nodes.is_empty() {
-            return Err(ClientError::NoNode);
+            return Err(ClientError::NoNodes);
         }
         let agent: ureq::Agent = ureq::Agent::config_builder()
-            .timeout_global(Some(Duration::from_millis(TIMEOUT_MS)))
+            .timeout_global(Some(Duration::from_millis(RESPONSE_TIMEOUT_MS)))
             .http_status_as_error(false)
             .build()
             .into();
-        let stated = self.team.as_deref().map(query).unwrap_or_default();
-        let began = Instant::now();
+        let team_query = self.team.as_deref().map(team_query_string).unwrap_or_default();
+        let started_at = Instant::now();
         loop {
-            match self.ask_each(&agent, &format!("{path}{stated}"), body)? {
-                Round::Answered(answer) => return Ok(serde_json::from_str(&answer)?),
-                Round::NobodyLeads(problems) if began.elapsed() >= LEADER_WAIT => {
-                    return Err(ClientError::NoAnswer(problems));
+            match self.try_each_node(&agent, &format!("{path}{team_query}"), body)? {
+                RoundOutcome::Answered(response) => return Ok(serde_json::from_str(&response)?),
+                RoundOutcome::NoLeader(problems) if started_at.elapsed() >= LEADER_TIMEOUT => {
+                    return Err(ClientError::NoResponse(problems));
                 }
-                Round::NobodyLeads(_) => std::thread::sleep(ASK_AGAIN),
-                Round::Failed(problems) => return Err(ClientError::NoAnswer(problems)),
+                RoundOutcome::NoLeader(_) => std::thread::sleep(RETRY_DELAY),
+                RoundOutcome::Failed(problems) => return Err(ClientError::NoResponse(problems)),
             }
         }
     }
 
-    /// Asks one controller after the other until one answers.
-    fn ask_each(&self, agent: &ureq::Agent, path: &str, body: Option<&str>) -> Result<Round, ClientError> {
+    /// Sends the request to one controller after another until one can answer.
+    fn try_each_node(
+        &self,
+        agent: &ureq::Agent,
+        path: &str,
+        body: Option<&str>,
+    ) -> Result<RoundOutcome, ClientError> {
         let mut problems = Vec::new();
-        let mut unanswered = 0;
+        let mut unanswered_nodes = 0;
         for node in &self.nodes {
             let url = format!("http://{node}{path}");
-            let answer = match body {
+            let response = match body {
                 Some(body) => agent.post(url).send(body),
                 None => agent.get(url).call(),
             };
-            let answer = answer
-                .and_then(|mut answer| Ok((answer.status().as_u16(), answer.body_mut().read_to_string()?)));
-            match answer {
-                Ok((200 | 201, body)) => return Ok(Round::Answered(body)),
+            let response = response.and_then(|mut response| {
+                Ok((response.status().as_u16(), response.body_mut().read_to_string()?))
+            });
+            match response {
+                Ok((200 | 201, body)) => return Ok(RoundOutcome::Answered(body)),
                 Ok((421, _)) => problems.push(format!("{node} does not lead")),
-                Ok((503, body)) => problems.push(format!("{node}: {}", error_of(&body))),
+                Ok((503, body)) => problems.push(format!("{node}: {}", error_message(&body))),
                 Ok((status, body)) => return Err(ClientError::Refused(status, body)),
                 Err(error) => {
-                    unanswered += 1;
+                    unanswered_nodes += 1;
                     problems.push(format!("{node}: {error}"));
                 }
             }
         }
-        // A request that changes something may have been carried out where no answer came.
-        let may_ask_again = unanswered < self.nodes.len() && (body.is_none() || unanswered == 0);
+        // A request that changes something may have been executed by a controller that did not respond.
+        let may_retry = unanswered_nodes < self.nodes.len() && (body.is_none() || unanswered_nodes == 0);
         let problems = problems.join("; ");
-        Ok(if may_ask_again {
-            Round::NobodyLeads(problems)
+        Ok(if may_retry {
+            RoundOutcome::NoLeader(problems)
         } else {
-            Round::Failed(problems)
+            RoundOutcome::Failed(problems)
         })
     }
 
-    /// A value as a table, or as JSON.
+    /// Formats a value as a table or as JSON.
     ///
     /// # Errors
-    /// It cannot be written as JSON.
-    pub fn show<T: Serialize>(
+    /// The value cannot be serialized as JSON.
+    pub fn format_output<T: Serialize>(
         &self,
         value: &T,
         table: impl FnOnce(&T) -> String,
@@ -157,8 +163,8 @@
     }
 }
 
-/// A team as a request states it.
-fn query(team: &str) -> String {
+/// Returns the query string that names a team.
+fn team_query_string(team: &str) -> String {
     let escaped = team.bytes().map(|byte| {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.') {
             char::from(byte).to_string()
@@ -169,23 +175,23 @@
     format!("?team={}", escaped.collect::<String>())
 }
 
-/// The reason in an answer that is none.
-fn error_of(body: &str) -> String {
+/// Returns the error message in the body of a rejection.
+fn error_message(body: &str) -> String {
     serde_json::from_str::<serde_json::Value>(body)
         .ok()
         .and_then(|value| value["error"].as_str().map(str::to_owned))
         .unwrap_or_else(|| body.to_owned())
 }
 
-/// Rows under a head; the columns at `right` hold numbers.
-pub fn table(head: &[&str], right: &[usize], rows: impl Iterator<Item = Vec<String>>) -> String {
+/// Formats rows under a header; the columns with the indexes `number_columns` are right-aligned.
+pub fn table(header: &[&str], number_columns: &[usize], rows: impl Iterator<Item = Vec<String>>) -> String {
     let mut table = Table::new();
-    table.load_style(presets::NOTHING).set_header(head.to_vec());
+    table.load_style(presets::NOTHING).set_header(header.to_vec());
     for row in rows {
         table.add_row(row);
     }
-    for at in right {
-        if let Some(column) = table.column_mut(*at) {
+    for column_index in number_columns {
+        if let Some(column) = table.column_mut(*column_index) {
             column.set_cell_alignment(CellAlignment::Right);
         }
     }
--- a/crates/indigopath/src/client/tests.rs
+++ b/crates/indigopath/src/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn nobody_to_ask_is_said_plainly() {
+fn missing_nodes_are_reported_and_team_names_are_escaped() {
     let nodes = Nodes {
         nodes: Vec::new(),
         team: None,
@@ -9,32 +9,34 @@
     };
     let error = nodes.get::<serde_json::Value>("/v1/counts").unwrap_err();
     assert!(error.to_string().contains("--node"));
-    let stated = query("red team/é");
+    let team_query = team_query_string("red team/é");
     assert_eq!(
-        indigopath_controller::job_api::authorization::team_in_query(&stated[1..]).as_deref(),
+        indigopath_controller::job_api::authorization::team_in_query(&team_query[1..]).as_deref(),
         Some("red team/é")
     );
-    let refused = ClientError::Refused(422, r#"{"error":"no such team"}"#.to_owned());
-    assert_eq!(refused.to_string(), "no such team");
+    let rejected = ClientError::Refused(422, r#"{"error":"no such team"}"#.to_owned());
+    assert_eq!(rejected.to_string(), "no such team");
 }
 
-/// A controller that answers each connection with the next of these statuses, and how many it has had.
+/// Starts a controller that answers each connection with the next of these statuses. The thread
+/// returns how many it has answered.
 fn controller(statuses: &'static [u16]) -> (SocketAddrV4, std::thread::JoinHandle<usize>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
         panic!("no IPv4 address");
     };
-    let serving = std::thread::spawn(move || {
+    let server = std::thread::spawn(move || {
         for status in statuses {
             let (mut stream, _) = listener.accept().unwrap();
             let mut request = [0; 1_024];
             let _ = std::io::Read::read(&mut stream, &mut request);
-            let answer = format!("HTTP/1.1 {status} x\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{{}}");
-            std::io::Write::write_all(&mut stream, answer.as_bytes()).unwrap();
+            let response =
+                format!("HTTP/1.1 {status} x\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{{}}");
+            std::io::Write::write_all(&mut stream, response.as_bytes()).unwrap();
         }
         statuses.len()
     });
-    (addr, serving)
+    (addr, server)
 }
 
 fn nodes(addr: SocketAddrV4) -> Nodes {
@@ -45,29 +47,28 @@
     }
 }
 
-// What happens: an operator asks for the counts just as the leader changes, and is told at once that nobody
-// could answer; the next leader leads a second later. Why: each controller was asked once, although 421 and
-// 503 only say "not now". Shown by the loopback test with seed 309 at load 31: "leader deposed token=318" at
-// 04:08:28.823, and the command `counts --format json` of that moment printed nothing.
+// Guards against a command that fails at once during a change of leader. Each controller was tried only
+// once, although 421 and 503 are temporary and the next leader was ready a second later. Seen in the loopback
+// test with seed 309 at load 31: `counts --format json` printed nothing just after "leader deposed token=318".
 #[test]
-fn a_question_waits_while_the_leader_changes() {
-    let (addr, serving) = controller(&[421, 503, 200]);
-    let answer: serde_json::Value = nodes(addr).get("/v1/counts").unwrap();
-    assert_eq!(answer, serde_json::json!({}));
-    assert_eq!(serving.join().unwrap(), 3);
+fn requests_are_retried_during_a_change_of_leader() {
+    let (addr, server) = controller(&[421, 503, 200]);
+    let response: serde_json::Value = nodes(addr).get("/v1/counts").unwrap();
+    assert_eq!(response, serde_json::json!({}));
+    assert_eq!(server.join().unwrap(), 3);
 }
 
-// A refusal is an answer, and where no controller is there at all nobody waits.
+// Neither a rejection nor the absence of all controllers is retried.
 #[test]
-fn what_waiting_does_not_change_is_said_at_once() {
-    let (addr, serving) = controller(&[403]);
-    let refused = nodes(addr)
+fn permanent_failures_are_reported_at_once() {
+    let (addr, server) = controller(&[403]);
+    let rejected = nodes(addr)
         .get::<serde_json::Value>("/v1/counts/holders")
         .unwrap_err();
-    assert!(matches!(refused, ClientError::Refused(403, _)), "{refused}");
-    serving.join().unwrap();
-    let began = std::time::Instant::now();
-    let absent = nodes(addr).get::<serde_json::Value>("/v1/counts").unwrap_err();
-    assert!(matches!(absent, ClientError::NoAnswer(_)), "{absent}");
-    assert!(began.elapsed() < LEADER_WAIT, "it was asked again");
+    assert!(matches!(rejected, ClientError::Refused(403, _)), "{rejected}");
+    server.join().unwrap();
+    let started_at = std::time::Instant::now();
+    let unreachable = nodes(addr).get::<serde_json::Value>("/v1/counts").unwrap_err();
+    assert!(matches!(unreachable, ClientError::NoResponse(_)), "{unreachable}");
+    assert!(started_at.elapsed() < LEADER_TIMEOUT, "the request was retried");
 }
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -1,7 +1,7 @@
-//! `indigopath condor`: HTCondor submit files, by the commands that their users know.
+//! `indigopath condor`: HTCondor submit files, with subcommands that correspond to those of HTCondor.
 
 use crate::client::{ClientError, Format, Nodes, table};
-use crate::{BAD_SETTINGS, Files, load};
+use crate::{INVALID_SETTINGS_STATUS, SettingsFiles, load_settings};
 use clap::{Args, Subcommand};
 use indigopath_condor::{
     Bundle, CondorSettings, MatchResults, PathKind, Recorder, Site, Submission, SubmitError, Verdict,
@@ -22,34 +22,34 @@
 #[derive(Args)]
 pub struct CondorArgs {
     #[command(subcommand)]
-    what: What,
+    command: CondorCommand,
     #[command(flatten)]
     nodes: Nodes,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum CondorCommand {
     /// Submit a file as a cluster, as a whole or not at all
-    Submit(Submit),
+    Submit(SubmitArgs),
     /// Show what is queued, runs or is held
-    Q(Queue),
+    Q(QueueArgs),
     /// Keep clusters from running; what runs is stopped
-    Hold(Ids),
+    Hold(IdArgs),
     /// Let held clusters run
-    Release(Ids),
+    Release(IdArgs),
     /// Remove clusters
-    Rm(Ids),
+    Rm(IdArgs),
     /// Show accepted clusters, or what became of one
     History {
         /// Only this one, job by job
         cluster: Option<u64>,
     },
     /// Say, without submitting, what would become of each proc of a file
-    Explain(Explain),
+    Explain(ExplainArgs),
 }
 
 #[derive(Args)]
-struct Submit {
+struct SubmitArgs {
     /// The submit file
     file: PathBuf,
     /// Who submits
@@ -64,7 +64,7 @@
 }
 
 #[derive(Args)]
-struct Queue {
+struct QueueArgs {
     /// Only these clusters
     clusters: Vec<u64>,
     /// A line for each array of procs that ask for the same
@@ -76,77 +76,77 @@
 }
 
 #[derive(Args)]
-struct Ids {
+struct IdArgs {
     /// Clusters, as in 7, or procs, as in 7.3
     #[arg(required = true)]
     ids: Vec<String>,
 }
 
 #[derive(Args)]
-struct Explain {
+struct ExplainArgs {
     /// The submit file
     file: PathBuf,
     /// Machine types, as the cloud's GET /flavors answers (JSON)
     #[arg(long, value_name = "FLAVORS.json")]
     machines: PathBuf,
     #[command(flatten)]
-    settings: Files,
+    settings: SettingsFiles,
 }
 
 #[derive(Debug, Error)]
 enum CondorError {
     #[error("{0}")]
-    Settings(#[from] crate::FileError),
-    #[error("{}: {why}", path.display())]
-    File { path: PathBuf, why: String },
-    /// The text is at fault: nothing precedes the place.
+    Settings(#[from] crate::SettingsFileError),
+    #[error("{}: {reason}", path.display())]
+    File { path: PathBuf, reason: String },
+    /// An error in the submit file. Its message starts with the location and gets no prefix.
     #[error("{0}")]
     Submit(#[from] SubmitError),
     #[error("what was found cannot be written: {0}")]
     Write(#[from] std::io::Error),
     #[error("{0:?} is neither a cluster nor a proc: one is 7 or 7.3")]
-    NoId(String),
+    InvalidId(String),
     #[error("{0}")]
     Bundle(String),
     #[error(transparent)]
     Client(#[from] ClientError),
 }
 
-/// What a proc's line says.
+/// The JSON output for one proc.
 #[derive(Serialize)]
-struct Line<'a> {
+struct ProcLine<'a> {
     proc: usize,
     verdict: Verdict,
     kinds: &'a [String],
     reason: Option<&'a str>,
 }
 
-/// Carries a command out, and says how it went.
+/// Runs the command and returns its exit status.
 pub fn run(args: &CondorArgs) -> ExitCode {
     let nodes = &args.nodes;
-    let done = match &args.what {
-        What::Submit(submit) => submit.run(nodes),
-        What::Q(queue) => queue.run(nodes),
-        What::Hold(ids) => change(nodes, ids, "hold", "held"),
-        What::Release(ids) => change(nodes, ids, "release", "released"),
-        What::Rm(ids) => change(nodes, ids, "remove", "marked for removal"),
-        What::History { cluster } => history(nodes, *cluster),
-        What::Explain(explain) => explain.run(nodes.format),
+    let result = match &args.command {
+        CondorCommand::Submit(submit) => submit.run(nodes),
+        CondorCommand::Q(queue) => queue.run(nodes),
+        CondorCommand::Hold(ids) => change_clusters(nodes, ids, "hold", "held"),
+        CondorCommand::Release(ids) => change_clusters(nodes, ids, "release", "released"),
+        CondorCommand::Rm(ids) => change_clusters(nodes, ids, "remove", "marked for removal"),
+        CondorCommand::History { cluster } => show_history(nodes, *cluster),
+        CondorCommand::Explain(explain) => explain.run(nodes.format),
     };
-    match done {
+    match result {
         Ok(code) => code,
         Err(CondorError::Submit(error)) => {
             eprintln!("{error}");
             ExitCode::FAILURE
         }
-        // Whoever reads has read enough.
+        // The reader of the output closed the pipe.
         Err(CondorError::Write(error)) if error.kind() == std::io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("indigopath: {error}");
             match error {
-                CondorError::Client(ClientError::NoNode) => ExitCode::from(BAD_SETTINGS),
+                CondorError::Client(ClientError::NoNodes) => ExitCode::from(INVALID_SETTINGS_STATUS),
                 CondorError::Client(_) => ExitCode::FAILURE,
-                _ => ExitCode::from(BAD_SETTINGS),
+                _ => ExitCode::from(INVALID_SETTINGS_STATUS),
             }
         }
     }
@@ -156,14 +156,14 @@
     Ok(writeln!(std::io::stdout().lock(), "{text}")?)
 }
 
-impl Submit {
+impl SubmitArgs {
     fn run(&self, nodes: &Nodes) -> Result<ExitCode, CondorError> {
         let text = read(&self.file)?;
         let file = self.file.display().to_string();
         let at_s = now_s();
-        // Read here first: what cannot be read need not be sent, and this tells what else
-        // has to go along.
-        let recorder = Recorder::new(&Here);
+        // Parses the file locally first: an invalid file is not sent, and this records which other files
+        // and values must be sent with it.
+        let recorder = Recorder::new(&LocalEnvironment);
         indigopath_condor::read(&text, &file, 0, at_s, &recorder)?;
         let key = self
             .key
@@ -185,25 +185,25 @@
                 "the file and what goes along are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are taken: split it"
             )));
         }
-        let until = Instant::now() + Duration::from_secs(self.wait);
-        let mut told = String::new();
+        let deadline = Instant::now() + Duration::from_secs(self.wait);
+        let mut last_problem = String::new();
         loop {
             match nodes.post::<AcceptedCluster>(paths::CLUSTERS, &body) {
-                Ok(accepted) => return self.accepted(&accepted, nodes),
-                // The same again, under the same key, is never a second cluster.
-                Err(ClientError::NoAnswer(problem)) if Instant::now() < until => {
-                    if problem != told {
+                Ok(accepted) => return self.print_accepted(&accepted, nodes),
+                // Resending with the same key never creates a second cluster.
+                Err(ClientError::NoResponse(problem)) if Instant::now() < deadline => {
+                    if problem != last_problem {
                         eprintln!("indigopath: {problem}; trying again");
-                        told = problem;
+                        last_problem = problem;
                     }
-                    std::thread::sleep(Duration::from_millis(RETRY_MS));
+                    std::thread::sleep(Duration::from_millis(RETRY_DELAY_MS));
                 }
                 Err(ClientError::Refused(status, body)) => {
-                    let refused: Result<SubmitRejection, _> = serde_json::from_str(&body);
-                    match refused {
-                        Ok(refused) if !refused.refused.is_empty() => {
-                            for told in &refused.refused {
-                                eprintln!("procs {}: {}: {}", told.procs, told.verdict, told.reason);
+                    let rejection: Result<SubmitRejection, _> = serde_json::from_str(&body);
+                    match rejection {
+                        Ok(rejection) if !rejection.refused.is_empty() => {
+                            for group in &rejection.refused {
+                                eprintln!("procs {}: {}: {}", group.procs, group.verdict, group.reason);
                             }
                             eprintln!("indigopath: nothing was submitted");
                         }
@@ -212,7 +212,7 @@
                     return Ok(ExitCode::FAILURE);
                 }
                 Err(error) => {
-                    if matches!(error, ClientError::NoAnswer(_)) {
+                    if matches!(error, ClientError::NoResponse(_)) {
                         eprintln!("indigopath: to go on with it later: --key {}", bundle.key);
                     }
                     return Err(error.into());
@@ -221,14 +221,14 @@
         }
     }
 
-    fn accepted(&self, accepted: &AcceptedCluster, nodes: &Nodes) -> Result<ExitCode, CondorError> {
+    fn print_accepted(&self, accepted: &AcceptedCluster, nodes: &Nodes) -> Result<ExitCode, CondorError> {
         for note in &accepted.notes {
             eprintln!("{note}");
         }
-        for told in &accepted.held {
-            eprintln!("procs {} are held: {}", told.procs, told.reason);
+        for group in &accepted.held {
+            eprintln!("procs {} are held: {}", group.procs, group.reason);
         }
-        let text = nodes.show(accepted, |accepted| {
+        let text = nodes.format_output(accepted, |accepted| {
             format!(
                 "{} job(s) submitted to cluster {}.",
                 accepted.procs, accepted.cluster
@@ -239,10 +239,10 @@
     }
 }
 
-/// Wait, in ms, before a submission is sent again.
-const RETRY_MS: u64 = 1_000;
+/// Delay before a submission is retried, in ms.
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// A cluster at a glance.
+/// Totals of a cluster.
 struct Batch<'a> {
     first: &'a QueueRow,
     procs: Vec<&'a str>,
@@ -252,14 +252,14 @@
     held: u32,
 }
 
-impl Queue {
+impl QueueArgs {
     fn run(&self, nodes: &Nodes) -> Result<ExitCode, CondorError> {
         let mut list: QueueList = nodes.get(&format!("{}queue", paths::CONDOR))?;
         list.jobs.retain(|row| {
-            let named = self.clusters.is_empty() || self.clusters.contains(&row.cluster);
-            named && (!self.hold || row.state == RowState::Held)
+            let is_selected = self.clusters.is_empty() || self.clusters.contains(&row.cluster);
+            is_selected && (!self.hold || row.state == RowState::Held)
         });
-        let text = nodes.show(&list, |list| {
+        let text = nodes.format_output(&list, |list| {
             let rows = if self.hold {
                 hold_table(list)
             } else if self.nobatch {
@@ -274,13 +274,13 @@
     }
 }
 
-fn when(ms: u64) -> String {
+fn format_time(ms: u64) -> String {
     let at = chrono::DateTime::from_timestamp_millis(ms as i64).unwrap_or_default();
     at.format("%m/%d %H:%M").to_string()
 }
 
-/// Done, running, idle and held procs of an array. A gang is one proc.
-fn shares(row: &QueueRow) -> [u32; 4] {
+/// Returns the numbers of done, running, idle and held procs of an array. A gang counts as one proc.
+fn count_by_state(row: &QueueRow) -> [u32; 4] {
     if row.gang {
         return match row.state {
             RowState::Running => [0, 1, 0, 0],
@@ -298,7 +298,7 @@
 fn batch_table(list: &QueueList) -> String {
     let mut batches: BTreeMap<u64, Batch<'_>> = BTreeMap::new();
     for row in &list.jobs {
-        let [done, running, idle, held] = shares(row);
+        let [done, running, idle, held] = count_by_state(row);
         let batch = batches.entry(row.cluster).or_insert_with(|| Batch {
             first: row,
             procs: Vec::new(),
@@ -325,7 +325,7 @@
         vec![
             batch.first.owner.clone(),
             format!("ID: {cluster}"),
-            when(batch.first.submitted_ms),
+            format_time(batch.first.submitted_ms),
             count(batch.done),
             count(batch.running),
             count(batch.idle),
@@ -334,7 +334,7 @@
             format!("{cluster}.{}", batch.procs.join(",")),
         ]
     });
-    let head = [
+    let header = [
         "OWNER",
         "BATCH_NAME",
         "SUBMITTED",
@@ -345,7 +345,7 @@
         "TOTAL",
         "JOB_IDS",
     ];
-    table(&head, &[3, 4, 5, 6, 7], rows)
+    table(&header, &[3, 4, 5, 6, 7], rows)
 }
 
 fn array_table(list: &QueueList) -> String {
@@ -359,7 +359,7 @@
             format!("{}.{}", row.cluster, row.procs),
             row.owner.clone(),
             row.team.clone(),
-            when(row.submitted_ms),
+            format_time(row.submitted_ms),
             state.to_owned(),
             format!("{}/{}/{}", row.done, row.running, row.tasks),
             format!("{:.1}", row.memory_gb),
@@ -367,7 +367,7 @@
             row.cmd.clone(),
         ]
     });
-    let head = [
+    let header = [
         "ID",
         "OWNER",
         "TEAM",
@@ -378,7 +378,7 @@
         "JOB",
         "CMD",
     ];
-    table(&head, &[6], rows)
+    table(&header, &[6], rows)
 }
 
 fn hold_table(list: &QueueList) -> String {
@@ -386,7 +386,7 @@
         vec![
             format!("{}.{}", row.cluster, row.procs),
             row.owner.clone(),
-            when(row.submitted_ms),
+            format_time(row.submitted_ms),
             if row.releasable { "its user" } else { "the limit" }.to_owned(),
             row.hold.clone().unwrap_or_default(),
         ]
@@ -401,7 +401,7 @@
 fn totals(list: &QueueList) -> String {
     let mut sums = [0u32; 4];
     for row in &list.jobs {
-        for (sum, part) in sums.iter_mut().zip(shares(row)) {
+        for (sum, part) in sums.iter_mut().zip(count_by_state(row)) {
             *sum += part;
         }
     }
@@ -412,47 +412,52 @@
     )
 }
 
-fn change(nodes: &Nodes, ids: &Ids, act: &str, told: &str) -> Result<ExitCode, CondorError> {
+fn change_clusters(
+    nodes: &Nodes,
+    ids: &IdArgs,
+    action: &str,
+    participle: &str,
+) -> Result<ExitCode, CondorError> {
     for id in &ids.ids {
         if parse_target(id).is_none() {
-            return Err(CondorError::NoId(id.clone()));
+            return Err(CondorError::InvalidId(id.clone()));
         }
     }
     let mut code = ExitCode::SUCCESS;
     for id in &ids.ids {
-        let changed: ChangeSummary = nodes.post(&format!("{}/{id}/{act}", paths::CLUSTERS), "")?;
-        for not in &changed.not {
+        let changed: ChangeSummary = nodes.post(&format!("{}/{id}/{action}", paths::CLUSTERS), "")?;
+        for group in &changed.not {
             eprintln!(
                 "{}.{} {}: {}",
-                changed.cluster, not.procs, not.verdict, not.reason
+                changed.cluster, group.procs, group.verdict, group.reason
             );
             code = ExitCode::FAILURE;
         }
-        let text = nodes.show(&changed, |changed| match (changed.procs, id.contains('.')) {
-            (0, _) => format!("nothing of {id} is {told}"),
-            (_, true) => format!("Job {id} {told}"),
+        let text = nodes.format_output(&changed, |changed| match (changed.procs, id.contains('.')) {
+            (0, _) => format!("nothing of {id} is {participle}"),
+            (_, true) => format!("Job {id} {participle}"),
             (_, false) if changed.not.is_empty() => {
-                format!("All jobs in cluster {id} have been {told}")
+                format!("All jobs in cluster {id} have been {participle}")
             }
-            (procs, false) => format!("{procs} jobs in cluster {id} have been {told}"),
+            (procs, false) => format!("{procs} jobs in cluster {id} have been {participle}"),
         })?;
         print(&text)?;
     }
     Ok(code)
 }
 
-fn history(nodes: &Nodes, cluster: Option<u64>) -> Result<ExitCode, CondorError> {
+fn show_history(nodes: &Nodes, cluster: Option<u64>) -> Result<ExitCode, CondorError> {
     let path = format!("{}history", paths::CONDOR);
     let found: History = match cluster {
         Some(cluster) => nodes.get(&format!("{path}/{cluster}"))?,
         None => nodes.get(&path)?,
     };
-    let text = nodes.show(&found, |found| {
+    let text = nodes.format_output(&found, |found| {
         let rows = found.clusters.iter().map(|record| {
             vec![
                 record.cluster.to_string(),
                 record.owner.clone(),
-                when(record.at_ms),
+                format_time(record.at_ms),
                 record.procs.to_string(),
                 record.jobs.to_string(),
                 record.file.clone(),
@@ -477,13 +482,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-impl Explain {
+impl ExplainArgs {
     fn run(&self, format: Format) -> Result<ExitCode, CondorError> {
-        let settings = load(&self.settings)?;
-        let flavors: MachineTypeList =
+        let settings = load_settings(&self.settings)?;
+        let machine_types: MachineTypeList =
             serde_json::from_str(&read(&self.machines)?).map_err(|error| CondorError::File {
                 path: self.machines.clone(),
-                why: error.to_string(),
+                reason: error.to_string(),
             })?;
         let text = read(&self.file)?;
         let condor = settings.operator.condor.clone().unwrap_or_else(|| {
@@ -501,16 +506,22 @@
         });
         let site = indigopath_controller::condor::site(
             &settings.deployment,
-            &flavors.types,
+            &machine_types.types,
             &settings.operator.counted_resources,
             &condor,
         );
-        let submission = indigopath_condor::read(&text, &self.file.display().to_string(), 1, now_s(), &Here)?;
-        for (place, note) in indigopath_condor::notes(&submission) {
-            eprintln!("{place}: note: {note}");
+        let submission = indigopath_condor::read(
+            &text,
+            &self.file.display().to_string(),
+            1,
+            now_s(),
+            &LocalEnvironment,
+        )?;
+        for (location, note) in indigopath_condor::notes(&submission) {
+            eprintln!("{location}: note: {note}");
         }
         for machine in condor.machines.keys() {
-            if flavors
+            if machine_types
                 .types
                 .iter()
                 .all(|machine_type| machine_type.name != *machine)
@@ -518,11 +529,14 @@
                 eprintln!("condor.machine.{machine}: note: the cloud has no such machine type");
             }
         }
-        let judged = indigopath_condor::match_submission(&submission, 1, now_s(), &site);
-        show(format, &submission, &judged, &site)?;
-        let bad = |verdict| matches!(verdict, Verdict::Refused | Verdict::Never);
-        let any_bad = judged.outcomes.iter().any(|outcome| bad(outcome.verdict));
-        Ok(if any_bad {
+        let results = indigopath_condor::match_submission(&submission, 1, now_s(), &site);
+        print_results(format, &submission, &results, &site)?;
+        let is_rejected = |verdict| matches!(verdict, Verdict::Refused | Verdict::Never);
+        let any_rejected = results
+            .outcomes
+            .iter()
+            .any(|outcome| is_rejected(outcome.verdict));
+        Ok(if any_rejected {
             ExitCode::FAILURE
         } else {
             ExitCode::SUCCESS
@@ -530,13 +544,13 @@
     }
 }
 
-fn show(
+fn print_results(
     format: Format,
     submission: &Submission,
-    judged: &MatchResults,
+    results: &MatchResults,
     site: &Site,
 ) -> Result<(), CondorError> {
-    let kinds: Vec<Vec<String>> = judged
+    let kinds: Vec<Vec<String>> = results
         .outcomes
         .iter()
         .map(|outcome| site.kinds.names(&outcome.kinds))
@@ -544,13 +558,13 @@
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     match format {
         Format::Json => {
-            for (proc, at) in judged.outcome_of_proc.iter().enumerate() {
+            for (proc, at) in results.outcome_of_proc.iter().enumerate() {
                 let at = *at as usize;
-                let line = Line {
+                let line = ProcLine {
                     proc,
-                    verdict: judged.outcomes[at].verdict,
+                    verdict: results.outcomes[at].verdict,
                     kinds: &kinds[at],
-                    reason: judged.outcomes[at].reason.as_deref(),
+                    reason: results.outcomes[at].reason.as_deref(),
                 };
                 serde_json::to_writer(&mut out, &line).map_err(std::io::Error::from)?;
                 out.write_all(b"\n")?;
@@ -558,30 +572,30 @@
         }
         Format::Table => {
             let mut rows = Vec::new();
-            // Procs that share their outcome share a row.
-            let mut from = 0;
-            while let Some(at) = judged.outcome_of_proc.get(from).copied() {
-                let same = judged.outcome_of_proc[from..]
+            // Consecutive procs with the same outcome share a row.
+            let mut first = 0;
+            while let Some(at) = results.outcome_of_proc.get(first).copied() {
+                let count = results.outcome_of_proc[first..]
                     .iter()
                     .take_while(|other| **other == at)
                     .count();
-                let outcome = &judged.outcomes[at as usize];
-                let procs = match same {
-                    1 => from.to_string(),
-                    _ => format!("{from}-{}", from + same - 1),
+                let outcome = &results.outcomes[at as usize];
+                let procs = match count {
+                    1 => first.to_string(),
+                    _ => format!("{first}-{}", first + count - 1),
                 };
                 let verdict = format!("{:?}", outcome.verdict).to_lowercase();
                 let reason = outcome.reason.clone().unwrap_or_default();
                 rows.push(vec![procs, verdict, kinds[at as usize].join(", "), reason]);
-                from += same;
+                first += count;
             }
-            let head = ["PROCS", "VERDICT", "MACHINES", "REASON"];
-            writeln!(out, "{}", table(&head, &[], rows.into_iter()))?;
+            let header = ["PROCS", "VERDICT", "MACHINES", "REASON"];
+            writeln!(out, "{}", table(&header, &[], rows.into_iter()))?;
             writeln!(
                 out,
                 "{} procs, {} different requests",
                 submission.procs(),
-                judged.outcomes.len()
+                results.outcomes.len()
             )?;
         }
     }
@@ -591,7 +605,7 @@
 fn read(path: &Path) -> Result<String, CondorError> {
     std::fs::read_to_string(path).map_err(|error| CondorError::File {
         path: path.to_owned(),
-        why: error.to_string(),
+        reason: error.to_string(),
     })
 }
 
@@ -600,25 +614,25 @@
     now.map_or(0, |now| now.as_secs() as i64)
 }
 
-/// Files of the place from which this is called.
-struct Here;
+/// The files and environment variables of the calling process.
+struct LocalEnvironment;
 
-impl indigopath_condor::SubmitEnvironment for Here {
+impl indigopath_condor::SubmitEnvironment for LocalEnvironment {
     fn read_file(&self, path: &str) -> Result<String, String> {
         std::fs::read_to_string(path).map_err(|error| error.to_string())
     }
 
-    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, pattern: &str, kind: PathKind) -> Result<Vec<String>, String> {
         let paths = glob::glob(pattern).map_err(|error| error.to_string())?;
         let mut found = Vec::new();
         for path in paths {
             let path = path.map_err(|error| error.to_string())?;
-            let wanted = match what {
+            let is_match = match kind {
                 PathKind::Files => path.is_file(),
                 PathKind::Folders => path.is_dir(),
                 PathKind::Any => true,
             };
-            if wanted {
+            if is_match {
                 found.push(path.display().to_string());
             }
         }
--- a/crates/indigopath/src/counts.rs
+++ b/crates/indigopath/src/counts.rs
@@ -1,4 +1,4 @@
-//! `indigopath counts`: what the leader says of counted resources, as a table or as JSON.
+//! `indigopath counts`: shows the counted resources as reported by the leader, as a table or as JSON.
 
 use crate::client::{ClientError, Nodes, table};
 use clap::{Args, Subcommand};
@@ -10,13 +10,13 @@
 #[derive(Args)]
 pub struct CountsArgs {
     #[command(subcommand)]
-    what: Option<What>,
+    command: Option<CountsCommand>,
     #[command(flatten)]
     nodes: Nodes,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum CountsCommand {
     /// Every count at a glance (the default)
     List,
     /// Tasks that hold units, and units that linger
@@ -34,39 +34,39 @@
 #[derive(Debug, Error)]
 pub enum CountsError {
     #[error("{0:?} is no job id: one is wk- and a number")]
-    NoJob(String),
+    InvalidJobId(String),
     #[error(transparent)]
     Client(#[from] ClientError),
 }
 
-/// Asks, and returns what is to be printed.
+/// Runs the command and returns its output.
 ///
 /// # Errors
-/// Nobody who leads answers, the answer is a refusal, or it cannot be read.
+/// No leader answers, the request is rejected, or the response is invalid.
 pub fn run(args: &CountsArgs) -> Result<String, CountsError> {
-    match args.what.as_ref().unwrap_or(&What::List) {
-        What::List => {
+    match args.command.as_ref().unwrap_or(&CountsCommand::List) {
+        CountsCommand::List => {
             let list: CountList = args.nodes.get(paths::COUNTS)?;
-            Ok(args.nodes.show(&list, list_table)?)
+            Ok(args.nodes.format_output(&list, count_table)?)
         }
-        What::Holders { count } => {
+        CountsCommand::Holders { count } => {
             let path = format!("{}/{}", paths::COUNTS, paths::HOLDERS);
             let mut list: HolderList = args.nodes.get(&path)?;
             if let Some(count) = count {
                 list.holders.retain(|holder| holder.count == *count);
             }
-            Ok(args.nodes.show(&list, holders_table)?)
+            Ok(args.nodes.format_output(&list, holder_table)?)
         }
-        What::Explain { job } => {
-            let job = parse_id(job).ok_or_else(|| CountsError::NoJob(job.clone()))?;
+        CountsCommand::Explain { job } => {
+            let job = parse_id(job).ok_or_else(|| CountsError::InvalidJobId(job.clone()))?;
             let path = format!("{}/{}{job}", paths::COUNTS, paths::EXPLAIN);
             let explanation: Explanation = args.nodes.get(&path)?;
-            Ok(args.nodes.show(&explanation, explain_text)?)
+            Ok(args.nodes.format_output(&explanation, format_explanation)?)
         }
     }
 }
 
-fn list_table(list: &CountList) -> String {
+fn count_table(list: &CountList) -> String {
     if list.counts.is_empty() {
         return "no counts are defined".to_owned();
     }
@@ -84,31 +84,31 @@
             ]
             .map(|units| units.to_string()),
         );
-        row.push(note(count));
+        row.push(remarks(count));
         row
     });
-    let head = [
+    let header = [
         "COUNT", "UNITS", "HELD", "LINGER", "OTHERS", "FREE", "KEPT", "WAITING", "",
     ];
-    table(&head, &[1, 2, 3, 4, 5, 6, 7], rows)
+    table(&header, &[1, 2, 3, 4, 5, 6, 7], rows)
 }
 
-/// What is unusual about a count.
-fn note(count: &CountStatus) -> String {
-    let mut notes = Vec::new();
-    notes.extend(count.closed.clone());
+/// Returns remarks on unusual states of a count.
+fn remarks(count: &CountStatus) -> String {
+    let mut remarks = Vec::new();
+    remarks.extend(count.closed.clone());
     let taken = u64::from(count.held) + u64::from(count.lingering) + u64::from(count.others);
     if taken > u64::from(count.usable) && count.closed.is_none() {
-        notes.push("more is taken than there is: nothing starts".to_owned());
+        remarks.push("more is taken than there is: nothing starts".to_owned());
     }
     if count.units.is_some_and(|units| count.usable < units) {
-        notes.push(format!(
+        remarks.push(format!(
             "its licence covers fewer than the {} defined",
             count.units.unwrap_or(0)
         ));
     }
     if count.leaving > 0 {
-        notes.push(format!("{} are being given up", count.leaving));
+        remarks.push(format!("{} are being given up", count.leaving));
     }
     let shares: Vec<String> = count
         .teams
@@ -117,12 +117,12 @@
         .map(|team| format!("{} {}/{}", team.team, team.used, team.share))
         .collect();
     if !shares.is_empty() {
-        notes.push(format!("shares {}", shares.join(", ")));
+        remarks.push(format!("shares {}", shares.join(", ")));
     }
-    notes.join("; ")
+    remarks.join("; ")
 }
 
-fn holders_table(list: &HolderList) -> String {
+fn holder_table(list: &HolderList) -> String {
     if list.holders.is_empty() {
         return "nobody holds any".to_owned();
     }
@@ -141,11 +141,11 @@
             },
         ]
     });
-    let head = ["COUNT", "UNITS", "TEAM", "TASK", "MACHINE", "STATE", "TIME"];
-    table(&head, &[1], rows)
+    let header = ["COUNT", "UNITS", "TEAM", "TASK", "MACHINE", "STATE", "TIME"];
+    table(&header, &[1], rows)
 }
 
-fn explain_text(explanation: &Explanation) -> String {
+fn format_explanation(explanation: &Explanation) -> String {
     let mut text = format!(
         "{}: {} tasks wait; {}",
         explanation.id, explanation.waiting, explanation.verdict
@@ -153,14 +153,14 @@
     if explanation.counts.is_empty() {
         return text;
     }
-    let rows = explanation.counts.iter().map(|asked| {
+    let rows = explanation.counts.iter().map(|requested| {
         vec![
-            asked.count.clone(),
-            asked.needs.to_string(),
-            asked.free.to_string(),
-            asked.kept.to_string(),
-            asked.ahead.to_string(),
-            asked.why.clone().unwrap_or_default(),
+            requested.count.clone(),
+            requested.needs.to_string(),
+            requested.free.to_string(),
+            requested.kept.to_string(),
+            requested.ahead.to_string(),
+            requested.why.clone().unwrap_or_default(),
         ]
     });
     text.push('\n');
--- a/crates/indigopath/src/counts/tests.rs
+++ b/crates/indigopath/src/counts/tests.rs
@@ -2,7 +2,7 @@
 use indigopath_counted_resources::status::{RequestedCount, TeamStatus};
 
 #[test]
-fn a_table_says_what_is_unusual() {
+fn the_table_remarks_on_unusual_states() {
     let count = CountStatus {
         name: "seat".to_owned(),
         units: Some(4),
@@ -23,7 +23,7 @@
         }],
         server: None,
     };
-    let text = list_table(&CountList { counts: vec![count] });
+    let text = count_table(&CountList { counts: vec![count] });
     let lines: Vec<&str> = text.lines().collect();
     assert!(lines[0].trim_start().starts_with("COUNT"), "{text}");
     assert!(lines[1].contains("more is taken than there is"), "{text}");
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn an_explanation_is_a_sentence_and_the_figures() {
-    let text = explain_text(&Explanation {
+fn an_explanation_has_a_sentence_and_a_table() {
+    let text = format_explanation(&Explanation {
         id: "wk-7".to_owned(),
         waiting: 3,
         verdict: "3 of its tasks wait for units of seat: all are held".to_owned(),
--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -244,7 +244,7 @@
                 self.node.handle(command);
             }
             self.node.run_due_work();
-            crate::TOKEN.store(self.node.token().unwrap_or(0), Ordering::Relaxed);
+            crate::LEADER_TOKEN.store(self.node.token().unwrap_or(0), Ordering::Relaxed);
             for effect in self.node.take_effects() {
                 self.execute(effect, now);
             }
--- a/crates/indigopath/src/main.rs
+++ b/crates/indigopath/src/main.rs
@@ -16,14 +16,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use thiserror::Error;
 
-/// Exit status when the settings cannot be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit status for invalid settings or arguments.
+const INVALID_SETTINGS_STATUS: u8 = 2;
 
-/// Longest line that says what is wrong with the settings, in characters.
-const LONGEST_ERROR: usize = 500;
+/// Maximum length of an error message about the settings, in characters.
+const MAX_ERROR_CHARS: usize = 500;
 
-/// Token of the term in which this node leads, for the log; 0 while it does not.
-static TOKEN: AtomicU64 = AtomicU64::new(0);
+/// Fencing token of this node's term as leader, for log lines; 0 while it is not the leader.
+static LEADER_TOKEN: AtomicU64 = AtomicU64::new(0);
 
 #[derive(Parser)]
 #[command(name = "indigopath", version, about, args_conflicts_with_subcommands = true)]
@@ -31,11 +31,11 @@
     #[command(subcommand)]
     command: Option<Command>,
     #[command(flatten)]
-    files: Option<Files>,
+    files: Option<SettingsFiles>,
 }
 
 #[derive(Args)]
-struct Files {
+struct SettingsFiles {
     /// The platform's settings (JSON)
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
@@ -47,7 +47,7 @@
 #[derive(Subcommand)]
 enum Command {
     /// Check the settings files and say what is wrong with them
-    Check(Files),
+    Check(SettingsFiles),
     /// Show counted resources: licences and other named counts
     Counts(counts::CountsArgs),
     /// HTCondor submit files: what becomes of them here
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug, Error)]
-enum FileError {
+enum SettingsFileError {
     #[error("{}: {source}", path.display())]
     Read { path: PathBuf, source: std::io::Error },
     #[error("{}: {source}", path.display())]
@@ -69,35 +69,36 @@
     Hcl { path: PathBuf, source: hcl::Error },
 }
 
-fn read(path: &Path) -> Result<String, FileError> {
-    std::fs::read_to_string(path).map_err(|source| FileError::Read {
+fn read_file(path: &Path) -> Result<String, SettingsFileError> {
+    std::fs::read_to_string(path).map_err(|source| SettingsFileError::Read {
         path: path.to_owned(),
         source,
     })
 }
 
-fn load(files: &Files) -> Result<Settings, FileError> {
+fn load_settings(files: &SettingsFiles) -> Result<Settings, SettingsFileError> {
     let path = &files.config;
-    let settings = Settings::parse(&read(path)?).map_err(|source| FileError::Settings {
+    let settings = Settings::parse(&read_file(path)?).map_err(|source| SettingsFileError::Settings {
         path: path.clone(),
         source,
     })?;
     let Some(path) = &files.operator else {
         return Ok(settings);
     };
-    let value: serde_json::Value = hcl::from_str(&read(path)?).map_err(|source| FileError::Hcl {
-        path: path.clone(),
-        source,
-    })?;
-    let unusable = |source| FileError::Settings {
+    let value: serde_json::Value =
+        hcl::from_str(&read_file(path)?).map_err(|source| SettingsFileError::Hcl {
+            path: path.clone(),
+            source,
+        })?;
+    let settings_error = |source| SettingsFileError::Settings {
         path: path.clone(),
         source,
     };
-    let operator = OperatorSettings::from_value(value).map_err(unusable)?;
-    settings.with_operator(operator).map_err(unusable)
+    let operator = OperatorSettings::from_value(value).map_err(settings_error)?;
+    settings.with_operator(operator).map_err(settings_error)
 }
 
-fn start_log(member: &str) {
+fn init_logger(member: &str) {
     let level = std::env::var("LOG_LEVEL")
         .ok()
         .and_then(|level| level.parse().ok())
@@ -108,7 +109,7 @@
         .format(move |out, record| {
             let time = out.timestamp_millis();
             let level = record.level().as_str().to_ascii_lowercase();
-            match TOKEN.load(Ordering::Relaxed) {
+            match LEADER_TOKEN.load(Ordering::Relaxed) {
                 0 => writeln!(out, "{time} {level} member={member} {}", record.args()),
                 token => writeln!(
                     out,
@@ -120,8 +121,8 @@
         .init();
 }
 
-/// Prints what was asked for, or why it cannot be had.
-fn show(outcome: Result<String, counts::CountsError>) -> ExitCode {
+/// Prints the output of a command, or its error.
+fn print_output(outcome: Result<String, counts::CountsError>) -> ExitCode {
     match outcome {
         Ok(text) => {
             println!("{text}");
@@ -137,7 +138,7 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let (files, check) = match (cli.command, cli.files) {
-        (Some(Command::Counts(args)), _) => return show(counts::run(&args)),
+        (Some(Command::Counts(args)), _) => return print_output(counts::run(&args)),
         (Some(Command::Condor(args)), _) => return condor::run(&args),
         (Some(Command::Completions { shell }), _) => {
             let mut command = Cli::command();
@@ -148,35 +149,35 @@
         (None, Some(files)) => (files, false),
         (None, None) => {
             eprintln!("indigopath: --config FILE is needed; see --help");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS_STATUS);
         }
     };
-    let settings = match load(&files) {
+    let settings = match load_settings(&files) {
         Ok(settings) => settings,
         Err(error) => {
-            // One line of a bearable length, whatever the parser says: it quotes the file.
-            let words = error.to_string();
-            let line: String = words.split_whitespace().collect::<Vec<_>>().join(" ");
-            let line: String = line.chars().take(LONGEST_ERROR).collect();
+            // The parser quotes the file; its message is reduced to one line of limited length.
+            let message = error.to_string();
+            let line: String = message.split_whitespace().collect::<Vec<_>>().join(" ");
+            let line: String = line.chars().take(MAX_ERROR_CHARS).collect();
             eprintln!("indigopath: {line}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS_STATUS);
         }
     };
-    let doubts = settings.warnings();
+    let warnings = settings.warnings();
     if check {
-        for doubt in &doubts {
-            eprintln!("indigopath: warning: {doubt}");
+        for warning in &warnings {
+            eprintln!("indigopath: warning: {warning}");
         }
         println!("the settings of {} are usable", settings.node);
         return ExitCode::SUCCESS;
     }
-    start_log(&settings.node);
+    init_logger(&settings.node);
     log::info!("started version={}", env!("CARGO_PKG_VERSION"));
-    for doubt in doubts {
-        log::warn!("settings doubtful: {doubt}");
+    for warning in warnings {
+        log::warn!("settings doubtful: {warning}");
     }
-    let ended = event_loop::EventLoop::new(settings).and_then(event_loop::EventLoop::run);
-    if let Err(error) = ended {
+    let result = event_loop::EventLoop::new(settings).and_then(event_loop::EventLoop::run);
+    if let Err(error) = result {
         log::error!("stopped: {error}");
     }
     ExitCode::FAILURE
