--- a/crates/condor/benches/pass.rs
+++ b/crates/condor/benches/pass.rs
@@ -1,9 +1,9 @@
-//! What sets of kinds cost a scheduling pass: 10,000 waiting jobs whose expressions came to
-//! 250 different sets, against the same jobs with lists of machine types, on 1,000 machines of
-//! 40 kinds. The bar is 5 %.
+//! Measures what sets of machine kinds cost a scheduling pass: 10,000 waiting jobs whose
+//! expressions resulted in 250 different sets, compared with the same jobs with lists of machine
+//! types, on 1,000 machines of 40 kinds. The limit is 5 %.
 //!
-//! Before criterion's own figures, passes of both are timed in turn, and the median of their
-//! ratios is printed: on a busy machine only a pair compares.
+//! Before criterion's measurements, passes of both kinds are timed alternately, and the median of
+//! their ratios is printed: on a busy machine only paired measurements are comparable.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use indigopath_condor::KindSet;
@@ -20,20 +20,20 @@
 use std::time::Instant;
 
 const JOBS: usize = 10_000;
-const SETS: usize = 250;
+const KIND_SETS: usize = 250;
 const TYPES: usize = 10;
 const MACHINES: usize = 1_000;
-const PAIRS: usize = 101;
+const MEASUREMENT_PAIRS: usize = 101;
 
-struct World {
+struct Cluster {
     deployment: Deployment,
     types: MachineTypes,
     jobs: BTreeMap<JobId, Job>,
     machines: BTreeMap<MachineId, Machine>,
 }
 
-/// Types that a set allows: one to all of them.
-fn allowed(set: usize) -> Vec<String> {
+/// Returns the machine types that a set allows: one to all of them.
+fn allowed_types(set: usize) -> Vec<String> {
     let bits = set % 250 + 1;
     let types = (0..TYPES).filter(|number| bits >> (number % 8) & 1 == 1);
     types.map(|number| format!("t{number}")).collect()
@@ -41,32 +41,32 @@
 
 fn kind_set(set: usize) -> Arc<KindSet> {
     let zones = json!({ "east": [0, 0], "west": [0, 0] });
-    let types: Map<String, Value> = allowed(set)
+    let types: Map<String, Value> = allowed_types(set)
         .into_iter()
         .map(|name| (name, zones.clone()))
         .collect();
     Arc::new(serde_json::from_value(Value::Object(types)).expect("a set"))
 }
 
-fn spec(number: usize, native: bool, sets: &[Arc<KindSet>]) -> JobSpec {
+fn spec(number: usize, type_lists: bool, sets: &[Arc<KindSet>]) -> JobSpec {
     let value = json!({
         "id": format!("wk-{number}"), "class": "scans", "team": if number.is_multiple_of(2) { "red" } else { "blue" },
         "shape": "sweep", "priority": "standard", "tasks": 4,
         "needs": { "cpus": 4.0, "gpus": 0.0, "memory_gb": 8.0 }, "image": format!("img-{}", number % 20),
-        "image_gb": 1.0, "types": native.then(|| allowed(number % SETS)), "zone": null, "one_zone": false,
+        "image_gb": 1.0, "types": type_lists.then(|| allowed_types(number % KIND_SETS)), "zone": null, "one_zone": false,
         "spread": false, "spot": true, "estimate_s": 10.0 + (number % 60) as f64, "checkpoint_s": 0.0,
         "save_s": 0.0, "deadline_s": null, "submitted_ms": 0,
     });
     let mut spec: JobSpec = serde_json::from_value(value).expect("a job");
-    if !native {
-        spec.kinds = Some(sets[number % SETS].clone());
+    if !type_lists {
+        spec.kinds = Some(sets[number % KIND_SETS].clone());
     }
     spec
 }
 
-/// Machines that are busy but for what every tenth has free.
-fn world(native: bool) -> World {
-    let sets: Vec<Arc<KindSet>> = (0..SETS).map(kind_set).collect();
+/// Builds a cluster whose machines are busy, except for the free capacity of every tenth.
+fn build_cluster(type_lists: bool) -> Cluster {
+    let sets: Vec<Arc<KindSet>> = (0..KIND_SETS).map(kind_set).collect();
     let deployment = json!({
         "zones": ["east", "west"], "teams": [{ "name": "red" }, { "name": "blue" }],
         "workers": { "report_s": 3.0, "lease_s": 30.0, "gang_wait_s": 30.0, "gang_peer_s": 5.0, "cancel_s": 50.0 },
@@ -81,10 +81,11 @@
             })
         })
         .collect();
-    let flavors: MachineTypeList = serde_json::from_value(json!({ "Rigs": types })).expect("machine types");
+    let machine_types: MachineTypeList =
+        serde_json::from_value(json!({ "Rigs": types })).expect("machine types");
     let mut jobs: BTreeMap<JobId, Job> = (0..JOBS)
         .map(|number| {
-            let spec = spec(number, native, &sets);
+            let spec = spec(number, type_lists, &sets);
             (spec.id.clone(), Job::new(spec, 1, number as u64, 0))
         })
         .collect();
@@ -98,33 +99,33 @@
         machine.last_heard_at = Some(0);
         let tasks = if number.is_multiple_of(10) { 3 } else { 4 };
         for task in 0..tasks {
-            let holder = spec(JOBS + number * 4 + task, native, &sets);
+            let running_spec = spec(JOBS + number * 4 + task, type_lists, &sets);
             machine.attempts.push(Attempt {
-                estimate_s: holder.estimate_s,
+                estimate_s: running_spec.estimate_s,
                 durable: true,
                 reported_state: Some(TaskState::Running),
                 running_since: Some(0),
                 ..Attempt::planned(
                     TaskId {
-                        job: holder.id.clone(),
+                        job: running_spec.id.clone(),
                         index: 0,
                     },
                     1,
-                    Arc::from(holder.team.as_str()),
-                    holder.needs,
-                    holder.image.clone(),
+                    Arc::from(running_spec.team.as_str()),
+                    running_spec.needs,
+                    running_spec.image.clone(),
                     0,
                 )
             });
-            let mut running = Job::new(holder.clone(), 1, 0, 0);
+            let mut running = Job::new(running_spec.clone(), 1, 0, 0);
             running.waiting.clear();
-            jobs.insert(holder.id, running);
+            jobs.insert(running_spec.id, running);
         }
         machines.insert(id, machine);
     }
-    World {
+    Cluster {
         deployment: serde_json::from_value(deployment).expect("a deployment"),
-        types: flavors
+        types: machine_types
             .types
             .into_iter()
             .map(|known| (known.name.clone(), known))
@@ -134,10 +135,11 @@
     }
 }
 
-impl World {
-    /// Starts, and jobs that found no room.
+impl Cluster {
+    /// Runs a scheduling pass and returns the number of task starts and of jobs that were not
+    /// placed.
     fn pass(&self) -> (usize, usize) {
-        let (feeds, gone, keepers, task_locations) = (
+        let (feeds, recently_released, reserved_since, task_locations) = (
             BTreeMap::new(),
             HashMap::new(),
             BTreeMap::new(),
@@ -145,7 +147,7 @@
         );
         let definitions = Definitions::new();
         let starved = indigopath_controller::scheduling::fair_share::StarvedOwners::default();
-        let weights = indigopath_controller::leader::ImageLocality::default();
+        let image_statistics = indigopath_controller::leader::ImageLocality::default();
         let site = ClusterSnapshot {
             deployment: &self.deployment,
             types: &self.types,
@@ -155,15 +157,15 @@
             spot_loss_rate: 0.0,
             starved: &starved,
             aging_credit: placement::AgingCredit::default(),
-            image_statistics: &weights,
+            image_statistics: &image_statistics,
             protection: &placement::Protection::default(),
             units: CountedUnits {
                 definitions: &definitions,
                 policy: ReservationPolicy::default(),
-                reserved_since: &keepers,
+                reserved_since: &reserved_since,
                 feeds: &feeds,
                 lingers: &[],
-                recently_released: &gone,
+                recently_released: &recently_released,
             },
             now: 20_000,
         };
@@ -172,34 +174,36 @@
     }
 }
 
-fn passes(criterion: &mut Criterion) {
-    let (native, sets) = (world(true), world(false));
-    // The same jobs find the same room, whichever way they say where.
-    assert_eq!(native.pass(), sets.pass());
+fn bench_passes(criterion: &mut Criterion) {
+    let (type_lists, sets) = (build_cluster(true), build_cluster(false));
+    // Both representations of the allowed kinds give the same placements.
+    assert_eq!(type_lists.pass(), sets.pass());
     println!("starts, jobs without room: {:?}", sets.pass());
-    let time = |world: &World| {
-        let began = Instant::now();
-        black_box(world.pass());
-        began.elapsed().as_secs_f64()
+    let time = |cluster: &Cluster| {
+        let started_at = Instant::now();
+        black_box(cluster.pass());
+        started_at.elapsed().as_secs_f64()
     };
-    let mut ratios: Vec<f64> = (0..PAIRS).map(|_| time(&sets) / time(&native)).collect();
+    let mut ratios: Vec<f64> = (0..MEASUREMENT_PAIRS)
+        .map(|_| time(&sets) / time(&type_lists))
+        .collect();
     ratios.sort_by(f64::total_cmp);
     println!(
-        "a pass over {JOBS} jobs with {SETS} sets of kinds takes {:.3} of one with lists of types (bar 1.05; paired, \
+        "a pass over {JOBS} jobs with {KIND_SETS} sets of kinds takes {:.3} of one with lists of types (bar 1.05; paired, \
          median)",
-        ratios[PAIRS / 2]
+        ratios[MEASUREMENT_PAIRS / 2]
     );
     criterion.bench_function("pass, sets of kinds", |bench| {
         bench.iter(|| black_box(sets.pass()))
     });
     criterion.bench_function("pass, lists of types", |bench| {
-        bench.iter(|| black_box(native.pass()))
+        bench.iter(|| black_box(type_lists.pass()))
     });
 }
 
 criterion_group! {
     name = benches;
     config = Criterion::default().sample_size(20);
-    targets = passes
+    targets = bench_passes
 }
 criterion_main!(benches);
--- a/crates/condor/benches/submit.rs
+++ b/crates/condor/benches/submit.rs
@@ -1,5 +1,5 @@
-//! What submit files cost: a file of 100,000 procs read, and 10,000 different requirements
-//! held against 40 kinds of machines. The bars are 1 s and 100 ms.
+//! Measures the parsing of a file with 100,000 procs, and the matching of 10,000 different
+//! requirements with 40 kinds of machines. The limits are 1 s and 100 ms.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use indigopath_condor::{
@@ -13,7 +13,7 @@
 
 const PROCS: usize = 100_000;
 const REQUIREMENTS: usize = 10_000;
-/// Types in two zones, spot and ordinary: 40 kinds.
+/// Machine types, each in two zones and both spot and ordinary: 40 kinds.
 const TYPES: usize = 10;
 
 struct NoFiles;
@@ -77,7 +77,7 @@
     text
 }
 
-/// Some depend on the zone or the price, most do not, as files do.
+/// As in real files, some requirements depend on the zone or the price and most do not.
 fn many_requirements() -> String {
     let mut text = String::from("requirements = $(wanted)\nqueue wanted from (\n");
     for number in 0..REQUIREMENTS {
@@ -101,31 +101,31 @@
     text
 }
 
-fn parsed(text: &str) -> Submission {
+fn parse_file(text: &str) -> Submission {
     read(text, "bench.sub", 1, 0, &NoFiles).expect("a submit file")
 }
 
-/// Best of a few, in ms.
+/// Returns the shortest of five runs, in ms.
 fn best_ms(mut run: impl FnMut()) -> f64 {
     let times = (0..5).map(|_| {
-        let began = Instant::now();
+        let started_at = Instant::now();
         run();
-        began.elapsed().as_secs_f64() * 1_000.0
+        started_at.elapsed().as_secs_f64() * 1_000.0
     });
     times.fold(f64::INFINITY, f64::min)
 }
 
-fn submit(criterion: &mut Criterion) {
+fn bench_submit(criterion: &mut Criterion) {
     let site = site();
     assert_eq!(site.kinds.all().len(), 40);
     let (procs, requirements) = (many_procs(), many_requirements());
-    let submission = parsed(&procs);
-    let judged = match_submission(&submission, 1, 0, &site);
-    assert_eq!((submission.procs(), judged.outcomes.len()), (PROCS, 1));
-    let different = parsed(&requirements);
-    let judged = match_submission(&different, 1, 0, &site);
-    assert_eq!(judged.outcomes.len(), REQUIREMENTS);
-    let matching = judged
+    let submission = parse_file(&procs);
+    let results = match_submission(&submission, 1, 0, &site);
+    assert_eq!((submission.procs(), results.outcomes.len()), (PROCS, 1));
+    let different_requirements = parse_file(&requirements);
+    let results = match_submission(&different_requirements, 1, 0, &site);
+    assert_eq!(results.outcomes.len(), REQUIREMENTS);
+    let matching = results
         .outcomes
         .iter()
         .filter(|outcome| outcome.verdict == Verdict::Match);
@@ -136,21 +136,21 @@
     println!(
         "{PROCS} procs read in {:.0} ms (bar 1000), judged in {:.1} ms; {REQUIREMENTS} requirements against 40 kinds \
          in {:.1} ms (bar 100)",
-        best_ms(|| drop(black_box(parsed(&procs)))),
+        best_ms(|| drop(black_box(parse_file(&procs)))),
         best_ms(|| drop(black_box(match_submission(&submission, 1, 0, &site)))),
-        best_ms(|| drop(black_box(match_submission(&different, 1, 0, &site)))),
+        best_ms(|| drop(black_box(match_submission(&different_requirements, 1, 0, &site)))),
     );
     criterion.bench_function("read 100,000 procs", |bench| {
-        bench.iter(|| parsed(black_box(&procs)))
+        bench.iter(|| parse_file(black_box(&procs)))
     });
     criterion.bench_function("judge 10,000 requirements", |bench| {
-        bench.iter(|| match_submission(black_box(&different), 1, 0, &site));
+        bench.iter(|| match_submission(black_box(&different_requirements), 1, 0, &site));
     });
 }
 
 criterion_group! {
     name = benches;
     config = Criterion::default().sample_size(20);
-    targets = submit
+    targets = bench_submit
 }
 criterion_main!(benches);
--- a/crates/condor/tests/any_text.rs
+++ b/crates/condor/tests/any_text.rs
@@ -1,4 +1,4 @@
-//! Whatever text there is: no panic, no run without end, no more than the bounds allow.
+//! Property tests: arbitrary submit files cause no panic and no endless run, and exceed no limit.
 
 use indigopath_condor::constants::MAX_FILE_PROCS;
 use indigopath_condor::{
@@ -7,10 +7,10 @@
 };
 use proptest::prelude::*;
 
-/// Every file holds the same, which may be itself.
-struct Same(String);
+/// An environment in which every file has the same content, which may include itself.
+struct SameFileEverywhere(String);
 
-impl SubmitEnvironment for Same {
+impl SubmitEnvironment for SameFileEverywhere {
     fn read_file(&self, _: &str) -> Result<String, String> {
         Ok(self.0.clone())
     }
@@ -122,15 +122,15 @@
     #![proptest_config(ProptestConfig::with_cases(1_500))]
 
     #[test]
-    fn no_file_panics_or_runs_away(lines in prop::collection::vec(line(), 0..14), other in line()) {
+    fn no_file_panics_or_exceeds_limits(lines in prop::collection::vec(line(), 0..14), other in line()) {
         let text = lines.join("\n");
-        if let Ok(submission) = read(&text, "any.sub", 1, 0, &Same(other)) {
+        if let Ok(submission) = read(&text, "any.sub", 1, 0, &SameFileEverywhere(other)) {
             prop_assert!(submission.procs() <= MAX_FILE_PROCS);
             let _ = notes(&submission);
-            let judged = match_submission(&submission, 1, 0, &site());
-            prop_assert_eq!(judged.outcome_of_proc.len(), submission.procs());
-            // Every verdict but a match has its reason, and only what may run has kinds.
-            for outcome in &judged.outcomes {
+            let results = match_submission(&submission, 1, 0, &site());
+            prop_assert_eq!(results.outcome_of_proc.len(), submission.procs());
+            // Every verdict but a match has a reason, and only procs that may run have kinds.
+            for outcome in &results.outcomes {
                 let matches = outcome.verdict == indigopath_condor::Verdict::Match;
                 prop_assert_eq!(outcome.reason.is_none(), matches);
                 let may_run = matches || outcome.verdict == indigopath_condor::Verdict::Held;
@@ -141,23 +141,23 @@
 
     #[test]
     fn no_bytes_panic(text in "[ -~\n$(){}=#\\\\é]{0,200}") {
-        let _ = read(&text, "any.sub", 1, 0, &Same(String::new()));
+        let _ = read(&text, "any.sub", 1, 0, &SameFileEverywhere(String::new()));
     }
 }
 
-// A requirement of 200 terms that differs from proc to proc: seconds of a controller's
-// processor, had only each evaluation been bounded.
+// A requirement of 200 terms that differs between procs would take seconds of a controller's
+// processor if only single evaluations were limited: the steps of a whole file are limited.
 #[test]
-fn a_file_has_a_budget_of_steps() {
-    // What looks at the job is asked anew for every proc.
+fn a_file_has_an_evaluation_budget() {
+    // Terms that refer to the job are evaluated for every proc.
     let terms: Vec<String> = (0..200)
         .map(|number| format!("Cpus + ProcId > {number} - 1000"))
         .collect();
     let mut text = format!("requirements = {}\n", terms.join(" && "));
     text.push_str("queue 20000\n");
-    let submission = read(&text, "any.sub", 1, 0, &Same(String::new())).unwrap();
-    let judged = match_submission(&submission, 1, 0, &site());
-    let last = judged.outcomes.last().unwrap();
+    let submission = read(&text, "any.sub", 1, 0, &SameFileEverywhere(String::new())).unwrap();
+    let results = match_submission(&submission, 1, 0, &site());
+    let last = results.outcomes.last().unwrap();
     assert_eq!(last.verdict, indigopath_condor::Verdict::Refused);
     assert!(
         last.reason.as_ref().unwrap().contains("too many steps"),
--- a/crates/condor/tests/corpus.rs
+++ b/crates/condor/tests/corpus.rs
@@ -1,14 +1,14 @@
-//! Submit files with what becomes of their procs, against stand-in machine types
-//! (`corpus/site.json`). In a file,
+//! Tests submit files against their expected results on a test site (`corpus/site.json`). A file
+//! contains its expectations as comments:
 //!
 //! ```text
-//! #: 0-2 match g8/a/os c16/ab/o     procs, their verdict, the kinds that do: type/zones/ordinary, spot
-//! #: 3 refused ~ some words         … and what the reason says
-//! #! 4:2 ~ some words               the file cannot be read, from there on
+//! #: 0-2 match g8/a/os c16/ab/o     procs, verdict, suitable kinds: type/zones/ordinary, spot
+//! #: 3 refused ~ some words         … and a part of the reason
+//! #! 4:2 ~ some words               the parse error, at this location
 //! #? some words                     a note
 //! ```
 //!
-//! A file that expects several lines of a proc expects all of them.
+//! If a file has several lines for a proc, all of them must hold.
 
 use indigopath_condor::{
     MatchResults, PathKind, Site, SiteFile, Submission, SubmitEnvironment, SubmitError, Verdict,
@@ -17,41 +17,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Fewest files that this is about.
-const LEAST: usize = 80;
+/// Minimum number of files in the corpus.
+const MIN_FILES: usize = 80;
 
-fn folder() -> PathBuf {
+fn corpus_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus")
 }
 
 fn site() -> Site {
-    let text = std::fs::read_to_string(folder().join("site.json")).expect("site.json");
+    let text = std::fs::read_to_string(corpus_dir().join("site.json")).expect("site.json");
     let file: SiteFile = serde_json::from_str(&text).expect("a site");
     Site::from(file)
 }
 
-/// The files beside the corpus.
-struct Corpus;
+/// The submit environment of the corpus directory.
+struct CorpusEnvironment;
 
-impl SubmitEnvironment for Corpus {
+impl SubmitEnvironment for CorpusEnvironment {
     fn read_file(&self, path: &str) -> Result<String, String> {
-        std::fs::read_to_string(folder().join(path)).map_err(|error| error.to_string())
+        std::fs::read_to_string(corpus_dir().join(path)).map_err(|error| error.to_string())
     }
 
-    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
-        let (inside, name) = pattern.rsplit_once('/').unwrap_or(("", pattern));
+    fn matching_paths(&self, pattern: &str, path_kind: PathKind) -> Result<Vec<String>, String> {
+        let (dir, name) = pattern.rsplit_once('/').unwrap_or(("", pattern));
         let (before, after) = name.split_once('*').ok_or("no pattern")?;
         let mut found = Vec::new();
-        for entry in std::fs::read_dir(folder().join(inside)).map_err(|error| error.to_string())? {
+        for entry in std::fs::read_dir(corpus_dir().join(dir)).map_err(|error| error.to_string())? {
             let entry = entry.map_err(|error| error.to_string())?;
             let name = entry.file_name().to_string_lossy().into_owned();
-            let wanted = match what {
+            let wanted = match path_kind {
                 PathKind::Files => entry.path().is_file(),
                 PathKind::Folders => entry.path().is_dir(),
                 PathKind::Any => true,
             };
             if wanted && name.starts_with(before) && name.ends_with(after) {
-                found.push(format!("{inside}/{name}"));
+                found.push(format!("{dir}/{name}"));
             }
         }
         found.sort();
@@ -63,8 +63,8 @@
     }
 }
 
-/// `c16/ab/os` and the like, as kinds.
-fn kinds(words: &str, site: &Site) -> Result<BTreeSet<String>, String> {
+/// Parses names of kinds such as `c16/ab/os`.
+fn parse_kinds(words: &str, site: &Site) -> Result<BTreeSet<String>, String> {
     let mut found = BTreeSet::new();
     for word in words.split_whitespace() {
         let parts: Vec<&str> = word.split('/').collect();
@@ -87,7 +87,7 @@
     Ok(found)
 }
 
-fn verdict(word: &str) -> Result<Verdict, String> {
+fn parse_verdict(word: &str) -> Result<Verdict, String> {
     Ok(match word {
         "match" => Verdict::Match,
         "never" => Verdict::Never,
@@ -103,7 +103,7 @@
     site: &Site,
 ) -> Result<(), String> {
     let unreadable = text.lines().find_map(|line| line.strip_prefix("#! "));
-    let (submission, judged) = match (read, unreadable) {
+    let (submission, results) = match (read, unreadable) {
         (Ok(read), None) => read,
         (Ok(_), Some(expected)) => return Err(format!("it can be read, which {expected:?} denies")),
         (Err(error), None) => return Err(error.to_string()),
@@ -135,7 +135,7 @@
     if expected.is_empty() {
         return Err("nothing is expected".to_owned());
     }
-    let outcomes: Vec<_> = judged.procs().collect();
+    let outcomes: Vec<_> = results.procs().collect();
     if expected.keys().copied().ne(0..outcomes.len()) {
         return Err(format!("there are {} procs", outcomes.len()));
     }
@@ -148,15 +148,18 @@
             .map(ToString::to_string)
             .collect();
         for line in lines {
-            let (what, words) = line.split_once(" ~ ").unwrap_or((line, ""));
-            let (word, named) = what.trim().split_once(' ').unwrap_or((what.trim(), ""));
-            if verdict(word)? != outcome.verdict {
+            let (expectation, words) = line.split_once(" ~ ").unwrap_or((line, ""));
+            let (word, named) = expectation
+                .trim()
+                .split_once(' ')
+                .unwrap_or((expectation.trim(), ""));
+            if parse_verdict(word)? != outcome.verdict {
                 return Err(format!(
                     "proc {proc} is {:?}: {reason}, not {word}",
                     outcome.verdict
                 ));
             }
-            if kinds(named, site)? != found {
+            if parse_kinds(named, site)? != found {
                 return Err(format!("proc {proc} may use {found:?}, not {named}"));
             }
             if !reason.contains(words) {
@@ -170,7 +173,7 @@
 fn main() {
     let arguments = Arguments::from_args();
     let mut trials = Vec::new();
-    for entry in std::fs::read_dir(folder()).expect("the corpus") {
+    for entry in std::fs::read_dir(corpus_dir()).expect("the corpus") {
         let path = entry.expect("a file").path();
         if path.extension().is_none_or(|extension| extension != "sub") {
             continue;
@@ -188,13 +191,15 @@
                 .to_string_lossy()
                 .into_owned();
             let site = site();
-            let read = indigopath_condor::read(&text, &file, 1, 1_700_000_000, &Corpus).map(|submission| {
-                let judged = indigopath_condor::match_submission(&submission, 1, 1_700_000_000, &site);
-                (submission, judged)
-            });
+            let read = indigopath_condor::read(&text, &file, 1, 1_700_000_000, &CorpusEnvironment).map(
+                |submission| {
+                    let results = indigopath_condor::match_submission(&submission, 1, 1_700_000_000, &site);
+                    (submission, results)
+                },
+            );
             check(&text, read, &site).map_err(Failed::from)
         }));
     }
-    assert!(trials.len() >= LEAST, "only {} files", trials.len());
+    assert!(trials.len() >= MIN_FILES, "only {} files", trials.len());
     libtest_mimic::run(&arguments, trials).exit();
 }
