--- a/crates/protection_windows/src/definition/tests.rs
+++ b/crates/protection_windows/src/definition/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn problems_name_their_field_in_one_line() {
+fn errors_name_the_field_in_one_line() {
     for (change, line) in [
         (
             r#"{ "time_zone": "Perth" }"#,
@@ -27,14 +27,35 @@
         (r#"{ "rank": 70000 }"#, "rank: "),
         (r#"{ "classes": [] }"#, "classes: must not be empty"),
         (r#"{ "classes": [""] }"#, "classes: a class must not be empty"),
-        (r#"{ "days": ["monday"] }"#, "days: monday is none of mon to sun"),
+        (
+            r#"{ "days": ["monday"] }"#,
+            "days: monday is not one of mon to sun",
+        ),
         (r#"{ "days": [] }"#, "days: must not be empty"),
-        (r#"{ "from": "6:00" }"#, "from: 6:00 is no time of day"),
-        (r#"{ "from": "24:00" }"#, "from: 24:00 is no time of day"),
-        (r#"{ "to": "22:60" }"#, "to: 22:60 is no time of day"),
-        (r#"{ "to": "+1:00" }"#, "to: +1:00 is no time of day"),
-        (r#"{ "closed": ["25.12.2026"] }"#, "closed: 25.12.2026 is no day"),
-        (r#"{ "closed": ["2026-02-30"] }"#, "closed: 2026-02-30 is no day"),
+        (
+            r#"{ "from": "6:00" }"#,
+            "from: 6:00 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "from": "24:00" }"#,
+            "from: 24:00 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "to": "22:60" }"#,
+            "to: 22:60 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "to": "+1:00" }"#,
+            "to: +1:00 is not a time of day such as 06:00",
+        ),
+        (
+            r#"{ "closed": ["25.12.2026"] }"#,
+            "closed: 25.12.2026 is not a date such as 2026-12-25",
+        ),
+        (
+            r#"{ "closed": ["2026-02-30"] }"#,
+            "closed: 2026-02-30 is not a date such as 2026-12-25",
+        ),
         (r#"{ "lead_s": 4000 }"#, "lead_s: must be between 0 and 3600 s"),
     ] {
         let error = check(&definitions(change), |team| team == "red").unwrap_err();
@@ -43,13 +64,13 @@
         assert!(!error.contains('\n'));
     }
     assert!(check(&definitions("{}"), |team| team == "red").is_ok());
-    let odd = BTreeMap::from([("a shift".into(), definitions("{}")["trading"].clone())]);
-    let error = check(&odd, |_| true).unwrap_err().to_string();
+    let invalid_name = BTreeMap::from([("a shift".into(), definitions("{}")["trading"].clone())]);
+    let error = check(&invalid_name, |_| true).unwrap_err().to_string();
     assert!(error.starts_with("shift.a shift: a name has"), "{error}");
 }
 
 #[test]
-fn a_class_that_nobody_names_may_be_misspelt() {
+fn unknown_classes_are_reported() {
     let definitions = definitions(r#"{ "classes": ["live", "lvie"] }"#);
     let unknown: Vec<_> = unknown_classes(&definitions, |class| class == "live").collect();
     assert_eq!(unknown, [("trading", "lvie")]);
