--- a/crates/simulator/src/accounting_checks.rs
+++ b/crates/simulator/src/accounting_checks.rs
@@ -17,16 +17,16 @@
     /// Whose each job is, by the record with which it was accepted.
     owners: BTreeMap<String, String>,
     /// Somebody outside changed the books: they are held against the records at the end only.
-    pub(crate) spoilt: bool,
+    pub(crate) modified_externally: bool,
     /// Words of a transaction, how many such are left, and whether the last is carried out before
     /// its sender ends.
-    pub(crate) end_at: Option<(&'static str, u32, bool)>,
+    pub(crate) crash_at_write: Option<(&'static str, u32, bool)>,
 }
 
 impl AccountingCheck {
     /// Whether the sender of this call ends with it, and if so whether it is carried out.
-    pub(crate) fn ends_at(&mut self, path: &str, body: &[u8]) -> Option<bool> {
-        let (words, left, carried_out) = self.end_at.as_mut()?;
+    pub(crate) fn crash_for_write(&mut self, path: &str, body: &[u8]) -> Option<bool> {
+        let (words, left, carried_out) = self.crash_at_write.as_mut()?;
         if path != "/multi" || !String::from_utf8_lossy(body).contains(*words) {
             return None;
         }
@@ -35,13 +35,13 @@
             return None;
         }
         let carried_out = *carried_out;
-        self.end_at = None;
+        self.crash_at_write = None;
         Some(carried_out)
     }
 
     /// Learns whose jobs are from a transaction that was carried out: for ever. A submit file's
     /// job that names no team gets one later.
-    pub(crate) fn learn(&mut self, body: &[u8]) -> Result<(), String> {
+    pub(crate) fn record_owners(&mut self, body: &[u8]) -> Result<(), String> {
         let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
             return Ok(());
         };
@@ -64,11 +64,11 @@
 
     /// Ended jobs in each team's book by its records, and the ends that are in none.
     pub(crate) fn totals(&self, state: &StateService) -> Result<(BTreeMap<String, u64>, u64), String> {
-        let books = read(state)?;
-        let totals = books
+        let accounting = read_accounting(state)?;
+        let totals = accounting
             .totals()
             .map(|(team, tally)| (team.name().to_owned(), tally.done + tally.cancelled));
-        Ok((totals.collect(), books.unowned()))
+        Ok((totals.collect(), accounting.unowned()))
     }
 
     /// The books say what the records of ended jobs say, as far as they go: each end once, in
@@ -102,21 +102,21 @@
         if state.value(HEAD_KEY).is_some_and(|head| head["v"] != 1) {
             return Ok(());
         }
-        let mut books = read(state)?;
+        let mut accounting = read_accounting(state)?;
         let mut rebuild = Rebuild::new(u64::MAX);
         for (position, entry) in ended {
-            if position <= *books.last_position() {
+            if position <= *accounting.last_position() {
                 rebuild.add_scanned(position, entry);
             }
         }
-        match books.repair(rebuild).first() {
+        match accounting.repair(rebuild).first() {
             None => Ok(()),
             Some(difference) => Err(format!("{difference:?}")),
         }
     }
 
     /// A submission of an id that is another team's is told the state, and nothing of its tasks.
-    pub(crate) fn keeps(&self, asked: &[u8], body: &[u8]) -> Result<(), String> {
+    pub(crate) fn check_foreign_submission(&self, asked: &[u8], body: &[u8]) -> Result<(), String> {
         let asked: Value = serde_json::from_slice(asked).unwrap_or_default();
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
         let owner = asked["Id"].as_str().and_then(|job| self.owners.get(job));
@@ -128,7 +128,7 @@
     }
 
     /// An answer to whoever states a team names no job of another.
-    pub(crate) fn hides(&self, path: &str, body: &[u8]) -> Result<(), String> {
+    pub(crate) fn check_team_isolation(&self, path: &str, body: &[u8]) -> Result<(), String> {
         let Some(team) = path
             .split_once('?')
             .and_then(|(_, query)| authorization::team_in_query(query))
@@ -147,18 +147,18 @@
 }
 
 /// The books as their records say.
-fn read(state: &StateService) -> Result<JobAccounting, String> {
-    let mut books = JobAccounting::new(VALUE_BYTES);
+fn read_accounting(state: &StateService) -> Result<JobAccounting, String> {
+    let mut accounting = JobAccounting::new(VALUE_BYTES);
     for (key, value, _) in state.records("b/") {
-        books
+        accounting
             .load_record(key, value)
             .map_err(|problem| format!("{key}: {problem}"))?;
     }
-    Ok(books)
+    Ok(accounting)
 }
 
 /// By the protocol, a plain answer about a job names that job and says nothing of team or content.
-pub(crate) fn plain(job: &str, body: &[u8]) -> Result<(), String> {
+pub(crate) fn check_job_response(job: &str, body: &[u8]) -> Result<(), String> {
     let Ok(Value::Object(answer)) = serde_json::from_slice::<Value>(body) else {
         return Ok(());
     };
--- a/crates/simulator/src/admission_checks.rs
+++ b/crates/simulator/src/admission_checks.rs
@@ -3,21 +3,21 @@
 //! core's own check. Odd requests beside the scenario's own are drawn here, too.
 
 use crate::scenario::{body, number};
-use crate::simulation::{NODES, Simulation, UserKind};
+use crate::simulation::{NODES, Simulation, UserRequest};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::OnceLock;
 
 /// Interval of odd requests, in ms.
-const ODD_MS: u64 = 200;
+const UNUSUAL_REQUEST_INTERVAL_MS: u64 = 200;
 /// Numbers of odd requests' ids, beyond those of any scenario.
-const ODD_IDS: u64 = 700_000_000;
+const FIRST_UNUSUAL_ID: u64 = 700_000_000;
 /// Most tasks of a job.
-const MOST_TASKS: u64 = 100_000;
+const MAX_TASKS: u64 = 100_000;
 
 /// What a submission deserves.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Due {
+pub(crate) enum ExpectedOutcome {
     Accepted,
     /// It asks for counts, or for an id of submit files, which are not in the protocol.
     Unjudged,
@@ -28,13 +28,13 @@
 
 /// Submissions so far.
 #[derive(Debug, Default)]
-pub(crate) struct Intake {
+pub(crate) struct AdmissionChecks {
     /// Ids that came with a body that deserves to be accepted: no other is known.
-    sound: BTreeSet<String>,
+    acceptable_ids: BTreeSet<String>,
     /// Answers by status.
-    pub(crate) told: BTreeMap<u16, u32>,
-    odd_until: u64,
-    odd: u64,
+    pub(crate) responses_by_status: BTreeMap<u16, u32>,
+    unusual_requests_until: u64,
+    unusual_requests: u64,
 }
 
 /// The settings as the scenario's controllers have them.
@@ -45,7 +45,7 @@
 }
 
 /// Whether a field has no value that the protocol allows it.
-fn is_wrong(field: &str, value: &Value) -> bool {
+fn is_invalid(field: &str, value: &Value) -> bool {
     let one_of = |words: &[&str]| value.as_str().is_some_and(|word| words.contains(&word));
     let amount = || value.as_f64().is_some_and(|amount| amount >= 0.0);
     let strings = |list: &Vec<Value>| list.iter().all(Value::is_string);
@@ -59,7 +59,7 @@
         "Urgency" => one_of(&["critical", "urgent", "standard", "low"]),
         "Picks" => value
             .as_u64()
-            .is_some_and(|tasks| (1..=MOST_TASKS).contains(&tasks)),
+            .is_some_and(|tasks| (1..=MAX_TASKS).contains(&tasks)),
         "OneZone" | "Apart" | "Loaners" => value.is_boolean(),
         "Rigs" => value.is_null() || value.as_array().is_some_and(strings),
         "Yard" => value.is_null() || value.is_string(),
@@ -94,21 +94,21 @@
 ];
 
 impl Simulation {
-    pub(crate) fn due(&self, body: &[u8]) -> Due {
+    pub(crate) fn expected_outcome(&self, body: &[u8]) -> ExpectedOutcome {
         let Ok(Value::Object(fields)) = serde_json::from_slice(body) else {
-            return Due::Malformed(String::new());
+            return ExpectedOutcome::Malformed(String::new());
         };
         // What may be null may be missing.
         let job = |field: &str| fields.get(field).unwrap_or(&Value::Null);
-        if let Some(field) = FIELDS.iter().find(|field| is_wrong(field, job(field))) {
-            return Due::Malformed((*field).to_owned());
+        if let Some(field) = FIELDS.iter().find(|field| is_invalid(field, job(field))) {
+            return ExpectedOutcome::Malformed((*field).to_owned());
         }
         let amounts = |from: &Value, names: [&str; 2]| names.map(|name| from[name].as_f64().unwrap_or(0.0));
         let Value::Array(teams) = &deployment()["teams"] else {
-            return Due::Unjudged;
+            return ExpectedOutcome::Unjudged;
         };
         let Some(team) = teams.iter().find(|team| team["name"] == *job("Crew")) else {
-            return Due::Never("unknown team");
+            return ExpectedOutcome::Never("unknown team");
         };
         let array = job("Shape") == "sweep";
         let at_once = if array {
@@ -121,7 +121,7 @@
         let needs = ["Cpus", "Gpus"].map(|field| job(field).as_f64().unwrap_or(0.0));
         let over = |(need, most): (&f64, &f64)| *most > 0.0 && need * at_once as f64 > most + 1e-6;
         if needs.iter().zip(&most).any(over) {
-            return Due::Never("over its team's limit");
+            return ExpectedOutcome::Never("over its team's limit");
         }
         let zones = deployment()["zones"].as_array().into_iter().flatten();
         let does = |zone: &&Value| {
@@ -139,27 +139,38 @@
         // All at once, and half of them elsewhere.
         let apart = job("Apart") == true && at_once > 1;
         match zones.filter(does).count() {
-            0 => Due::Never("no machine fits"),
-            _ if apart && job("OneZone") == true => Due::Never("apart in one zone"),
-            1 if apart => Due::Never("apart, and one zone"),
-            _ if !job("Counts").is_null() || self.operator.condor.is_some() => Due::Unjudged,
-            _ => Due::Accepted,
+            0 => ExpectedOutcome::Never("no machine fits"),
+            _ if apart && job("OneZone") == true => ExpectedOutcome::Never("apart in one zone"),
+            1 if apart => ExpectedOutcome::Never("apart, and one zone"),
+            _ if !job("Counts").is_null() || self.operator.condor.is_some() => ExpectedOutcome::Unjudged,
+            _ => ExpectedOutcome::Accepted,
         }
     }
 
     /// A submission is under way to a node.
-    pub(crate) fn note_submission(&mut self, body: &[u8]) {
-        if matches!(self.due(body), Due::Accepted | Due::Unjudged) {
+    pub(crate) fn record_submission(&mut self, body: &[u8]) {
+        if matches!(
+            self.expected_outcome(body),
+            ExpectedOutcome::Accepted | ExpectedOutcome::Unjudged
+        ) {
             let body: Value = serde_json::from_slice(body).unwrap_or_default();
-            self.intake.sound.extend(body["Id"].as_str().map(str::to_owned));
+            self.admission_checks
+                .acceptable_ids
+                .extend(body["Id"].as_str().map(str::to_owned));
         }
     }
 
     /// A user was answered, perhaps to a submission.
-    pub(crate) fn judge_submission(&mut self, job: &str, kind: &UserKind, status: u16, answer: &[u8]) {
+    pub(crate) fn check_submission_response(
+        &mut self,
+        job: &str,
+        kind: &UserRequest,
+        status: u16,
+        answer: &[u8],
+    ) {
         let asked = match kind {
-            UserKind::Submit => self.jobs[job].body.to_string().into_bytes(),
-            UserKind::Probe {
+            UserRequest::Submit => self.jobs[job].body.to_string().into_bytes(),
+            UserRequest::Probe {
                 method: "POST",
                 path,
                 body,
@@ -167,18 +178,25 @@
             } if path == "/v1/jobs" => body.clone(),
             _ => return,
         };
-        *self.intake.told.entry(status).or_default() += 1;
-        let due = self.due(&asked);
+        *self
+            .admission_checks
+            .responses_by_status
+            .entry(status)
+            .or_default() += 1;
+        let due = self.expected_outcome(&asked);
         let answer: Value = serde_json::from_slice(answer).unwrap_or_default();
         let id = answer["Id"].as_str().unwrap_or_default();
-        let of_file = self.jobs.get(id).is_some_and(|facts| facts.cluster.is_some());
+        let of_file = self
+            .jobs
+            .get(id)
+            .is_some_and(|observed| observed.cluster.is_some());
         let rule = match (status, &due) {
-            (201, Due::Malformed(_) | Due::Never(_)) => "accepted_wrongly",
-            (200, _) if !self.intake.sound.contains(id) && !of_file => "accepted_wrongly",
-            (400, Due::Accepted | Due::Never(_)) => "refused_wrongly",
-            (422, Due::Accepted | Due::Malformed(_)) => "refused_wrongly",
+            (201, ExpectedOutcome::Malformed(_) | ExpectedOutcome::Never(_)) => "accepted_wrongly",
+            (200, _) if !self.admission_checks.acceptable_ids.contains(id) && !of_file => "accepted_wrongly",
+            (400, ExpectedOutcome::Accepted | ExpectedOutcome::Never(_)) => "refused_wrongly",
+            (422, ExpectedOutcome::Accepted | ExpectedOutcome::Malformed(_)) => "refused_wrongly",
             // Whoever reads it must learn which field it is.
-            (400, Due::Malformed(field)) if !answer.to_string().contains(field) => "unclear",
+            (400, ExpectedOutcome::Malformed(field)) if !answer.to_string().contains(field) => "unclear",
             _ => return,
         };
         let asked = String::from_utf8_lossy(&asked).into_owned();
@@ -187,7 +205,11 @@
 
     /// `offer ID STATUS …` as a submission at all nodes, `without=FIELD` or `with=FIELD:JSON`: that
     /// must be its answer, once it can be decided.
-    pub(crate) fn offer(&mut self, plain: &[&str], keyed: &BTreeMap<&str, &str>) -> Result<(), String> {
+    pub(crate) fn submit_expecting_status(
+        &mut self,
+        plain: &[&str],
+        keyed: &BTreeMap<&str, &str>,
+    ) -> Result<(), String> {
         let [_, id, status] = plain else {
             return Err("an offer has an id and a status".to_owned());
         };
@@ -199,35 +221,37 @@
             body[field] = serde_json::from_str(value).map_err(|error| error.to_string())?;
         }
         for node in 0..NODES {
-            self.request(node, "/v1/jobs", body.to_string(), number(status)? as u16);
+            self.send_post(node, "/v1/jobs", body.to_string(), number(status)? as u16);
         }
         Ok(())
     }
 
-    fn request(&mut self, node: usize, path: &str, body: String, status: u16) {
+    fn send_post(&mut self, node: usize, path: &str, body: String, status: u16) {
         let (path, body) = (path.to_owned(), body.into_bytes());
-        let kind = UserKind::Probe {
+        let kind = UserRequest::Probe {
             method: "POST",
             path,
             body,
             status,
         };
-        self.user_asks(node, "", kind);
+        self.send_user_request(node, "", kind);
     }
 
-    pub(crate) fn begin_odd(&mut self, for_ms: u64) {
-        self.intake.odd_until = self.now + for_ms;
+    pub(crate) fn begin_unusual_requests(&mut self, for_ms: u64) {
+        self.admission_checks.unusual_requests_until = self.now + for_ms;
     }
 
-    fn pick<T: Clone>(&mut self, from: &[T]) -> Option<T> {
+    fn draw_from<T: Clone>(&mut self, from: &[T]) -> Option<T> {
         let at = (self.draw() * from.len() as f64) as usize;
         from.get(at).cloned()
     }
 
     /// Users repeat submissions of unfinished jobs, also with a field gone, cancel jobs that are
     /// done, and send jobs that can never run or whose fields are gone, null or nonsense.
-    pub(crate) fn step_odd(&mut self) {
-        if self.now >= self.intake.odd_until || !self.now.is_multiple_of(ODD_MS) {
+    pub(crate) fn step_unusual_requests(&mut self) {
+        if self.now >= self.admission_checks.unusual_requests_until
+            || !self.now.is_multiple_of(UNUSUAL_REQUEST_INTERVAL_MS)
+        {
             return;
         }
         let node = (self.draw() * NODES as f64) as usize;
@@ -237,23 +261,23 @@
             Some("pending" | "running") => !done,
             _ => false,
         };
-        let own = |facts: &&crate::simulation::ObservedJob| {
-            facts.cluster.is_none() && is(&facts.reported_status, kind == 1)
+        let own = |observed: &&crate::simulation::ObservedJob| {
+            observed.cluster.is_none() && is(&observed.reported_status, kind == 1)
         };
         let known: Vec<Value> = self
             .jobs
             .values()
             .filter(own)
-            .map(|facts| facts.body.clone())
+            .map(|observed| observed.body.clone())
             .collect();
-        let known = self.pick(&known);
-        self.intake.odd += 1;
-        let id = format!("wk-{}", ODD_IDS + self.intake.odd);
+        let known = self.draw_from(&known);
+        self.admission_checks.unusual_requests += 1;
+        let id = format!("wk-{}", FIRST_UNUSUAL_ID + self.admission_checks.unusual_requests);
         let Ok((mut fresh, _)) = body(&id, &BTreeMap::new()) else {
             return;
         };
-        let field = self.pick(&FIELDS).unwrap_or("Id");
-        let required = is_wrong(field, &Value::Null);
+        let field = self.draw_from(&FIELDS).unwrap_or("Id");
+        let required = is_invalid(field, &Value::Null);
         let (path, body, status) = match (kind, known) {
             (0, Some(body)) => ("/v1/jobs".to_owned(), body, 200),
             (1, Some(body)) => {
@@ -271,8 +295,12 @@
             (4, _) => {
                 let odd = [json!({}), json!([7]), json!(-1), json!(-0.5), json!("")];
                 let odd = [&odd[..], &[Value::Null][..usize::from(required)]].concat();
-                fresh[field] = self.pick(&odd).unwrap_or_default();
-                let status = if is_wrong(field, &fresh[field]) { 400 } else { 422 };
+                fresh[field] = self.draw_from(&odd).unwrap_or_default();
+                let status = if is_invalid(field, &fresh[field]) {
+                    400
+                } else {
+                    422
+                };
                 ("/v1/jobs".to_owned(), fresh, status)
             }
             (5, _) => {
@@ -287,7 +315,7 @@
                     json!({"Shape": "daemon", "Picks": 2, "Apart": true, "OneZone": true}),
                     json!({"Shape": "gang", "Picks": 3, "Apart": true, "Yard": "west"}),
                 ];
-                let never = self.pick(&never).unwrap_or_default();
+                let never = self.draw_from(&never).unwrap_or_default();
                 for (field, value) in never.as_object().into_iter().flatten() {
                     fresh[field] = value.clone();
                 }
@@ -295,6 +323,6 @@
             }
             _ => return,
         };
-        self.request(node, &path, body.to_string(), status);
+        self.send_post(node, &path, body.to_string(), status);
     }
 }
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -14,16 +14,16 @@
 pub const NODES: usize = 3;
 
 /// How long a controller that was killed stays away, in ms.
-const AWAY_MS: u64 = 400;
+const RESTART_DELAY_MS: u64 = 400;
 
 /// Lines of each log that are shown when a test fails.
-const LOG_SHOWN: usize = 20;
+const LOG_EXCERPT_LINES: usize = 20;
 
 /// Of a log line that says that more units of a count are taken than there are.
-const OVERSUBSCRIBED: &str = "counted resource oversubscribed";
+const OVERSUBSCRIBED_EVENT: &str = "counted resource oversubscribed";
 
 /// Lines that are shown before such a line: what led to it.
-const LINES_BEFORE: usize = 12;
+const CONTEXT_LINES: usize = 12;
 
 /// The controllers' processes, and the folder in which their settings and logs lie. Both end
 /// with this.
@@ -118,7 +118,7 @@
         if let Some(mut child) = self.processes[node].take() {
             let _ = child.kill();
             let _ = child.wait();
-            self.restart_at[node] = Instant::now() + Duration::from_millis(AWAY_MS);
+            self.restart_at[node] = Instant::now() + Duration::from_millis(RESTART_DELAY_MS);
         }
     }
 
@@ -132,10 +132,10 @@
         for node in 0..self.nodes.len() {
             let log = self.log(node);
             let lines: Vec<&str> = log.lines().collect();
-            let found = (0..lines.len()).filter(|at| lines[*at].contains(OVERSUBSCRIBED));
+            let found = (0..lines.len()).filter(|at| lines[*at].contains(OVERSUBSCRIBED_EVENT));
             for at in found {
                 text.push_str(&format!("n{node}:\n"));
-                for line in &lines[at.saturating_sub(LINES_BEFORE)..=at] {
+                for line in &lines[at.saturating_sub(CONTEXT_LINES)..=at] {
                     text.push_str(&format!("  {line}\n"));
                 }
             }
@@ -150,11 +150,11 @@
             let log = self.log(node);
             let bad = |line: &&str| line.contains(" error ") || line.contains("panicked");
             let lines: Vec<&str> = log.lines().collect();
-            let last = &lines[lines.len().saturating_sub(LOG_SHOWN)..];
+            let last = &lines[lines.len().saturating_sub(LOG_EXCERPT_LINES)..];
             for line in log
                 .lines()
                 .filter(bad)
-                .take(LOG_SHOWN)
+                .take(LOG_EXCERPT_LINES)
                 .chain(last.iter().copied())
             {
                 text.push_str(line);
--- a/crates/simulator/src/count_checks.rs
+++ b/crates/simulator/src/count_checks.rs
@@ -5,7 +5,7 @@
 
 /// Interval, in ms, at which the leader's counts are compared: its own look at them comes every 2 s,
 /// and what a take-over leaves wrong may pass within one report.
-pub(crate) const COUNTS_STEP_MS: u64 = 100;
+pub(crate) const COUNT_CHECK_INTERVAL_MS: u64 = 100;
 
 impl Simulation {
     /// The leader never says that fewer units are taken than tasks have seats, dead ones included; and
@@ -22,22 +22,22 @@
             let changed = status.units != Some(feature.total) || feature.was_changed_externally;
             let said = description(&status);
             if own < really {
-                self.miscounted("undercounted", format!("{said}; tasks have {really}"));
+                self.count_violation("undercounted", format!("{said}; tasks have {really}"));
             } else if !changed && own + u64::from(status.others) > units {
-                self.miscounted("overcounted", format!("{said}; tasks have {really}"));
+                self.count_violation("overcounted", format!("{said}; tasks have {really}"));
             }
         }
     }
 
     /// One violation a rule: what lasts would else hide what other rules find.
-    fn miscounted(&mut self, rule: &'static str, what: String) {
-        if !self.broken.iter().any(|line| line.starts_with(rule)) {
+    fn count_violation(&mut self, rule: &'static str, what: String) {
+        if !self.violations.iter().any(|line| line.starts_with(rule)) {
             self.violation(rule, what);
         }
     }
 
     /// Operators gave some count another number of units than its licence server has.
-    pub(crate) fn note_redefined_counts(&mut self) {
+    pub(crate) fn record_redefined_counts(&mut self) {
         for (name, feature) in &mut self.licences.features {
             let definition = self.operator.counted_resources.get(name.as_str());
             feature.was_changed_externally |=
@@ -48,7 +48,7 @@
     /// What the leader says of all counts, if it is awake and has read its records.
     fn leader_counts(&self) -> Option<Vec<CountStatus>> {
         let controller = &self.nodes[self.leader()?];
-        if self.now < controller.frozen_until.max(controller.stalls_until) {
+        if self.now < controller.frozen_until.max(controller.stalled_until) {
             return None;
         }
         controller.node.as_ref()?.counted_resource_status()
--- a/crates/simulator/src/fault_combinations.rs
+++ b/crates/simulator/src/fault_combinations.rs
@@ -1,7 +1,7 @@
 //! Meetings of machines, leaders and cancellations: machines that reach no controller, reports kept
 //! for the next leader, cancellations of what runs or is about to end, and what starts after one.
 
-use crate::simulation::{Call, Event, Fault, NODES, Simulation, UserKind};
+use crate::simulation::{Call, Event, Fault, NODES, Simulation, UserRequest};
 use indigopath_controller::io::{Destination, Outcome};
 use indigopath_controller::node::Command;
 use indigopath_controller::protocol::{CommandKind, HeartbeatResponse, TaskState, WorkerCommand};
@@ -9,32 +9,32 @@
 
 /// How long after its user was told that a job is cancelled a command to start its tasks may leave, in
 /// ms, by a leader that does not know it: its lease, and one way through the network.
-const UNAWARE_MS: u64 = 2_600;
+const MAX_UNAWARE_MS: u64 = 2_600;
 /// Within which time users call off what runs, in ms.
-const AT_ONCE_MS: u64 = 200;
+const CANCEL_WINDOW_MS: u64 = 200;
 /// What has at least so much left, in s, has long to go.
-const LONG_S: f64 = 30.0;
+const LONG_REMAINING_S: f64 = 30.0;
 /// Machines that hang with a cancellation at most.
-const HANG_MOST: usize = 8;
+const MAX_HUNG_MACHINES: usize = 8;
 /// A cancellation at the moment of a job's end comes up to so many ms before or after it.
-const AROUND_END_MS: f64 = 60.0;
+const AROUND_COMPLETION_MS: f64 = 60.0;
 
 #[derive(Default)]
 pub(crate) struct FaultCombinations {
     /// Reports kept for the next leader, and how long after it begins they arrive, in ms.
-    kept: Vec<(Command, u64)>,
+    kept_heartbeats: Vec<(Command, u64)>,
     /// Who led last, in which life.
-    leader: Option<(usize, u32)>,
+    last_leader: Option<(usize, u32)>,
     /// How often somebody began to lead.
     pub(crate) terms: u32,
     /// Which lives of nodes know which jobs to be over.
-    know: BTreeSet<(usize, u32, String)>,
+    known_ended: BTreeSet<(usize, u32, String)>,
     /// Tasks that started after their users had been told.
-    pub(crate) started: u32,
+    pub(crate) starts_after_cancel: u32,
     /// Commands to start them that left after it, and how long after, in ms, at most.
-    pub(crate) commanded: u32,
-    pub(crate) latest_ms: u64,
-    ended: BTreeSet<String>,
+    pub(crate) commands_after_cancel: u32,
+    pub(crate) latest_command_ms: u64,
+    near_completion: BTreeSet<String>,
 }
 
 fn starts(orders: &[WorkerCommand]) -> impl Iterator<Item = &str> {
@@ -44,7 +44,7 @@
 
 impl Simulation {
     /// What a fault that befalls machines says, of all that there are.
-    pub(crate) fn befallen(
+    pub(crate) fn affected_machines(
         &mut self,
         named: Option<String>,
         keyed: &BTreeMap<&str, &str>,
@@ -57,12 +57,12 @@
     }
 
     /// Whether a machine reaches no controller with its report.
-    pub(crate) fn mute(&self, event: &Event) -> bool {
-        let Event::Report { worker: id, .. } = event else {
+    pub(crate) fn drops_heartbeat(&self, event: &Event) -> bool {
+        let Event::Heartbeat { worker: id, .. } = event else {
             return false;
         };
-        self.lasting().any(|trouble| match trouble {
-            Fault::Mute { machines, zone } => {
+        self.active_faults().any(|fault| match fault {
+            Fault::DropHeartbeats { machines, zone } => {
                 let worker = self.workers.get(id);
                 let of = worker.is_some_and(|worker| Some(&worker.zone) == zone.as_ref());
                 of || machines.contains(id)
@@ -72,127 +72,131 @@
     }
 
     /// A report arrives: its copy may be kept for the next leader.
-    pub(crate) fn keep_report(&mut self, command: &Command) {
-        let kept = self.lasting().find_map(|trouble| match trouble {
-            Fault::ReportsForNext { share, after_ms } => Some((*share, *after_ms)),
+    pub(crate) fn keep_heartbeat(&mut self, command: &Command) {
+        let kept = self.active_faults().find_map(|fault| match fault {
+            Fault::HeartbeatsForNextLeader { share, after_ms } => Some((*share, *after_ms)),
             _ => None,
         });
         if let Some((share, after_ms)) = kept
             && self.draw() < share
         {
-            self.troubled += 1;
-            self.fault_combinations.kept.push((command.clone(), after_ms));
+            self.affected_messages += 1;
+            self.fault_combinations
+                .kept_heartbeats
+                .push((command.clone(), after_ms));
         }
     }
 
     /// As a new leader begins, what was kept for it arrives at every node.
-    pub(crate) fn step_meetings(&mut self) {
-        let leader = self.leader().map(|leader| (leader, self.nodes[leader].life));
-        let before = std::mem::replace(&mut self.fault_combinations.leader, leader);
+    pub(crate) fn step_fault_combinations(&mut self) {
+        let leader = self
+            .leader()
+            .map(|leader| (leader, self.nodes[leader].incarnation));
+        let before = std::mem::replace(&mut self.fault_combinations.last_leader, leader);
         if leader.is_some() && leader != before {
             self.fault_combinations.terms += 1;
-            for (command, after_ms) in std::mem::take(&mut self.fault_combinations.kept) {
+            for (command, after_ms) in std::mem::take(&mut self.fault_combinations.kept_heartbeats) {
                 for to in 0..NODES {
                     let command = command.clone();
-                    self.post(after_ms, Event::Again { to, command });
+                    self.schedule(after_ms, Event::Duplicate { to, command });
                 }
             }
         }
-        self.call_off_ends();
+        self.cancel_completing_jobs();
     }
 
     /// So many jobs that run and have long to go, as their users call them off: with each, after how
     /// many ms, and a machine of it.
     pub(crate) fn long_running(&self, count: usize) -> Vec<(u64, String, String)> {
         let mut jobs: BTreeMap<&str, &str> = BTreeMap::new();
-        for (worker, task) in self.on_machines() {
-            let facts = &self.jobs[&task.job];
+        for (worker, task) in self.tasks_on_machines() {
+            let observed = &self.jobs[&task.job];
             let ran_s = task.base_progress_s + (self.now - task.state_since) as f64 / 1000.0;
-            let long = facts.shape == "daemon" || facts.run_s >= ran_s + LONG_S;
-            if task.state == TaskState::Running && long && facts.accepted && !facts.cancel_requested {
+            let long = observed.shape == "daemon" || observed.run_s >= ran_s + LONG_REMAINING_S;
+            if task.state == TaskState::Running && long && observed.accepted && !observed.cancel_requested {
                 jobs.insert(&task.job, &worker.id);
             }
         }
         let chosen = jobs.into_iter().take(count).enumerate();
         chosen
             .map(|(at, (job, machine))| {
-                let after_ms = AT_ONCE_MS * at as u64 / count as u64;
+                let after_ms = CANCEL_WINDOW_MS * at as u64 / count as u64;
                 (after_ms, job.to_owned(), machine.to_owned())
             })
             .collect()
     }
 
     /// Users call jobs off, each at one node; some of the machines hang as they do.
-    pub(crate) fn cancel_now(&mut self, count: usize, hang_ms: u64) -> Result<(), String> {
+    pub(crate) fn cancel_long_running(&mut self, count: usize, hang_ms: u64) -> Result<(), String> {
         let chosen = self.long_running(count);
         if chosen.is_empty() {
             return Err("nothing runs that has long to go".to_owned());
         }
         for (at, (after_ms, job, machine)) in chosen.into_iter().enumerate() {
-            if let Some(worker) = self.workers.get_mut(&machine).filter(|_| at < HANG_MOST) {
+            if let Some(worker) = self.workers.get_mut(&machine).filter(|_| at < MAX_HUNG_MACHINES) {
                 worker.hung_until = worker.hung_until.max(self.now + hang_ms);
             }
-            self.call_off(&job, after_ms);
+            self.cancel_job_after(&job, after_ms);
         }
         Ok(())
     }
 
-    fn call_off(&mut self, job: &str, after_ms: u64) {
+    fn cancel_job_after(&mut self, job: &str, after_ms: u64) {
         let now = self.now;
-        if let Some(facts) = self.jobs.get_mut(job) {
-            facts.request_cancel(now + after_ms);
+        if let Some(observed) = self.jobs.get_mut(job) {
+            observed.request_cancel(now + after_ms);
         }
         self.user_turn += 1;
-        let (node, kind) = (self.user_turn % NODES, UserKind::Cancel);
+        let (node, kind) = (self.user_turn % NODES, UserRequest::Cancel);
         let job = job.to_owned();
-        self.post(after_ms, Event::User { node, job, kind });
+        self.schedule(after_ms, Event::User { node, job, kind });
     }
 
     /// Users call off a share of the jobs that are about to end, some ms before or after.
-    fn call_off_ends(&mut self) {
-        let share = self.lasting().find_map(|trouble| match trouble {
-            Fault::CancelAtEnd { share } => Some(*share),
+    fn cancel_completing_jobs(&mut self) {
+        let share = self.active_faults().find_map(|fault| match fault {
+            Fault::CancelNearCompletion { share } => Some(*share),
             _ => None,
         });
         let Some(share) = share else { return };
         let mut left: BTreeMap<String, f64> = BTreeMap::new();
-        for (_, task) in self.on_machines() {
-            let facts = &self.jobs[&task.job];
-            if facts.shape != "daemon" && task.state == TaskState::Running {
+        for (_, task) in self.tasks_on_machines() {
+            let observed = &self.jobs[&task.job];
+            if observed.shape != "daemon" && task.state == TaskState::Running {
                 let ran_s = task.base_progress_s + (self.now - task.state_since) as f64 / 1000.0;
                 let last = left.entry(task.job.clone()).or_default();
-                *last = last.max((facts.run_s - ran_s) * 1000.0);
+                *last = last.max((observed.run_s - ran_s) * 1000.0);
             }
         }
         left.retain(|job, ms| {
-            let facts = &self.jobs[job];
+            let observed = &self.jobs[job];
             let running =
                 |(_, task): &(_, &crate::worker::Task)| task.job == *job && task.state == TaskState::Running;
-            let rest = facts.tasks as usize - facts.completed_tasks.len();
-            *ms <= AROUND_END_MS && self.on_machines().filter(running).count() == rest
+            let rest = observed.tasks as usize - observed.completed_tasks.len();
+            *ms <= AROUND_COMPLETION_MS && self.tasks_on_machines().filter(running).count() == rest
         });
         for job in left.into_keys() {
             if !self.jobs[&job].cancel_requested
-                && self.fault_combinations.ended.insert(job.clone())
+                && self.fault_combinations.near_completion.insert(job.clone())
                 && self.draw() < share
             {
-                self.troubled += 1;
-                let after_ms = self.draw_ms((0.0, 2.0 * AROUND_END_MS));
-                self.call_off(&job, after_ms);
+                self.affected_messages += 1;
+                let after_ms = self.draw_ms((0.0, 2.0 * AROUND_COMPLETION_MS));
+                self.cancel_job_after(&job, after_ms);
             }
         }
     }
 
     // ---- starts after a confirmed cancellation --------------------------------
 
-    fn was_told(&self, job: &str) -> Option<u64> {
-        let facts = self.jobs.get(job)?;
-        let told = facts.cancel_confirmed_at?;
-        (facts.reported_status.as_deref() == Some("cancelled")).then_some(told)
+    fn cancel_confirmed_at(&self, job: &str) -> Option<u64> {
+        let observed = self.jobs.get(job)?;
+        let told = observed.cancel_confirmed_at?;
+        (observed.reported_status.as_deref() == Some("cancelled")).then_some(told)
     }
 
     /// A node is told something: perhaps that jobs are over.
-    pub(crate) fn node_learns(&mut self, node: usize, command: &Command) {
+    pub(crate) fn record_ended_jobs(&mut self, node: usize, command: &Command) {
         let Command::Answer {
             outcome: Outcome::Answer { body, .. },
             ..
@@ -200,24 +204,28 @@
         else {
             return;
         };
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let text = String::from_utf8_lossy(body);
         for (at, key) in text.match_indices("\"Delete\":\"j/") {
             let job = text[at + key.len()..].split('"').next().unwrap_or_default();
-            self.fault_combinations.know.insert((node, life, job.to_owned()));
+            self.fault_combinations
+                .known_ended
+                .insert((node, incarnation, job.to_owned()));
         }
     }
 
     /// A node has answered a user: where that is told of a cancellation, the node knows it.
-    pub(crate) fn node_tells(&mut self, node: usize, job: &str, status: u16) {
-        if status == 200 && self.was_told(job).is_some() {
-            let life = self.nodes[node].life;
-            self.fault_combinations.know.insert((node, life, job.to_owned()));
+    pub(crate) fn record_confirmed_cancellation(&mut self, node: usize, job: &str, status: u16) {
+        if status == 200 && self.cancel_confirmed_at(job).is_some() {
+            let incarnation = self.nodes[node].incarnation;
+            self.fault_combinations
+                .known_ended
+                .insert((node, incarnation, job.to_owned()));
         }
     }
 
     /// Commands leave a node: with an answer to a report, or directly.
-    pub(crate) fn commands_leave(&mut self, node: usize, body: &[u8]) {
+    pub(crate) fn check_outgoing_commands(&mut self, node: usize, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         if !text.contains("\"run\"") {
             return;
@@ -226,17 +234,20 @@
         let Ok(answer) = serde_json::from_str::<HeartbeatResponse>(&text) else {
             return;
         };
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         for job in starts(&answer.commands) {
-            let Some(told) = self.was_told(job) else { continue };
+            let Some(told) = self.cancel_confirmed_at(job) else {
+                continue;
+            };
             let after_ms = self.now - told;
-            self.fault_combinations.commanded += 1;
-            self.fault_combinations.latest_ms = self.fault_combinations.latest_ms.max(after_ms);
+            self.fault_combinations.commands_after_cancel += 1;
+            self.fault_combinations.latest_command_ms =
+                self.fault_combinations.latest_command_ms.max(after_ms);
             let knows = self
                 .fault_combinations
-                .know
-                .contains(&(node, life, job.to_owned()));
-            if knows || after_ms > UNAWARE_MS {
+                .known_ended
+                .contains(&(node, incarnation, job.to_owned()));
+            if knows || after_ms > MAX_UNAWARE_MS {
                 let why = if knows { "which knows" } else { "too late" };
                 self.violation(
                     "started_cancelled",
@@ -247,14 +258,14 @@
     }
 
     /// Of a call of a node to a machine.
-    pub(crate) fn call_leaves(&mut self, call: &Call) {
+    pub(crate) fn check_outgoing_call(&mut self, call: &Call) {
         if matches!(call.to, Destination::Worker(_)) {
-            self.commands_leave(call.node, &call.body);
+            self.check_outgoing_commands(call.node, &call.body);
         }
     }
 
     /// A task comes to be on a machine.
-    pub(crate) fn note_start(&mut self, job: &str) {
-        self.fault_combinations.started += u32::from(self.was_told(job).is_some());
+    pub(crate) fn record_start_after_cancel(&mut self, job: &str) {
+        self.fault_combinations.starts_after_cancel += u32::from(self.cancel_confirmed_at(job).is_some());
     }
 }
--- a/crates/simulator/src/invariants/tests.rs
+++ b/crates/simulator/src/invariants/tests.rs
@@ -32,20 +32,22 @@
 #[test]
 fn a_job_without_an_answer_is_forgotten_once_troubles_are_over() {
     let mut simulation = Simulation::new(None, OperatorSettings::default());
-    let facts = ObservedJob {
+    let observed = ObservedJob {
         accepted: true,
         accepted_at: Some(0),
         ..ObservedJob::default()
     };
-    simulation.jobs.insert("wk-1".to_owned(), facts);
+    simulation.jobs.insert("wk-1".to_owned(), observed);
     // Its user's questions never arrive.
-    simulation.user_at.insert("wk-1".to_owned(), u64::MAX);
+    simulation
+        .next_user_request_at
+        .insert("wk-1".to_owned(), u64::MAX);
     simulation.state.start_outage(0);
-    while simulation.now < FORGOTTEN_MS + 5_000 {
+    while simulation.now < MAX_UNANSWERED_MS + 5_000 {
         simulation.step();
     }
-    assert_eq!(simulation.broken, [""; 0], "in trouble still");
-    simulation.run_on();
+    assert_eq!(simulation.violations, [""; 0], "in trouble still");
+    simulation.run_until_settled();
     let expected = "forgotten at 156.00 s: wk-1 is asked about in vain";
-    assert_eq!(simulation.broken, [expected]);
+    assert_eq!(simulation.violations, [expected]);
 }
--- a/crates/simulator/src/job_stream.rs
+++ b/crates/simulator/src/job_stream.rs
@@ -8,61 +8,61 @@
 //! back, or until now.
 
 use crate::scenario::body;
-use crate::simulation::{Asker, NODES, ObservedJob, Simulation, UserKind};
+use crate::simulation::{NODES, ObservedJob, ReplyRecipient, Simulation, UserRequest};
 use std::collections::BTreeMap;
 
 /// How soon a user takes a job back that was accepted this moment, in ms.
-const AT_ONCE_MS: (f64, f64) = (10.0, 400.0);
+const IMMEDIATE_CANCEL_MS: (f64, f64) = (10.0, 400.0);
 /// Latest time after acceptance, in runs, at which others take it back, and submissions are repeated.
-const LATE_RUNS: f64 = 2.0;
+const LATE_FOLLOW_UP_RUNS: f64 = 2.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Act {
-    TakeBack,
-    Repeat,
+enum FollowUp {
+    Cancel,
+    Resubmit,
 }
 
 /// One stream, and what users of its jobs will do.
 #[derive(Debug)]
-pub(crate) struct Stream {
+pub(crate) struct JobStream {
     next_at: f64,
     until: f64,
-    every_ms: f64,
+    interval_ms: f64,
     next_id: u64,
-    cancel: f64,
-    facts: ObservedJob,
+    cancel_share: f64,
+    template: ObservedJob,
     /// How long after its acceptance, by job.
-    acts: Vec<(String, Act, u64)>,
+    follow_ups: Vec<(String, FollowUp, u64)>,
 }
 
-impl Stream {
+impl JobStream {
     pub(crate) fn new(
         first: &str,
         keyed: &BTreeMap<&str, &str>,
         for_ms: u64,
         now: u64,
-    ) -> Result<Stream, String> {
+    ) -> Result<JobStream, String> {
         let get = |key: &str| -> Result<f64, String> {
             let text = keyed.get(key).ok_or(format!("no {key}"))?;
             text.parse().map_err(|_| format!("{text} is no number"))
         };
         let next_id = first.strip_prefix("wk-").and_then(|own| own.parse().ok());
-        Ok(Stream {
+        Ok(JobStream {
             next_at: now as f64,
             until: (now + for_ms) as f64,
-            every_ms: 1_000.0 / get("rate")?,
+            interval_ms: 1_000.0 / get("rate")?,
             next_id: next_id.ok_or("no id")?,
-            cancel: get("cancel")?,
-            facts: body(first, keyed)?.1,
-            acts: Vec::new(),
+            cancel_share: get("cancel")?,
+            template: body(first, keyed)?.1,
+            follow_ups: Vec::new(),
         })
     }
 
-    fn next(&mut self, now: u64) -> Option<String> {
+    fn next_submission(&mut self, now: u64) -> Option<String> {
         if self.next_at > now as f64 || self.next_at >= self.until {
             return None;
         }
-        self.next_at += self.every_ms;
+        self.next_at += self.interval_ms;
         self.next_id += 1;
         Some(format!("wk-{}", self.next_id - 1))
     }
@@ -72,49 +72,66 @@
     pub(crate) fn step_streams(&mut self) {
         let mut streams = std::mem::take(&mut self.streams);
         for stream in &mut streams {
-            while let Some(id) = stream.next(self.now) {
-                let mut facts = stream.facts.clone();
-                facts.body["Id"] = id.clone().into();
-                facts.submitted_at = Some(self.now);
-                self.jobs.insert(id.clone(), facts);
-                self.user_at.insert(id.clone(), self.now);
-                let late = (AT_ONCE_MS.0, stream.facts.run_s * 1_000.0 * LATE_RUNS);
-                if self.draw() < stream.cancel {
-                    let window = if self.draw() < 1.0 / 3.0 { AT_ONCE_MS } else { late };
+            while let Some(id) = stream.next_submission(self.now) {
+                let mut observed = stream.template.clone();
+                observed.body["Id"] = id.clone().into();
+                observed.submitted_at = Some(self.now);
+                self.jobs.insert(id.clone(), observed);
+                self.next_user_request_at.insert(id.clone(), self.now);
+                let late = (
+                    IMMEDIATE_CANCEL_MS.0,
+                    stream.template.run_s * 1_000.0 * LATE_FOLLOW_UP_RUNS,
+                );
+                if self.draw() < stream.cancel_share {
+                    let window = if self.draw() < 1.0 / 3.0 {
+                        IMMEDIATE_CANCEL_MS
+                    } else {
+                        late
+                    };
                     stream
-                        .acts
-                        .push((id.clone(), Act::TakeBack, self.draw_ms(window)));
+                        .follow_ups
+                        .push((id.clone(), FollowUp::Cancel, self.draw_ms(window)));
                 }
-                if self.draw() < stream.cancel {
-                    stream.acts.push((id, Act::Repeat, self.draw_ms(late)));
+                if self.draw() < stream.cancel_share {
+                    stream
+                        .follow_ups
+                        .push((id, FollowUp::Resubmit, self.draw_ms(late)));
                 }
             }
             let due = |simulation: &Simulation, id: &str, after: u64| {
                 let accepted = simulation.jobs[id].accepted_at;
                 accepted.is_some_and(|at| simulation.now >= at + after)
             };
-            let (now, later): (Vec<_>, Vec<_>) = std::mem::take(&mut stream.acts)
+            let (now, later): (Vec<_>, Vec<_>) = std::mem::take(&mut stream.follow_ups)
                 .into_iter()
                 .partition(|(id, _, after)| due(self, id, *after));
-            stream.acts = later;
+            stream.follow_ups = later;
             for (id, act, _) in now {
                 let node = (self.draw() * NODES as f64) as usize % NODES;
-                if act == Act::Repeat {
-                    self.user_asks(node, &id, UserKind::Submit);
+                if act == FollowUp::Resubmit {
+                    self.send_user_request(node, &id, UserRequest::Submit);
                     continue;
                 }
-                let facts = self.jobs.get_mut(&id).unwrap();
-                facts.request_cancel(self.now);
-                self.user_asks(node, &id, UserKind::Cancel);
+                let observed = self.jobs.get_mut(&id).unwrap();
+                observed.request_cancel(self.now);
+                self.send_user_request(node, &id, UserRequest::Cancel);
             }
         }
         self.streams = streams;
     }
 
     /// Whoever is told to come back is told when.
-    pub(crate) fn check_refusal(&mut self, asker: Option<&Asker>, status: u16, retry_after_s: Option<u64>) {
-        if let Some(Asker::User { job, kind, .. }) = asker
-            && matches!(kind, UserKind::Submit | UserKind::Poll | UserKind::Cancel)
+    pub(crate) fn check_retry_after(
+        &mut self,
+        asker: Option<&ReplyRecipient>,
+        status: u16,
+        retry_after_s: Option<u64>,
+    ) {
+        if let Some(ReplyRecipient::User { job, kind, .. }) = asker
+            && matches!(
+                kind,
+                UserRequest::Submit | UserRequest::Poll | UserRequest::Cancel
+            )
             && status == 503
             && retry_after_s.is_none()
         {
@@ -123,7 +140,7 @@
     }
 
     /// What a line `expect` of this file compares.
-    pub(crate) fn of_streams(&self, words: &[&str]) -> Option<f64> {
+    pub(crate) fn measure_streams(&self, words: &[&str]) -> Option<f64> {
         match words {
             ["keys", prefix] => Some(self.state.count(prefix) as f64),
             ["slowest", class] => {
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -6,7 +6,7 @@
 
 use crate::cloud::Cloud;
 use crate::licence_server::{ClientState, LicenceServer};
-use crate::simulation::{ObservedJob, learn_jobs};
+use crate::simulation::{ObservedJob, record_condor_jobs};
 use crate::state::{Reply, StateService};
 use crate::worker::{Worker, WorkerTimings};
 use indigopath_controller::protocol::{TaskEndCause, TaskState};
@@ -67,10 +67,10 @@
             self.update_licences();
             for (host, task) in arrived {
                 self.task_starts += 1;
-                let Some(facts) = self.jobs.get(&task.job) else {
+                let Some(observed) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                let refused = self.licences.check_out_all(&facts.counted_units, &host, &task);
+                let refused = self.licences.check_out_all(&observed.counted_units, &host, &task);
                 let lines = refused
                     .iter()
                     .map(|count| format!("{} on {host}: {count} at {} ms", task.name(), self.now));
@@ -255,7 +255,7 @@
         let (now, changes) = (models.now, models.state.applied_changes);
         let reply = models.state.handle(method, path, body, now);
         if models.state.applied_changes > changes {
-            learn_jobs(&mut models.jobs, body, CONDOR_TASK_RUN_S);
+            record_condor_jobs(&mut models.jobs, body, CONDOR_TASK_RUN_S);
         }
         reply
     };
--- a/crates/simulator/src/response_checks.rs
+++ b/crates/simulator/src/response_checks.rs
@@ -3,94 +3,98 @@
 //! not be older. A 404 is judged only where its user asked after that telling: one that asked before
 //! may have been read before the job was accepted.
 
-use crate::simulation::{Event, NODES, ObservedJob, Simulation, UserKind};
+use crate::simulation::{Event, NODES, ObservedJob, Simulation, UserRequest};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// When users look closely, in ms after they were told something.
-const LOOKS_MS: [u64; 3] = [1, 21, 61];
+const QUERY_DELAYS_MS: [u64; 3] = [1, 21, 61];
 
 /// The state of a job, from the oldest word to the newest.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Word {
+enum ReportedState {
     Unknown,
     LoopbackServices,
     Over(String),
 }
 
-impl Word {
-    fn of(status: u16, answer: &Value) -> Option<Word> {
+impl ReportedState {
+    fn of(status: u16, answer: &Value) -> Option<ReportedState> {
         match (status, answer["Status"].as_str()) {
-            (404, _) => Some(Word::Unknown),
-            (200, Some(end @ ("done" | "cancelled"))) => Some(Word::Over(end.to_owned())),
-            (200 | 201, Some(_)) => Some(Word::LoopbackServices),
+            (404, _) => Some(ReportedState::Unknown),
+            (200, Some(end @ ("done" | "cancelled"))) => Some(ReportedState::Over(end.to_owned())),
+            (200 | 201, Some(_)) => Some(ReportedState::LoopbackServices),
             _ => None,
         }
     }
 
     fn rank(&self) -> u8 {
         match self {
-            Word::Unknown => 0,
-            Word::LoopbackServices => 1,
-            Word::Over(_) => 2,
+            ReportedState::Unknown => 0,
+            ReportedState::LoopbackServices => 1,
+            ReportedState::Over(_) => 2,
         }
     }
 }
 
 /// The next answer of the state service to such a call of a node comes so many ms late.
 #[derive(Debug)]
-struct Withheld {
+struct DelayedResponse {
     node: usize,
     path: String,
-    words: String,
-    by_ms: u64,
+    body_text: String,
+    delay_ms: u64,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Answers {
+pub(crate) struct ResponseChecks {
     /// The newest word of each job, when it was first given, and by which node.
-    newest: BTreeMap<String, (Word, u64, usize)>,
+    latest_states: BTreeMap<String, (ReportedState, u64, usize)>,
     /// Until when users look closely, and the share of jobs that they take back at once.
-    close_until: u64,
+    rapid_queries_until: u64,
     cancel_share: f64,
-    withheld: Vec<Withheld>,
+    delayed_responses: Vec<DelayedResponse>,
     /// How long users waited for "cancelled" of a withdrawal, and "done" of a poll, in ms.
-    waits: BTreeMap<&'static str, Vec<u64>>,
+    response_times_ms: BTreeMap<&'static str, Vec<u64>>,
 }
 
 impl Simulation {
     /// A node answers a user about a job.
-    pub(crate) fn judge_answer(
+    pub(crate) fn check_response_order(
         &mut self,
         node: usize,
         job: &str,
-        kind: &UserKind,
+        kind: &UserRequest,
         asked_at: u64,
         status: u16,
         body: &[u8],
     ) {
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
         let job = match kind {
-            UserKind::Cluster => return,
-            UserKind::Probe { .. } => answer["Id"].as_str().unwrap_or_default(),
+            UserRequest::SubmitFile => return,
+            UserRequest::Probe { .. } => answer["Id"].as_str().unwrap_or_default(),
             _ => job,
         };
-        let Some(word) = Word::of(status, &answer).filter(|_| self.jobs.contains_key(job)) else {
+        let Some(word) = ReportedState::of(status, &answer).filter(|_| self.jobs.contains_key(job)) else {
             return;
         };
         let now = self.now;
         let wait = match (kind, &word) {
-            (UserKind::Cancel, Word::Over(_)) => Some("cancelled"),
-            (UserKind::Poll, Word::Over(end)) if end == "done" => Some("done"),
+            (UserRequest::Cancel, ReportedState::Over(_)) => Some("cancelled"),
+            (UserRequest::Poll, ReportedState::Over(end)) if end == "done" => Some("done"),
             _ => None,
         };
         if let Some(what) = wait {
-            self.answers.waits.entry(what).or_default().push(now - asked_at);
+            self.response_checks
+                .response_times_ms
+                .entry(what)
+                .or_default()
+                .push(now - asked_at);
         }
-        match self.answers.newest.get(job) {
+        match self.response_checks.latest_states.get(job) {
             Some((newest, at, by)) if word.rank() <= newest.rank() => {
                 let older = match word {
-                    Word::Unknown => newest.rank() > 0 && asked_at >= *at,
+                    ReportedState::Unknown => newest.rank() > 0 && asked_at >= *at,
                     _ => word != *newest,
                 };
                 if older {
@@ -99,44 +103,47 @@
                 }
             }
             _ => {
-                self.answers.newest.insert(job.to_owned(), (word, now, node));
-                self.look_closely(job);
+                self.response_checks
+                    .latest_states
+                    .insert(job.to_owned(), (word, now, node));
+                self.query_all_nodes(job);
             }
         }
     }
 
     /// Somebody has just been told something new of a job: users ask every node about it, and submit
     /// it again, within milliseconds; some take it back at once.
-    fn look_closely(&mut self, job: &str) {
-        if self.now >= self.answers.close_until {
+    fn query_all_nodes(&mut self, job: &str) {
+        if self.now >= self.response_checks.rapid_queries_until {
             return;
         }
         let job = job.to_owned();
-        let accepted = self.answers.newest[&job].0 == Word::LoopbackServices;
-        let cancel = accepted && self.draw() < self.answers.cancel_share;
+        let accepted = self.response_checks.latest_states[&job].0 == ReportedState::LoopbackServices;
+        let cancel = accepted && self.draw() < self.response_checks.cancel_share;
         if cancel {
             let (now, node) = (self.now, (self.draw() * NODES as f64) as usize);
-            let facts: &mut ObservedJob = self.jobs.get_mut(&job).unwrap();
-            facts.request_cancel(now);
-            self.user_asks(node, &job, UserKind::Cancel);
+            let observed: &mut ObservedJob = self.jobs.get_mut(&job).unwrap();
+            observed.request_cancel(now);
+            self.send_user_request(node, &job, UserRequest::Cancel);
         }
         for node in 0..NODES {
-            for after_ms in LOOKS_MS {
-                for kind in [UserKind::Poll, UserKind::Submit] {
+            for after_ms in QUERY_DELAYS_MS {
+                for kind in [UserRequest::Poll, UserRequest::Submit] {
                     let job = job.clone();
-                    self.post(after_ms, Event::User { node, job, kind });
+                    self.schedule(after_ms, Event::User { node, job, kind });
                 }
             }
         }
     }
 
     /// By how much the answer to this call of a node is withheld, in ms.
-    pub(crate) fn withheld(&mut self, node: usize, path: &str, body: &[u8]) -> u64 {
+    pub(crate) fn response_delay_ms(&mut self, node: usize, path: &str, body: &[u8]) -> u64 {
         let body = String::from_utf8_lossy(body);
-        let withheld = &mut self.answers.withheld;
-        let of = |held: &Withheld| held.node == node && held.path == path && body.contains(&held.words);
+        let withheld = &mut self.response_checks.delayed_responses;
+        let of =
+            |held: &DelayedResponse| held.node == node && held.path == path && body.contains(&held.body_text);
         let at = withheld.iter().position(of);
-        at.map_or(0, |at| withheld.remove(at).by_ms)
+        at.map_or(0, |at| withheld.remove(at).delay_ms)
     }
 }
 
@@ -156,24 +163,27 @@
     let arg = |at: usize| plain.get(at).copied().ok_or("too few words".to_owned());
     match arg(0)? {
         "close-looks" => {
-            simulation.answers.close_until = simulation.now + for_ms.ok_or("for how long")?;
-            simulation.answers.cancel_share = cancel_share;
+            simulation.response_checks.rapid_queries_until = simulation.now + for_ms.ok_or("for how long")?;
+            simulation.response_checks.cancel_share = cancel_share;
         }
         "withhold" => {
             let by_s: f64 = arg(2)?.parse().map_err(|_| "for how long")?;
             let (path, words) = arg(3)?.split_once(':').unwrap_or((arg(3)?, ""));
             for node in nodes {
-                simulation.answers.withheld.push(Withheld {
-                    node: *node,
-                    path: path.to_owned(),
-                    words: words.to_owned(),
-                    by_ms: (by_s * 1000.0) as u64,
-                });
+                simulation
+                    .response_checks
+                    .delayed_responses
+                    .push(DelayedResponse {
+                        node: *node,
+                        path: path.to_owned(),
+                        body_text: words.to_owned(),
+                        delay_ms: (by_s * 1000.0) as u64,
+                    });
             }
         }
         _ => {
             for node in nodes {
-                simulation.user_asks(*node, arg(1)?, UserKind::Submit);
+                simulation.send_user_request(*node, arg(1)?, UserRequest::Submit);
             }
         }
     }
@@ -185,14 +195,14 @@
 pub(crate) fn measure(simulation: &Simulation, words: &[&str]) -> Option<f64> {
     match words {
         ["waited", what, how] => {
-            let waits = simulation.answers.waits.get(what)?;
+            let waits = simulation.response_checks.response_times_ms.get(what)?;
             let ms = match *how {
                 "most" => *waits.iter().max()? as f64,
                 _ => waits.iter().sum::<u64>() as f64 / waits.len() as f64,
             };
             Some(ms / 1000.0)
         }
-        ["withheld"] => Some(simulation.answers.withheld.len() as f64),
+        ["withheld"] => Some(simulation.response_checks.delayed_responses.len() as f64),
         _ => None,
     }
 }
--- a/crates/simulator/src/scenario/actions/machines.rs
+++ b/crates/simulator/src/scenario/actions/machines.rs
@@ -15,12 +15,12 @@
         "die-in" => die_in_zone(simulation, action)?,
         "kill" => kill(simulation, action.arg(1)?)?,
         "hang" => {
-            let until = simulation.now + action.lasts_ms()?;
+            let until = simulation.now + action.duration_ms()?;
             worker(simulation, action)?.hung_until = until;
         }
         // It refuses starts as if it were full.
         "full" => {
-            let until = simulation.now + action.lasts_ms()?;
+            let until = simulation.now + action.duration_ms()?;
             worker(simulation, action)?.refuses_starts_until = until;
         }
         "faulty" => worker(simulation, action)?.faulty = true,
@@ -74,7 +74,7 @@
 /// Every so manieth machine of a zone dies: `die-in west part=3`.
 fn die_in_zone(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let zone = action.arg(1)?;
-    let part = action.number("part", 1.0)? as usize;
+    let part = action.number_or("part", 1.0)? as usize;
     let there = simulation.workers.values().filter(|worker| worker.zone == zone);
     let ids: Vec<String> = there.map(|worker| worker.id.clone()).collect();
     for id in ids.into_iter().step_by(part.max(1)) {
--- a/crates/simulator/src/scenario/actions/mod.rs
+++ b/crates/simulator/src/scenario/actions/mod.rs
@@ -47,17 +47,17 @@
     }
 
     /// The number of a key, or another one where it is not given.
-    fn number(&self, key: &str, otherwise: f64) -> Result<f64, String> {
+    fn number_or(&self, key: &str, otherwise: f64) -> Result<f64, String> {
         self.keyed.get(key).map_or(Ok(otherwise), |value| number(value))
     }
 
     /// Seconds of a key in ms.
-    fn millis(&self, key: &str, otherwise_s: f64) -> Result<u64, String> {
-        Ok((self.number(key, otherwise_s)? * 1000.0) as u64)
+    fn millis_or(&self, key: &str, otherwise_s: f64) -> Result<u64, String> {
+        Ok((self.number_or(key, otherwise_s)? * 1000.0) as u64)
     }
 
     /// For how long, in ms: whoever needs it fails without.
-    fn lasts_ms(&self) -> Result<u64, String> {
+    fn duration_ms(&self) -> Result<u64, String> {
         self.for_ms.ok_or("for how long".to_owned())
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// It names the machine of a task that may be nowhere (`of:wk-1/0?`), and it is.
-    fn is_about_nothing(&self, simulation: &Simulation) -> bool {
+    fn targets_missing_task(&self, simulation: &Simulation) -> bool {
         let optional = |name: &&&str| name.ends_with('?') && name.starts_with("of:");
         let machine = self.plain.iter().find(optional);
         machine.is_some_and(|name| machine_named(simulation, name).is_err())
@@ -85,7 +85,7 @@
     text: &str,
 ) -> Result<(), String> {
     let action = Action::parse(text)?;
-    if action.is_about_nothing(simulation) {
+    if action.targets_missing_task(simulation) {
         return Ok(());
     }
     let known = users::act(simulation, files, &action)?
@@ -126,7 +126,7 @@
 /// The end of a connection that a word names: a controller, a machine, a zone or a system.
 fn host_named(simulation: &Simulation, name: &str) -> Result<String, String> {
     match name {
-        "area:leader" | "area:leader?" => Ok(zones::of_node(simulation.leader())),
+        "area:leader" | "area:leader?" => Ok(zones::area_of_node(simulation.leader())),
         "leader" | "follower" => Ok(format!("n{}", nodes_named(simulation, name)?[0])),
         other => machine_named(simulation, other).or_else(|_| Ok(other.to_owned())),
     }
--- a/crates/simulator/src/scenario/actions/network.rs
+++ b/crates/simulator/src/scenario/actions/network.rs
@@ -2,7 +2,7 @@
 
 use super::super::script::{Agenda, number};
 use super::{Action, host_named, machine_named, nodes_named};
-use crate::simulation::{Cut, DuplicateDelivery, Fault, MessageFault, Simulation};
+use crate::simulation::{DuplicateDelivery, Fault, MessageFault, NetworkCut, Simulation};
 
 /// False where the verb is about no message.
 pub(super) fn act(simulation: &mut Simulation, agenda: &mut Agenda, action: &Action) -> Result<bool, String> {
@@ -13,12 +13,12 @@
         }
         "refuse" => {
             for node in nodes_named(simulation, action.arg(1)?)? {
-                let until = simulation.now + action.lasts_ms()?;
-                simulation.refused.insert(node, until);
+                let until = simulation.now + action.duration_ms()?;
+                simulation.refused_until.insert(node, until);
             }
         }
         "cut" => cut(simulation, agenda, action)?,
-        "heal" => simulation.heal(),
+        "heal" => simulation.heal_cuts(),
         "outage" => outage(simulation, agenda, action)?,
         "restore" => match action.arg(1)? {
             "state" => simulation.state.end_outage(simulation.now),
@@ -29,18 +29,20 @@
         "lose-answer" => {
             let (_, path) = action.text.split_once(' ').ok_or("no path")?;
             let path = path.to_owned();
-            simulation.message_faults.push(MessageFault::LoseAnswer { path });
+            simulation
+                .message_faults
+                .push(MessageFault::LoseResponse { path });
         }
         // What is delivered and answered from now on is delivered once more.
         "copies" => {
             let later = action.keyed.get("later").ok_or("how much later")?;
-            simulation.copies.push(DuplicateDelivery {
+            simulation.duplicate_deliveries.push(DuplicateDelivery {
                 kind: action.arg(1)?.to_owned(),
-                later_ms: (number(later)? * 1000.0) as u64,
-                until: simulation.now + action.lasts_ms()?,
+                delay_ms: (number(later)? * 1000.0) as u64,
+                until: simulation.now + action.duration_ms()?,
             });
         }
-        "late" => simulation.message_faults.push(MessageFault::Late {
+        "late" => simulation.message_faults.push(MessageFault::Delay {
             path: action.arg(1)?.to_owned(),
             by_ms: (number(action.arg(2)?)? * 1000.0) as u64,
         }),
@@ -50,27 +52,29 @@
 }
 
 fn cut_off(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
-    let until = simulation.now + action.lasts_ms()?;
+    let until = simulation.now + action.duration_ms()?;
     for node in nodes_named(simulation, action.arg(1)?)? {
         let silent = action.has("silent");
-        simulation.faults.push((until, Fault::CutOff { node, silent }));
+        simulation
+            .faults
+            .push((until, Fault::IsolateNode { node, silent }));
     }
     Ok(())
 }
 
 /// A fault that lasts, and strikes a share of all messages or machines of its kind.
 fn begin_fault(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
-    let until = simulation.now + action.lasts_ms()?;
-    let share = action.number("share", 0.0)?;
+    let until = simulation.now + action.duration_ms()?;
+    let share = action.number_or("share", 0.0)?;
     let fault = match action.verb()? {
-        "late-writes" if action.has("at-once") => Fault::LostAnswers { share },
-        "cancel-at-end" => Fault::CancelAtEnd { share },
-        "late-reports" if action.has("for-next") => Fault::ReportsForNext {
+        "late-writes" if action.has("at-once") => Fault::LostWriteResponses { share },
+        "cancel-at-end" => Fault::CancelNearCompletion { share },
+        "late-reports" if action.has("for-next") => Fault::HeartbeatsForNextLeader {
             share,
-            after_ms: action.millis("after", 0.0)?,
+            after_ms: action.millis_or("after", 0.0)?,
         },
         "late-writes" => Fault::LateWrites { share },
-        "late-reports" => Fault::LateReports { share },
+        "late-reports" => Fault::LateHeartbeats { share },
         "slow-state" => Fault::SlowState {
             share,
             times: number(action.keyed.get("times").ok_or("how many times")?)?,
@@ -78,11 +82,11 @@
         one_way => {
             let named = action.plain.get(1);
             let named = named.map(|name| machine_named(simulation, name)).transpose()?;
-            let (machines, zone) = simulation.befallen(named, &action.keyed, share);
+            let (machines, zone) = simulation.affected_machines(named, &action.keyed, share);
             if one_way == "mute" {
-                Fault::Mute { machines, zone }
+                Fault::DropHeartbeats { machines, zone }
             } else {
-                Fault::Deaf { machines, zone }
+                Fault::DropInbound { machines, zone }
             }
         }
     };
@@ -93,10 +97,14 @@
 fn cut(simulation: &mut Simulation, agenda: &mut Agenda, action: &Action) -> Result<(), String> {
     let one_end = host_named(simulation, action.arg(1)?)?;
     let other_end = host_named(simulation, action.arg(2)?)?;
-    let cut = if action.has("hold") { Cut::Hold } else { Cut::Drop };
+    let cut = if action.has("hold") {
+        NetworkCut::Hold
+    } else {
+        NetworkCut::Drop
+    };
     simulation.cuts.push((one_end, other_end, cut));
     if let Some(lasts_ms) = action.for_ms {
-        agenda.follow_up(simulation.now + lasts_ms, "heal");
+        agenda.add_follow_up(simulation.now + lasts_ms, "heal");
     }
     Ok(())
 }
@@ -109,7 +117,7 @@
         _ => simulation.cloud.outage = true,
     }
     if let Some(lasts_ms) = action.for_ms {
-        agenda.follow_up(simulation.now + lasts_ms, &format!("restore {system}"));
+        agenda.add_follow_up(simulation.now + lasts_ms, &format!("restore {system}"));
     }
     Ok(())
 }
--- a/crates/simulator/src/scenario/actions/store.rs
+++ b/crates/simulator/src/scenario/actions/store.rs
@@ -11,13 +11,13 @@
         // end only.
         "meddle" => {
             let key = action.arg(1)?;
-            simulation.books.spoilt |= key.starts_with("b/");
+            simulation.accounting_check.modified_externally |= key.starts_with("b/");
             let value = action.plain.get(2).map(|text| serde_json::from_str(text));
             let value = value.transpose().map_err(|error| error.to_string())?;
             simulation.state.modify_externally(key, value);
         }
         "forget-changes" => {
-            simulation.books.spoilt = true;
+            simulation.accounting_check.modified_externally = true;
             simulation.state.compact_history();
         }
         // A value, as some other build would have left it.
--- a/crates/simulator/src/scenario/actions/users.rs
+++ b/crates/simulator/src/scenario/actions/users.rs
@@ -2,9 +2,9 @@
 
 use super::super::script::{body, number};
 use super::{Action, nodes_named};
-use crate::job_stream::Stream;
+use crate::job_stream::JobStream;
 use crate::response_checks;
-use crate::simulation::{NODES, Simulation, SubmittedFile, UserKind};
+use crate::simulation::{NODES, Simulation, SubmittedFile, UserRequest};
 use indigopath_condor::Bundle;
 use std::collections::BTreeMap;
 
@@ -19,34 +19,39 @@
         "condor" => send_file(simulation, files, action)?,
         // Its submitter never comes back.
         "abandon" => {
-            let sent = simulation.sent.get_mut(action.arg(1)?);
+            let sent = simulation.submitted_files.get_mut(action.arg(1)?);
             sent.ok_or("no such file")?.next_attempt_at = u64::MAX;
         }
-        "withdraw" => withdraw(simulation, action)?,
+        "withdraw" => cancel_job(simulation, action)?,
         "ask" => {
             let nodes = action.keyed.get("node").copied().unwrap_or("all");
-            ask(simulation, action.arg(1)?, nodes, &UserKind::Poll)?;
+            send_to_nodes(simulation, action.arg(1)?, nodes, &UserRequest::Poll)?;
         }
-        "close-looks" | "withhold" | "repeat" => look_closely(simulation, action)?,
+        "close-looks" | "withhold" | "repeat" => query_rapidly(simulation, action)?,
         "stream" => {
-            let stream = Stream::new(action.arg(1)?, &action.keyed, action.lasts_ms()?, simulation.now)?;
+            let stream = JobStream::new(
+                action.arg(1)?,
+                &action.keyed,
+                action.duration_ms()?,
+                simulation.now,
+            )?;
             simulation.streams.push(stream);
         }
         "flood" => flood(simulation, action)?,
         // The same id for another team, at a node of its own, whichever comes first.
         "rival" => {
             let (body, _) = body(action.arg(1)?, &action.keyed)?;
-            let node = action.number("node", 0.0)? as usize % NODES;
-            simulation.user_asks(node, "", UserKind::submission(&body, 0));
+            let node = action.number_or("node", 0.0)? as usize % NODES;
+            simulation.send_user_request(node, "", UserRequest::submission(&body, 0));
         }
         // A submission again, with another body: its job's state, never a refusal.
         "resubmit" => {
             let (body, _) = body(action.arg(1)?, &action.keyed)?;
-            ask(simulation, "", "all", &UserKind::submission(&body, 200))?;
+            send_to_nodes(simulation, "", "all", &UserRequest::submission(&body, 200))?;
         }
         "probe" => probe(simulation, action)?,
-        "offer" => simulation.offer(&action.plain, &action.keyed)?,
-        "odd-requests" => simulation.begin_odd(action.lasts_ms()?),
+        "offer" => simulation.submit_expecting_status(&action.plain, &action.keyed)?,
+        "odd-requests" => simulation.begin_unusual_requests(action.duration_ms()?),
         "cancel-now" => cancel_now(simulation, action)?,
         // What was wrong with the job is mended.
         "fix" => {
@@ -62,18 +67,18 @@
 /// many seconds.
 fn submit(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let id = action.arg(1)?;
-    let every_ms = action.millis("every", 0.1)?;
-    let count = action.number("count", 1.0)? as u64;
+    let every_ms = action.millis_or("every", 0.1)?;
+    let count = action.number_or("count", 1.0)? as u64;
     for more in 0..count {
         let id = match id.strip_prefix("wk-").and_then(|own| own.parse::<u64>().ok()) {
             Some(own) => format!("wk-{}", own + more),
             None => id.to_owned(),
         };
-        let (_, mut facts) = body(&id, &action.keyed)?;
+        let (_, mut observed) = body(&id, &action.keyed)?;
         let asked_at = simulation.now + more * every_ms;
-        facts.submitted_at = Some(asked_at);
-        simulation.jobs.insert(id.clone(), facts);
-        simulation.user_at.insert(id, asked_at);
+        observed.submitted_at = Some(asked_at);
+        simulation.jobs.insert(id.clone(), observed);
+        simulation.next_user_request_at.insert(id, asked_at);
     }
     Ok(())
 }
@@ -88,7 +93,7 @@
     let text = files.get(name).ok_or("no such file")?;
     let sent = action.keyed.get("as").copied().unwrap_or(name);
     let key = action.keyed.get("key").copied().unwrap_or(sent);
-    let first = action.number("node", 0.0)? as usize;
+    let first = action.number_or("node", 0.0)? as usize;
     let bundle = Bundle {
         key: format!("scenario-{key}"),
         owner: "awa".to_owned(),
@@ -106,53 +111,58 @@
         nodes,
         response: None,
     };
-    simulation.sent.insert(sent.to_owned(), sending);
+    simulation.submitted_files.insert(sent.to_owned(), sending);
     Ok(())
 }
 
-fn withdraw(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
+fn cancel_job(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let now = simulation.now;
     let job = action.arg(1)?;
-    let facts = simulation.jobs.get_mut(job).ok_or("no such job")?;
-    facts.request_cancel(now);
+    let observed = simulation.jobs.get_mut(job).ok_or("no such job")?;
+    observed.request_cancel(now);
     match action.keyed.get("node") {
-        Some(nodes) => ask(simulation, job, nodes, &UserKind::Cancel),
+        Some(nodes) => send_to_nodes(simulation, job, nodes, &UserRequest::Cancel),
         None => Ok(()),
     }
 }
 
 /// A request at each of these nodes, at once.
-fn ask(simulation: &mut Simulation, job: &str, nodes: &str, kind: &UserKind) -> Result<(), String> {
+fn send_to_nodes(
+    simulation: &mut Simulation,
+    job: &str,
+    nodes: &str,
+    kind: &UserRequest,
+) -> Result<(), String> {
     for node in nodes_named(simulation, nodes)? {
-        simulation.user_asks(node, job, kind.clone());
+        simulation.send_user_request(node, job, kind.clone());
     }
     Ok(())
 }
 
-fn look_closely(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
+fn query_rapidly(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let plain = &action.plain;
     let node = action
         .keyed
         .get("node")
         .or(plain.get(1).filter(|_| plain.len() > 2));
     let nodes = node.map_or(Ok(Vec::new()), |node| nodes_named(simulation, node))?;
-    let cancels = action.number("cancels", 0.0)?;
+    let cancels = action.number_or("cancels", 0.0)?;
     response_checks::act(simulation, plain, &nodes, cancels, action.for_ms)
 }
 
 /// Submissions of one team, so many a second, whose users neither come again nor ask.
 fn flood(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
-    let rate = action.number("rate", 500.0)?;
+    let rate = action.number_or("rate", 500.0)?;
     let first = action.arg(1)?.trim_start_matches("wk-");
     let first: u64 = first.parse().map_err(|_| "no id")?;
-    let count = (rate * action.lasts_ms()? as f64 / 1000.0) as u64;
+    let count = (rate * action.duration_ms()? as f64 / 1000.0) as u64;
     for more in 0..count {
         let id = format!("wk-{}", first + more);
-        let (_, facts) = body(&id, &action.keyed)?;
-        simulation.jobs.insert(id.clone(), facts);
+        let (_, observed) = body(&id, &action.keyed)?;
+        simulation.jobs.insert(id.clone(), observed);
         let node = more as usize % NODES;
         let after = (more as f64 * 1000.0 / rate) as u64;
-        simulation.flood(after, node, id);
+        simulation.submit_once(after, node, id);
     }
     Ok(())
 }
@@ -160,18 +170,18 @@
 /// A request at every node whose answer's status must be this.
 fn probe(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let body = action.keyed.get("body").copied().unwrap_or("");
-    let kind = UserKind::Probe {
+    let kind = UserRequest::Probe {
         method: if action.arg(1)? == "GET" { "GET" } else { "POST" },
         path: action.arg(2)?.to_owned(),
         body: body.as_bytes().to_vec(),
         status: number(action.arg(3)?)? as u16,
     };
-    ask(simulation, "", "all", &kind)
+    send_to_nodes(simulation, "", "all", &kind)
 }
 
 fn cancel_now(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let count = number(action.keyed.get("count").ok_or("how many")?)? as usize;
-    let called_off = simulation.cancel_now(count.max(1), action.millis("hang", 0.0)?);
+    let called_off = simulation.cancel_long_running(count.max(1), action.millis_or("hang", 0.0)?);
     // With `?`, nothing happens while nothing has long to go.
     if action.has("?") {
         Ok(())
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -1,6 +1,6 @@
 //! Judges a scenario that was played to its end.
 
-use super::script::{Judged, number};
+use super::script::{Expectations, number};
 use crate::response_checks;
 use crate::simulation::{ObservedJob, Simulation};
 use indigopath_controller::protocol::TaskState;
@@ -8,17 +8,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Part of what a class or a team asks for under which a day fails.
-const LEAST_SERVED: f64 = 0.5;
+const MIN_SERVED_SHARE: f64 = 0.5;
 
 /// Whether a scenario that was played to its end went as it must.
-pub(super) fn judge(simulation: &mut Simulation, judged: Judged) -> Result<(), String> {
-    let Judged {
-        expects,
+pub(super) fn evaluate(simulation: &mut Simulation, judged: Expectations) -> Result<(), String> {
+    let Expectations {
+        conditions: expects,
         unserved,
         largest,
     } = judged;
-    let mut problems = std::mem::take(&mut simulation.broken);
-    if (simulation.end_at.is_some() || !simulation.end_on.is_empty()) && problems.is_empty() {
+    let mut problems = std::mem::take(&mut simulation.violations);
+    if (simulation.crash_at_cluster_call.is_some() || !simulation.crashes_on_call.is_empty())
+        && problems.is_empty()
+    {
         // The call that was to be the last was never made.
         return Err("no end".to_owned());
     }
@@ -28,16 +30,16 @@
     {
         problems.push("nothing_ran".to_owned());
     }
-    let served = simulation.served();
+    let served = simulation.served_shares();
     for (whose, (served, asked)) in &served {
-        if served / asked < LEAST_SERVED && !unserved.contains(whose) {
+        if served / asked < MIN_SERVED_SHARE && !unserved.contains(whose) {
             problems.push(format!("unserved: {whose} has {served:.1} of {asked}"));
         }
     }
     for whose in unserved {
         if served
             .get(&whose)
-            .is_none_or(|(served, asked)| served / asked >= LEAST_SERVED)
+            .is_none_or(|(served, asked)| served / asked >= MIN_SERVED_SHARE)
         {
             problems.push(format!("{whose} is served after all"));
         }
@@ -49,9 +51,9 @@
         }
     }
     if problems.is_empty() {
-        simulation.run_on();
-        problems.append(&mut simulation.broken);
-        problems.extend(simulation.waits_after_all());
+        simulation.run_until_settled();
+        problems.append(&mut simulation.violations);
+        problems.extend(simulation.unmet_wait_exceptions());
     }
     if problems.is_empty() {
         Ok(())
@@ -63,15 +65,15 @@
 /// What is wrong with the largest jobs, but for these exceptions; and exceptions that are none.
 fn check_largest(simulation: &Simulation, exceptions: &[String]) -> Vec<String> {
     let mut found: BTreeMap<String, String> = BTreeMap::new();
-    for (class, jobs) in simulation.largest() {
-        if jobs.served < LEAST_SERVED * jobs.asked {
+    for (class, jobs) in simulation.largest_jobs() {
+        if jobs.served < MIN_SERVED_SHARE * jobs.requested {
             found.insert(
                 format!("unserved {class}"),
-                format!("{:.1} of {}", jobs.served, jobs.asked),
+                format!("{:.1} of {}", jobs.served, jobs.requested),
             );
         }
-        if !jobs.late.is_empty() {
-            found.insert(format!("late {class}"), format!("{:?}", jobs.late));
+        if !jobs.late_starts.is_empty() {
+            found.insert(format!("late {class}"), format!("{:?}", jobs.late_starts));
         }
     }
     let mut problems = Vec::new();
@@ -95,7 +97,7 @@
         return Err("unknown expectation".to_owned());
     };
     let have = simulation
-        .of_streams(what)
+        .measure_streams(what)
         .or_else(|| response_checks::measure(simulation, what));
     compare(have.ok_or("unknown expectation")?, sign, want)
 }
@@ -123,21 +125,25 @@
 fn check_calls(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
         // Calls to the cloud that were dropped as their permits had run out.
-        ["late", "permits", sign, want] => compare(f64::from(simulation.late_permits), sign, want),
+        ["late", "permits", sign, want] => compare(f64::from(simulation.expired_permits), sign, want),
         // Messages that were delivered once more.
-        ["copies", sign, want] => compare(f64::from(simulation.copied), sign, want),
+        ["copies", sign, want] => compare(f64::from(simulation.duplicates_delivered), sign, want),
         // Messages that faults befell.
-        ["troubled", sign, want] => compare(f64::from(simulation.troubled), sign, want),
+        ["troubled", sign, want] => compare(f64::from(simulation.affected_messages), sign, want),
         // Acts of replaced leaders at the cloud of which no record told.
-        ["unknown", "acts", sign, want] => compare(f64::from(simulation.unknown_acts), sign, want),
+        ["unknown", "acts", sign, want] => compare(f64::from(simulation.unrecorded_operations), sign, want),
         // Fetches that machines began.
-        ["fetches", "begun", sign, want] => compare(f64::from(simulation.begun), sign, want),
+        ["fetches", "begun", sign, want] => compare(f64::from(simulation.fetches_started), sign, want),
         // Tasks that waited for their image.
-        ["fetches", sign, want] => compare(f64::from(simulation.fetches), sign, want),
+        ["fetches", sign, want] => compare(f64::from(simulation.tasks_awaiting_fetch), sign, want),
         // The most calls of a kind (changes, requests, cloud, workers) in any second.
-        ["most", kind, sign, want] => compare(simulation.calls.most(kind) as f64, sign, want),
+        ["most", kind, sign, want] => compare(
+            simulation.call_statistics.peak_per_second(kind) as f64,
+            sign,
+            want,
+        ),
         ["total", kind, sign, want] => {
-            let total = simulation.calls.total.get(*kind).copied().unwrap_or(0);
+            let total = simulation.call_statistics.total.get(*kind).copied().unwrap_or(0);
             compare(total as f64, sign, want)
         }
         // How often somebody began to lead.
@@ -145,7 +151,7 @@
         ["machines", sign, want] => compare(simulation.workers.len() as f64, sign, want),
         ["rented", sign, want] => compare(f64::from(simulation.cloud.launched_total), sign, want),
         ["fenced", sign, want] => compare(f64::from(simulation.state.fenced_transactions), sign, want),
-        ["refused", sign, want] => compare(f64::from(simulation.most_refused), sign, want),
+        ["refused", sign, want] => compare(f64::from(simulation.refused_responses), sign, want),
         ["leaders", sign, want] => {
             let leaders = simulation
                 .nodes
@@ -155,7 +161,7 @@
             compare(leaders as f64, sign, want)
         }
         // The longest time, in s, in which nobody led.
-        ["leaderless", sign, want] => compare(simulation.most_leaderless as f64 / 1000.0, sign, want),
+        ["leaderless", sign, want] => compare(simulation.longest_leaderless_ms as f64 / 1000.0, sign, want),
         ["leader", "key"] => simulation
             .state
             .value("leader")
@@ -171,17 +177,20 @@
     let outcome = match words {
         // Answers to submissions with this status.
         ["submissions", status, sign, want] => {
-            let told = simulation.intake.told.get(&(number(status)? as u16));
+            let told = simulation
+                .admission_checks
+                .responses_by_status
+                .get(&(number(status)? as u16));
             compare(told.copied().unwrap_or(0).into(), sign, want)
         }
         // The status of a submit file's answer.
         ["sent", name, sign, want] => {
-            let sent = simulation.sent.get(*name).ok_or("no such file")?;
+            let sent = simulation.submitted_files.get(*name).ok_or("no such file")?;
             let status = sent.response.as_ref().map_or(0, |(status, _)| *status);
             compare(f64::from(status), sign, want)
         }
         ["answer", name, "says", words @ ..] => {
-            let sent = simulation.sent.get(*name).ok_or("no such file")?;
+            let sent = simulation.submitted_files.get(*name).ok_or("no such file")?;
             let answer = sent
                 .response
                 .as_ref()
@@ -210,7 +219,7 @@
                 "running" => {
                     let names: Vec<&String> = jobs.map(|(id, _)| id).collect();
                     let running = simulation
-                        .on_machines()
+                        .tasks_on_machines()
                         .filter(|(_, task)| names.contains(&&task.job) && task.state == TaskState::Running);
                     running.count()
                 }
@@ -233,7 +242,7 @@
         }
         ["answered", path, sign, want] => compare(
             simulation
-                .probes
+                .probe_responses
                 .iter()
                 .filter(|(asked, status)| asked == path && *status != 503)
                 .count() as f64,
@@ -260,28 +269,34 @@
         }
         // Jobs in a team's book, as its records say; ends of which no record says the owner; and
         // the books' keys.
-        ["book", "unowned", sign, want] => {
-            compare(simulation.books.totals(&simulation.state)?.1 as f64, sign, want)
-        }
+        ["book", "unowned", sign, want] => compare(
+            simulation.accounting_check.totals(&simulation.state)?.1 as f64,
+            sign,
+            want,
+        ),
         ["book", "keys", sign, want] => compare(simulation.state.count("b/") as f64, sign, want),
         ["book", team, sign, want] => {
-            let (totals, _) = simulation.books.totals(&simulation.state)?;
+            let (totals, _) = simulation.accounting_check.totals(&simulation.state)?;
             compare(totals.get(*team).copied().unwrap_or(0) as f64, sign, want)
         }
         // Of what a class or team asked for, what it had: `served class=batch >= 0.6`.
         ["served", whose, sign, want] => {
-            let shares = simulation.served();
+            let shares = simulation.served_shares();
             let (served, asked) = shares.get(*whose).ok_or("nothing was asked for")?;
             compare(served / asked, sign, want)
         }
-        ["started-cancelled", sign, want] => {
-            compare(f64::from(simulation.fault_combinations.started), sign, want)
-        }
-        ["commanded-cancelled", sign, want] => {
-            compare(f64::from(simulation.fault_combinations.commanded), sign, want)
-        }
+        ["started-cancelled", sign, want] => compare(
+            f64::from(simulation.fault_combinations.starts_after_cancel),
+            sign,
+            want,
+        ),
+        ["commanded-cancelled", sign, want] => compare(
+            f64::from(simulation.fault_combinations.commands_after_cancel),
+            sign,
+            want,
+        ),
         ["commanded-after", sign, want] => compare(
-            simulation.fault_combinations.latest_ms as f64 / 1000.0,
+            simulation.fault_combinations.latest_command_ms as f64 / 1000.0,
             sign,
             want,
         ),
@@ -295,9 +310,9 @@
             compare(told.len() as f64, sign, want).map_err(|problem| format!("{problem}: {told:#?}"))
         }
         // Of the time in which protected replicas were wanted, the part in which they were up.
-        ["protected", sign, want] => compare(simulation.guarded.part_up(), sign, want),
+        ["protected", sign, want] => compare(simulation.window_checks.protected_availability(), sign, want),
         // How often windows were opened or closed, as the log of all leaders has it.
-        ["edges", sign, want] => compare(simulation.guarded.edges(), sign, want),
+        ["edges", sign, want] => compare(simulation.window_checks.transition_count(), sign, want),
         ["value", key, "says", words @ ..] => {
             let text = simulation
                 .state
@@ -353,20 +368,20 @@
         [id, "saved", sign, want] => compare(job(simulation, id)?.checkpointed_s, sign, want),
         [id, "running", sign, want] => {
             let running = simulation
-                .on_machines()
+                .tasks_on_machines()
                 .filter(|(_, task)| task.job == *id && task.state == TaskState::Running)
                 .count();
             compare(running as f64, sign, want)
         }
         [id, "on", "spot", sign, want] => {
             let on = simulation
-                .on_machines()
+                .tasks_on_machines()
                 .filter(|(worker, task)| worker.spot && task.job == *id);
             compare(on.count() as f64, sign, want)
         }
         [id, "zones", sign, want] => {
             let zones: BTreeSet<&str> = simulation
-                .on_machines()
+                .tasks_on_machines()
                 .filter(|(_, task)| task.job == *id)
                 .map(|(worker, _)| worker.zone.as_str())
                 .collect();
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -78,25 +78,30 @@
 pub(crate) use script::{body, number};
 
 /// Plays so many cases on all processors; returns those that failed, with why.
-pub fn run_cases(cases: usize, play: impl Fn(usize) -> Result<(), String> + Sync) -> Vec<(usize, String)> {
+pub fn run_cases(
+    cases: usize,
+    run_case: impl Fn(usize) -> Result<(), String> + Sync,
+) -> Vec<(usize, String)> {
     let next = AtomicUsize::new(0);
-    let player = || {
+    let run_next_cases = || {
         let mut failed = Vec::new();
         loop {
             let case = next.fetch_add(1, Ordering::Relaxed);
             if case >= cases {
                 return failed;
             }
-            if let Err(problem) = play(case) {
+            if let Err(problem) = run_case(case) {
                 failed.push((case, problem));
             }
         }
     };
-    let threads = std::thread::available_parallelism().map_or(1, usize::from);
+    let thread_count = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
-        let players: Vec<_> = (0..threads).map(|_| scope.spawn(player)).collect();
-        let played = players.into_iter().map(|player| player.join().expect("a player"));
-        played.flatten().collect()
+        let threads: Vec<_> = (0..thread_count).map(|_| scope.spawn(run_next_cases)).collect();
+        let results = threads
+            .into_iter()
+            .map(|thread| thread.join().expect("worker thread panicked"));
+        results.flatten().collect()
     })
 }
 
@@ -105,13 +110,13 @@
 /// # Errors
 /// The scenario cannot be read, or it did not go as it must.
 pub fn run(text: &str) -> Result<(), String> {
-    play(text, None, &mut Observed::default())
+    run_script(text, None, &mut Observed::default())
 }
 
 /// Plays a scenario; returns as well the digest of all that its controllers sent.
 pub fn run_with_digest(text: &str) -> (Result<(), String>, String) {
     let mut observed = Observed::default();
-    let outcome = play(text, None, &mut observed);
+    let outcome = run_script(text, None, &mut observed);
     (outcome, observed.effects.finish())
 }
 
@@ -126,19 +131,23 @@
         leader_operations: 0,
     };
     let mut observed = Observed::default();
-    let outcome = play(text, Some(deviation_plan), &mut observed);
-    (outcome, observed.acts)
+    let outcome = run_script(text, Some(deviation_plan), &mut observed);
+    (outcome, observed.leader_operations)
 }
 
-/// What a played scenario shows beside its verdict.
+/// What a results scenario shows beside its verdict.
 #[derive(Debug, Default)]
 struct Observed {
     /// Acts of leaders that could have gone another way.
-    acts: usize,
+    leader_operations: usize,
     effects: EffectDigest,
 }
 
-fn play(text: &str, deviation_plan: Option<DeviationPlan>, observed: &mut Observed) -> Result<(), String> {
+fn run_script(
+    text: &str,
+    deviation_plan: Option<DeviationPlan>,
+    observed: &mut Observed,
+) -> Result<(), String> {
     let Script {
         setup,
         mut agenda,
@@ -146,20 +155,20 @@
         until_ms,
         judged,
     } = Script::parse(text)?;
-    let mut simulation = setup.begin();
+    let mut simulation = setup.build();
     simulation.deviation_plan = deviation_plan;
-    play_until(&mut simulation, &mut agenda, &files, until_ms)?;
-    simulation.check_books();
-    observed.acts = simulation
+    run_until(&mut simulation, &mut agenda, &files, until_ms)?;
+    simulation.check_accounting();
+    observed.leader_operations = simulation
         .deviation_plan
         .as_ref()
         .map_or(0, |plan| plan.leader_operations);
-    let verdict = expectations::judge(&mut simulation, judged);
-    observed.effects = std::mem::take(&mut simulation.effects);
+    let verdict = expectations::evaluate(&mut simulation, judged);
+    observed.effects = std::mem::take(&mut simulation.effect_digest);
     verdict
 }
 
-fn play_until(
+fn run_until(
     simulation: &mut Simulation,
     agenda: &mut Agenda,
     files: &BTreeMap<String, String>,
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -15,7 +15,7 @@
     /// Submit files, by name.
     pub(super) files: BTreeMap<String, String>,
     pub(super) until_ms: u64,
-    pub(super) judged: Judged,
+    pub(super) judged: Expectations,
 }
 
 /// What the site is like as the scenario begins.
@@ -25,44 +25,44 @@
     /// GPUs that each team may use, in place of the settings'.
     gpus_max: Option<f64>,
     /// By how much a clock may be off, in ms, in place of the settings'.
-    skew_ms: Option<f64>,
+    max_clock_skew_ms: Option<f64>,
     /// Largest value of the key-value store, in KB, in place of the settings'.
-    value_kb: Option<f64>,
+    max_value_kb: Option<f64>,
     /// Fetches at one time share a machine's rate.
-    shares_rate: bool,
+    fetches_share_rate: bool,
     /// The key-value store refuses what is beyond its rates.
-    limits: bool,
+    enforces_rate_limits: bool,
     /// How long tasks of submit files run, in s.
     condor_run_s: Option<f64>,
     /// Jobs that are meant to wait beside room.
-    waits: BTreeSet<String>,
+    expected_waits: BTreeSet<String>,
 }
 
 impl Setup {
-    pub(super) fn begin(self) -> Simulation {
+    pub(super) fn build(self) -> Simulation {
         let overrides = SettingOverrides {
             gpus_max: self.gpus_max,
-            skew_ms: self.skew_ms,
-            value_kb: self.value_kb,
+            max_clock_skew_ms: self.max_clock_skew_ms,
+            max_value_kb: self.max_value_kb,
         };
         let mut simulation = Simulation::with_settings(overrides, self.operator);
-        simulation.condor_run_s = self.condor_run_s.unwrap_or(CONDOR_RUN_S);
-        simulation.shares_rate = self.shares_rate;
-        if self.limits {
+        simulation.condor_run_s = self.condor_run_s.unwrap_or(DEFAULT_CONDOR_RUN_S);
+        simulation.fetches_share_rate = self.fetches_share_rate;
+        if self.enforces_rate_limits {
             simulation.state.rate_limits = Some(simulation.state_limits());
         }
-        simulation.waiting.meant = self.waits;
+        simulation.waiting_checks.meant = self.expected_waits;
         simulation
     }
 }
 
 /// How long tasks of submit files run where nothing else is said, in s.
-const CONDOR_RUN_S: f64 = 10.0;
+const DEFAULT_CONDOR_RUN_S: f64 = 10.0;
 
 /// What is judged at the end.
 #[derive(Default)]
-pub(super) struct Judged {
-    pub(super) expects: Vec<String>,
+pub(super) struct Expectations {
+    pub(super) conditions: Vec<String>,
     /// Classes and teams that are meant to have less than their least share.
     pub(super) unserved: Vec<String>,
     /// Exceptions among the largest jobs.
@@ -74,7 +74,7 @@
 pub(super) struct Agenda(BTreeMap<(u64, usize), String>);
 
 /// Behind the lines of any scenario: actions that others bring about.
-const FIRST_FOLLOW_UP: usize = 100_000;
+const FIRST_FOLLOW_UP_LINE: usize = 100_000;
 
 impl Agenda {
     fn add(&mut self, at_ms: u64, line: usize, action: &str) {
@@ -82,8 +82,8 @@
     }
 
     /// What another action brings about later.
-    pub(super) fn follow_up(&mut self, at_ms: u64, action: &str) {
-        let line = FIRST_FOLLOW_UP + self.0.len();
+    pub(super) fn add_follow_up(&mut self, at_ms: u64, action: &str) {
+        let line = FIRST_FOLLOW_UP_LINE + self.0.len();
         self.add(at_ms, line, action);
     }
 
@@ -101,7 +101,7 @@
             agenda: Agenda::default(),
             files: BTreeMap::new(),
             until_ms: 0,
-            judged: Judged::default(),
+            judged: Expectations::default(),
         };
         let mut file = String::new();
         for (number, line) in text.lines().enumerate() {
@@ -123,7 +123,7 @@
                 _ => script.setup.line(number, word, rest)?,
             }
         }
-        if script.judged.expects.is_empty() || script.until_ms == 0 {
+        if script.judged.conditions.is_empty() || script.until_ms == 0 {
             return Err("a scenario needs `expect` and `until`".to_owned());
         }
         Ok(script)
@@ -139,12 +139,12 @@
     }
 }
 
-impl Judged {
+impl Expectations {
     fn line(&mut self, number: usize, word: &str, rest: &str) -> Result<(), String> {
         match word {
-            "expect" => self.expects.push(rest.to_owned()),
+            "expect" => self.conditions.push(rest.to_owned()),
             "unserved" => self.unserved.push(rest.to_owned()),
-            _ => self.largest.push(excepted(number, rest)?),
+            _ => self.largest.push(parse_exception(number, rest)?),
         }
         Ok(())
     }
@@ -153,23 +153,23 @@
 impl Setup {
     fn line(&mut self, number: usize, word: &str, rest: &str) -> Result<(), String> {
         match word {
-            "shared-fetches" => self.shares_rate = true,
+            "shared-fetches" => self.fetches_share_rate = true,
             "weights" => self.operator.image_locality = rest != "off",
-            "limits" => self.limits = true,
+            "limits" => self.enforces_rate_limits = true,
             "teams" => self.gpus_max = Some(rest.parse().map_err(|error| format!("{error}"))?),
-            "count" => define(&mut self.operator, rest)?,
-            "shift" => define_shift(&mut self.operator, rest)?,
+            "count" => define_count(&mut self.operator, rest)?,
+            "shift" => define_protection_window(&mut self.operator, rest)?,
             "idle-return" => {
                 self.operator.idle_return_s = rest.parse().map_err(|error| format!("{error}"))?;
             }
-            "value-kb" => self.value_kb = Some(rest.parse().map_err(|error| format!("{error}"))?),
+            "value-kb" => self.max_value_kb = Some(rest.parse().map_err(|error| format!("{error}"))?),
             "skew" => {
                 let seconds: f64 = rest.parse().map_err(|error| format!("{error}"))?;
-                self.skew_ms = Some(seconds * 1000.0);
+                self.max_clock_skew_ms = Some(seconds * 1000.0);
             }
-            "condor" => self.condor_run_s = Some(serve_files(&mut self.operator, rest)?),
+            "condor" => self.condor_run_s = Some(enable_condor(&mut self.operator, rest)?),
             "waits" => {
-                self.waits.insert(excepted(number, rest)?);
+                self.expected_waits.insert(parse_exception(number, rest)?);
             }
             other => return Err(format!("line {}: unknown word {other}", number + 1)),
         }
@@ -178,7 +178,7 @@
 }
 
 /// What an exception is for: it needs a reason.
-fn excepted(number: usize, text: &str) -> Result<String, String> {
+fn parse_exception(number: usize, text: &str) -> Result<String, String> {
     let (what, _) = text
         .split_once(" because ")
         .ok_or(format!("line {}: no reason", number + 1))?;
@@ -186,7 +186,7 @@
 }
 
 /// Defines a count, or changes it.
-pub(super) fn define(operator: &mut OperatorSettings, text: &str) -> Result<(), String> {
+pub(super) fn define_count(operator: &mut OperatorSettings, text: &str) -> Result<(), String> {
     let (plain, keyed) = words(text);
     let name = plain.first().ok_or("a count needs a name")?;
     let mut definition = Definition::with_units(0);
@@ -209,7 +209,7 @@
 
 /// Defines a shift, or changes it: `shift NAME from=22:14 to=22:16 classes=live rank=1 lead=5
 /// spare=0.1 teams=red closed=2023-11-14 zone=UTC`; `gone` takes it out.
-pub(super) fn define_shift(operator: &mut OperatorSettings, text: &str) -> Result<(), String> {
+pub(super) fn define_protection_window(operator: &mut OperatorSettings, text: &str) -> Result<(), String> {
     let (plain, keyed) = words(text);
     let name = plain.first().ok_or("a shift needs a name")?;
     if plain.contains(&"gone") {
@@ -257,7 +257,7 @@
     let flag = |key: &str| keyed.get(key) == Some(&"yes");
     let optional = |key: &str| keyed.get(key).map_or(Value::Null, |value| json!(value));
     let shape = get("shape", "sweep");
-    let facts = ObservedJob {
+    let observed = ObservedJob {
         shape: shape.clone(),
         team: get("team", "blue"),
         class: get("class", "batch"),
@@ -273,20 +273,20 @@
         ..ObservedJob::default()
     };
     let mut body = json!({
-        "Id": id, "Lane": get("class", "batch"), "Crew": facts.team, "Shape": shape,
-        "Urgency": get("priority", "standard"), "Picks": facts.tasks,
-        "Cpus": amount("cpus", "2")?, "Gpus": facts.gpus, "MemGb": amount("mem", "4")?,
-        "Kit": facts.image, "PullGb": facts.image_gb,
+        "Id": id, "Lane": get("class", "batch"), "Crew": observed.team, "Shape": shape,
+        "Urgency": get("priority", "standard"), "Picks": observed.tasks,
+        "Cpus": amount("cpus", "2")?, "Gpus": observed.gpus, "MemGb": amount("mem", "4")?,
+        "Kit": observed.image, "PullGb": observed.image_gb,
         "Rigs": keyed.get("types").map(|types| types.split(',').collect::<Vec<_>>()),
         "Yard": optional("zone"), "OneZone": flag("one_zone"), "Apart": flag("apart"), "Loaners": flag("spot"),
         "RuntimeS": if shape == "daemon" { 0.0 } else { amount("estimate", &get("run", "10"))? },
-        "StashEveryS": facts.checkpoint_interval_s, "StashS": facts.checkpoint_save_s,
+        "StashEveryS": observed.checkpoint_interval_s, "StashS": observed.checkpoint_save_s,
         "DueS": keyed.get("due").map(|due| number(due)).transpose()?,
     });
-    if !facts.counted_units.is_empty() {
-        body["Counts"] = json!(facts.counted_units);
+    if !observed.counted_units.is_empty() {
+        body["Counts"] = json!(observed.counted_units);
     }
-    Ok((body.clone(), ObservedJob { body, ..facts }))
+    Ok((body.clone(), ObservedJob { body, ..observed }))
 }
 
 /// Units by count, as in `seat:2,other:1`.
@@ -301,7 +301,7 @@
 }
 
 /// Serves submit files; how long their tasks run, in s.
-fn serve_files(operator: &mut OperatorSettings, text: &str) -> Result<f64, String> {
+fn enable_condor(operator: &mut OperatorSettings, text: &str) -> Result<f64, String> {
     let (_, keyed) = words(text);
     let get = |key: &str, or: &str| Some(keyed.get(key).copied().unwrap_or(or).to_owned());
     let declared = BTreeMap::from([("OpSys".to_owned(), Declared::Str("LINUX".to_owned()))]);
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -3,7 +3,7 @@
 use crate::{run, run_cases};
 
 /// Failing seeds that are printed as the scenarios that they are; the others by number alone.
-const PRINTED: usize = 30;
+const MAX_PRINTED_FAILURES: usize = 30;
 
 /// What became of some seeds.
 pub struct SeedResults {
@@ -33,7 +33,7 @@
     let count = (all.end - all.start) as usize;
     let failed = run_cases(count, |at| play(&scenario(seed(at))));
     println!("{count} seeds from {from} on, {} failed", failed.len());
-    for (at, problem) in failed.iter().take(PRINTED) {
+    for (at, problem) in failed.iter().take(MAX_PRINTED_FAILURES) {
         let told = problem.replace('\n', "\n# ");
         println!("# seed {}: {told}\n{}", seed(*at), scenario(seed(*at)));
     }
@@ -53,7 +53,7 @@
 pub fn run_variants(kind: &str, ways: &[String]) -> usize {
     let failed = run_cases(ways.len(), |at| run(&ways[at]));
     println!("{kind}: {} ways, {} failed", ways.len(), failed.len());
-    for (at, problem) in failed.iter().take(PRINTED) {
+    for (at, problem) in failed.iter().take(MAX_PRINTED_FAILURES) {
         println!("---\n{}{problem}", ways[*at]);
     }
     failed.len()
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -3,14 +3,14 @@
 //! time. The same scenario always plays the same way.
 
 use crate::accounting_checks::{self, AccountingCheck};
-use crate::admission_checks::Intake;
+use crate::admission_checks::AdmissionChecks;
 use crate::cloud::Cloud;
-use crate::count_checks::COUNTS_STEP_MS;
+use crate::count_checks::COUNT_CHECK_INTERVAL_MS;
 use crate::effect_digest::EffectDigest;
 use crate::fault_combinations::FaultCombinations;
-use crate::job_stream::Stream;
+use crate::job_stream::JobStream;
 use crate::licence_server::{ClientState, Feature, LicenceServer};
-use crate::response_checks::Answers;
+use crate::response_checks::ResponseChecks;
 use crate::state::{Reply, StateService};
 use crate::waiting_checks::Waiting;
 use crate::window_checks::WindowChecks;
@@ -30,21 +30,21 @@
 /// Grain of simulated time, in ms.
 const STEP_MS: u64 = 10;
 /// One way through the network, in ms.
-const LATENCY_MS: u64 = 5;
-pub(crate) const RESTART_MS: u64 = 4_000;
-const CANCEL_MS: u64 = 50_000;
+const NETWORK_LATENCY_MS: u64 = 5;
+pub(crate) const NODE_RESTART_MS: u64 = 4_000;
+const MAX_CANCEL_MS: u64 = 50_000;
 pub(crate) const NODES: usize = 3;
 
 /// Age of a job from which on it must be served: what a boot and a fetch take.
-const SERVED_AFTER_MS: u64 = 60_000;
+const MIN_SERVED_JOB_AGE_MS: u64 = 60_000;
 /// How long a user waits for the answer to a poll, in ms.
-const POLL_MS: u64 = 2_000;
+const USER_POLL_TIMEOUT_MS: u64 = 2_000;
 /// How often users ask about each accepted job, in ms.
-const ASK_MS: u64 = 5_000;
+const USER_POLL_INTERVAL_MS: u64 = 5_000;
 /// Interval at which the teams' books are held against the records, in ms.
-const BOOKS_STEP_MS: u64 = 1_000;
+const ACCOUNTING_CHECK_INTERVAL_MS: u64 = 1_000;
 /// Interval at which replicas that are up are counted.
-const SERVED_STEP_MS: u64 = 200;
+const REPLICA_COUNT_INTERVAL_MS: u64 = 200;
 
 /// What the world knows of a job, apart from any controller.
 #[derive(Debug, Clone, Default)]
@@ -114,26 +114,26 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     pub(crate) node: usize,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) call: CallId,
     pub(crate) to: Destination,
     pub(crate) method: &'static str,
     pub(crate) path: String,
     pub(crate) body: Vec<u8>,
     /// It has been carried out before.
-    pub(crate) again: bool,
+    pub(crate) is_duplicate: bool,
 }
 
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
     Call(Call),
-    Answer {
+    Response {
         node: usize,
-        life: u32,
+        incarnation: u32,
         call: CallId,
         outcome: Outcome,
     },
-    Report {
+    Heartbeat {
         worker: String,
         agent_epoch: u64,
         number: u64,
@@ -153,10 +153,10 @@
     User {
         node: usize,
         job: String,
-        kind: UserKind,
+        kind: UserRequest,
     },
     /// What this node has had once, again.
-    Again {
+    Duplicate {
         to: usize,
         command: Command,
     },
@@ -167,19 +167,19 @@
 pub(crate) struct DuplicateDelivery {
     /// A path, or the end of one (`/withdraw`), or `frames`.
     pub(crate) kind: String,
-    pub(crate) later_ms: u64,
+    pub(crate) delay_ms: u64,
     pub(crate) until: u64,
 }
 
 impl DuplicateDelivery {
-    fn of(&self, path: &str) -> bool {
+    fn matches(&self, path: &str) -> bool {
         let holds = self.kind == "/holds" && path.starts_with("/holds/");
         path == self.kind || holds || path != "/rentals/return" && path.ends_with(&self.kind)
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum UserKind {
+pub(crate) enum UserRequest {
     Submit,
     Poll,
     Cancel,
@@ -191,13 +191,13 @@
         status: u16,
     },
     /// A submit file, by the name that the scenario gives it.
-    Cluster,
+    SubmitFile,
 }
 
-impl UserKind {
+impl UserRequest {
     /// Any submission, whose answer's status must be this; 0 for any.
-    pub(crate) fn submission(body: &Value, status: u16) -> UserKind {
-        UserKind::Probe {
+    pub(crate) fn submission(body: &Value, status: u16) -> UserRequest {
+        UserRequest::Probe {
             method: "POST",
             path: "/v1/jobs".to_owned(),
             body: body.to_string().into_bytes(),
@@ -208,7 +208,7 @@
 
 /// Who waits for a reply of a node.
 #[derive(Debug, Clone)]
-pub(crate) enum Asker {
+pub(crate) enum ReplyRecipient {
     Worker {
         id: String,
         agent_epoch: u64,
@@ -216,27 +216,27 @@
     },
     User {
         job: String,
-        kind: UserKind,
+        kind: UserRequest,
         at: u64,
     },
 }
 
 pub(crate) struct Controller {
     pub(crate) node: Option<Node>,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) restart_at: u64,
-    pub(crate) asked: HashMap<RequestId, Asker>,
+    pub(crate) pending_requests: HashMap<RequestId, ReplyRecipient>,
     pub(crate) next_request: u64,
     pub(crate) frozen_until: u64,
     /// What it sends until then goes out only then.
-    pub(crate) stalls_until: u64,
+    pub(crate) stalled_until: u64,
     pub(crate) outbox: Vec<Effect>,
     pub(crate) inbox: Vec<Command>,
 }
 
-pub(crate) struct Watch {
+pub(crate) struct PendingWatch {
     pub(crate) node: usize,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) call: CallId,
     pub(crate) prefix: String,
     pub(crate) after: u64,
@@ -244,7 +244,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Cut {
+pub(crate) enum NetworkCut {
     /// Packets vanish.
     Drop,
     /// Packets are delivered when it is over.
@@ -257,70 +257,72 @@
     /// That share of transactions is carried out late, after newer ones, and nobody hears the answer.
     LateWrites { share: f64 },
     /// That share of transactions is carried out at once, and nobody hears the answer.
-    LostAnswers { share: f64 },
+    LostWriteResponses { share: f64 },
     /// Of that share of the workers' reports a copy arrives late.
-    LateReports { share: f64 },
+    LateHeartbeats { share: f64 },
     /// That share of calls to the state service is answered so many times slower.
     SlowState { share: f64, times: f64 },
     /// Nothing reaches these machines; what they send arrives.
-    Deaf {
+    DropInbound {
         machines: BTreeSet<String>,
         zone: Option<String>,
     },
     /// Nothing of these machines reaches a controller unasked; direct commands do, and are answered.
-    Mute {
+    DropHeartbeats {
         machines: BTreeSet<String>,
         zone: Option<String>,
     },
     /// Of that share of the workers' reports a copy is kept for the next leader.
-    ReportsForNext { share: f64, after_ms: u64 },
+    HeartbeatsForNextLeader { share: f64, after_ms: u64 },
     /// Of the jobs that end, that share is called off at that moment.
-    CancelAtEnd { share: f64 },
+    CancelNearCompletion { share: f64 },
     /// A node has neither the state service nor its peers. The service refuses it, or is silent.
-    CutOff { node: usize, silent: bool },
+    IsolateNode { node: usize, silent: bool },
 }
 
 /// How late late transactions are carried out and late reports arrive, in ms: the platform's own
 /// bounds, "well over a lease" being one and a half.
-const LATE_WRITE_MS: (f64, f64) = (2_000.0, 12_000.0);
-const LATE_REPORT_MS: (f64, f64) = (2_000.0, 45_000.0);
+const LATE_WRITE_DELAY_MS: (f64, f64) = (2_000.0, 12_000.0);
+const LATE_HEARTBEAT_DELAY_MS: (f64, f64) = (2_000.0, 45_000.0);
 
 /// What the next matching messages suffer.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum MessageFault {
     /// Carried out, but the answer is lost.
-    LoseAnswer { path: String },
+    LoseResponse { path: String },
     /// Carried out so many ms later, without an answer.
-    Late { path: String, by_ms: u64 },
+    Delay { path: String, by_ms: u64 },
 }
 
 /// Whoever next makes such a call to the state service ends with it.
 #[derive(Debug, Clone)]
-pub(crate) struct EndOn {
-    pub(crate) stage: Stage,
-    pub(crate) carried_out: bool,
+pub(crate) struct CrashOn {
+    pub(crate) call: ElectionCall,
+    pub(crate) executed: bool,
     /// When it is back, in ms.
-    pub(crate) back_ms: u64,
+    pub(crate) restart_ms: u64,
 }
 
 /// Calls that make an election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum ElectionCall {
     Lease,
     Claim,
-    Touch,
+    Renew,
     /// A page of the records.
-    Page,
+    ReadRecords,
 }
 
-impl Stage {
-    fn is(self, method: &str, path: &str, body: &[u8]) -> bool {
+impl ElectionCall {
+    fn matches(self, method: &str, path: &str, body: &[u8]) -> bool {
         match self {
-            Stage::Lease => method == "POST" && path == "/holds",
-            Stage::Touch => path.ends_with("/touch"),
+            ElectionCall::Lease => method == "POST" && path == "/holds",
+            ElectionCall::Renew => path.ends_with("/touch"),
             // Followers read the leader's key as a page, too.
-            Stage::Page => path.starts_with("/store?") && !path.starts_with("/store?Under=leader"),
-            Stage::Claim => {
+            ElectionCall::ReadRecords => {
+                path.starts_with("/store?") && !path.starts_with("/store?Under=leader")
+            }
+            ElectionCall::Claim => {
                 let transaction = serde_json::from_slice::<Transaction>(body);
                 path == "/multi"
                     && transaction.is_ok_and(|transaction| {
@@ -372,98 +374,98 @@
 }
 
 /// How late a late call is carried out in a walk, in ms.
-const WALK_LATE_MS: u64 = 12_000;
+const DEVIATION_DELAY_MS: u64 = 12_000;
 /// For how long the state service refuses a node in a walk, in ms.
-const WALK_LAPSE_MS: u64 = 8_000;
+const DEVIATION_REFUSAL_MS: u64 = 8_000;
 
 pub(crate) struct Simulation {
     pub(crate) now: u64,
     pub(crate) queue: BTreeMap<(u64, u64), Event>,
-    pub(crate) next_event: u64,
+    pub(crate) next_event_number: u64,
     pub(crate) nodes: Vec<Controller>,
     pub(crate) state: StateService,
-    pub(crate) refused: BTreeMap<usize, u64>,
+    pub(crate) refused_until: BTreeMap<usize, u64>,
     pub(crate) cloud: Cloud,
     pub(crate) workers: BTreeMap<String, Worker>,
     pub(crate) jobs: BTreeMap<String, ObservedJob>,
-    pub(crate) watches: Vec<Watch>,
-    pub(crate) cuts: Vec<(String, String, Cut)>,
-    pub(crate) held: Vec<Event>,
+    pub(crate) watches: Vec<PendingWatch>,
+    pub(crate) cuts: Vec<(String, String, NetworkCut)>,
+    pub(crate) held_events: Vec<Event>,
     pub(crate) message_faults: Vec<MessageFault>,
-    pub(crate) copies: Vec<DuplicateDelivery>,
+    pub(crate) duplicate_deliveries: Vec<DuplicateDelivery>,
     /// Faults, and until when they last.
     pub(crate) faults: Vec<(u64, Fault)>,
     /// Messages that faults befell.
-    pub(crate) troubled: u32,
+    pub(crate) affected_messages: u32,
     /// Draws so far.
     draws: u64,
     /// Copies that arrived.
-    pub(crate) copied: u32,
-    pub(crate) user_at: BTreeMap<String, u64>,
+    pub(crate) duplicates_delivered: u32,
+    pub(crate) next_user_request_at: BTreeMap<String, u64>,
     pub(crate) user_turn: usize,
-    pub(crate) probes: Vec<(String, u16)>,
-    pub(crate) broken: Vec<String>,
-    pub(crate) most_refused: u32,
+    pub(crate) probe_responses: Vec<(String, u16)>,
+    pub(crate) violations: Vec<String>,
+    pub(crate) refused_responses: u32,
     /// When somebody last led, and the longest time since then in which nobody did, in ms.
-    led_at: Option<u64>,
-    pub(crate) most_leaderless: u64,
+    last_led_at: Option<u64>,
+    pub(crate) longest_leaderless_ms: u64,
     /// Tasks that waited for their image.
-    pub(crate) fetches: u32,
+    pub(crate) tasks_awaiting_fetch: u32,
     /// Fetches that machines began.
-    pub(crate) begun: u32,
+    pub(crate) fetches_started: u32,
     /// Fetches at one time share a machine's rate.
-    pub(crate) shares_rate: bool,
+    pub(crate) fetches_share_rate: bool,
     /// Calls dropped as their permits had run out.
-    pub(crate) late_permits: u32,
+    pub(crate) expired_permits: u32,
     pub(crate) deviation_plan: Option<DeviationPlan>,
     /// Acts of a replaced leader at the cloud that took effect, and of which no record told its
     /// successor.
-    pub(crate) unknown_acts: u32,
+    pub(crate) unrecorded_operations: u32,
     /// What operators were warned of.
     pub(crate) warnings: Vec<String>,
     /// GPUs that each team may use, in place of the settings'.
     pub(crate) gpus_max: Option<f64>,
     /// Largest value of the key-value store, in KB, in place of the settings'.
-    pub(crate) value_kb: Option<f64>,
+    pub(crate) max_value_kb: Option<f64>,
     /// The operators' own settings, as nodes find them when they start.
     pub(crate) operator: OperatorSettings,
     pub(crate) licences: LicenceServer,
-    pub(crate) calls: Calls,
+    pub(crate) call_statistics: CallStatistics,
     /// What is asked of shifts, and how it was kept.
-    pub(crate) guarded: WindowChecks,
+    pub(crate) window_checks: WindowChecks,
     /// The node that sends so manieth call about clusters ends with it: the calls left
     /// until then, and whether that one is carried out.
-    pub(crate) end_at: Option<(u32, bool)>,
+    pub(crate) crash_at_cluster_call: Option<(u32, bool)>,
     /// Ends still to come, in this order.
-    pub(crate) end_on: VecDeque<EndOn>,
+    pub(crate) crashes_on_call: VecDeque<CrashOn>,
     /// When anything last kept users from being answered.
-    pub(crate) trouble_at: u64,
+    pub(crate) last_control_plane_fault_at: u64,
     /// Submit files that were sent, by name.
-    pub(crate) sent: BTreeMap<String, SubmittedFile>,
+    pub(crate) submitted_files: BTreeMap<String, SubmittedFile>,
     /// How long tasks of submit files run, in s.
     pub(crate) condor_run_s: f64,
-    pub(crate) books: AccountingCheck,
-    pub(crate) streams: Vec<Stream>,
-    pub(crate) intake: Intake,
-    pub(crate) waiting: Waiting,
-    pub(crate) answers: Answers,
+    pub(crate) accounting_check: AccountingCheck,
+    pub(crate) streams: Vec<JobStream>,
+    pub(crate) admission_checks: AdmissionChecks,
+    pub(crate) waiting_checks: Waiting,
+    pub(crate) response_checks: ResponseChecks,
     pub(crate) fault_combinations: FaultCombinations,
     /// Over all that the controllers sent.
-    pub(crate) effects: EffectDigest,
+    pub(crate) effect_digest: EffectDigest,
 }
 
 /// Calls of the controllers, for what is to stay small however large the fleet is.
 #[derive(Debug, Default)]
-pub(crate) struct Calls {
+pub(crate) struct CallStatistics {
     /// By destination, the calls of the last second, and the most in any second.
-    pub(crate) recent: BTreeMap<&'static str, (VecDeque<u64>, usize)>,
+    pub(crate) last_second: BTreeMap<&'static str, (VecDeque<u64>, usize)>,
     pub(crate) total: BTreeMap<&'static str, usize>,
 }
 
-impl Calls {
-    fn note(&mut self, kind: &'static str, count: usize, now: u64) {
+impl CallStatistics {
+    fn record(&mut self, kind: &'static str, count: usize, now: u64) {
         *self.total.entry(kind).or_default() += count;
-        let (times, most) = self.recent.entry(kind).or_default();
+        let (times, most) = self.last_second.entry(kind).or_default();
         times.extend(std::iter::repeat_n(now, count));
         while times.front().is_some_and(|at| *at + 1_000 <= now) {
             times.pop_front();
@@ -471,8 +473,8 @@
         *most = (*most).max(times.len());
     }
 
-    pub(crate) fn most(&self, kind: &str) -> usize {
-        self.recent.get(kind).map_or(0, |(_, most)| *most)
+    pub(crate) fn peak_per_second(&self, kind: &str) -> usize {
+        self.last_second.get(kind).map_or(0, |(_, most)| *most)
     }
 }
 
@@ -482,9 +484,9 @@
     /// GPUs that each team may use.
     pub(crate) gpus_max: Option<f64>,
     /// By how much a clock may be off, in ms.
-    pub(crate) skew_ms: Option<f64>,
+    pub(crate) max_clock_skew_ms: Option<f64>,
     /// Largest value of the key-value store, in KB.
-    pub(crate) value_kb: Option<f64>,
+    pub(crate) max_value_kb: Option<f64>,
 }
 
 impl Simulation {
@@ -502,54 +504,54 @@
         let mut simulation = Simulation {
             now: 0,
             queue: BTreeMap::new(),
-            next_event: 0,
+            next_event_number: 0,
             nodes: Vec::new(),
             state: StateService::default(),
-            refused: BTreeMap::new(),
+            refused_until: BTreeMap::new(),
             cloud: Cloud::default(),
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
             watches: Vec::new(),
             cuts: Vec::new(),
-            held: Vec::new(),
+            held_events: Vec::new(),
             message_faults: Vec::new(),
-            copies: Vec::new(),
+            duplicate_deliveries: Vec::new(),
             faults: Vec::new(),
-            troubled: 0,
+            affected_messages: 0,
             draws: 0,
-            copied: 0,
-            user_at: BTreeMap::new(),
+            duplicates_delivered: 0,
+            next_user_request_at: BTreeMap::new(),
             user_turn: 0,
-            probes: Vec::new(),
-            broken: Vec::new(),
-            most_refused: 0,
-            led_at: None,
-            most_leaderless: 0,
-            fetches: 0,
-            begun: 0,
-            shares_rate: false,
-            late_permits: 0,
+            probe_responses: Vec::new(),
+            violations: Vec::new(),
+            refused_responses: 0,
+            last_led_at: None,
+            longest_leaderless_ms: 0,
+            tasks_awaiting_fetch: 0,
+            fetches_started: 0,
+            fetches_share_rate: false,
+            expired_permits: 0,
             deviation_plan: None,
-            unknown_acts: 0,
+            unrecorded_operations: 0,
             warnings: Vec::new(),
-            value_kb: overrides.value_kb,
+            max_value_kb: overrides.max_value_kb,
             gpus_max: overrides.gpus_max,
             licences: LicenceServer::default(),
             operator,
-            calls: Calls::default(),
-            guarded: WindowChecks::new(overrides.skew_ms),
-            end_at: None,
-            end_on: VecDeque::new(),
-            trouble_at: 0,
-            sent: BTreeMap::new(),
+            call_statistics: CallStatistics::default(),
+            window_checks: WindowChecks::new(overrides.max_clock_skew_ms),
+            crash_at_cluster_call: None,
+            crashes_on_call: VecDeque::new(),
+            last_control_plane_fault_at: 0,
+            submitted_files: BTreeMap::new(),
             condor_run_s: 10.0,
-            books: AccountingCheck::default(),
+            accounting_check: AccountingCheck::default(),
             streams: Vec::new(),
-            intake: Intake::default(),
-            waiting: Waiting::default(),
-            answers: Answers::default(),
+            admission_checks: AdmissionChecks::default(),
+            waiting_checks: Waiting::default(),
+            response_checks: ResponseChecks::default(),
             fault_combinations: FaultCombinations::default(),
-            effects: EffectDigest::default(),
+            effect_digest: EffectDigest::default(),
         };
         for (name, definition) in &simulation.operator.counted_resources {
             let feature = Feature::new(definition.units, (definition.linger_s * 1000.0) as u64);
@@ -561,21 +563,21 @@
         for index in 0..NODES {
             simulation.nodes.push(Controller {
                 node: None,
-                life: 0,
+                incarnation: 0,
                 restart_at: 0,
-                asked: HashMap::new(),
+                pending_requests: HashMap::new(),
                 next_request: 0,
                 frozen_until: 0,
-                stalls_until: 0,
+                stalled_until: 0,
                 outbox: Vec::new(),
                 inbox: Vec::new(),
             });
-            simulation.boot(index);
+            simulation.start_node(index);
         }
         simulation
     }
 
-    fn boot(&mut self, index: usize) {
+    fn start_node(&mut self, index: usize) {
         let mut settings =
             Settings::parse(include_str!("../../controller/tests/support/settings.json")).unwrap();
         let mut names: Vec<Peer> = settings.peers.clone();
@@ -593,36 +595,37 @@
                 team.gpus_max = most;
             }
         }
-        if let Some(value_kb) = self.value_kb {
+        if let Some(value_kb) = self.max_value_kb {
             settings.deployment.state.value_kb = value_kb;
         }
-        if let Some(skew_ms) = self.guarded.skew_ms {
+        if let Some(skew_ms) = self.window_checks.max_clock_skew_ms {
             settings.deployment.clock_skew_ms = skew_ms;
         }
         let settings = settings.with_operator(self.operator.clone()).unwrap();
-        if self.guarded.timetable.is_empty() {
+        if self.window_checks.timetable.is_empty() {
             // As the scenario has it; what nodes find later is theirs.
-            self.guarded.timetable = settings.protection_windows.clone();
+            self.window_checks.timetable = settings.protection_windows.clone();
         }
-        let (now, wall) = (self.now, self.wall_of(index));
+        let (now, wall) = (self.now, self.node_wall_clock(index));
         let controller = &mut self.nodes[index];
-        controller.life += 1;
-        controller.asked.clear();
+        controller.incarnation += 1;
+        controller.pending_requests.clear();
         controller.inbox.clear();
         controller.outbox.clear();
-        controller.stalls_until = 0;
-        let seed = index as u64 + 100 * u64::from(controller.life);
+        controller.stalled_until = 0;
+        let seed = index as u64 + 100 * u64::from(controller.incarnation);
         controller.node = Some(Node::new(settings, seed, now, wall));
     }
 
     /// The true time of day, in ms since 1970: 22:13:20 UTC on a Tuesday when a scenario begins.
-    pub(crate) fn wall(&self) -> u64 {
+    pub(crate) fn wall_clock(&self) -> u64 {
         1_700_000_000_000 + self.now
     }
 
     /// By a node's own clock.
-    fn wall_of(&self, index: usize) -> u64 {
-        self.wall().saturating_add_signed(self.guarded.clocks[index])
+    fn node_wall_clock(&self, index: usize) -> u64 {
+        self.wall_clock()
+            .saturating_add_signed(self.window_checks.clock_offsets_ms[index])
     }
 
     pub(crate) fn leader(&self) -> Option<usize> {
@@ -638,8 +641,8 @@
 
     pub(crate) fn violation(&mut self, rule: &str, what: impl std::fmt::Display) {
         let line = format!("{rule} at {:.2} s: {what}", self.now as f64 / 1000.0);
-        if !self.broken.contains(&line) && self.broken.len() < 5 {
-            self.broken.push(line);
+        if !self.violations.contains(&line) && self.violations.len() < 5 {
+            self.violations.push(line);
         }
     }
 
@@ -658,49 +661,49 @@
         (least + (most - least) * self.draw()) as u64
     }
 
-    pub(crate) fn lasting(&self) -> impl Iterator<Item = &Fault> {
+    pub(crate) fn active_faults(&self) -> impl Iterator<Item = &Fault> {
         let now = self.now;
         let lasting = self.faults.iter().filter(move |(until, _)| now < *until);
-        lasting.map(|(_, trouble)| trouble)
+        lasting.map(|(_, fault)| fault)
     }
 
     /// Whether this message is one of the share that some fault befalls.
-    fn strikes(&mut self, share: impl Fn(&Fault) -> Option<f64>) -> bool {
-        let Some(share) = self.lasting().find_map(share) else {
+    fn affects_message(&mut self, share: impl Fn(&Fault) -> Option<f64>) -> bool {
+        let Some(share) = self.active_faults().find_map(share) else {
             return false;
         };
         let strikes = self.draw() < share;
-        self.troubled += u32::from(strikes);
+        self.affected_messages += u32::from(strikes);
         strikes
     }
 
     /// By how much this call to the state service is slower, in ms.
-    fn slower(&mut self) -> u64 {
-        let slow = |trouble: &Fault| match trouble {
+    fn state_delay_ms(&mut self) -> u64 {
+        let slow = |fault: &Fault| match fault {
             Fault::SlowState { share, times } => Some((*share, *times)),
             _ => None,
         };
-        let Some((_, times)) = self.lasting().find_map(slow) else {
+        let Some((_, times)) = self.active_faults().find_map(slow) else {
             return 0;
         };
-        if !self.strikes(|trouble| slow(trouble).map(|(share, _)| share)) {
+        if !self.affects_message(|fault| slow(fault).map(|(share, _)| share)) {
             return 0;
         }
-        let usual_ms = 2.0 * LATENCY_MS as f64;
+        let usual_ms = 2.0 * NETWORK_LATENCY_MS as f64;
         self.draw_ms((usual_ms * times, 2.0 * usual_ms * times))
     }
 
     /// Whether a fault swallows what one host sends another.
-    fn swallowed(&self, from: &str, to: &str) -> bool {
-        self.lasting().any(|trouble| match trouble {
-            Fault::Deaf { machines, zone } => {
+    fn is_dropped(&self, from: &str, to: &str) -> bool {
+        self.active_faults().any(|fault| match fault {
+            Fault::DropInbound { machines, zone } => {
                 let of = self
                     .workers
                     .get(to)
                     .is_some_and(|worker| Some(&worker.zone) == zone.as_ref());
                 of || machines.contains(to)
             }
-            Fault::CutOff { node, silent } => {
+            Fault::IsolateNode { node, silent } => {
                 let name = format!("n{node}");
                 let other = if from == name { to } else { from };
                 (from == name || to == name) && (other.starts_with('n') || *silent && other == "state")
@@ -710,32 +713,39 @@
     }
 
     /// Whether the state service refuses this node alone.
-    pub(crate) fn refuses(&self, node: usize) -> bool {
-        let cut = |trouble: &Fault| matches!(trouble, Fault::CutOff { node: cut, .. } if *cut == node);
-        self.refused.get(&node).is_some_and(|until| self.now < *until) || self.lasting().any(cut)
+    pub(crate) fn state_refuses(&self, node: usize) -> bool {
+        let cut = |fault: &Fault| matches!(fault, Fault::IsolateNode { node: cut, .. } if *cut == node);
+        self.refused_until
+            .get(&node)
+            .is_some_and(|until| self.now < *until)
+            || self.active_faults().any(cut)
     }
 
     /// Whether a fault keeps nodes from the state service or from each other.
-    pub(crate) fn nodes_troubled(&self) -> bool {
-        let of_machines = |trouble: &Fault| {
-            let reports = matches!(trouble, Fault::LateReports { .. } | Fault::ReportsForNext { .. });
-            let deaf = matches!(trouble, Fault::Deaf { .. } | Fault::Mute { .. });
-            reports || deaf || matches!(trouble, Fault::CancelAtEnd { .. })
+    pub(crate) fn has_node_fault(&self) -> bool {
+        let of_machines = |fault: &Fault| {
+            let reports = matches!(
+                fault,
+                Fault::LateHeartbeats { .. } | Fault::HeartbeatsForNextLeader { .. }
+            );
+            let deaf = matches!(fault, Fault::DropInbound { .. } | Fault::DropHeartbeats { .. });
+            reports || deaf || matches!(fault, Fault::CancelNearCompletion { .. })
         };
-        self.lasting().any(|trouble| !of_machines(trouble))
+        self.active_faults().any(|fault| !of_machines(fault))
     }
 
     // ---- the network ---------------------------------------------------------
 
-    pub(crate) fn post(&mut self, after: u64, event: Event) {
-        self.next_event += 1;
-        self.queue.insert((self.now + after, self.next_event), event);
+    pub(crate) fn schedule(&mut self, after: u64, event: Event) {
+        self.next_event_number += 1;
+        self.queue
+            .insert((self.now + after, self.next_event_number), event);
     }
 
     /// Sends an event between two hosts, through whatever cuts there are.
     pub(crate) fn send(&mut self, from: &str, to: &str, event: Event) {
-        if self.swallowed(from, to) || self.mute(&event) {
-            self.troubled += 1;
+        if self.is_dropped(from, to) || self.drops_heartbeat(&event) {
+            self.affected_messages += 1;
             return;
         }
         let matches = |pattern: &str, host: &str| {
@@ -751,20 +761,20 @@
             .find(|(a, b, _)| {
                 (matches(a, from) && matches(b, to))
                     || (matches(b, from) && matches(a, to))
-                    || self.crosses(a, from, to)
+                    || self.crosses_area(a, from, to)
             })
             .map(|(_, _, cut)| *cut);
         match cut {
-            None => self.post(LATENCY_MS, event),
-            Some(Cut::Hold) => self.held.push(event),
-            Some(Cut::Drop) => (),
+            None => self.schedule(NETWORK_LATENCY_MS, event),
+            Some(NetworkCut::Hold) => self.held_events.push(event),
+            Some(NetworkCut::Drop) => (),
         }
     }
 
-    pub(crate) fn heal(&mut self) {
+    pub(crate) fn heal_cuts(&mut self) {
         self.cuts.clear();
-        for event in std::mem::take(&mut self.held) {
-            self.post(LATENCY_MS, event);
+        for event in std::mem::take(&mut self.held_events) {
+            self.schedule(NETWORK_LATENCY_MS, event);
         }
     }
 
@@ -775,7 +785,7 @@
         self.state.expire_leases(self.now);
         for index in 0..NODES {
             if self.nodes[index].node.is_none() && self.now >= self.nodes[index].restart_at {
-                self.boot(index);
+                self.start_node(index);
             }
         }
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= self.now) {
@@ -787,42 +797,43 @@
         self.step_watches();
         self.step_streams();
         self.step_users();
-        self.step_odd();
+        self.step_unusual_requests();
         for index in 0..NODES {
             self.step_node(index);
         }
         if self.leader().is_some() {
-            let led_at = self.led_at.replace(self.now).unwrap_or(self.now);
-            self.most_leaderless = self.most_leaderless.max(self.now - led_at);
+            let led_at = self.last_led_at.replace(self.now).unwrap_or(self.now);
+            self.longest_leaderless_ms = self.longest_leaderless_ms.max(self.now - led_at);
         }
-        if self.now.is_multiple_of(SERVED_STEP_MS) {
-            self.count_replicas();
-            self.count_protected(SERVED_STEP_MS);
+        if self.now.is_multiple_of(REPLICA_COUNT_INTERVAL_MS) {
+            self.record_replica_uptime();
+            self.record_protected_uptime(REPLICA_COUNT_INTERVAL_MS);
         }
-        if self.now.is_multiple_of(COUNTS_STEP_MS) && !self.licences.features.is_empty() {
+        if self.now.is_multiple_of(COUNT_CHECK_INTERVAL_MS) && !self.licences.features.is_empty() {
             self.check_counts();
         }
-        if self.now.is_multiple_of(BOOKS_STEP_MS) && !self.books.spoilt {
-            self.check_books();
+        if self.now.is_multiple_of(ACCOUNTING_CHECK_INTERVAL_MS) && !self.accounting_check.modified_externally
+        {
+            self.check_accounting();
         }
-        self.step_meetings();
-        self.check_stops();
+        self.step_fault_combinations();
+        self.check_protected_stops();
         // Looking at thousands of tasks takes time, and nothing lasts only 10 ms.
         if self.workers.len() < 200 || self.now.is_multiple_of(200) {
-            self.check_rules();
+            self.check_invariants();
         }
-        self.check_known();
+        self.check_unanswered_jobs();
         self.check_waiting();
     }
 
     fn step_node(&mut self, index: usize) {
-        let (now, wall) = (self.now, self.wall_of(index));
+        let (now, wall) = (self.now, self.node_wall_clock(index));
         let controller = &mut self.nodes[index];
         if now < controller.frozen_until {
             return;
         }
         let inbox = std::mem::take(&mut controller.inbox);
-        let life = controller.life;
+        let incarnation = controller.incarnation;
         let Some(node) = &mut controller.node else { return };
         node.set_time(now, wall);
         for command in inbox {
@@ -830,9 +841,9 @@
         }
         node.run_due_work();
         let effects = node.take_effects();
-        self.effects.record(now, index, &effects);
+        self.effect_digest.record(now, index, &effects);
         // It stands still after it has decided and before anything goes out.
-        if now < controller.stalls_until {
+        if now < controller.stalled_until {
             controller.outbox.extend(effects);
             return;
         }
@@ -857,9 +868,9 @@
                     } else {
                         (status, retry_after_s, body)
                     };
-                    let asker = self.nodes[index].asked.remove(&request);
-                    self.check_refusal(asker.as_ref(), status, retry_after_s);
-                    self.replied(index, asker, status, body);
+                    let asker = self.nodes[index].pending_requests.remove(&request);
+                    self.check_retry_after(asker.as_ref(), status, retry_after_s);
+                    self.deliver_reply(index, asker, status, body);
                 }
                 Effect::Call {
                     call,
@@ -875,24 +886,24 @@
                         if let Some(node) = &mut self.nodes[index].node {
                             node.on_operation_dropped(&permit);
                         }
-                        self.late_permits += 1;
+                        self.expired_permits += 1;
                         let outcome = Outcome::NotSent;
-                        let answer = Event::Answer {
+                        let answer = Event::Response {
                             node: index,
-                            life,
+                            incarnation,
                             call,
                             outcome,
                         };
-                        self.post(STEP_MS, answer);
+                        self.schedule(STEP_MS, answer);
                         continue;
                     }
-                    let timeout = Event::Answer {
+                    let timeout = Event::Response {
                         node: index,
-                        life,
+                        incarnation,
                         call,
                         outcome: Outcome::NoAnswer,
                     };
-                    self.post(timeout_ms, timeout);
+                    self.schedule(timeout_ms, timeout);
                     let host = host(&to);
                     if let Destination::Worker(addr) = &to
                         && !self.workers.contains_key(addr)
@@ -901,21 +912,21 @@
                     }
                     let asked = Call {
                         node: index,
-                        life,
+                        incarnation,
                         call,
                         to,
                         method: method.as_str(),
                         path,
                         body,
-                        again: false,
+                        is_duplicate: false,
                     };
-                    self.call_leaves(&asked);
+                    self.check_outgoing_call(&asked);
                     self.send(&name, &host, Event::Call(asked));
                 }
                 Effect::Warning(text) => self.warnings.push(text),
                 Effect::Frame { peer, bytes } => {
                     let to = (0..NODES).filter(|other| *other != index).nth(peer).unwrap();
-                    self.calls.note("frames", 1, now);
+                    self.call_statistics.record("frames", 1, now);
                     self.send(&name, &format!("n{to}"), Event::Frame { to, bytes });
                 }
             }
@@ -924,20 +935,20 @@
 
     fn deliver(&mut self, event: Event) {
         match event {
-            Event::Call(call) => self.serve(call),
-            Event::Answer {
+            Event::Call(call) => self.handle_call(call),
+            Event::Response {
                 node,
-                life,
+                incarnation,
                 call,
                 outcome,
             } => {
-                if self.nodes[node].life == life && self.nodes[node].node.is_some() {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].node.is_some() {
                     let command = Command::Answer { call, outcome };
-                    self.node_learns(node, &command);
+                    self.record_ended_jobs(node, &command);
                     self.nodes[node].inbox.push(command);
                 }
             }
-            Event::Report {
+            Event::Heartbeat {
                 worker,
                 agent_epoch,
                 number,
@@ -945,9 +956,9 @@
                 body,
             } => {
                 if self.nodes[node].node.is_some() {
-                    let request = self.ask(
+                    let request = self.register_request(
                         node,
-                        Asker::Worker {
+                        ReplyRecipient::Worker {
                             id: worker,
                             agent_epoch,
                             number,
@@ -959,14 +970,14 @@
                         path: "/v1/report".to_owned(),
                         body,
                     };
-                    self.copy_command(node, "/v1/report", &command);
-                    self.keep_report(&command);
-                    if self.strikes(|trouble| match trouble {
-                        Fault::LateReports { share } => Some(*share),
+                    self.duplicate_command(node, "/v1/report", &command);
+                    self.keep_heartbeat(&command);
+                    if self.affects_message(|fault| match fault {
+                        Fault::LateHeartbeats { share } => Some(*share),
                         _ => None,
                     }) {
-                        let (later_ms, command) = (self.draw_ms(LATE_REPORT_MS), command.clone());
-                        self.post(later_ms, Event::Again { to: node, command });
+                        let (later_ms, command) = (self.draw_ms(LATE_HEARTBEAT_DELAY_MS), command.clone());
+                        self.schedule(later_ms, Event::Duplicate { to: node, command });
                     }
                     self.nodes[node].inbox.push(command);
                 } else {
@@ -976,7 +987,7 @@
                         number,
                         outcome: None,
                     };
-                    self.post(LATENCY_MS, event);
+                    self.schedule(NETWORK_LATENCY_MS, event);
                 }
             }
             Event::HeartbeatResponse {
@@ -1000,12 +1011,12 @@
                 if self.nodes[to].node.is_some()
                     && let Ok(Some((Some(frame), _))) = Frame::decode(&bytes)
                 {
-                    self.copy_command(to, "frames", &Command::Frame(frame.clone()));
+                    self.duplicate_command(to, "frames", &Command::Frame(frame.clone()));
                     self.nodes[to].inbox.push(Command::Frame(frame));
                 }
             }
-            Event::Again { to, mut command } => {
-                self.copied += 1;
+            Event::Duplicate { to, mut command } => {
+                self.duplicates_delivered += 1;
                 if let Command::Request { request, .. } = &mut command {
                     // Nobody waits for the answer.
                     self.nodes[to].next_request += 1;
@@ -1020,62 +1031,62 @@
                     return;
                 }
                 let (method, path, body) = match &kind {
-                    UserKind::Submit => (
+                    UserRequest::Submit => (
                         "POST",
                         "/v1/jobs".to_owned(),
                         self.jobs[&job].body.to_string().into_bytes(),
                     ),
-                    UserKind::Poll => ("GET", format!("/v1/jobs/{job}"), Vec::new()),
-                    UserKind::Cluster => {
-                        let body = self.sent.get(&job).map(|sent| sent.body.clone());
+                    UserRequest::Poll => ("GET", format!("/v1/jobs/{job}"), Vec::new()),
+                    UserRequest::SubmitFile => {
+                        let body = self.submitted_files.get(&job).map(|sent| sent.body.clone());
                         ("POST", "/v1/condor/clusters".to_owned(), body.unwrap_or_default())
                     }
-                    UserKind::Cancel => ("POST", format!("/v1/jobs/{job}/withdraw"), Vec::new()),
-                    UserKind::Probe {
+                    UserRequest::Cancel => ("POST", format!("/v1/jobs/{job}/withdraw"), Vec::new()),
+                    UserRequest::Probe {
                         method, path, body, ..
                     } => (*method, path.clone(), body.clone()),
                 };
                 if path == "/v1/jobs" {
-                    self.note_submission(&body);
+                    self.record_submission(&body);
                 }
                 let at = self.now;
-                let request = self.ask(node, Asker::User { job, kind, at });
+                let request = self.register_request(node, ReplyRecipient::User { job, kind, at });
                 let command = Command::Request {
                     request,
                     method: method.to_owned(),
                     path: path.clone(),
                     body,
                 };
-                self.copy_command(node, &path, &command);
+                self.duplicate_command(node, &path, &command);
                 self.nodes[node].inbox.push(command);
             }
         }
     }
 
     /// After how long a message on this path is delivered once more, if it is.
-    fn copied_after(&self, path: &str) -> Option<u64> {
-        let mut copies = self.copies.iter();
-        let copies = copies.find(|copies| self.now < copies.until && copies.of(path))?;
-        Some(copies.later_ms)
+    fn duplicate_delay_ms(&self, path: &str) -> Option<u64> {
+        let mut copies = self.duplicate_deliveries.iter();
+        let copies = copies.find(|copies| self.now < copies.until && copies.matches(path))?;
+        Some(copies.delay_ms)
     }
 
-    fn copy_command(&mut self, to: usize, path: &str, command: &Command) {
-        if let Some(later_ms) = self.copied_after(path) {
+    fn duplicate_command(&mut self, to: usize, path: &str, command: &Command) {
+        if let Some(later_ms) = self.duplicate_delay_ms(path) {
             let command = command.clone();
-            self.post(later_ms, Event::Again { to, command });
+            self.schedule(later_ms, Event::Duplicate { to, command });
         }
     }
 
     /// A user asks a node, by way of the network.
-    pub(crate) fn user_asks(&mut self, node: usize, job: &str, kind: UserKind) {
+    pub(crate) fn send_user_request(&mut self, node: usize, job: &str, kind: UserRequest) {
         let job = job.to_owned();
         self.send("users", &format!("n{node}"), Event::User { node, job, kind });
     }
 
     /// A submission whose user does not come again, after so many ms.
-    pub(crate) fn flood(&mut self, after_ms: u64, node: usize, job: String) {
-        let kind = UserKind::Submit;
-        self.post(after_ms, Event::User { node, job, kind });
+    pub(crate) fn submit_once(&mut self, after_ms: u64, node: usize, job: String) {
+        let kind = UserRequest::Submit;
+        self.schedule(after_ms, Event::User { node, job, kind });
     }
 
     /// What the settings say of the state service's rates.
@@ -1085,24 +1096,24 @@
         (state.rps, state.write_rps)
     }
 
-    fn ask(&mut self, node: usize, asker: Asker) -> RequestId {
+    fn register_request(&mut self, node: usize, asker: ReplyRecipient) -> RequestId {
         let controller = &mut self.nodes[node];
         controller.next_request += 1;
         let request = RequestId(controller.next_request);
-        controller.asked.insert(request, asker);
+        controller.pending_requests.insert(request, asker);
         request
     }
 
-    fn serve(&mut self, asked: Call) {
+    fn handle_call(&mut self, asked: Call) {
         let Call {
             node,
-            life,
+            incarnation,
             call,
             ref to,
             method,
             ref path,
             ref body,
-            again,
+            is_duplicate,
         } = asked;
         let from = host(to);
         let kind = match to {
@@ -1111,89 +1122,101 @@
             Destination::Worker(_) => "workers",
             Destination::Licences(_) => "licences",
         };
-        self.calls.note(kind, 1, self.now);
+        self.call_statistics.record(kind, 1, self.now);
         let mut silent = false;
         let mut answer_ms = 0;
         let mishap = self.message_faults.iter().position(|mishap| {
-            let (MessageFault::LoseAnswer { path: wanted } | MessageFault::Late { path: wanted, .. }) =
+            let (MessageFault::LoseResponse { path: wanted } | MessageFault::Delay { path: wanted, .. }) =
                 mishap;
             // `/multi:b/~`: only with these words in its body.
             let (wanted, words) = wanted.split_once(':').unwrap_or((wanted, ""));
-            !again
+            !is_duplicate
                 && wanted == path
                 && String::from_utf8_lossy(body).contains(words)
                 && (path != "/do" || String::from_utf8_lossy(body).contains("\"run\""))
         });
         if let Some(at) = mishap {
             match self.message_faults.remove(at) {
-                MessageFault::LoseAnswer { .. } => silent = true,
-                MessageFault::Late { by_ms, .. } => {
+                MessageFault::LoseResponse { .. } => silent = true,
+                MessageFault::Delay { by_ms, .. } => {
                     // The sender has given up by then; nobody hears the answer.
-                    self.post(by_ms, Event::Call(Call { life: 0, ..asked }));
+                    self.schedule(
+                        by_ms,
+                        Event::Call(Call {
+                            incarnation: 0,
+                            ..asked
+                        }),
+                    );
                     return;
                 }
             }
         }
-        if *to == Destination::State && !again {
+        if *to == Destination::State && !is_duplicate {
             let late = path == "/multi"
-                && self.strikes(|trouble| match trouble {
+                && self.affects_message(|fault| match fault {
                     Fault::LateWrites { share } => Some(*share),
                     _ => None,
                 });
-            let slower_ms = self.slower();
+            let slower_ms = self.state_delay_ms();
             // A slow call may be carried out late, or answered late.
             if late || slower_ms > 0 && self.draw() < 0.5 {
                 let after_ms = if late {
-                    self.draw_ms(LATE_WRITE_MS)
+                    self.draw_ms(LATE_WRITE_DELAY_MS)
                 } else {
                     slower_ms
                 };
-                let life = if late { 0 } else { life };
+                let incarnation = if late { 0 } else { incarnation };
                 let call = Call {
-                    life,
-                    again: true,
+                    incarnation,
+                    is_duplicate: true,
                     ..asked
                 };
-                self.post(after_ms, Event::Call(call));
+                self.schedule(after_ms, Event::Call(call));
                 return;
             }
-            answer_ms = slower_ms + self.withheld(node, path, body);
+            answer_ms = slower_ms + self.response_delay_ms(node, path, body);
             silent |= path == "/multi"
-                && self.strikes(|trouble| match trouble {
-                    Fault::LostAnswers { share } => Some(*share),
+                && self.affects_message(|fault| match fault {
+                    Fault::LostWriteResponses { share } => Some(*share),
                     _ => None,
                 });
         }
-        match self.deviation(to, method, path, body) {
+        match self.next_deviation(to, method, path, body) {
             None => (),
             Some(Deviation::LoseResponse) => silent = true,
             Some(Deviation::LoseRequest) => return,
             Some(Deviation::Delay) => {
-                self.post(WALK_LATE_MS, Event::Call(Call { life: 0, ..asked }));
+                self.schedule(
+                    DEVIATION_DELAY_MS,
+                    Event::Call(Call {
+                        incarnation: 0,
+                        ..asked
+                    }),
+                );
                 return;
             }
             Some(Deviation::CrashBefore) => {
-                self.end(node, RESTART_MS);
+                self.crash(node, NODE_RESTART_MS);
                 return;
             }
-            Some(Deviation::CrashAfter) => self.end(node, RESTART_MS),
+            Some(Deviation::CrashAfter) => self.crash(node, NODE_RESTART_MS),
             Some(Deviation::RefuseSender) => {
-                self.refused.insert(node, self.now + WALK_LAPSE_MS);
+                self.refused_until.insert(node, self.now + DEVIATION_REFUSAL_MS);
             }
         }
         if *to == Destination::State
-            && self.nodes[node].life == life
-            && let Some((carried_out, back_ms)) = self.ends_with(method, path, body)
+            && self.nodes[node].incarnation == incarnation
+            && let Some((carried_out, back_ms)) = self.crash_for_call(method, path, body)
         {
-            self.end(node, back_ms);
+            self.crash(node, back_ms);
             if !carried_out {
                 return;
             }
         }
         if *to == Destination::State
-            && let Some(carried_out) = self.books.ends_at(path, body)
+            && let Some(carried_out) = self.accounting_check.crash_for_write(path, body)
         {
-            self.end(node, RESTART_MS);
+            self.crash(node, NODE_RESTART_MS);
             if !carried_out {
                 return;
             }
@@ -1203,25 +1226,28 @@
                 Some((429, json_bytes(&Value::Null)))
             }
             Destination::State => {
-                if self.state.outage || self.refuses(node) {
+                if self.state.outage || self.state_refuses(node) {
                     Some((503, json_bytes(&Value::Null)))
                 } else {
                     let (changes, now) = (self.state.applied_changes, self.now);
                     let reply = self.state.handle(method, path, body, now);
-                    self.calls
-                        .note("changes", (self.state.applied_changes - changes) as usize, now);
+                    self.call_statistics.record(
+                        "changes",
+                        (self.state.applied_changes - changes) as usize,
+                        now,
+                    );
                     if self.state.applied_changes > changes {
-                        if let Err(problem) = self.books.learn(body) {
+                        if let Err(problem) = self.accounting_check.record_owners(body) {
                             self.violation("owner_changed", problem);
                         }
-                        learn_jobs(&mut self.jobs, body, self.condor_run_s);
+                        record_condor_jobs(&mut self.jobs, body, self.condor_run_s);
                     }
                     match reply {
                         Reply::Immediate(status, value) => Some((status, json_bytes(&value))),
                         Reply::LongPoll { prefix, after, until } => {
-                            self.watches.push(Watch {
+                            self.watches.push(PendingWatch {
                                 node,
-                                life,
+                                incarnation,
                                 call,
                                 prefix,
                                 after,
@@ -1234,8 +1260,8 @@
             }
             Destination::Cloud => {
                 // What the cloud refused is known to nobody when a copy of it is carried out.
-                if !again {
-                    self.check_holder(node, path, body);
+                if !is_duplicate {
+                    self.check_replaced_leader(node, path, body);
                 }
                 let (status, value) = self.cloud.handle(method, path, body, self.now);
                 for id in self.cloud.take_released() {
@@ -1252,7 +1278,7 @@
                 };
                 if self.now < worker.hung_until {
                     let wait = worker.hung_until - self.now;
-                    self.post(wait, Event::Call(asked));
+                    self.schedule(wait, Event::Call(asked));
                     return;
                 }
                 Some(if path == "/do" {
@@ -1263,28 +1289,28 @@
             }
         };
         if answer.is_some()
-            && !again
-            && let Some(later_ms) = self.copied_after(&asked.path)
+            && !is_duplicate
+            && let Some(later_ms) = self.duplicate_delay_ms(&asked.path)
         {
-            self.copied += 1;
+            self.duplicates_delivered += 1;
             let copy = Call {
-                life: 0,
-                again: true,
+                incarnation: 0,
+                is_duplicate: true,
                 ..asked.clone()
             };
-            self.post(later_ms, Event::Call(copy));
+            self.schedule(later_ms, Event::Call(copy));
         }
         if let Some((status, body)) = answer
             && !silent
         {
-            let answer = Event::Answer {
+            let answer = Event::Response {
                 node,
-                life,
+                incarnation,
                 call,
                 outcome: Outcome::Answer { status, body },
             };
             if answer_ms > 0 {
-                self.post(answer_ms, answer);
+                self.schedule(answer_ms, answer);
             } else {
                 self.send(&from, &format!("n{node}"), answer);
             }
@@ -1292,38 +1318,44 @@
     }
 
     /// A controller ends, and is started again after so many ms.
-    pub(crate) fn end(&mut self, node: usize, after_ms: u64) {
+    pub(crate) fn crash(&mut self, node: usize, after_ms: u64) {
         self.nodes[node].node = None;
         self.nodes[node].restart_at = self.now + after_ms;
     }
 
     /// Whether the sender of this call to the state service ends with it: if so, whether it is carried
     /// out, and when the sender is back, in ms.
-    fn ends_with(&mut self, method: &str, path: &str, body: &[u8]) -> Option<(bool, u64)> {
-        if self.of_clusters(method, path, body) {
-            match &mut self.end_at {
+    fn crash_for_call(&mut self, method: &str, path: &str, body: &[u8]) -> Option<(bool, u64)> {
+        if self.concerns_clusters(method, path, body) {
+            match &mut self.crash_at_cluster_call {
                 Some((0, carried_out)) => {
                     let carried_out = *carried_out;
-                    self.end_at = None;
-                    return Some((carried_out, RESTART_MS));
+                    self.crash_at_cluster_call = None;
+                    return Some((carried_out, NODE_RESTART_MS));
                 }
                 Some((left, _)) => *left -= 1,
                 None => (),
             }
         }
-        let next = self.end_on.front()?;
+        let next = self.crashes_on_call.front()?;
         // A claim that comes second is refused, and no stage of an election.
-        let second = next.stage == Stage::Claim && self.state.value("leader").is_some();
-        if second || !next.stage.is(method, path, body) {
+        let second = next.call == ElectionCall::Claim && self.state.value("leader").is_some();
+        if second || !next.call.matches(method, path, body) {
             return None;
         }
-        let end = self.end_on.pop_front()?;
-        Some((end.carried_out, end.back_ms))
+        let end = self.crashes_on_call.pop_front()?;
+        Some((end.executed, end.restart_ms))
     }
 
     /// What becomes of this act of a leader in a walk: a transaction of its own, a direct command
     /// with orders, a rental or a return.
-    fn deviation(&mut self, to: &Destination, method: &str, path: &str, body: &[u8]) -> Option<Deviation> {
+    fn next_deviation(
+        &mut self,
+        to: &Destination,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Option<Deviation> {
         let plan = self.deviation_plan.as_mut()?;
         let text = String::from_utf8_lossy(body);
         let act = match to {
@@ -1341,7 +1373,7 @@
 
     /// What a replaced leader does at the cloud must stand in the records that its successor reads:
     /// nobody at the cloud compares tokens.
-    fn check_holder(&mut self, node: usize, path: &str, body: &[u8]) {
+    fn check_replaced_leader(&mut self, node: usize, path: &str, body: &[u8]) {
         let holder = self
             .state
             .value("leader")
@@ -1353,7 +1385,7 @@
         let unknown: Vec<String> = match path {
             "/rentals/return" => {
                 let names: MachineNames = serde_json::from_slice(body).unwrap();
-                let known = self.returns_on_record();
+                let known = self.recorded_releases();
                 let there = |id: &String| {
                     let machine = self.cloud.machines.get(id);
                     machine.is_some_and(|machine| machine.removed_at.is_none())
@@ -1370,13 +1402,13 @@
             _ => Vec::new(),
         };
         for what in unknown {
-            self.unknown_acts += 1;
+            self.unrecorded_operations += 1;
             self.violation("replaced_holder", format!("n{node} {path} {what}"));
         }
     }
 
     /// Machines whose return stands in the records.
-    fn returns_on_record(&self) -> BTreeSet<String> {
+    fn recorded_releases(&self) -> BTreeSet<String> {
         let shards = self.state.values_under("s/");
         let records = shards
             .filter_map(|value| ShardRecord::from_value(value).ok())
@@ -1390,7 +1422,7 @@
 
     /// Whether a call to the state service is about clusters, and neither the leader's own nor for
     /// a user's question about one job.
-    fn of_clusters(&self, method: &str, path: &str, body: &[u8]) -> bool {
+    fn concerns_clusters(&self, method: &str, path: &str, body: &[u8]) -> bool {
         if method == "GET" && path.contains("/wk-99") {
             return false;
         }
@@ -1401,7 +1433,7 @@
     }
 
     /// Of a submit file's job: whether nothing holds it back, by the records.
-    pub(crate) fn may_run(&self, job: &str, cluster: u64) -> Result<(), &'static str> {
+    pub(crate) fn check_runnable(&self, job: &str, cluster: u64) -> Result<(), &'static str> {
         if self.state.value(&format!("c/{cluster:010}")).is_none() {
             return Err("its cluster is not accepted");
         }
@@ -1418,7 +1450,7 @@
         }
         let watches = std::mem::take(&mut self.watches);
         for watch in watches {
-            if self.refuses(watch.node) {
+            if self.state_refuses(watch.node) {
                 self.watches.push(watch);
                 continue;
             }
@@ -1432,9 +1464,9 @@
                         status: 200,
                         body: news.to_string().into_bytes(),
                     };
-                    let event = Event::Answer {
+                    let event = Event::Response {
                         node: watch.node,
-                        life: watch.life,
+                        incarnation: watch.incarnation,
                         call: watch.call,
                         outcome,
                     };
@@ -1466,7 +1498,7 @@
                 .iter()
                 .find(|known| known.name == machine.machine_type);
             worker.cache_gb = known.map_or(f64::INFINITY, |known| known.cache_gb);
-            worker.fetches_share_rate = self.shares_rate;
+            worker.fetches_share_rate = self.fetches_share_rate;
             self.workers.insert(id, worker);
         }
         let taken: Vec<String> = self
@@ -1485,10 +1517,10 @@
                 continue;
             };
             let arrived = worker.step(&mut self.jobs, self.now);
-            self.begun += std::mem::take(&mut worker.fetches_started);
+            self.fetches_started += std::mem::take(&mut worker.fetches_started);
             let (node, agent_epoch) = (worker.node, worker.agent_epoch);
             if let Some((number, body)) = worker.due_heartbeat(self.now) {
-                let event = Event::Report {
+                let event = Event::Heartbeat {
                     worker: id.clone(),
                     agent_epoch,
                     number,
@@ -1498,8 +1530,8 @@
                 self.send(&id, &format!("n{node}"), event);
             }
             for task in arrived {
-                self.fetches += u32::from(self.now > task.state_since + STEP_MS);
-                self.check_out(&id, &task);
+                self.tasks_awaiting_fetch += u32::from(self.now > task.state_since + STEP_MS);
+                self.check_out_units(&id, &task);
                 self.check_start(&id, &task.job, task.index);
             }
         }
@@ -1518,7 +1550,7 @@
     }
 
     /// A task that came to be on a machine checks its seats out.
-    fn check_out(&mut self, machine: &str, task: &worker::Task) {
+    fn check_out_units(&mut self, machine: &str, task: &worker::Task) {
         let counts = &self.jobs[&task.job].counted_units;
         for count in self.licences.check_out_all(counts, machine, task) {
             self.violation(
@@ -1545,13 +1577,13 @@
         }
         let mut ran: BTreeSet<String> = BTreeSet::new();
         for ((job, attempt), states) in gangs {
-            let facts = &self.jobs[&job];
-            if facts.shape != "gang" {
+            let observed = &self.jobs[&job];
+            if observed.shape != "gang" {
                 continue;
             }
-            let all = states.len() as u32 == facts.tasks;
+            let all = states.len() as u32 == observed.tasks;
             let start = all && states.iter().all(|state| *state == TaskState::Waiting);
-            let done = facts.completed_tasks.len() as u32 == facts.tasks;
+            let done = observed.completed_tasks.len() as u32 == observed.tasks;
             for task in self.workers.values_mut().flat_map(|worker| &mut worker.tasks) {
                 if task.job != job || task.attempt != attempt || !task.is_on_machine() {
                     continue;
@@ -1560,7 +1592,7 @@
                     ran.insert(job.clone());
                     task.state = TaskState::Running;
                     task.state_since = self.now;
-                    task.base_progress_s = facts.checkpointed_s;
+                    task.base_progress_s = observed.checkpointed_s;
                 } else if done && task.state == TaskState::Running {
                     task.exit(indigopath_controller::protocol::TaskEndCause::Done);
                 } else if task.state == TaskState::Running {
@@ -1570,9 +1602,9 @@
             }
         }
         for id in ran {
-            if let Some(facts) = self.jobs.get_mut(&id) {
-                facts.started_tasks = (0..facts.tasks).collect();
-                facts.started_at.get_or_insert(self.now);
+            if let Some(observed) = self.jobs.get_mut(&id) {
+                observed.started_tasks = (0..observed.tasks).collect();
+                observed.started_at.get_or_insert(self.now);
             }
         }
     }
@@ -1581,35 +1613,39 @@
 
     fn step_users(&mut self) {
         let due: Vec<String> = self
-            .user_at
+            .next_user_request_at
             .iter()
             .filter(|(_, at)| self.now >= **at)
             .map(|(job, _)| job.clone())
             .collect();
-        self.step_clusters();
+        self.step_submit_files();
         for job in due {
-            let facts = &self.jobs[&job];
-            let over = matches!(facts.reported_status.as_deref(), Some("done" | "cancelled"));
-            let kind = if !facts.accepted {
-                UserKind::Submit
-            } else if facts.cancel_requested && !over {
-                UserKind::Cancel
+            let observed = &self.jobs[&job];
+            let over = matches!(observed.reported_status.as_deref(), Some("done" | "cancelled"));
+            let kind = if !observed.accepted {
+                UserRequest::Submit
+            } else if observed.cancel_requested && !over {
+                UserRequest::Cancel
+            } else {
+                UserRequest::Poll
+            };
+            let again_ms = if kind == UserRequest::Poll {
+                USER_POLL_INTERVAL_MS
             } else {
-                UserKind::Poll
+                1_000
             };
-            let again_ms = if kind == UserKind::Poll { ASK_MS } else { 1_000 };
-            self.user_at.insert(job.clone(), self.now + again_ms);
+            self.next_user_request_at.insert(job.clone(), self.now + again_ms);
             self.user_turn += 1;
             let node = self.user_turn % NODES;
-            self.user_asks(node, &job, kind);
+            self.send_user_request(node, &job, kind);
         }
     }
 
     /// Sends submit files that nobody has answered yet, node by node.
-    fn step_clusters(&mut self) {
+    fn step_submit_files(&mut self) {
         let now = self.now;
         let mut due = Vec::new();
-        for (name, sent) in &mut self.sent {
+        for (name, sent) in &mut self.submitted_files {
             if sent.response.is_none() && now >= sent.next_attempt_at {
                 sent.next_attempt_at = now + 1_000;
                 sent.nodes.rotate_left(1);
@@ -1617,14 +1653,17 @@
             }
         }
         for (job, node) in due {
-            let kind = UserKind::Cluster;
-            self.user_asks(node, &job, kind);
+            let kind = UserRequest::SubmitFile;
+            self.send_user_request(node, &job, kind);
         }
     }
 
-    fn cluster_told(&mut self, name: &str, status: u16, body: &[u8]) {
+    fn handle_cluster_response(&mut self, name: &str, status: u16, body: &[u8]) {
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
-        let before = self.sent.get(name).and_then(|sent| sent.response.clone());
+        let before = self
+            .submitted_files
+            .get(name)
+            .and_then(|sent| sent.response.clone());
         match (&before, status) {
             // Come again.
             (_, 503) | (Some((201, _)), 201) => (),
@@ -1643,9 +1682,13 @@
             );
         }
         let others: Vec<Value> = self
-            .sent
+            .submitted_files
             .iter()
-            .filter(|(_, sent)| self.sent.get(name).is_none_or(|own| own.body != sent.body))
+            .filter(|(_, sent)| {
+                self.submitted_files
+                    .get(name)
+                    .is_none_or(|own| own.body != sent.body)
+            })
             .filter_map(|(_, sent)| Some(sent.response.as_ref()?.1["cluster"].clone()))
             .collect();
         if status == 201 && others.contains(&answer["cluster"]) {
@@ -1657,30 +1700,31 @@
         if status == 201 {
             // Its submitter asks about each of its jobs from now on.
             let number = answer["cluster"].as_u64();
-            for (id, facts) in &mut self.jobs {
-                if facts.cluster == number && facts.accepted_at.is_none() {
-                    facts.accepted_at = Some(self.now);
-                    self.user_at.insert(id.clone(), self.now + ASK_MS);
+            for (id, observed) in &mut self.jobs {
+                if observed.cluster == number && observed.accepted_at.is_none() {
+                    observed.accepted_at = Some(self.now);
+                    self.next_user_request_at
+                        .insert(id.clone(), self.now + USER_POLL_INTERVAL_MS);
                 }
             }
         }
-        if let Some(sent) = self.sent.get_mut(name)
+        if let Some(sent) = self.submitted_files.get_mut(name)
             && status != 503
         {
             sent.response = Some((status, answer));
         }
     }
 
-    fn replied(&mut self, node: usize, asker: Option<Asker>, status: u16, body: Vec<u8>) {
+    fn deliver_reply(&mut self, node: usize, asker: Option<ReplyRecipient>, status: u16, body: Vec<u8>) {
         let name = format!("n{node}");
         match asker {
             None => (),
-            Some(Asker::Worker {
+            Some(ReplyRecipient::Worker {
                 id,
                 agent_epoch,
                 number,
             }) => {
-                self.commands_leave(node, &body);
+                self.check_outgoing_commands(node, &body);
                 let event = Event::HeartbeatResponse {
                     worker: id.clone(),
                     agent_epoch,
@@ -1691,22 +1735,22 @@
             }
             // Whoever polls waits for 2 s and has gone by then; a frozen node's late word reaches
             // nobody.
-            Some(Asker::User {
-                kind: UserKind::Poll,
+            Some(ReplyRecipient::User {
+                kind: UserRequest::Poll,
                 at,
                 ..
-            }) if self.now > at + POLL_MS => (),
-            Some(Asker::User { job, kind, at }) => {
-                self.judge_answer(node, &job, &kind, at, status, &body);
-                self.user_told(&job, kind, status, &body);
-                self.node_tells(node, &job, status);
+            }) if self.now > at + USER_POLL_TIMEOUT_MS => (),
+            Some(ReplyRecipient::User { job, kind, at }) => {
+                self.check_response_order(node, &job, &kind, at, status, &body);
+                self.handle_user_response(&job, kind, status, &body);
+                self.record_confirmed_cancellation(node, &job, status);
             }
         }
     }
 
-    fn user_told(&mut self, job: &str, kind: UserKind, status: u16, body: &[u8]) {
-        self.judge_submission(job, &kind, status, body);
-        if let UserKind::Probe {
+    fn handle_user_response(&mut self, job: &str, kind: UserRequest, status: u16, body: &[u8]) {
+        self.check_submission_response(job, &kind, status, body);
+        if let UserRequest::Probe {
             method,
             path,
             body: asked,
@@ -1714,47 +1758,47 @@
         } = kind
         {
             if path == "/v1/jobs"
-                && let Err(problem) = self.books.keeps(&asked, body)
+                && let Err(problem) = self.accounting_check.check_foreign_submission(&asked, body)
             {
                 self.violation("told_too_much", problem);
             }
             // 421: only the leader can tell, and this is another node.
-            if let Err(problem) = self.books.hides(&path, body) {
+            if let Err(problem) = self.accounting_check.check_team_isolation(&path, body) {
                 self.violation("told_of_another", problem);
             }
             if wanted != 0 && status != wanted && status != 503 && status != 421 {
                 self.violation("answer", format!("{method} {path} got {status}, not {wanted}"));
             }
             if status != 421 {
-                self.probes.push((path, status));
+                self.probe_responses.push((path, status));
             }
             // Whatever the route, and whichever the node: the first word counts.
             let answer: Value = serde_json::from_slice(body).unwrap_or_default();
             let about = answer["Id"].as_str().filter(|id| self.jobs.contains_key(*id));
             if let (200 | 201, Some(id), Some(told)) = (status, about, answer["Status"].as_str()) {
-                self.told(id, told);
+                self.record_reported_status(id, told);
             }
             return;
         }
-        if kind == UserKind::Cluster {
-            return self.cluster_told(job, status, body);
+        if kind == UserRequest::SubmitFile {
+            return self.handle_cluster_response(job, status, body);
         }
-        if let Err(problem) = accounting_checks::plain(job, body) {
+        if let Err(problem) = accounting_checks::check_job_response(job, body) {
             self.violation("told_too_much", problem);
         }
         let now = self.now;
-        let facts = self.jobs.get_mut(job).unwrap();
+        let observed = self.jobs.get_mut(job).unwrap();
         match (kind, status) {
-            (UserKind::Submit, 200 | 201) => {
-                facts.accepted = true;
-                facts.accepted_at.get_or_insert(now);
+            (UserRequest::Submit, 200 | 201) => {
+                observed.accepted = true;
+                observed.accepted_at.get_or_insert(now);
             }
-            (UserKind::Submit, 400 | 422) if !facts.accepted => facts.rejected = true,
-            (_, 400 | 404 | 422) if facts.accepted => {
+            (UserRequest::Submit, 400 | 422) if !observed.accepted => observed.rejected = true,
+            (_, 400 | 404 | 422) if observed.accepted => {
                 self.violation("forgotten", format!("{job} got {status}"));
                 return;
             }
-            (_, 503) => self.most_refused += 1,
+            (_, 503) => self.refused_responses += 1,
             _ => (),
         }
         if status != 200 && status != 201 {
@@ -1763,22 +1807,22 @@
         let answer: Value = serde_json::from_slice(body).unwrap();
         let told = answer["Status"].as_str().unwrap().to_owned();
         self.jobs.get_mut(job).unwrap().last_answered_at = Some(now);
-        self.told(job, &told);
+        self.record_reported_status(job, &told);
     }
 
     /// A user was told of a job, by any node and on any route.
-    fn told(&mut self, job: &str, told: &str) {
+    fn record_reported_status(&mut self, job: &str, told: &str) {
         let now = self.now;
-        let facts = self.jobs.get_mut(job).unwrap();
-        let before = facts.reported_status.replace(told.to_owned());
-        let complete = facts.completed_tasks.len() as u32 == facts.tasks && facts.shape != "daemon";
+        let observed = self.jobs.get_mut(job).unwrap();
+        let before = observed.reported_status.replace(told.to_owned());
+        let complete = observed.completed_tasks.len() as u32 == observed.tasks && observed.shape != "daemon";
         // A submit file's jobs are taken back under their cluster's number.
-        let (wanted, of_file) = (facts.cancel_requested, facts.cluster.is_some());
+        let (wanted, of_file) = (observed.cancel_requested, observed.cluster.is_some());
         if told == "cancelled" {
-            facts.cancel_confirmed_at.get_or_insert(now);
+            observed.cancel_confirmed_at.get_or_insert(now);
         }
         if told == "done" {
-            facts.completion_reported_at.get_or_insert(now);
+            observed.completion_reported_at.get_or_insert(now);
         }
         if let Some(before) = before.filter(|before| matches!(before.as_str(), "done" | "cancelled"))
             && before != told
@@ -1795,7 +1839,7 @@
 
     // ---- the rules -----------------------------------------------------------
 
-    pub(crate) fn on_machines(&self) -> impl Iterator<Item = (&Worker, &worker::Task)> {
+    pub(crate) fn tasks_on_machines(&self) -> impl Iterator<Item = (&Worker, &worker::Task)> {
         self.workers.values().flat_map(|worker| {
             worker
                 .tasks
@@ -1806,23 +1850,23 @@
     }
 
     fn check_start(&mut self, machine: &str, job: &str, index: u32) {
-        let facts = self.jobs.get_mut(job).unwrap();
-        facts.task_starts += 1;
-        self.note_start(job);
-        let facts = self.jobs.get_mut(job).unwrap();
-        if facts.shape != "gang" {
-            facts.started_tasks.insert(index);
+        let observed = self.jobs.get_mut(job).unwrap();
+        observed.task_starts += 1;
+        self.record_start_after_cancel(job);
+        let observed = self.jobs.get_mut(job).unwrap();
+        if observed.shape != "gang" {
+            observed.started_tasks.insert(index);
         }
-        if facts.shape == "sweep" {
-            facts.started_at.get_or_insert(self.now);
+        if observed.shape == "sweep" {
+            observed.started_at.get_or_insert(self.now);
         }
-        let facts = facts.clone();
+        let observed = observed.clone();
         self.check_protected_start(machine, job);
         let worker = &self.workers[machine];
         let (zone, machine_type, spot) = (worker.zone.clone(), worker.machine_type.clone(), worker.spot);
         let name = format!("{job}/{index}");
         let elsewhere: Vec<(String, String, String)> = self
-            .on_machines()
+            .tasks_on_machines()
             .filter(|(_, task)| task.job == job)
             .map(|(worker, task)| (worker.id.clone(), worker.zone.clone(), task.name()))
             .collect();
@@ -1832,14 +1876,14 @@
         {
             self.violation("ran_twice", &name);
         }
-        if let Some(cluster) = facts.cluster {
+        if let Some(cluster) = observed.cluster {
             // What was under way to the machine when somebody held it stops there.
-            if let Err(why) = self.may_run(job, cluster)
+            if let Err(why) = self.check_runnable(job, cluster)
                 && why != "it is held"
             {
                 self.violation("too_soon", format!("{name}: {why}"));
             }
-            let spec = facts.spec.clone().unwrap_or_default();
+            let spec = observed.spec.clone().unwrap_or_default();
             let kind = &spec["kinds"][&machine_type][&zone][usize::from(spot)];
             let bound = spec.get("kinds").is_some();
             if (bound && !kind.is_u64()) || (spot && spec["spot"] != true) {
@@ -1850,7 +1894,7 @@
             }
             return;
         }
-        let body = &facts.body;
+        let body = &observed.body;
         let type_ok = body["Rigs"]
             .as_array()
             .is_none_or(|types| types.iter().any(|allowed| *allowed == machine_type.as_str()));
@@ -1862,30 +1906,30 @@
             .map(|(_, _, task)| task)
             .collect();
         in_zone.insert(&name);
-        let apart_ok = body["Apart"] != true || in_zone.len() as u32 <= facts.tasks.div_ceil(2);
+        let apart_ok = body["Apart"] != true || in_zone.len() as u32 <= observed.tasks.div_ceil(2);
         if !(type_ok && zone_ok && one_ok && apart_ok) || (spot && body["Loaners"] != true) {
             self.violation(
                 "wrong_place",
                 format!("{name} on {machine} ({machine_type}, {zone}, spot {spot})"),
             );
         }
-        if facts
+        if observed
             .cancel_confirmed_at
-            .is_some_and(|at| self.now > at + CANCEL_MS)
+            .is_some_and(|at| self.now > at + MAX_CANCEL_MS)
         {
             self.violation("ran_cancelled", format!("{name} starts"));
         }
     }
 
-    fn check_rules(&mut self) {
+    fn check_invariants(&mut self) {
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
         let mut overdue = Vec::new();
-        for (_, task) in self.on_machines() {
-            let facts = &self.jobs[&task.job];
-            *used.entry(facts.team.clone()).or_default() += facts.gpus;
-            if facts
+        for (_, task) in self.tasks_on_machines() {
+            let observed = &self.jobs[&task.job];
+            *used.entry(observed.team.clone()).or_default() += observed.gpus;
+            if observed
                 .cancel_confirmed_at
-                .is_some_and(|at| self.now > at + CANCEL_MS)
+                .is_some_and(|at| self.now > at + MAX_CANCEL_MS)
             {
                 overdue.push(task.name());
             }
@@ -1903,33 +1947,35 @@
     }
 
     /// The books say what the records of ended jobs say, as far as they go.
-    pub(crate) fn check_books(&mut self) {
-        if let Err(problem) = self.books.check(&self.state) {
+    pub(crate) fn check_accounting(&mut self) {
+        if let Err(problem) = self.accounting_check.check(&self.state) {
             self.violation("books", problem);
         }
     }
 
     // ---- served share --------------------------------------------------------
 
-    fn count_replicas(&mut self) {
+    fn record_replica_uptime(&mut self) {
         let mut up: BTreeMap<String, u64> = BTreeMap::new();
         for (_, task) in self
-            .on_machines()
+            .tasks_on_machines()
             .filter(|(_, task)| task.state == TaskState::Running)
         {
             *up.entry(task.job.clone()).or_default() += 1;
         }
         let now = self.now;
-        for (id, facts) in &mut self.jobs {
+        for (id, observed) in &mut self.jobs {
             let up = up.get(id).copied().unwrap_or(0);
-            if facts.shape == "daemon" && up >= u64::from(facts.tasks) {
-                facts.started_at.get_or_insert(now);
+            if observed.shape == "daemon" && up >= u64::from(observed.tasks) {
+                observed.started_at.get_or_insert(now);
             }
-            let due = facts.submitted_at.is_some_and(|at| now >= at + SERVED_AFTER_MS);
-            if facts.shape == "daemon" && due && facts.cancel_requested_at.is_none() {
-                let tasks = u64::from(facts.tasks);
-                facts.replica_wanted_ms += tasks * SERVED_STEP_MS;
-                facts.replica_up_ms += up.min(tasks) * SERVED_STEP_MS;
+            let due = observed
+                .submitted_at
+                .is_some_and(|at| now >= at + MIN_SERVED_JOB_AGE_MS);
+            if observed.shape == "daemon" && due && observed.cancel_requested_at.is_none() {
+                let tasks = u64::from(observed.tasks);
+                observed.replica_wanted_ms += tasks * REPLICA_COUNT_INTERVAL_MS;
+                observed.replica_up_ms += up.min(tasks) * REPLICA_COUNT_INTERVAL_MS;
             }
         }
     }
@@ -1938,13 +1984,16 @@
     /// that is old enough, unless its user took it back before, it can never run, or it was
     /// submitted with a mistake. Served is, of an array, a task that was ever started; of
     /// a gang, all once it ran; of a service, each replica by the time that it was up.
-    pub(crate) fn served(&self) -> BTreeMap<String, (f64, f64)> {
+    pub(crate) fn served_shares(&self) -> BTreeMap<String, (f64, f64)> {
         let mut shares: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-        for facts in self.jobs.values() {
-            let Some((served, asked)) = self.served_of(facts) else {
+        for observed in self.jobs.values() {
+            let Some((served, asked)) = self.job_served(observed) else {
                 continue;
             };
-            for whose in [format!("class={}", facts.class), format!("team={}", facts.team)] {
+            for whose in [
+                format!("class={}", observed.class),
+                format!("team={}", observed.team),
+            ] {
                 let share = shares.entry(whose).or_default();
                 share.0 += served;
                 share.1 += asked;
@@ -1954,17 +2003,17 @@
     }
 
     /// Of one job, if it counts.
-    pub(crate) fn served_of(&self, facts: &ObservedJob) -> Option<(f64, f64)> {
-        let due_at = facts.submitted_at? + SERVED_AFTER_MS;
-        let until = facts.cancel_requested_at.unwrap_or(self.now);
-        if until < due_at || facts.rejected || facts.always_fails {
+    pub(crate) fn job_served(&self, observed: &ObservedJob) -> Option<(f64, f64)> {
+        let due_at = observed.submitted_at? + MIN_SERVED_JOB_AGE_MS;
+        let until = observed.cancel_requested_at.unwrap_or(self.now);
+        if until < due_at || observed.rejected || observed.always_fails {
             return None;
         }
-        let asked = f64::from(facts.tasks);
-        let served = match facts.shape.as_str() {
-            "daemon" if facts.replica_wanted_ms == 0 => return None,
-            "daemon" => asked * facts.replica_up_ms as f64 / facts.replica_wanted_ms as f64,
-            _ => facts.started_tasks.union(&facts.completed_tasks).count() as f64,
+        let asked = f64::from(observed.tasks);
+        let served = match observed.shape.as_str() {
+            "daemon" if observed.replica_wanted_ms == 0 => return None,
+            "daemon" => asked * observed.replica_up_ms as f64 / observed.replica_wanted_ms as f64,
+            _ => observed.started_tasks.union(&observed.completed_tasks).count() as f64,
         };
         Some((served, asked))
     }
@@ -1985,7 +2034,7 @@
 
 /// Jobs of submit files are known by their records alone: nobody else names them. `run_s` is
 /// how long their tasks run.
-pub(crate) fn learn_jobs(jobs: &mut BTreeMap<String, ObservedJob>, body: &[u8], run_s: f64) {
+pub(crate) fn record_condor_jobs(jobs: &mut BTreeMap<String, ObservedJob>, body: &[u8], run_s: f64) {
     let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
         return;
     };
@@ -1998,7 +2047,7 @@
         };
         let id = key.trim_start_matches("j/").to_owned();
         let text = |field: &str| value[field].as_str().unwrap_or_default().to_owned();
-        let facts = jobs.entry(id).or_insert_with(|| ObservedJob {
+        let observed = jobs.entry(id).or_insert_with(|| ObservedJob {
             shape: text("shape"),
             tasks: value["tasks"].as_u64().unwrap_or(0) as u32,
             gpus: value["needs"]["gpus"].as_f64().unwrap_or(0.0),
@@ -2009,8 +2058,8 @@
             cluster: Some(cluster),
             ..ObservedJob::default()
         });
-        facts.team = text("team");
-        facts.spec = Some(value);
+        observed.team = text("team");
+        observed.spec = Some(value);
     }
 }
 
