--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -15,12 +15,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long a job may wait beside room, in ms: the platform's own bound.
-const WAITED_MS: u64 = 90_000;
+const MAX_WAIT_MS: u64 = 90_000;
 /// Interval between looks, in ms.
-const LOOK_MS: u64 = 1_000;
+const CHECK_INTERVAL_MS: u64 = 1_000;
 /// Room that was there at so many looks in a row is idle. Between a task's end and the next one's start,
 /// which takes a report and a record, it is not.
-const LOOKS: usize = 4;
+const IDLE_SAMPLES: usize = 4;
 
 #[derive(Default)]
 pub(crate) struct Waiting {
@@ -32,14 +32,14 @@
     calm_from: u64,
     /// Since when each job waits beside room.
     since: BTreeMap<String, u64>,
-    asks: BTreeMap<String, Ask>,
+    asks: BTreeMap<String, PlacementRequest>,
     /// What was free of each machine at the last looks.
     rooms: BTreeMap<String, VecDeque<Resources>>,
     teams: Vec<Team>,
 }
 
 /// What a job asks of a machine.
-struct Ask {
+struct PlacementRequest {
     needs: Resources,
     types: Option<Vec<String>>,
     /// Of a submit file: which kinds of machines do.
@@ -47,17 +47,17 @@
     zone: Option<String>,
     one_zone: bool,
     /// Most tasks in one zone.
-    zone_cap: usize,
+    max_tasks_per_zone: usize,
     spot: bool,
 }
 
-impl Ask {
-    fn of(facts: &ObservedJob) -> Ask {
+impl PlacementRequest {
+    fn of(observed: &ObservedJob) -> PlacementRequest {
         let amount = |value: &Value| value.as_f64().unwrap_or(0.0);
-        let (body, tasks) = (&facts.body, facts.tasks as usize);
-        if let Some(spec) = &facts.spec {
+        let (body, tasks) = (&observed.body, observed.tasks as usize);
+        if let Some(spec) = &observed.spec {
             let needs = &spec["needs"];
-            return Ask {
+            return PlacementRequest {
                 needs: Resources {
                     cpus: amount(&needs["cpus"]),
                     gpus: amount(&needs["gpus"]),
@@ -67,7 +67,7 @@
                 kinds: spec.get("kinds").cloned(),
                 zone: None,
                 one_zone: false,
-                zone_cap: tasks,
+                max_tasks_per_zone: tasks,
                 spot: spec["spot"] == true,
             };
         }
@@ -76,7 +76,7 @@
                 .filter_map(|name| Some(name.as_str()?.into()))
                 .collect()
         };
-        Ask {
+        PlacementRequest {
             needs: Resources {
                 cpus: amount(&body["Cpus"]),
                 gpus: amount(&body["Gpus"]),
@@ -86,7 +86,7 @@
             kinds: None,
             zone: body["Yard"].as_str().map(str::to_owned),
             one_zone: body["OneZone"] == true,
-            zone_cap: if body["Apart"] == true {
+            max_tasks_per_zone: if body["Apart"] == true {
                 tasks.div_ceil(2)
             } else {
                 tasks
@@ -95,7 +95,7 @@
         }
     }
 
-    fn allows(&self, room: &Room<'_>) -> bool {
+    fn allows(&self, room: &IdleMachine<'_>) -> bool {
         let kind = |kinds: &Value| kinds[room.machine_type][room.zone][usize::from(room.spot)].is_u64();
         let types = self.types.as_ref();
         types.is_none_or(|types| types.iter().any(|name| name == room.machine_type))
@@ -106,7 +106,7 @@
 }
 
 /// A sound machine with what is idle of it.
-struct Room<'a> {
+struct IdleMachine<'a> {
     id: &'a str,
     machine_type: &'a str,
     zone: &'a str,
@@ -116,17 +116,17 @@
 
 /// Where a job's tasks are, fetching ones included.
 #[derive(Default)]
-struct There<'a> {
+struct PlacedTasks<'a> {
     indexes: BTreeSet<u32>,
     zones: BTreeMap<&'a str, usize>,
-    runs: bool,
+    is_running: bool,
 }
 
 impl Simulation {
     /// Whether anything is wrong that passes: with controllers, users or the state service, or with
     /// machines and what reaches them.
-    fn any_trouble(&self) -> bool {
-        self.in_trouble()
+    fn has_any_fault(&self) -> bool {
+        self.has_control_plane_fault()
             || self.cloud.outage
             || self.licences.outage
             || !self.cuts.is_empty()
@@ -138,33 +138,36 @@
     }
 
     /// Whether somebody waits beside room, so that more is to be seen.
-    pub(crate) fn waits_beside_room(&self) -> bool {
-        let since = self.waiting.since.iter();
-        since.filter(|(id, _)| !self.waiting.found.contains(*id)).count() > 0
+    pub(crate) fn has_wait_beside_capacity(&self) -> bool {
+        let since = self.waiting_checks.since.iter();
+        since
+            .filter(|(id, _)| !self.waiting_checks.found.contains(*id))
+            .count()
+            > 0
     }
 
     /// Flags jobs that have waited in vain.
     pub(crate) fn check_waiting(&mut self) {
-        if self.any_trouble() {
-            self.waiting.calm_from = self.now;
-            self.waiting.since.clear();
+        if self.has_any_fault() {
+            self.waiting_checks.calm_from = self.now;
+            self.waiting_checks.since.clear();
         }
-        if !self.now.is_multiple_of(LOOK_MS) {
+        if !self.now.is_multiple_of(CHECK_INTERVAL_MS) {
             return;
         }
-        let mut waiting = std::mem::take(&mut self.waiting);
-        for (id, facts) in &self.jobs {
-            if facts.accepted && !waiting.asks.contains_key(id) {
-                waiting.asks.insert(id.clone(), Ask::of(facts));
+        let mut waiting = std::mem::take(&mut self.waiting_checks);
+        for (id, observed) in &self.jobs {
+            if observed.accepted && !waiting.asks.contains_key(id) {
+                waiting.asks.insert(id.clone(), PlacementRequest::of(observed));
             }
         }
         if waiting.teams.is_empty() {
             waiting.teams = self.teams();
         }
-        self.look_at_rooms(&mut waiting);
+        self.sample_free_resources(&mut waiting);
         let calm = self.now > waiting.calm_from;
         let beside = if calm {
-            self.beside_room(&waiting)
+            self.waits_beside_capacity(&waiting)
         } else {
             BTreeMap::new()
         };
@@ -172,20 +175,20 @@
         waiting.since.retain(|id, _| beside.contains_key(id));
         for (id, machine) in beside {
             let since = *waiting.since.entry(id.clone()).or_insert(now);
-            if now < since + WAITED_MS || !waiting.found.insert(id.clone()) || waiting.meant.contains(&id) {
+            if now < since + MAX_WAIT_MS || !waiting.found.insert(id.clone()) || waiting.meant.contains(&id) {
                 continue;
             }
             vain.push(format!("{id}, since {} s, as {machine} has room", since / 1_000));
         }
-        self.waiting = waiting;
+        self.waiting_checks = waiting;
         for line in vain {
             self.violation("waits", line);
         }
     }
 
     /// Exceptions that are none.
-    pub(crate) fn waits_after_all(&self) -> impl Iterator<Item = String> {
-        let none = self.waiting.meant.difference(&self.waiting.found);
+    pub(crate) fn unmet_wait_exceptions(&self) -> impl Iterator<Item = String> {
+        let none = self.waiting_checks.meant.difference(&self.waiting_checks.found);
         none.map(|id| format!("waits {id}: it is not so"))
     }
 
@@ -198,7 +201,7 @@
         teams
     }
 
-    fn look_at_rooms(&self, waiting: &mut Waiting) {
+    fn sample_free_resources(&self, waiting: &mut Waiting) {
         waiting.rooms.retain(|id, _| self.workers.contains_key(id));
         for (id, worker) in &self.workers {
             let mut types = self.cloud.types.iter();
@@ -211,17 +214,17 @@
             }
             let looks = waiting.rooms.entry(id.clone()).or_default();
             looks.push_back(free);
-            if looks.len() > LOOKS {
+            if looks.len() > IDLE_SAMPLES {
                 looks.pop_front();
             }
         }
     }
 
     /// Sound machines with the room that lasted.
-    fn idle_rooms<'a>(&'a self, waiting: &'a Waiting) -> Vec<Room<'a>> {
+    fn idle_machines<'a>(&'a self, waiting: &'a Waiting) -> Vec<IdleMachine<'a>> {
         let sound = self.workers.values().filter(|worker| {
             let seen = waiting.rooms.get(&worker.id).map_or(0, VecDeque::len);
-            worker.reclaim_at.is_none() && !worker.faulty && seen == LOOKS
+            worker.reclaim_at.is_none() && !worker.faulty && seen == IDLE_SAMPLES
         });
         let rooms = sound.map(|worker| {
             let least = |a: Resources, b: &Resources| Resources {
@@ -230,7 +233,7 @@
                 memory_gb: a.memory_gb.min(b.memory_gb),
             };
             let looks = &waiting.rooms[&worker.id];
-            Room {
+            IdleMachine {
                 id: &worker.id,
                 machine_type: &worker.machine_type,
                 zone: &worker.zone,
@@ -242,52 +245,56 @@
     }
 
     /// Jobs that wait beside room now, with a machine that has it.
-    fn beside_room(&self, waiting: &Waiting) -> BTreeMap<String, String> {
-        let rooms = self.idle_rooms(waiting);
+    fn waits_beside_capacity(&self, waiting: &Waiting) -> BTreeMap<String, String> {
+        let rooms = self.idle_machines(waiting);
         let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut held: BTreeMap<&str, u32> = BTreeMap::new();
-        let mut there: BTreeMap<&str, There<'_>> = BTreeMap::new();
+        let mut there: BTreeMap<&str, PlacedTasks<'_>> = BTreeMap::new();
         for (worker, task) in self.workers.values().flat_map(|worker| {
             let tasks = worker.tasks.iter().filter(|task| task.state != TaskState::Exited);
             tasks.map(move |task| (worker, task))
         }) {
-            let (Some(facts), Some(ask)) = (self.jobs.get(&task.job), waiting.asks.get(&task.job)) else {
+            let (Some(observed), Some(ask)) = (self.jobs.get(&task.job), waiting.asks.get(&task.job)) else {
                 continue;
             };
-            *used.entry(&facts.team).or_default() += ask.needs;
-            for (count, units) in &facts.counted_units {
+            *used.entry(&observed.team).or_default() += ask.needs;
+            for (count, units) in &observed.counted_units {
                 *held.entry(count).or_default() += units;
             }
             let there = there.entry(&task.job).or_default();
             there.indexes.insert(task.index);
             *there.zones.entry(&worker.zone).or_default() += 1;
-            there.runs |= matches!(task.state, TaskState::Running | TaskState::Saving);
+            there.is_running |= matches!(task.state, TaskState::Running | TaskState::Saving);
         }
-        let none = There::default();
+        let none = PlacedTasks::default();
         let mut beside = BTreeMap::new();
-        for (id, facts) in &self.jobs {
-            let over = facts.cancel_requested_at.is_some() || facts.rejected || facts.always_fails;
+        for (id, observed) in &self.jobs {
+            let over = observed.cancel_requested_at.is_some() || observed.rejected || observed.always_fails;
             let there = there.get(id.as_str()).unwrap_or(&none);
-            let placed = facts.completed_tasks.union(&there.indexes).count() as u32;
-            let Some(ask) = waiting.asks.get(id).filter(|_| !over && placed < facts.tasks) else {
+            let placed = observed.completed_tasks.union(&there.indexes).count() as u32;
+            let Some(ask) = waiting.asks.get(id).filter(|_| !over && placed < observed.tasks) else {
                 continue;
             };
-            let gang = facts.shape == "gang";
-            let tasks = if gang { (facts.tasks - placed) as usize } else { 1 };
+            let gang = observed.shape == "gang";
+            let tasks = if gang {
+                (observed.tasks - placed) as usize
+            } else {
+                1
+            };
             // Nobody else tells of a submit file's job that it was removed, or is held.
-            let parked = facts.cluster.is_some_and(|of| {
-                self.state.value(&format!("j/{id}")).is_none() || self.may_run(id, of).is_err()
+            let parked = observed.cluster.is_some_and(|of| {
+                self.state.value(&format!("j/{id}")).is_none() || self.check_runnable(id, of).is_err()
             });
-            if gang && there.runs || parked {
+            if gang && there.is_running || parked {
                 continue;
             }
-            let mut usage = used.get(facts.team.as_str()).copied().unwrap_or_default();
+            let mut usage = used.get(observed.team.as_str()).copied().unwrap_or_default();
             usage += ask.needs.scaled_by(tasks as f64);
-            let within = |team: &Team| team.name == facts.team && team.allows(&usage);
-            if !waiting.teams.iter().any(within) || !self.has_units(facts, tasks as u32, &held) {
+            let within = |team: &Team| team.name == observed.team && team.allows(&usage);
+            if !waiting.teams.iter().any(within) || !self.has_units(observed, tasks as u32, &held) {
                 continue;
             }
-            if let Some(machine) = find(ask, gang, tasks, facts.tasks as usize, there, &rooms) {
+            if let Some(machine) = find_machine(ask, gang, tasks, observed.tasks as usize, there, &rooms) {
                 beside.insert(id.clone(), machine.to_owned());
             }
         }
@@ -295,8 +302,8 @@
     }
 
     /// Whether there are seats for so many more tasks. Shares of teams are not judged.
-    fn has_units(&self, facts: &ObservedJob, tasks: u32, held: &BTreeMap<&str, u32>) -> bool {
-        facts.counted_units.iter().all(|(name, units)| {
+    fn has_units(&self, observed: &ObservedJob, tasks: u32, held: &BTreeMap<&str, u32>) -> bool {
+        observed.counted_units.iter().all(|(name, units)| {
             let Some(definition) = self.operator.counted_resources.get(name.as_str()) else {
                 return false;
             };
@@ -310,13 +317,13 @@
 }
 
 /// A machine that could take one of so many tasks of a job, if there is room for all of them.
-fn find<'a>(
-    ask: &Ask,
+fn find_machine<'a>(
+    ask: &PlacementRequest,
     gang: bool,
     missing: usize,
     all: usize,
-    there: &There<'_>,
-    rooms: &[Room<'a>],
+    there: &PlacedTasks<'_>,
+    rooms: &[IdleMachine<'a>],
 ) -> Option<&'a str> {
     let mut by_zone: BTreeMap<&str, (usize, &'a str)> = BTreeMap::new();
     for room in rooms
@@ -332,11 +339,12 @@
         return by_zone.into_iter().find_map(|(zone, (places, id))| {
             let alone = there.zones.keys().all(|other| *other == zone);
             let needed = if alone { missing } else { all };
-            ((alone || gang) && places >= needed && taken(zone) + needed <= ask.zone_cap).then_some(id)
+            ((alone || gang) && places >= needed && taken(zone) + needed <= ask.max_tasks_per_zone)
+                .then_some(id)
         });
     }
     let places = |(zone, (places, _)): (&&str, &(usize, &str))| {
-        (*places).min(ask.zone_cap.saturating_sub(taken(zone)))
+        (*places).min(ask.max_tasks_per_zone.saturating_sub(taken(zone)))
     };
     if by_zone.iter().map(places).sum::<usize>() < missing {
         return None;
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -270,13 +270,13 @@
                 (CommandKind::Stop, Some(at)) => {
                     let grace_ms = (order.grace_s.unwrap_or(0.0) * 1000.0) as u64;
                     let task = &mut self.tasks[at];
-                    let facts = &jobs[job];
-                    let save_ms = (facts.checkpoint_save_s * 1000.0) as u64;
-                    if task.state == TaskState::Running && facts.shape == "daemon" {
+                    let observed = &jobs[job];
+                    let save_ms = (observed.checkpoint_save_s * 1000.0) as u64;
+                    if task.state == TaskState::Running && observed.shape == "daemon" {
                         self.stopped_replicas.push(job.to_owned());
                     }
                     match task.state {
-                        TaskState::Running if facts.checkpoint_interval_s > 0.0 && grace_ms >= save_ms => {
+                        TaskState::Running if observed.checkpoint_interval_s > 0.0 && grace_ms >= save_ms => {
                             task.state = TaskState::Saving;
                             task.base_progress_s += (now - task.state_since) as f64 / 1000.0;
                             task.save_complete_at = Some(now + save_ms);
@@ -346,33 +346,33 @@
         let mut arrived = Vec::new();
         let mut changed = false;
         for task in &mut self.tasks {
-            let facts = jobs.get_mut(&task.job);
-            let Some(facts) = facts else { continue };
+            let observed = jobs.get_mut(&task.job);
+            let Some(observed) = observed else { continue };
             let before = task.state;
             match task.state {
                 TaskState::Fetching => {
-                    let ready = self.cached_images.iter().any(|(name, _)| *name == facts.image)
+                    let ready = self.cached_images.iter().any(|(name, _)| *name == observed.image)
                         || self
                             .fetch_remaining_ms
-                            .get(&facts.image)
+                            .get(&observed.image)
                             .is_some_and(|left| *left <= 0.0);
                     if ready {
-                        self.fetch_remaining_ms.remove(&facts.image);
+                        self.fetch_remaining_ms.remove(&observed.image);
                         cache_image(
                             &mut self.cached_images,
-                            &facts.image,
-                            facts.image_gb,
+                            &observed.image,
+                            observed.image_gb,
                             self.cache_gb,
                         );
                         arrived.push(task.clone());
-                        if facts.completed_tasks.contains(&task.index) {
+                        if observed.completed_tasks.contains(&task.index) {
                             task.exit(TaskEndCause::Done);
-                        } else if self.faulty || facts.always_fails {
+                        } else if self.faulty || observed.always_fails {
                             task.exit(TaskEndCause::Error);
                         } else {
                             task.state_since = now;
-                            task.base_progress_s = facts.checkpointed_s;
-                            task.state = if facts.shape == "gang" {
+                            task.base_progress_s = observed.checkpointed_s;
+                            task.state = if observed.shape == "gang" {
                                 TaskState::Waiting
                             } else {
                                 TaskState::Running
@@ -383,24 +383,25 @@
                 TaskState::Waiting if now >= task.state_since + gang_wait_ms => {
                     task.exit(TaskEndCause::Alone)
                 }
-                TaskState::Running if facts.shape != "daemon" => {
+                TaskState::Running if observed.shape != "daemon" => {
                     let progress_s = task.base_progress_s + (now - task.state_since) as f64 / 1000.0;
                     if task.gang_exit_at.is_some_and(|at| now >= at) {
                         task.exit(TaskEndCause::Peers);
-                    } else if progress_s >= facts.run_s {
-                        facts.completed_tasks.insert(task.index);
-                        if facts.shape == "gang" {
-                            facts.completed_tasks.extend(0..facts.tasks);
+                    } else if progress_s >= observed.run_s {
+                        observed.completed_tasks.insert(task.index);
+                        if observed.shape == "gang" {
+                            observed.completed_tasks.extend(0..observed.tasks);
                         }
                         task.exit(TaskEndCause::Done);
-                    } else if facts.checkpoint_interval_s > 0.0 {
-                        facts.checkpointed_s = facts.checkpointed_s.max(
-                            (progress_s / facts.checkpoint_interval_s).floor() * facts.checkpoint_interval_s,
+                    } else if observed.checkpoint_interval_s > 0.0 {
+                        observed.checkpointed_s = observed.checkpointed_s.max(
+                            (progress_s / observed.checkpoint_interval_s).floor()
+                                * observed.checkpoint_interval_s,
                         );
                     }
                 }
                 TaskState::Saving if task.save_complete_at.is_some_and(|at| now >= at) => {
-                    facts.checkpointed_s = facts.checkpointed_s.max(task.base_progress_s);
+                    observed.checkpointed_s = observed.checkpointed_s.max(task.base_progress_s);
                     task.checkpoint_saved = true;
                     task.exit(TaskEndCause::Stopped);
                 }
@@ -419,13 +420,13 @@
     fn advance_fetches(&mut self, jobs: &BTreeMap<String, ObservedJob>, now: u64) {
         let mut wanted: BTreeMap<&str, (f64, u64)> = BTreeMap::new();
         for task in self.tasks.iter().filter(|task| task.state == TaskState::Fetching) {
-            let Some(facts) = jobs.get(&task.job) else {
+            let Some(observed) = jobs.get(&task.job) else {
                 continue;
             };
-            if self.cached_images.iter().all(|(name, _)| *name != facts.image) {
+            if self.cached_images.iter().all(|(name, _)| *name != observed.image) {
                 let (_, since) = wanted
-                    .entry(&facts.image)
-                    .or_insert((facts.image_gb, task.state_since));
+                    .entry(&observed.image)
+                    .or_insert((observed.image_gb, task.state_since));
                 *since = task.state_since.min(*since);
             }
         }
--- a/crates/simulator/src/zones.rs
+++ b/crates/simulator/src/zones.rs
@@ -5,21 +5,21 @@
 use crate::simulation::Simulation;
 
 /// Zones of the controllers, as the settings name them.
-const ZONES: [&str; 3] = ["east", "west", "east"];
+const NODE_ZONES: [&str; 3] = ["east", "west", "east"];
 
 /// The area in which this controller is; of none, an area in which nothing is.
-pub(crate) fn of_node(index: Option<usize>) -> String {
-    format!("area:{}", index.map_or("", |index| ZONES[index]))
+pub(crate) fn area_of_node(index: Option<usize>) -> String {
+    format!("area:{}", index.map_or("", |index| NODE_ZONES[index]))
 }
 
 impl Simulation {
     /// Whether what one host sends another leaves an area or enters it.
-    pub(crate) fn crosses(&self, area: &str, from: &str, to: &str) -> bool {
+    pub(crate) fn crosses_area(&self, area: &str, from: &str, to: &str) -> bool {
         let Some(zone) = area.strip_prefix("area:") else {
             return false;
         };
         let within = |host: &str| match host.strip_prefix('n').and_then(|own| own.parse::<usize>().ok()) {
-            Some(index) => ZONES.get(index) == Some(&zone),
+            Some(index) => NODE_ZONES.get(index) == Some(&zone),
             None => self.workers.get(host).is_some_and(|worker| worker.zone == zone),
         };
         within(from) != within(to)
