--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins of state service, cloud, workers and users by their published protocol,
-//! and a small world in simulated time that plays text scenarios with them round real
-//! controllers. What runs in real time shares the same models.
+//! Models of the state service, the cloud, workers, licence servers and users that follow their
+//! published protocols, and a deterministic simulation that runs text scenarios with them against
+//! real controllers. Tests in real time use the same models.
 //!
-//! Stand-ins panic on a malformed call: the controllers are to make none.
+//! The models panic on a malformed call, as controllers must never send one.
 #![forbid(unsafe_code)]
 
 mod accounting_checks;
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,6 +1,6 @@
-//! A small world in simulated time round real controllers: state service, cloud,
-//! workers and users are stand-ins; the rules of the protocol are checked all the
-//! time. The same scenario always plays the same way.
+//! A deterministic simulation of a site in simulated time: real controllers with models of the state
+//! service, the cloud, workers and users. The rules of the protocol are checked throughout. A
+//! scenario gives the same run every time.
 
 use crate::accounting_checks::{self, AccountingCheck};
 use crate::admission_checks::AdmissionChecks;
@@ -27,26 +27,26 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Grain of simulated time, in ms.
+/// Resolution of simulated time, in ms.
 const STEP_MS: u64 = 10;
-/// One way through the network, in ms.
+/// One-way network latency, in ms.
 const NETWORK_LATENCY_MS: u64 = 5;
 pub(crate) const NODE_RESTART_MS: u64 = 4_000;
 const MAX_CANCEL_MS: u64 = 50_000;
 pub(crate) const NODES: usize = 3;
 
-/// Age of a job from which on it must be served: what a boot and a fetch take.
+/// Age from which a job counts as due for service, in ms: the time of a boot and an image fetch.
 const MIN_SERVED_JOB_AGE_MS: u64 = 60_000;
-/// How long a user waits for the answer to a poll, in ms.
+/// How long a user waits for the response to a poll, in ms.
 const USER_POLL_TIMEOUT_MS: u64 = 2_000;
-/// How often users ask about each accepted job, in ms.
+/// Interval at which users poll each accepted job, in ms.
 const USER_POLL_INTERVAL_MS: u64 = 5_000;
-/// Interval at which the teams' books are held against the records, in ms.
+/// Interval at which the teams' accounting is compared with the job records, in ms.
 const ACCOUNTING_CHECK_INTERVAL_MS: u64 = 1_000;
-/// Interval at which replicas that are up are counted.
+/// Interval at which running replicas are counted, in ms.
 const REPLICA_COUNT_INTERVAL_MS: u64 = 200;
 
-/// What the world knows of a job, apart from any controller.
+/// What the simulation observes of a job, independently of any controller.
 #[derive(Debug, Clone, Default)]
 pub struct ObservedJob {
     pub body: Value,
@@ -61,15 +61,15 @@
     pub image_gb: f64,
     pub completed_tasks: BTreeSet<u32>,
     pub checkpointed_s: f64,
-    /// Submitted with a mistake: it fails everywhere.
+    /// The job has an error of its own and fails on every machine.
     pub always_fails: bool,
-    /// Seats that each task checks out.
+    /// Licence units that each task checks out, by counted resource.
     pub counted_units: BTreeMap<String, u32>,
     pub accepted: bool,
-    /// When its user first knew of that, and when any question about it was last answered.
+    /// When its user first learned of the acceptance, and when a request about it was last answered.
     pub accepted_at: Option<u64>,
     pub last_answered_at: Option<u64>,
-    /// When it first ran: of a gang all tasks together, of a service all replicas.
+    /// When it first ran: all tasks of a gang together, all replicas of a service.
     pub started_at: Option<u64>,
     pub cancel_requested: bool,
     pub reported_status: Option<String>,
@@ -77,40 +77,40 @@
     pub completion_reported_at: Option<u64>,
     pub task_starts: u32,
     pub class: String,
-    /// When its user first asked, and asked for its end.
+    /// When its user submitted it, and when its user asked to cancel it.
     pub submitted_at: Option<u64>,
     pub cancel_requested_at: Option<u64>,
-    /// It can never run, its user was told.
+    /// Rejected because it can never run.
     pub rejected: bool,
-    /// Tasks that were ever on a machine; of a gang, all of them once it ran.
+    /// Tasks that ever started on a machine; for a gang, all tasks once it has run.
     pub started_tasks: BTreeSet<u32>,
-    /// Replica time since it must be served, in ms: what there was, and what was asked for.
+    /// Replica time since the job was due for service, in ms: delivered, and wanted.
     pub replica_up_ms: u64,
     pub replica_wanted_ms: u64,
-    /// Of a submit file: what its record says of machines, and which cluster it is of.
+    /// For a job of a submit file: its job record, and its cluster number.
     pub spec: Option<Value>,
     pub cluster: Option<u64>,
 }
 
 impl ObservedJob {
-    /// Its user wants its end, from then on.
+    /// Records that the user asks to cancel the job from this time on.
     pub(crate) fn request_cancel(&mut self, at: u64) {
         self.cancel_requested = true;
         self.cancel_requested_at.get_or_insert(at);
     }
 }
 
-/// A submit file that a user sends until it is answered.
+/// A submit file that a user sends until a node answers it.
 #[derive(Debug, Clone)]
 pub struct SubmittedFile {
     pub body: Vec<u8>,
     pub next_attempt_at: u64,
     pub nodes: Vec<usize>,
-    /// Status and body of the answer that settled it.
+    /// Status and body of the final response.
     pub response: Option<(u16, Value)>,
 }
 
-/// What a controller asks of another system.
+/// A controller's call to another system.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     pub(crate) node: usize,
@@ -120,7 +120,7 @@
     pub(crate) method: &'static str,
     pub(crate) path: String,
     pub(crate) body: Vec<u8>,
-    /// It has been carried out before.
+    /// A repetition of a call that was already executed.
     pub(crate) is_duplicate: bool,
 }
 
@@ -155,17 +155,17 @@
         job: String,
         kind: UserRequest,
     },
-    /// What this node has had once, again.
+    /// Delivers a message to this node a second time.
     Duplicate {
         to: usize,
         command: Command,
     },
 }
 
-/// Messages of one kind that are delivered, and answered, once more.
+/// Messages of one kind that are delivered and answered a second time.
 #[derive(Debug, Clone)]
 pub(crate) struct DuplicateDelivery {
-    /// A path, or the end of one (`/withdraw`), or `frames`.
+    /// A path, a suffix of a path (`/withdraw`), or `frames`.
     pub(crate) kind: String,
     pub(crate) delay_ms: u64,
     pub(crate) until: u64,
@@ -183,19 +183,19 @@
     Submit,
     Poll,
     Cancel,
-    /// A request whose answer's status must be this.
+    /// A request whose response must have this status.
     Probe {
         method: &'static str,
         path: String,
         body: Vec<u8>,
         status: u16,
     },
-    /// A submit file, by the name that the scenario gives it.
+    /// A submit file, identified by its name in the scenario.
     SubmitFile,
 }
 
 impl UserRequest {
-    /// Any submission, whose answer's status must be this; 0 for any.
+    /// A submission whose response must have this status; 0 accepts any.
     pub(crate) fn submission(body: &Value, status: u16) -> UserRequest {
         UserRequest::Probe {
             method: "POST",
@@ -206,7 +206,7 @@
     }
 }
 
-/// Who waits for a reply of a node.
+/// Who receives a node's reply.
 #[derive(Debug, Clone)]
 pub(crate) enum ReplyRecipient {
     Worker {
@@ -228,7 +228,7 @@
     pub(crate) pending_requests: HashMap<RequestId, ReplyRecipient>,
     pub(crate) next_request: u64,
     pub(crate) frozen_until: u64,
-    /// What it sends until then goes out only then.
+    /// Everything that it sends is held back until then.
     pub(crate) stalled_until: u64,
     pub(crate) outbox: Vec<Effect>,
     pub(crate) inbox: Vec<Command>,
@@ -245,71 +245,72 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NetworkCut {
-    /// Packets vanish.
+    /// Messages are lost.
     Drop,
-    /// Packets are delivered when it is over.
+    /// Messages are delivered once the cut ends.
     Hold,
 }
 
-/// A fault that lasts for a while, and befalls a share of all messages of its kind.
+/// A fault that lasts for some time and affects a share of all messages of its kind.
 #[derive(Debug, Clone)]
 pub(crate) enum Fault {
-    /// That share of transactions is carried out late, after newer ones, and nobody hears the answer.
+    /// This share of transactions is executed late, after newer ones, and the response is lost.
     LateWrites { share: f64 },
-    /// That share of transactions is carried out at once, and nobody hears the answer.
+    /// This share of transactions is executed at once, and the response is lost.
     LostWriteResponses { share: f64 },
-    /// Of that share of the workers' reports a copy arrives late.
+    /// For this share of heartbeats, a copy arrives late.
     LateHeartbeats { share: f64 },
-    /// That share of calls to the state service is answered so many times slower.
+    /// This share of calls to the state service is slower by this factor.
     SlowState { share: f64, times: f64 },
-    /// Nothing reaches these machines; what they send arrives.
+    /// Messages to these machines are lost; messages from them arrive.
     DropInbound {
         machines: BTreeSet<String>,
         zone: Option<String>,
     },
-    /// Nothing of these machines reaches a controller unasked; direct commands do, and are answered.
+    /// Heartbeats of these machines are lost; direct commands reach them and are answered.
     DropHeartbeats {
         machines: BTreeSet<String>,
         zone: Option<String>,
     },
-    /// Of that share of the workers' reports a copy is kept for the next leader.
+    /// For this share of heartbeats, a copy is kept and delivered to the next leader.
     HeartbeatsForNextLeader { share: f64, after_ms: u64 },
-    /// Of the jobs that end, that share is called off at that moment.
+    /// This share of the jobs that complete is cancelled around the moment of completion.
     CancelNearCompletion { share: f64 },
-    /// A node has neither the state service nor its peers. The service refuses it, or is silent.
+    /// A node reaches neither the state service nor its peers. The service refuses its calls, or
+    /// does not respond if `silent`.
     IsolateNode { node: usize, silent: bool },
 }
 
-/// How late late transactions are carried out and late reports arrive, in ms: the platform's own
-/// bounds, "well over a lease" being one and a half.
+/// Delay of late transactions and late heartbeats, in ms: the bounds that the platform states, where
+/// "well over a lease" is one and a half leases.
 const LATE_WRITE_DELAY_MS: (f64, f64) = (2_000.0, 12_000.0);
 const LATE_HEARTBEAT_DELAY_MS: (f64, f64) = (2_000.0, 45_000.0);
 
-/// What the next matching messages suffer.
+/// A fault of the next matching call.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum MessageFault {
-    /// Carried out, but the answer is lost.
+    /// The call is executed, but its response is lost.
     LoseResponse { path: String },
-    /// Carried out so many ms later, without an answer.
+    /// The call is executed this many ms later, without a response.
     Delay { path: String, by_ms: u64 },
 }
 
-/// Whoever next makes such a call to the state service ends with it.
+/// The next node that makes this call to the state service crashes with it.
 #[derive(Debug, Clone)]
 pub(crate) struct CrashOn {
     pub(crate) call: ElectionCall,
     pub(crate) executed: bool,
-    /// When it is back, in ms.
+    /// Time until the node restarts, in ms.
     pub(crate) restart_ms: u64,
 }
 
-/// Calls that make an election.
+/// Calls of a leader election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ElectionCall {
     Lease,
     Claim,
     Renew,
-    /// A page of the records.
+    /// Reading a page of the records.
     ReadRecords,
 }
 
@@ -318,7 +319,7 @@
         match self {
             ElectionCall::Lease => method == "POST" && path == "/holds",
             ElectionCall::Renew => path.ends_with("/touch"),
-            // Followers read the leader's key as a page, too.
+            // Followers also read the leader's key as a page.
             ElectionCall::ReadRecords => {
                 path.starts_with("/store?") && !path.starts_with("/store?Under=leader")
             }
@@ -336,20 +337,20 @@
     }
 }
 
-/// What becomes of one call in a walk.
+/// What happens to one operation of a leader instead of its regular execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deviation {
-    /// Carried out; the answer is lost.
+    /// Executed; the response is lost.
     LoseResponse,
-    /// Never carried out, and nobody says so.
+    /// Never executed, and there is no response.
     LoseRequest,
-    /// Carried out 12 s later, when its sender has given up.
+    /// Executed 12 s later, when its sender has given up.
     Delay,
-    /// Its sender ends before it is carried out.
+    /// Its sender crashes before it is executed.
     CrashBefore,
-    /// Its sender ends once it is carried out.
+    /// Its sender crashes once it is executed.
     CrashAfter,
-    /// From now on the state service refuses its sender, for longer than a lease.
+    /// The state service refuses its sender from now on, for longer than a lease.
     RefuseSender,
 }
 
@@ -364,18 +365,18 @@
     ];
 }
 
-/// A walk: acts of leaders are counted, and some of them go another way.
+/// Counts the operations of leaders and makes some of them deviate.
 #[derive(Debug, Clone, Default)]
 pub struct DeviationPlan {
-    /// By the number of the act, counted from 0.
+    /// By the number of the operation, counted from 0.
     pub deviations: BTreeMap<usize, Deviation>,
-    /// Acts so far.
+    /// Operations so far.
     pub leader_operations: usize,
 }
 
-/// How late a late call is carried out in a walk, in ms.
+/// Delay of a delayed operation, in ms.
 const DEVIATION_DELAY_MS: u64 = 12_000;
-/// For how long the state service refuses a node in a walk, in ms.
+/// How long the state service refuses the sender, in ms.
 const DEVIATION_REFUSAL_MS: u64 = 8_000;
 
 pub(crate) struct Simulation {
@@ -393,54 +394,54 @@
     pub(crate) held_events: Vec<Event>,
     pub(crate) message_faults: Vec<MessageFault>,
     pub(crate) duplicate_deliveries: Vec<DuplicateDelivery>,
-    /// Faults, and until when they last.
+    /// Faults, each with its end time.
     pub(crate) faults: Vec<(u64, Fault)>,
-    /// Messages that faults befell.
+    /// Messages that faults affected.
     pub(crate) affected_messages: u32,
-    /// Draws so far.
+    /// Random numbers drawn so far.
     draws: u64,
-    /// Copies that arrived.
+    /// Duplicates that arrived.
     pub(crate) duplicates_delivered: u32,
     pub(crate) next_user_request_at: BTreeMap<String, u64>,
     pub(crate) user_turn: usize,
     pub(crate) probe_responses: Vec<(String, u16)>,
     pub(crate) violations: Vec<String>,
     pub(crate) refused_responses: u32,
-    /// When somebody last led, and the longest time since then in which nobody did, in ms.
+    /// When there last was a leader, and the longest time without one since then, in ms.
     last_led_at: Option<u64>,
     pub(crate) longest_leaderless_ms: u64,
-    /// Tasks that waited for their image.
+    /// Tasks that waited for an image fetch.
     pub(crate) tasks_awaiting_fetch: u32,
-    /// Fetches that machines began.
+    /// Image fetches that machines started.
     pub(crate) fetches_started: u32,
-    /// Fetches at one time share a machine's rate.
+    /// Concurrent fetches share a machine's bandwidth.
     pub(crate) fetches_share_rate: bool,
-    /// Calls dropped as their permits had run out.
+    /// Calls dropped because their permits had expired.
     pub(crate) expired_permits: u32,
     pub(crate) deviation_plan: Option<DeviationPlan>,
-    /// Acts of a replaced leader at the cloud that took effect, and of which no record told its
-    /// successor.
+    /// Cloud operations of a replaced leader that took effect although no record tells its successor
+    /// of them.
     pub(crate) unrecorded_operations: u32,
-    /// What operators were warned of.
+    /// Warnings to operators.
     pub(crate) warnings: Vec<String>,
-    /// GPUs that each team may use, in place of the settings'.
+    /// GPU limit of each team, overriding the settings.
     pub(crate) gpus_max: Option<f64>,
-    /// Largest value of the key-value store, in KB, in place of the settings'.
+    /// Largest value of the key-value store, in KB, overriding the settings.
     pub(crate) max_value_kb: Option<f64>,
-    /// The operators' own settings, as nodes find them when they start.
+    /// The operators' settings, which nodes read when they start.
     pub(crate) operator: OperatorSettings,
     pub(crate) licences: LicenceServer,
     pub(crate) call_statistics: CallStatistics,
-    /// What is asked of shifts, and how it was kept.
+    /// Protection windows and how they were kept.
     pub(crate) window_checks: WindowChecks,
-    /// The node that sends so manieth call about clusters ends with it: the calls left
-    /// until then, and whether that one is carried out.
+    /// The node that makes a certain call about clusters crashes with it: the number of calls before
+    /// that one, and whether it is executed.
     pub(crate) crash_at_cluster_call: Option<(u32, bool)>,
-    /// Ends still to come, in this order.
+    /// Crashes still to come, in this order.
     pub(crate) crashes_on_call: VecDeque<CrashOn>,
-    /// When anything last kept users from being answered.
+    /// When a fault last kept users from being answered.
     pub(crate) last_control_plane_fault_at: u64,
-    /// Submit files that were sent, by name.
+    /// Submit files that users sent, by name.
     pub(crate) submitted_files: BTreeMap<String, SubmittedFile>,
     /// How long tasks of submit files run, in s.
     pub(crate) condor_run_s: f64,
@@ -450,14 +451,14 @@
     pub(crate) waiting_checks: Waiting,
     pub(crate) response_checks: ResponseChecks,
     pub(crate) fault_combinations: FaultCombinations,
-    /// Over all that the controllers sent.
+    /// Digest of everything that the controllers sent.
     pub(crate) effect_digest: EffectDigest,
 }
 
-/// Calls of the controllers, for what is to stay small however large the fleet is.
+/// Counts the controllers' calls, for rates that must stay small however large the fleet is.
 #[derive(Debug, Default)]
 pub(crate) struct CallStatistics {
-    /// By destination, the calls of the last second, and the most in any second.
+    /// By destination: the times of the calls of the last second, and the most calls in any second.
     pub(crate) last_second: BTreeMap<&'static str, (VecDeque<u64>, usize)>,
     pub(crate) total: BTreeMap<&'static str, usize>,
 }
@@ -478,12 +479,12 @@
     }
 }
 
-/// Settings that a scenario has in place of the usual ones.
+/// Settings that a scenario overrides.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SettingOverrides {
-    /// GPUs that each team may use.
+    /// GPU limit of each team.
     pub(crate) gpus_max: Option<f64>,
-    /// By how much a clock may be off, in ms.
+    /// Bound on clock skew, in ms.
     pub(crate) max_clock_skew_ms: Option<f64>,
     /// Largest value of the key-value store, in KB.
     pub(crate) max_value_kb: Option<f64>,
@@ -499,7 +500,7 @@
         Simulation::with_settings(overrides, operator)
     }
 
-    /// A world whose controllers have these settings.
+    /// Creates a simulation whose controllers have these settings.
     pub(crate) fn with_settings(overrides: SettingOverrides, operator: OperatorSettings) -> Simulation {
         let mut simulation = Simulation {
             now: 0,
@@ -603,7 +604,7 @@
         }
         let settings = settings.with_operator(self.operator.clone()).unwrap();
         if self.window_checks.timetable.is_empty() {
-            // As the scenario has it; what nodes find later is theirs.
+            // The scenario's own timetable; later changes concern the nodes alone.
             self.window_checks.timetable = settings.protection_windows.clone();
         }
         let (now, wall) = (self.now, self.node_wall_clock(index));
@@ -617,12 +618,12 @@
         controller.node = Some(Node::new(settings, seed, now, wall));
     }
 
-    /// The true time of day, in ms since 1970: 22:13:20 UTC on a Tuesday when a scenario begins.
+    /// The true wall-clock time, in ms since 1970: a scenario begins at 22:13:20 UTC on a Tuesday.
     pub(crate) fn wall_clock(&self) -> u64 {
         1_700_000_000_000 + self.now
     }
 
-    /// By a node's own clock.
+    /// The wall-clock time by a node's own clock.
     fn node_wall_clock(&self, index: usize) -> u64 {
         self.wall_clock()
             .saturating_add_signed(self.window_checks.clock_offsets_ms[index])
@@ -646,9 +647,9 @@
         }
     }
 
-    // ---- faults that last ---------------------------------------------------
+    // ---- lasting faults ------------------------------------------------------
 
-    /// The next number of at least 0 and less than 1, the same in each playing (splitmix64).
+    /// The next pseudorandom number in [0, 1), the same in each run (splitmix64).
     pub(crate) fn draw(&mut self) -> f64 {
         self.draws += 1;
         let mut bits = self.draws.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -667,7 +668,7 @@
         lasting.map(|(_, fault)| fault)
     }
 
-    /// Whether this message is one of the share that some fault befalls.
+    /// Whether this message is in the share that an active fault affects.
     fn affects_message(&mut self, share: impl Fn(&Fault) -> Option<f64>) -> bool {
         let Some(share) = self.active_faults().find_map(share) else {
             return false;
@@ -677,7 +678,7 @@
         strikes
     }
 
-    /// By how much this call to the state service is slower, in ms.
+    /// Additional delay of this call to the state service, in ms.
     fn state_delay_ms(&mut self) -> u64 {
         let slow = |fault: &Fault| match fault {
             Fault::SlowState { share, times } => Some((*share, *times)),
@@ -693,7 +694,7 @@
         self.draw_ms((usual_ms * times, 2.0 * usual_ms * times))
     }
 
-    /// Whether a fault swallows what one host sends another.
+    /// Whether an active fault drops messages from one host to another.
     fn is_dropped(&self, from: &str, to: &str) -> bool {
         self.active_faults().any(|fault| match fault {
             Fault::DropInbound { machines, zone } => {
@@ -712,7 +713,7 @@
         })
     }
 
-    /// Whether the state service refuses this node alone.
+    /// Whether the state service refuses this node's calls.
     pub(crate) fn state_refuses(&self, node: usize) -> bool {
         let cut = |fault: &Fault| matches!(fault, Fault::IsolateNode { node: cut, .. } if *cut == node);
         self.refused_until
@@ -721,7 +722,7 @@
             || self.active_faults().any(cut)
     }
 
-    /// Whether a fault keeps nodes from the state service or from each other.
+    /// Whether an active fault keeps nodes from the state service or from each other.
     pub(crate) fn has_node_fault(&self) -> bool {
         let of_machines = |fault: &Fault| {
             let reports = matches!(
@@ -742,7 +743,7 @@
             .insert((self.now + after, self.next_event_number), event);
     }
 
-    /// Sends an event between two hosts, through whatever cuts there are.
+    /// Sends an event between two hosts, subject to the current network cuts.
     pub(crate) fn send(&mut self, from: &str, to: &str, event: Event) {
         if self.is_dropped(from, to) || self.drops_heartbeat(&event) {
             self.affected_messages += 1;
@@ -818,7 +819,7 @@
         }
         self.step_fault_combinations();
         self.check_protected_stops();
-        // Looking at thousands of tasks takes time, and nothing lasts only 10 ms.
+        // Checking thousands of tasks is slow, and no violation lasts only 10 ms.
         if self.workers.len() < 200 || self.now.is_multiple_of(200) {
             self.check_invariants();
         }
@@ -842,7 +843,7 @@
         node.run_due_work();
         let effects = node.take_effects();
         self.effect_digest.record(now, index, &effects);
-        // It stands still after it has decided and before anything goes out.
+        // A stalled node has decided, but nothing that it sends goes out yet.
         if now < controller.stalled_until {
             controller.outbox.extend(effects);
             return;
@@ -861,7 +862,7 @@
                     until,
                     ..
                 } => {
-                    // As the event loop does when the bytes go out.
+                    // The event loop checks the same when the bytes go out.
                     let late = until.is_some_and(|until| now >= until);
                     let (status, retry_after_s, body) = if late {
                         (503, Some(RETRY_AFTER_S), b"{}".to_vec())
@@ -1018,7 +1019,7 @@
             Event::Duplicate { to, mut command } => {
                 self.duplicates_delivered += 1;
                 if let Command::Request { request, .. } = &mut command {
-                    // Nobody waits for the answer.
+                    // No one waits for the response.
                     self.nodes[to].next_request += 1;
                     *request = RequestId(self.nodes[to].next_request);
                 }
@@ -1063,7 +1064,7 @@
         }
     }
 
-    /// After how long a message on this path is delivered once more, if it is.
+    /// Delay after which a message on this path is delivered a second time, if it is.
     fn duplicate_delay_ms(&self, path: &str) -> Option<u64> {
         let mut copies = self.duplicate_deliveries.iter();
         let copies = copies.find(|copies| self.now < copies.until && copies.matches(path))?;
@@ -1077,19 +1078,19 @@
         }
     }
 
-    /// A user asks a node, by way of the network.
+    /// Sends a user's request to a node over the network.
     pub(crate) fn send_user_request(&mut self, node: usize, job: &str, kind: UserRequest) {
         let job = job.to_owned();
         self.send("users", &format!("n{node}"), Event::User { node, job, kind });
     }
 
-    /// A submission whose user does not come again, after so many ms.
+    /// Submits a job after a delay; its user does not repeat the request.
     pub(crate) fn submit_once(&mut self, after_ms: u64, node: usize, job: String) {
         let kind = UserRequest::Submit;
         self.schedule(after_ms, Event::User { node, job, kind });
     }
 
-    /// What the settings say of the state service's rates.
+    /// The state service's limits on requests and writes per second, from the settings.
     pub(crate) fn state_limits(&self) -> (f64, f64) {
         let settings = Settings::parse(include_str!("../../controller/tests/support/settings.json")).unwrap();
         let state = settings.deployment.state;
@@ -1128,7 +1129,7 @@
         let mishap = self.message_faults.iter().position(|mishap| {
             let (MessageFault::LoseResponse { path: wanted } | MessageFault::Delay { path: wanted, .. }) =
                 mishap;
-            // `/multi:b/~`: only with these words in its body.
+            // `/multi:b/~` matches only bodies that contain the text after the colon.
             let (wanted, words) = wanted.split_once(':').unwrap_or((wanted, ""));
             !is_duplicate
                 && wanted == path
@@ -1139,7 +1140,7 @@
             match self.message_faults.remove(at) {
                 MessageFault::LoseResponse { .. } => silent = true,
                 MessageFault::Delay { by_ms, .. } => {
-                    // The sender has given up by then; nobody hears the answer.
+                    // The sender has given up by then and ignores the response.
                     self.schedule(
                         by_ms,
                         Event::Call(Call {
@@ -1158,7 +1159,7 @@
                     _ => None,
                 });
             let slower_ms = self.state_delay_ms();
-            // A slow call may be carried out late, or answered late.
+            // A slow call is either executed late or answered late.
             if late || slower_ms > 0 && self.draw() < 0.5 {
                 let after_ms = if late {
                     self.draw_ms(LATE_WRITE_DELAY_MS)
@@ -1259,7 +1260,7 @@
                 }
             }
             Destination::Cloud => {
-                // What the cloud refused is known to nobody when a copy of it is carried out.
+                // A duplicate of a call that the cloud refused is in no record.
                 if !is_duplicate {
                     self.check_replaced_leader(node, path, body);
                 }
@@ -1317,14 +1318,14 @@
         }
     }
 
-    /// A controller ends, and is started again after so many ms.
+    /// Crashes a controller and restarts it after a delay.
     pub(crate) fn crash(&mut self, node: usize, after_ms: u64) {
         self.nodes[node].node = None;
         self.nodes[node].restart_at = self.now + after_ms;
     }
 
-    /// Whether the sender of this call to the state service ends with it: if so, whether it is carried
-    /// out, and when the sender is back, in ms.
+    /// Whether the sender of this call to the state service crashes with it: if so, whether the call
+    /// is executed, and the time until the sender restarts, in ms.
     fn crash_for_call(&mut self, method: &str, path: &str, body: &[u8]) -> Option<(bool, u64)> {
         if self.concerns_clusters(method, path, body) {
             match &mut self.crash_at_cluster_call {
@@ -1338,7 +1339,7 @@
             }
         }
         let next = self.crashes_on_call.front()?;
-        // A claim that comes second is refused, and no stage of an election.
+        // A claim while the key exists is refused and is no step of an election.
         let second = next.call == ElectionCall::Claim && self.state.value("leader").is_some();
         if second || !next.call.matches(method, path, body) {
             return None;
@@ -1347,8 +1348,8 @@
         Some((end.executed, end.restart_ms))
     }
 
-    /// What becomes of this act of a leader in a walk: a transaction of its own, a direct command
-    /// with orders, a rental or a return.
+    /// The deviation for this operation of a leader, if any. Operations are a leader's own
+    /// transactions, direct commands, and launches and releases at the cloud.
     fn next_deviation(
         &mut self,
         to: &Destination,
@@ -1371,8 +1372,8 @@
         plan.deviations.get(&(plan.leader_operations - 1)).copied()
     }
 
-    /// What a replaced leader does at the cloud must stand in the records that its successor reads:
-    /// nobody at the cloud compares tokens.
+    /// Flags cloud operations of a replaced leader that are not in the records that its successor
+    /// reads: the cloud does not compare tokens.
     fn check_replaced_leader(&mut self, node: usize, path: &str, body: &[u8]) {
         let holder = self
             .state
@@ -1407,7 +1408,7 @@
         }
     }
 
-    /// Machines whose return stands in the records.
+    /// Machines that are marked as releasing in the records.
     fn recorded_releases(&self) -> BTreeSet<String> {
         let shards = self.state.values_under("s/");
         let records = shards
@@ -1420,8 +1421,8 @@
             .collect()
     }
 
-    /// Whether a call to the state service is about clusters, and neither the leader's own nor for
-    /// a user's question about one job.
+    /// Whether a call to the state service concerns clusters, other than the leader's own calls and
+    /// reads for a user's question about one job.
     fn concerns_clusters(&self, method: &str, path: &str, body: &[u8]) -> bool {
         if method == "GET" && path.contains("/wk-99") {
             return false;
@@ -1432,7 +1433,7 @@
         named && !body.contains("\"leader\"") && !path.contains("/changes")
     }
 
-    /// Of a submit file's job: whether nothing holds it back, by the records.
+    /// Whether the records allow a submit file's job to run.
     pub(crate) fn check_runnable(&self, job: &str, cluster: u64) -> Result<(), &'static str> {
         if self.state.value(&format!("c/{cluster:010}")).is_none() {
             return Err("its cluster is not accepted");
@@ -1538,7 +1539,7 @@
         self.step_gangs();
     }
 
-    /// The licence server sees which of its clients still run.
+    /// Updates the licence server with the state of its clients.
     fn step_licences(&mut self) {
         if self.licences.features.is_empty() {
             return;
@@ -1549,7 +1550,7 @@
         });
     }
 
-    /// A task that came to be on a machine checks its seats out.
+    /// Checks out the licence units of a task that arrived on a machine.
     fn check_out_units(&mut self, machine: &str, task: &worker::Task) {
         let counts = &self.jobs[&task.job].counted_units;
         for count in self.licences.check_out_all(counts, machine, task) {
@@ -1560,7 +1561,7 @@
         }
     }
 
-    /// Gangs start together, end together and notice a lost member.
+    /// Gangs start and end together and notice a lost member.
     fn step_gangs(&mut self) {
         if self.jobs.values().all(|job| job.shape != "gang") {
             return;
@@ -1641,7 +1642,7 @@
         }
     }
 
-    /// Sends submit files that nobody has answered yet, node by node.
+    /// Sends submit files that are unanswered so far, to one node after the other.
     fn step_submit_files(&mut self) {
         let now = self.now;
         let mut due = Vec::new();
@@ -1665,7 +1666,7 @@
             .get(name)
             .and_then(|sent| sent.response.clone());
         match (&before, status) {
-            // Come again.
+            // The user retries.
             (_, 503) | (Some((201, _)), 201) => (),
             (None, _) => (),
             (Some(before), _) => {
@@ -1698,7 +1699,7 @@
             );
         }
         if status == 201 {
-            // Its submitter asks about each of its jobs from now on.
+            // From now on its submitter polls each of its jobs.
             let number = answer["cluster"].as_u64();
             for (id, observed) in &mut self.jobs {
                 if observed.cluster == number && observed.accepted_at.is_none() {
@@ -1733,8 +1734,7 @@
                 };
                 self.send(&name, &id, event);
             }
-            // Whoever polls waits for 2 s and has gone by then; a frozen node's late word reaches
-            // nobody.
+            // A user gives up on a poll after 2 s; a later response of a frozen node reaches no one.
             Some(ReplyRecipient::User {
                 kind: UserRequest::Poll,
                 at,
@@ -1762,7 +1762,7 @@
             {
                 self.violation("told_too_much", problem);
             }
-            // 421: only the leader can tell, and this is another node.
+            // 421: only the leader can answer, and this node is not the leader.
             if let Err(problem) = self.accounting_check.check_team_isolation(&path, body) {
                 self.violation("told_of_another", problem);
             }
@@ -1772,7 +1772,7 @@
             if status != 421 {
                 self.probe_responses.push((path, status));
             }
-            // Whatever the route, and whichever the node: the first word counts.
+            // The reported status counts for any route and any node.
             let answer: Value = serde_json::from_slice(body).unwrap_or_default();
             let about = answer["Id"].as_str().filter(|id| self.jobs.contains_key(*id));
             if let (200 | 201, Some(id), Some(told)) = (status, about, answer["Status"].as_str()) {
@@ -1810,13 +1810,13 @@
         self.record_reported_status(job, &told);
     }
 
-    /// A user was told of a job, by any node and on any route.
+    /// Records the status of a job that any node reported to a user on any route.
     fn record_reported_status(&mut self, job: &str, told: &str) {
         let now = self.now;
         let observed = self.jobs.get_mut(job).unwrap();
         let before = observed.reported_status.replace(told.to_owned());
         let complete = observed.completed_tasks.len() as u32 == observed.tasks && observed.shape != "daemon";
-        // A submit file's jobs are taken back under their cluster's number.
+        // Jobs of submit files are cancelled by their cluster number.
         let (wanted, of_file) = (observed.cancel_requested, observed.cluster.is_some());
         if told == "cancelled" {
             observed.cancel_confirmed_at.get_or_insert(now);
@@ -1837,7 +1837,7 @@
         }
     }
 
-    // ---- the rules -----------------------------------------------------------
+    // ---- invariants ----------------------------------------------------------
 
     pub(crate) fn tasks_on_machines(&self) -> impl Iterator<Item = (&Worker, &worker::Task)> {
         self.workers.values().flat_map(|worker| {
@@ -1877,7 +1877,7 @@
             self.violation("ran_twice", &name);
         }
         if let Some(cluster) = observed.cluster {
-            // What was under way to the machine when somebody held it stops there.
+            // A start that was in flight when the job was held is stopped on the machine.
             if let Err(why) = self.check_runnable(job, cluster)
                 && why != "it is held"
             {
@@ -1946,7 +1946,7 @@
         }
     }
 
-    /// The books say what the records of ended jobs say, as far as they go.
+    /// Checks that the accounting agrees with the records of ended jobs up to its position.
     pub(crate) fn check_accounting(&mut self) {
         if let Err(problem) = self.accounting_check.check(&self.state) {
             self.violation("books", problem);
@@ -1980,10 +1980,10 @@
         }
     }
 
-    /// Tasks served and asked for so far, by class and by team. Asked for is every task of a job
-    /// that is old enough, unless its user took it back before, it can never run, or it was
-    /// submitted with a mistake. Served is, of an array, a task that was ever started; of
-    /// a gang, all once it ran; of a service, each replica by the time that it was up.
+    /// Tasks served and requested so far, by class and by team. Requested are all tasks of a job
+    /// that is old enough, unless its user cancelled it before, it can never run, or it has an error
+    /// of its own. Served are, for an array, tasks that ever started; for a gang, all tasks once it
+    /// has run; for a service, each replica in proportion to the time that it was up.
     pub(crate) fn served_shares(&self) -> BTreeMap<String, (f64, f64)> {
         let mut shares: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         for observed in self.jobs.values() {
@@ -2002,7 +2002,7 @@
         shares
     }
 
-    /// Of one job, if it counts.
+    /// Tasks of one job served and requested, if the job counts.
     pub(crate) fn job_served(&self, observed: &ObservedJob) -> Option<(f64, f64)> {
         let due_at = observed.submitted_at? + MIN_SERVED_JOB_AGE_MS;
         let until = observed.cancel_requested_at.unwrap_or(self.now);
@@ -2018,7 +2018,7 @@
         Some((served, asked))
     }
 
-    /// The machine on which a task is now.
+    /// The machine that a task is on now.
     pub(crate) fn machine_of(&self, name: &str) -> Option<String> {
         self.workers
             .values()
@@ -2032,8 +2032,8 @@
     }
 }
 
-/// Jobs of submit files are known by their records alone: nobody else names them. `run_s` is
-/// how long their tasks run.
+/// Records jobs of submit files from their job records, as no user submits them by name. `run_s` is
+/// the run time of their tasks.
 pub(crate) fn record_condor_jobs(jobs: &mut BTreeMap<String, ObservedJob>, body: &[u8], run_s: f64) {
     let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
         return;
