--- a/crates/simulator/src/accounting_checks.rs
+++ b/crates/simulator/src/accounting_checks.rs
@@ -1,4 +1,4 @@
-//! What users and operators may hold the teams' books to, apart from any controller.
+//! Checks of the teams' accounting, independent of any controller.
 
 use crate::state::StateService;
 use indigopath_accounting::{HEAD_KEY, JobAccounting, Position, Rebuild};
@@ -9,22 +9,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Bytes of a value, as the scenarios' settings allow it.
+/// Largest value that the scenarios' settings allow, in bytes.
 const VALUE_BYTES: usize = 14_745;
 
 #[derive(Debug, Default)]
 pub(crate) struct AccountingCheck {
-    /// Whose each job is, by the record with which it was accepted.
+    /// The team of each job, from the record with which it was accepted.
     owners: BTreeMap<String, String>,
-    /// Somebody outside changed the books: they are held against the records at the end only.
+    /// The accounting was modified from outside: it is compared with the records only at the end.
     pub(crate) modified_externally: bool,
-    /// Words of a transaction, how many such are left, and whether the last is carried out before
-    /// its sender ends.
+    /// Text in the body of a transaction, how many such transactions are left before the crash, and
+    /// whether the last one is executed before its sender crashes.
     pub(crate) crash_at_write: Option<(&'static str, u32, bool)>,
 }
 
 impl AccountingCheck {
-    /// Whether the sender of this call ends with it, and if so whether it is carried out.
+    /// Whether the sender of this call crashes with it, and if so whether the call is executed.
     pub(crate) fn crash_for_write(&mut self, path: &str, body: &[u8]) -> Option<bool> {
         let (words, left, carried_out) = self.crash_at_write.as_mut()?;
         if path != "/multi" || !String::from_utf8_lossy(body).contains(*words) {
@@ -39,8 +39,8 @@
         Some(carried_out)
     }
 
-    /// Learns whose jobs are from a transaction that was carried out: for ever. A submit file's
-    /// job that names no team gets one later.
+    /// Records the owners of jobs from a transaction that was executed; an owner never changes. A
+    /// submit file's job that names no team gets one later.
     pub(crate) fn record_owners(&mut self, body: &[u8]) -> Result<(), String> {
         let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
             return Ok(());
@@ -62,7 +62,8 @@
         Ok(())
     }
 
-    /// Ended jobs in each team's book by its records, and the ends that are in none.
+    /// Ended jobs in each team's accounting according to its records, and the ended jobs that no
+    /// team's accounting contains.
     pub(crate) fn totals(&self, state: &StateService) -> Result<(BTreeMap<String, u64>, u64), String> {
         let accounting = read_accounting(state)?;
         let totals = accounting
@@ -71,8 +72,8 @@
         Ok((totals.collect(), accounting.unowned()))
     }
 
-    /// The books say what the records of ended jobs say, as far as they go: each end once, in
-    /// the book of the team that the job was accepted for.
+    /// Checks that the accounting agrees with the records of ended jobs up to its position: each end
+    /// is counted once, for the team that the job was accepted for.
     pub(crate) fn check(&self, state: &StateService) -> Result<(), String> {
         let mut ended = Vec::new();
         for (key, value, version) in state.records("e/") {
@@ -98,7 +99,7 @@
             }
             ended.push((position, entry));
         }
-        // A later build's books are nobody's to judge here.
+        // Accounting of a later format version is not checked.
         if state.value(HEAD_KEY).is_some_and(|head| head["v"] != 1) {
             return Ok(());
         }
@@ -115,7 +116,8 @@
         }
     }
 
-    /// A submission of an id that is another team's is told the state, and nothing of its tasks.
+    /// Checks that the response to a submission with another team's id contains the state alone and
+    /// nothing about its tasks.
     pub(crate) fn check_foreign_submission(&self, asked: &[u8], body: &[u8]) -> Result<(), String> {
         let asked: Value = serde_json::from_slice(asked).unwrap_or_default();
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
@@ -127,7 +129,7 @@
         Ok(())
     }
 
-    /// An answer to whoever states a team names no job of another.
+    /// Checks that a response to a request for one team names no job of another team.
     pub(crate) fn check_team_isolation(&self, path: &str, body: &[u8]) -> Result<(), String> {
         let Some(team) = path
             .split_once('?')
@@ -146,7 +148,7 @@
     }
 }
 
-/// The books as their records say.
+/// Reads the accounting from its records.
 fn read_accounting(state: &StateService) -> Result<JobAccounting, String> {
     let mut accounting = JobAccounting::new(VALUE_BYTES);
     for (key, value, _) in state.records("b/") {
@@ -157,7 +159,8 @@
     Ok(accounting)
 }
 
-/// By the protocol, a plain answer about a job names that job and says nothing of team or content.
+/// Checks a response about a job: by the protocol it names that job and contains nothing about its
+/// team or content.
 pub(crate) fn check_job_response(job: &str, body: &[u8]) -> Result<(), String> {
     let Ok(Value::Object(answer)) = serde_json::from_slice::<Value>(body) else {
         return Ok(());
--- a/crates/simulator/src/admission_checks.rs
+++ b/crates/simulator/src/admission_checks.rs
@@ -1,6 +1,7 @@
-//! What is judged of the answer to each submission, in every scenario: nothing is accepted that lacks
-//! a field or can never run, and nothing else is refused. By the protocol's words alone, never by the
-//! core's own check. Odd requests beside the scenario's own are drawn here, too.
+//! Checks the response to each submission in every scenario: nothing is accepted that lacks a field
+//! or can never run, and nothing else is rejected. The check follows the protocol alone and does not
+//! use the controller's own validation. This module also generates unusual requests beside the
+//! scenario's own.
 
 use crate::scenario::{body, number};
 use crate::simulation::{NODES, Simulation, UserRequest};
@@ -8,20 +9,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::OnceLock;
 
-/// Interval of odd requests, in ms.
+/// Interval of unusual requests, in ms.
 const UNUSUAL_REQUEST_INTERVAL_MS: u64 = 200;
-/// Numbers of odd requests' ids, beyond those of any scenario.
+/// First id number of unusual requests, above those of any scenario.
 const FIRST_UNUSUAL_ID: u64 = 700_000_000;
-/// Most tasks of a job.
+/// Largest number of tasks of a job.
 const MAX_TASKS: u64 = 100_000;
 
-/// What a submission deserves.
+/// The response that a submission should get.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ExpectedOutcome {
     Accepted,
-    /// It asks for counts, or for an id of submit files, which are not in the protocol.
+    /// Not checked: it asks for counted resources, or for an id of submit files, which the protocol
+    /// does not describe.
     Unjudged,
-    /// The field that is wrong, if there are fields.
+    /// The invalid field; empty if the body is no object.
     Malformed(String),
     Never(&'static str),
 }
@@ -29,22 +31,22 @@
 /// Submissions so far.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionChecks {
-    /// Ids that came with a body that deserves to be accepted: no other is known.
+    /// Ids that were submitted with an acceptable body: no other id can be known.
     acceptable_ids: BTreeSet<String>,
-    /// Answers by status.
+    /// Number of responses by status.
     pub(crate) responses_by_status: BTreeMap<u16, u32>,
     unusual_requests_until: u64,
     unusual_requests: u64,
 }
 
-/// The settings as the scenario's controllers have them.
+/// The deployment settings of the scenario's controllers.
 fn deployment() -> &'static Value {
     static SETTINGS: OnceLock<Value> = OnceLock::new();
     let text = include_str!("../../controller/tests/support/settings.json");
     &SETTINGS.get_or_init(|| serde_json::from_str(text).unwrap())["deployment"]
 }
 
-/// Whether a field has no value that the protocol allows it.
+/// Whether the protocol does not allow this value for the field.
 fn is_invalid(field: &str, value: &Value) -> bool {
     let one_of = |words: &[&str]| value.as_str().is_some_and(|word| words.contains(&word));
     let amount = || value.as_f64().is_some_and(|amount| amount >= 0.0);
@@ -69,7 +71,7 @@
     !right
 }
 
-/// Every field of a submission.
+/// All fields of a submission.
 const FIELDS: [&str; 20] = [
     "Id",
     "Lane",
@@ -98,7 +100,7 @@
         let Ok(Value::Object(fields)) = serde_json::from_slice(body) else {
             return ExpectedOutcome::Malformed(String::new());
         };
-        // What may be null may be missing.
+        // A field that may be null may also be missing.
         let job = |field: &str| fields.get(field).unwrap_or(&Value::Null);
         if let Some(field) = FIELDS.iter().find(|field| is_invalid(field, job(field))) {
             return ExpectedOutcome::Malformed((*field).to_owned());
@@ -136,7 +138,7 @@
                         && job("MemGb").as_f64() <= Some(known.memory_gb)
                 })
         };
-        // All at once, and half of them elsewhere.
+        // Tasks that must run at the same time with half of them in another zone.
         let apart = job("Apart") == true && at_once > 1;
         match zones.filter(does).count() {
             0 => ExpectedOutcome::Never("no machine fits"),
@@ -147,7 +149,7 @@
         }
     }
 
-    /// A submission is under way to a node.
+    /// Records that a submission is on its way to a node.
     pub(crate) fn record_submission(&mut self, body: &[u8]) {
         if matches!(
             self.expected_outcome(body),
@@ -160,7 +162,7 @@
         }
     }
 
-    /// A user was answered, perhaps to a submission.
+    /// Checks a response to a user if it answers a submission.
     pub(crate) fn check_submission_response(
         &mut self,
         job: &str,
@@ -195,7 +197,7 @@
             (200, _) if !self.admission_checks.acceptable_ids.contains(id) && !of_file => "accepted_wrongly",
             (400, ExpectedOutcome::Accepted | ExpectedOutcome::Never(_)) => "refused_wrongly",
             (422, ExpectedOutcome::Accepted | ExpectedOutcome::Malformed(_)) => "refused_wrongly",
-            // Whoever reads it must learn which field it is.
+            // The response must name the invalid field.
             (400, ExpectedOutcome::Malformed(field)) if !answer.to_string().contains(field) => "unclear",
             _ => return,
         };
@@ -203,8 +205,8 @@
         self.violation(rule, format!("{status} {answer}, {due:?}: {asked:.400}"));
     }
 
-    /// `offer ID STATUS …` as a submission at all nodes, `without=FIELD` or `with=FIELD:JSON`: that
-    /// must be its answer, once it can be decided.
+    /// Carries out `offer ID STATUS …` with `without=FIELD` or `with=FIELD:JSON`: submits the job at
+    /// all nodes, which must answer with this status once they can decide.
     pub(crate) fn submit_expecting_status(
         &mut self,
         plain: &[&str],
@@ -246,8 +248,9 @@
         from.get(at).cloned()
     }
 
-    /// Users repeat submissions of unfinished jobs, also with a field gone, cancel jobs that are
-    /// done, and send jobs that can never run or whose fields are gone, null or nonsense.
+    /// Sends unusual requests: users repeat submissions of unfinished jobs, also with a field
+    /// missing, cancel jobs that are done, and submit jobs that can never run or whose fields are
+    /// missing, null or of a wrong type.
     pub(crate) fn step_unusual_requests(&mut self) {
         if self.now >= self.admission_checks.unusual_requests_until
             || !self.now.is_multiple_of(UNUSUAL_REQUEST_INTERVAL_MS)
--- a/crates/simulator/src/count_checks.rs
+++ b/crates/simulator/src/count_checks.rs
@@ -1,16 +1,16 @@
-//! What the leader says of counted resources, held against the seats that tasks really have.
+//! Compares the leader's usage of counted resources with the units that tasks actually hold.
 
 use crate::simulation::Simulation;
 use indigopath_counted_resources::status::CountStatus;
 
-/// Interval, in ms, at which the leader's counts are compared: its own look at them comes every 2 s,
-/// and what a take-over leaves wrong may pass within one report.
+/// Interval of the comparison, in ms: the leader updates its usage every 2 s, and an error left by a
+/// failover may last only for one heartbeat interval.
 pub(crate) const COUNT_CHECK_INTERVAL_MS: u64 = 100;
 
 impl Simulation {
-    /// The leader never says that fewer units are taken than tasks have seats, dead ones included; and
-    /// never that more are taken than there are, unless operators changed their number or users outside
-    /// took some.
+    /// Checks that the leader never reports fewer units in use than tasks hold, including units of
+    /// dead tasks, and never more than exist, unless operators changed their number or external
+    /// users took some.
     pub(crate) fn check_counts(&mut self) {
         for status in self.leader_counts().unwrap_or_default() {
             let Some(feature) = self.licences.features.get(&status.name) else {
@@ -29,14 +29,15 @@
         }
     }
 
-    /// One violation a rule: what lasts would else hide what other rules find.
+    /// Records one violation for each rule: a lasting one would hide the findings of other rules.
     fn count_violation(&mut self, rule: &'static str, what: String) {
         if !self.violations.iter().any(|line| line.starts_with(rule)) {
             self.violation(rule, what);
         }
     }
 
-    /// Operators gave some count another number of units than its licence server has.
+    /// Notes counted resources whose number of units operators set differently from the licence
+    /// server's.
     pub(crate) fn record_redefined_counts(&mut self) {
         for (name, feature) in &mut self.licences.features {
             let definition = self.operator.counted_resources.get(name.as_str());
@@ -45,7 +46,7 @@
         }
     }
 
-    /// What the leader says of all counts, if it is awake and has read its records.
+    /// The leader's status of all counted resources, if it is not stalled and has read its records.
     fn leader_counts(&self) -> Option<Vec<CountStatus>> {
         let controller = &self.nodes[self.leader()?];
         if self.now < controller.frozen_until.max(controller.stalled_until) {
@@ -55,7 +56,7 @@
     }
 }
 
-/// The sums that are compared.
+/// Describes the numbers that are compared.
 fn description(status: &CountStatus) -> String {
     let CountStatus {
         name,
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -1,36 +1,37 @@
-//! What is judged in every scenario besides the rules: that no accepted job is forgotten, and that
-//! the largest jobs of each class are served, and soon. A scenario that breaks one says so in a line
-//! of its own, or fails.
+//! Checks of every scenario besides the protocol's rules: no accepted job is forgotten, and the
+//! largest jobs of each class are served and start in time. A scenario in which one of these does
+//! not hold declares the exception in a line of its own, or fails.
 
 use crate::simulation::{NODES, ObservedJob, Simulation};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Once all faults are over, an accepted job of which no question is answered for so long, in
-/// ms, counts as forgotten: the platform's own bound.
+/// Longest time, in ms, without a response about an accepted job once all faults have ended: the
+/// bound that the platform states.
 const MAX_UNANSWERED_MS: u64 = 75_000;
-/// How long a scenario goes on at most once its faults are over: longer than users may hear nothing,
-/// and work wait, in ms.
+/// Longest time, in ms, that a scenario continues after its faults have ended: longer than a job may
+/// stay unanswered or wait for a machine.
 const MAX_SETTLE_MS: u64 = 95_000;
-/// The largest jobs have to begin so soon after acceptance, in ms: the platform's own bound.
+/// Longest time, in ms, from acceptance to start for the largest jobs: the bound that the platform
+/// states.
 const MAX_START_WAIT_MS: u64 = 240_000;
-/// One job in so many of a class is among its largest, at least one.
+/// One job of a class in this many counts as one of its largest, but at least one.
 const LARGEST_JOBS_DIVISOR: usize = 10;
 
-/// How the largest jobs of a class fared.
+/// How the largest jobs of a class were served.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct LargestJobs {
-    /// Tasks served and asked for, of jobs that are old enough: see [`Simulation::served`].
+    /// Tasks served and requested, of jobs that are old enough: see [`Simulation::served_shares`].
     pub(crate) served: f64,
     pub(crate) requested: f64,
-    /// Those that began too late or not at all, with the wait in ms.
+    /// Jobs that started too late or not at all, with the wait in ms.
     pub(crate) late_starts: Vec<(String, u64)>,
 }
 
 impl Simulation {
-    /// Whether anything keeps a user from being answered: a controller that is away or stands still, a
-    /// cut or an outage between users, controllers and the state service. What befalls machines alone
-    /// never excuses silence.
+    /// Whether a fault can keep users from being answered: a controller that is down, frozen or
+    /// stalled, or a cut or an outage between users, controllers and the state service. Faults of
+    /// machines alone never excuse a missing response.
     pub(crate) fn has_control_plane_fault(&self) -> bool {
         let now = self.now;
         let of_machines =
@@ -47,8 +48,8 @@
             || (0..NODES).any(away)
     }
 
-    /// Flags accepted jobs of which nobody answers although no fault is left. Whoever never asks again,
-    /// as the users of a flood, cannot tell.
+    /// Flags accepted jobs about which no node answers although no fault is left. Jobs whose users
+    /// never ask again, as those of a flood, are not checked.
     pub(crate) fn check_unanswered_jobs(&mut self) {
         if self.has_control_plane_fault() {
             self.last_control_plane_fault_at = self.now;
@@ -72,14 +73,14 @@
             .collect();
         for id in forgotten {
             let observed = self.jobs.get_mut(&id).unwrap();
-            // Once for each silence.
+            // Flag each unanswered period once.
             observed.last_answered_at = Some(self.now);
             self.violation("forgotten", format!("{id} is asked about in vain"));
         }
     }
 
-    /// Ends all faults and goes on until each accepted job was asked about and told, or is
-    /// forgotten, and nobody waits beside room, or has for too long.
+    /// Ends all faults and continues until every accepted job was asked about and answered or counts
+    /// as forgotten, and no job waits beside free capacity or has waited for too long.
     pub(crate) fn run_until_settled(&mut self) {
         if self.state.outage {
             self.state.end_outage(self.now);
@@ -110,9 +111,9 @@
         }
     }
 
-    /// Of each class and shape that users submitted, the largest tenth by tasks, the earliest of those
-    /// alike. Jobs that can never run, or were taken back before they had to begin, are not counted;
-    /// nor are submit files' jobs, as holds and conditions of their own keep them waiting.
+    /// For each submitted class and shape, the largest tenth of jobs by tasks, the earliest first
+    /// among equals. Jobs that can never run or that were cancelled before they had to start do not
+    /// count; nor do jobs of submit files, whose own holds and conditions may keep them waiting.
     pub(crate) fn largest_jobs(&self) -> BTreeMap<String, LargestJobs> {
         let mut classes: BTreeMap<String, Vec<(&String, &ObservedJob)>> = BTreeMap::new();
         for (id, observed) in &self.jobs {
@@ -134,7 +135,7 @@
                 largest.requested += asked;
                 let waited = observed
                     .accepted_at
-                    // A start may be sooner than a slow answer to its submission.
+                    // A job may start before a slow response to its submission arrives.
                     .map(|at| observed.started_at.unwrap_or(self.now).saturating_sub(at));
                 if let Some(waited) = waited.filter(|waited| *waited > MAX_START_WAIT_MS) {
                     largest.late_starts.push(((*id).clone(), waited));
--- a/crates/simulator/src/invariants/tests.rs
+++ b/crates/simulator/src/invariants/tests.rs
@@ -38,7 +38,7 @@
         ..ObservedJob::default()
     };
     simulation.jobs.insert("wk-1".to_owned(), observed);
-    // Its user's questions never arrive.
+    // Its user never asks again.
     simulation
         .next_user_request_at
         .insert("wk-1".to_owned(), u64::MAX);
--- a/crates/simulator/src/response_checks.rs
+++ b/crates/simulator/src/response_checks.rs
@@ -1,16 +1,16 @@
-//! What users were told of each job, by which node and when. Once any node told of a job that it is
-//! accepted, done or cancelled, an answer given later, by whichever node and on whichever route, must
-//! not be older. A 404 is judged only where its user asked after that telling: one that asked before
-//! may have been read before the job was accepted.
+//! Checks the order of responses about a job. Once any node has reported a job as accepted, done or
+//! cancelled, no later response of any node on any route may report an older state. A 404 is checked
+//! only if its user asked after that report: the request may otherwise have been handled before the
+//! job was accepted.
 
 use crate::simulation::{Event, NODES, ObservedJob, Simulation, UserRequest};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// When users look closely, in ms after they were told something.
+/// Delays of the additional queries after a new state was reported, in ms.
 const QUERY_DELAYS_MS: [u64; 3] = [1, 21, 61];
 
-/// The state of a job, from the oldest word to the newest.
+/// The state of a job as a response reports it, from the oldest to the newest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum ReportedState {
     Unknown,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The next answer of the state service to such a call of a node comes so many ms late.
+/// The next response of the state service to such a call of a node is delayed.
 #[derive(Debug)]
 struct DelayedResponse {
     node: usize,
@@ -48,18 +48,20 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct ResponseChecks {
-    /// The newest word of each job, when it was first given, and by which node.
+    /// The newest reported state of each job, when it was first reported, and by which node.
     latest_states: BTreeMap<String, (ReportedState, u64, usize)>,
-    /// Until when users look closely, and the share of jobs that they take back at once.
+    /// Until when new states trigger queries at all nodes, and the share of jobs that are then
+    /// cancelled at once.
     rapid_queries_until: u64,
     cancel_share: f64,
     delayed_responses: Vec<DelayedResponse>,
-    /// How long users waited for "cancelled" of a withdrawal, and "done" of a poll, in ms.
+    /// How long users waited for "cancelled" after a cancellation and for "done" after a poll, in
+    /// ms.
     response_times_ms: BTreeMap<&'static str, Vec<u64>>,
 }
 
 impl Simulation {
-    /// A node answers a user about a job.
+    /// Checks a node's response to a user about a job.
     pub(crate) fn check_response_order(
         &mut self,
         node: usize,
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Somebody has just been told something new of a job: users ask every node about it, and submit
-    /// it again, within milliseconds; some take it back at once.
+    /// Reacts to a newly reported state: users query every node about the job and submit it again
+    /// within milliseconds; some cancel it at once.
     fn query_all_nodes(&mut self, job: &str) {
         if self.now >= self.response_checks.rapid_queries_until {
             return;
@@ -136,7 +138,7 @@
         }
     }
 
-    /// By how much the answer to this call of a node is withheld, in ms.
+    /// Delay of the response to this call of a node, in ms.
     pub(crate) fn response_delay_ms(&mut self, node: usize, path: &str, body: &[u8]) -> u64 {
         let body = String::from_utf8_lossy(body);
         let withheld = &mut self.response_checks.delayed_responses;
@@ -147,12 +149,12 @@
     }
 }
 
-/// - `close-looks for=60 cancels=0.2`: whenever a user was told something new of a job, all nodes are
-///   asked about it, and it is submitted again, within milliseconds; of that share of the accepted
-///   jobs the end is asked for at once.
-/// - `withhold NODE 1.2 /multi:j/wk-1`: the next such call of that node is carried out at once and
-///   answered so many seconds later.
-/// - `repeat JOB node=n1`: that node gets the job's submission once more.
+/// - `close-looks for=60 cancels=0.2`: whenever a new state of a job is reported, all nodes are
+///   asked about it, and it is submitted again, within milliseconds; this share of the accepted jobs
+///   is cancelled at once.
+/// - `withhold NODE 1.2 /multi:j/wk-1`: the next such call of that node is executed at once and
+///   answered this many seconds later.
+/// - `repeat JOB node=n1`: that node receives the job's submission once more.
 pub(crate) fn act(
     simulation: &mut Simulation,
     plain: &[&str],
@@ -190,8 +192,8 @@
     Ok(())
 }
 
-/// `expect waited cancelled|done most|mean <= 0.05`: how long users waited for that answer, in s.
-/// `expect withheld = 0`: how many answers are still to be withheld.
+/// `expect waited cancelled|done most|mean <= 0.05`: how long users waited for that response, in s.
+/// `expect withheld = 0`: how many responses are still to be delayed.
 pub(crate) fn measure(simulation: &Simulation, words: &[&str]) -> Option<f64> {
     match words {
         ["waited", what, how] => {
--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -1,11 +1,11 @@
-//! That no work waits in vain: once no fault is left, no job has a task waiting for 90 s while a
-//! machine that fits has room and its team is under its limit. Judged, each second, from what is really on
-//! the machines, never from what a controller thinks.
+//! Checks that no job waits beside free capacity: once no fault is left, no job may have a task
+//! waiting for 90 s while a suitable machine has room and its team is below its limit. This is
+//! checked each second against the actual machines, never against a controller's view.
 //!
-//! Of an array or a service, one task that is nowhere must find room for the wait to count; of a gang none of
-//! which runs, all that are nowhere, beside those that are somewhere, or all of it in another zone. It need
-//! not be the same machine all the time. A scenario in which the wait is meant says `waits JOB because …`,
-//! which must then be so.
+//! For an array or a service, the wait counts if one unplaced task would fit; for a gang none of
+//! which runs, if all unplaced tasks would fit beside those that are placed, or the whole gang would
+//! fit in another zone. The machine need not be the same all the time. A scenario in which the wait
+//! is intended declares `waits JOB because …`, and the job must then wait.
 
 use crate::simulation::{ObservedJob, Simulation};
 use indigopath_controller::model::Resources;
@@ -14,39 +14,39 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long a job may wait beside room, in ms: the platform's own bound.
+/// Longest wait beside free capacity, in ms: the bound that the platform states.
 const MAX_WAIT_MS: u64 = 90_000;
-/// Interval between looks, in ms.
+/// Interval of the check, in ms.
 const CHECK_INTERVAL_MS: u64 = 1_000;
-/// Room that was there at so many looks in a row is idle. Between a task's end and the next one's start,
-/// which takes a report and a record, it is not.
+/// Capacity that is free in this many successive samples counts as idle. Between a task's end and
+/// the next start, which takes a heartbeat and a write, it is not idle.
 const IDLE_SAMPLES: usize = 4;
 
 #[derive(Default)]
 pub(crate) struct Waiting {
-    /// Jobs whose wait is meant.
+    /// Jobs that are expected to wait.
     pub(crate) meant: BTreeSet<String>,
-    /// Of these, those that did wait.
+    /// Jobs that waited too long, expected or not.
     pub(crate) found: BTreeSet<String>,
     /// When the last fault ended.
     calm_from: u64,
-    /// Since when each job waits beside room.
+    /// Since when each job waits beside free capacity.
     since: BTreeMap<String, u64>,
     asks: BTreeMap<String, PlacementRequest>,
-    /// What was free of each machine at the last looks.
+    /// Free resources of each machine in the last samples.
     rooms: BTreeMap<String, VecDeque<Resources>>,
     teams: Vec<Team>,
 }
 
-/// What a job asks of a machine.
+/// What a job requires of a machine.
 struct PlacementRequest {
     needs: Resources,
     types: Option<Vec<String>>,
-    /// Of a submit file: which kinds of machines do.
+    /// For a job of a submit file: the kinds of machines that are allowed.
     kinds: Option<Value>,
     zone: Option<String>,
     one_zone: bool,
-    /// Most tasks in one zone.
+    /// Largest number of tasks in one zone.
     max_tasks_per_zone: usize,
     spot: bool,
 }
@@ -105,7 +105,7 @@
     }
 }
 
-/// A sound machine with what is idle of it.
+/// A healthy machine and its idle resources.
 struct IdleMachine<'a> {
     id: &'a str,
     machine_type: &'a str,
@@ -114,7 +114,7 @@
     free: Resources,
 }
 
-/// Where a job's tasks are, fetching ones included.
+/// Where a job's tasks are placed, including those that fetch their image.
 #[derive(Default)]
 struct PlacedTasks<'a> {
     indexes: BTreeSet<u32>,
@@ -123,8 +123,8 @@
 }
 
 impl Simulation {
-    /// Whether anything is wrong that passes: with controllers, users or the state service, or with
-    /// machines and what reaches them.
+    /// Whether any temporary fault is active: of controllers, users or the state service, or of
+    /// machines and the messages to and from them.
     fn has_any_fault(&self) -> bool {
         self.has_control_plane_fault()
             || self.cloud.outage
@@ -137,7 +137,7 @@
                 .any(|worker| self.now < worker.hung_until.max(worker.refuses_starts_until))
     }
 
-    /// Whether somebody waits beside room, so that more is to be seen.
+    /// Whether a job waits beside free capacity, so that the simulation must continue.
     pub(crate) fn has_wait_beside_capacity(&self) -> bool {
         let since = self.waiting_checks.since.iter();
         since
@@ -146,7 +146,7 @@
             > 0
     }
 
-    /// Flags jobs that have waited in vain.
+    /// Flags jobs that waited too long beside free capacity.
     pub(crate) fn check_waiting(&mut self) {
         if self.has_any_fault() {
             self.waiting_checks.calm_from = self.now;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Exceptions that are none.
+    /// Declared exceptions that did not occur.
     pub(crate) fn unmet_wait_exceptions(&self) -> impl Iterator<Item = String> {
         let none = self.waiting_checks.meant.difference(&self.waiting_checks.found);
         none.map(|id| format!("waits {id}: it is not so"))
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Sound machines with the room that lasted.
+    /// Healthy machines with the resources that stayed free in all samples.
     fn idle_machines<'a>(&'a self, waiting: &'a Waiting) -> Vec<IdleMachine<'a>> {
         let sound = self.workers.values().filter(|worker| {
             let seen = waiting.rooms.get(&worker.id).map_or(0, VecDeque::len);
@@ -244,7 +244,7 @@
         rooms.collect()
     }
 
-    /// Jobs that wait beside room now, with a machine that has it.
+    /// Jobs that wait beside free capacity now, each with a machine that has it.
     fn waits_beside_capacity(&self, waiting: &Waiting) -> BTreeMap<String, String> {
         let rooms = self.idle_machines(waiting);
         let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
@@ -281,7 +281,7 @@
             } else {
                 1
             };
-            // Nobody else tells of a submit file's job that it was removed, or is held.
+            // Only the records tell that a submit file's job was removed or is held.
             let parked = observed.cluster.is_some_and(|of| {
                 self.state.value(&format!("j/{id}")).is_none() || self.check_runnable(id, of).is_err()
             });
@@ -301,7 +301,8 @@
         beside
     }
 
-    /// Whether there are seats for so many more tasks. Shares of teams are not judged.
+    /// Whether there are units for this many more tasks. Resources with shares for teams are not
+    /// checked.
     fn has_units(&self, observed: &ObservedJob, tasks: u32, held: &BTreeMap<&str, u32>) -> bool {
         observed.counted_units.iter().all(|(name, units)| {
             let Some(definition) = self.operator.counted_resources.get(name.as_str()) else {
@@ -316,7 +317,7 @@
     }
 }
 
-/// A machine that could take one of so many tasks of a job, if there is room for all of them.
+/// Returns a machine that could take one of the missing tasks, if there is room for all of them.
 fn find_machine<'a>(
     ask: &PlacementRequest,
     gang: bool,
@@ -335,7 +336,8 @@
     }
     let taken = |zone: &str| there.zones.get(zone).copied().unwrap_or(0);
     if ask.one_zone {
-        // Where the others are; a gang that does not run may go elsewhere whole.
+        // In the zone of the placed tasks; a gang that does not run may move to another zone as a
+        // whole.
         return by_zone.into_iter().find_map(|(zone, (places, id))| {
             let alone = there.zones.keys().all(|other| *other == zone);
             let needed = if alone { missing } else { all };
--- a/crates/simulator/src/window_checks.rs
+++ b/crates/simulator/src/window_checks.rs
@@ -1,28 +1,28 @@
-//! What scenarios ask of shifts, by the true time of day: no window is opened or closed twice, no
-//! protected replica is stopped for economy or started on a spot machine, and none of a lower rank gets a
-//! place that one of a higher rank has waited for.
+//! Checks of protection windows by the true time of day: no window opens or closes twice, no
+//! protected replica is stopped for economy or started on a spot machine, and no job of a lower rank
+//! gets a place for which one of a higher rank has waited.
 
 use crate::simulation::{NODES, ObservedJob, Simulation};
 use indigopath_controller::protocol::TaskState;
 use indigopath_protection_windows::Timetable;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long a replica must have waited, in ms, before a place that another gets was its own: a pass,
-/// a write and a command take less.
+/// Wait, in ms, from which on a replica has a claim to a place that another one gets: longer than a
+/// scheduling pass, a write and a command take.
 const MIN_WAIT_MS: u64 = 3_000;
 
 #[derive(Debug, Default)]
 pub(crate) struct WindowChecks {
-    /// Bound on clocks in place of the settings', in ms.
+    /// Bound on clock skew, in ms, overriding the settings.
     pub(crate) max_clock_skew_ms: Option<f64>,
-    /// By how much each node's clock is off, in ms.
+    /// Offset of each node's clock, in ms.
     pub(crate) clock_offsets_ms: [i64; NODES],
     pub(crate) timetable: Timetable,
-    /// Windows that stand as open on record, and those that did.
+    /// Windows that are recorded as open, and those that were open before.
     open: BTreeSet<String>,
     closed: BTreeSet<String>,
     transitions: u32,
-    /// Since when a job's replicas are fewer than it has.
+    /// Since when each service has fewer replicas than it wants.
     replicas_missing_since: BTreeMap<String, u64>,
     protected_up_ms: u64,
     protected_wanted_ms: u64,
@@ -59,7 +59,7 @@
 }
 
 impl Simulation {
-    /// The best rank that protects the job now, by the true time of day.
+    /// The best rank that protects the job at the true time of day.
     fn protection_rank(&self, observed: &ObservedJob) -> Option<u16> {
         if observed.shape != "daemon" || !observed.accepted || observed.cancel_requested_at.is_some() {
             return None;
@@ -77,7 +77,7 @@
             .min()
     }
 
-    /// Time of protected replicas that were up, and that were wanted.
+    /// Records the time that protected replicas were up, and the time that they were wanted.
     pub(crate) fn record_protected_uptime(&mut self, step_ms: u64) {
         if self.window_checks.timetable.is_empty() {
             return;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Replicas that were told to stop while they are protected, with nothing that may ask for it.
+    /// Flags protected replicas that were stopped although nothing justifies it.
     pub(crate) fn check_protected_stops(&mut self) {
         if self.window_checks.timetable.is_empty() {
             return;
