--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud, by its published protocol.
+//! A model of the cloud that follows its published protocol.
 
 use indigopath_controller::protocol::{
     LaunchRequest, ListedMachine, ListedStatus, MachineNames, MachinePage, MachineType,
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far the machine list lags, in ms, unless said otherwise.
+/// Default lag of the machine list, in ms.
 const DEFAULT_LIST_LAG_MS: u64 = 3_000;
 
 pub struct CloudMachine {
@@ -16,7 +16,7 @@
     pub launched_at: u64,
     pub ready_at: u64,
     pub removed_at: Option<u64>,
-    /// Where its worker is reached, if not by its name.
+    /// Address of its worker, if it is not the machine's name.
     pub addr: Option<String>,
 }
 
@@ -26,16 +26,16 @@
     pub machines: BTreeMap<String, CloudMachine>,
     launch_responses: BTreeMap<String, Value>,
     pub outage: bool,
-    /// (type or `*`, spot) that are not to be had.
+    /// Kinds without capacity: type or `*`, and whether spot.
     pub unavailable_kinds: BTreeSet<(String, bool)>,
-    /// Machines rented from now on that never come up.
+    /// How many of the next launched machines never boot.
     pub failing_launches: u32,
     pub launched_total: u32,
     released: Vec<String>,
     pub list_lag_ms: Option<u64>,
-    /// Most machines at a time; no limit without.
+    /// Limit on the number of machines at a time, if any.
     pub max_machines: Option<usize>,
-    /// Between how many s machines are up, in place of their type's time.
+    /// Range of boot times in s, overriding those of the machine types.
     pub boot_range_s: Option<(f64, f64)>,
 }
 
@@ -47,7 +47,7 @@
             .find(|known| known.name == machine_type)
             .unwrap()
             .boot_s;
-        // Spread evenly, the same in each playing.
+        // Spread evenly over the range, the same in each run.
         let boot_s = self.boot_range_s.map_or(boot_s, |(least, most)| {
             least + (most - least) * (self.machines.len() % 7) as f64 / 6.0
         });
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Whether such a request was carried out before: again, it rents nothing.
+    /// Whether such a request was already executed: a repetition launches nothing.
     pub fn has_executed(&self, request: &str) -> bool {
         self.launch_responses.contains_key(request)
     }
 
-    /// Machines given back since this was last asked.
+    /// Takes the machines that were released since the last call.
     pub fn take_released(&mut self) -> Vec<String> {
         std::mem::take(&mut self.released)
     }
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -1,5 +1,4 @@
-//! Real controllers round the stand-ins, for tests in real time: their settings, their
-//! processes, and what they said when something went wrong.
+//! Real controller processes for tests in real time: their settings, their lifecycle and their logs.
 
 use crate::cloud::Cloud;
 use crate::loopback::LoopbackServices;
@@ -10,23 +9,23 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Controllers of a site.
+/// Number of controllers of a site.
 pub const NODES: usize = 3;
 
-/// How long a controller that was killed stays away, in ms.
+/// Time until a killed controller is restarted, in ms.
 const RESTART_DELAY_MS: u64 = 400;
 
 /// Lines of each log that are shown when a test fails.
 const LOG_EXCERPT_LINES: usize = 20;
 
-/// Of a log line that says that more units of a count are taken than there are.
+/// The log event for a counted resource with more units in use than exist.
 const OVERSUBSCRIBED_EVENT: &str = "counted resource oversubscribed";
 
-/// Lines that are shown before such a line: what led to it.
+/// Lines of context that are shown before such a line.
 const CONTEXT_LINES: usize = 12;
 
-/// The controllers' processes, and the folder in which their settings and logs lie. Both end
-/// with this.
+/// The controllers' processes and the directory of their settings and logs. Dropping this kills the
+/// processes and deletes the directory.
 pub struct Controllers {
     pub program: PathBuf,
     pub directory: PathBuf,
@@ -48,7 +47,7 @@
     }
 }
 
-/// An address for each controller that no other run on this machine uses.
+/// Returns an address for each controller that no other run on this machine uses.
 pub fn addresses(port: u16) -> Vec<SocketAddrV4> {
     let process = std::process::id();
     let node = |node: u8| {
@@ -59,8 +58,8 @@
 }
 
 impl Controllers {
-    /// Writes the settings of controllers that serve `teams`, with the operators' own in HCL.
-    /// They start with [`Controllers::keep_up`].
+    /// Writes the settings of controllers that serve `teams`, with the operators' settings in HCL.
+    /// [`Controllers::restart_stopped`] starts them.
     pub fn new(
         program: PathBuf,
         name: &str,
@@ -85,7 +84,8 @@
         }
     }
 
-    /// Starts whoever is away. Whoever has ended by itself fails the test.
+    /// Starts the controllers that are not running. A controller that exited by itself fails the
+    /// test.
     pub fn restart_stopped(&mut self) {
         for node in 0..self.nodes.len() {
             if let Some(child) = &mut self.processes[node]
@@ -126,7 +126,8 @@
         std::fs::read_to_string(self.directory.join(format!("n{node}.log"))).unwrap_or_default()
     }
 
-    /// Each time that a leader counted more units as taken than there are, with what it said before.
+    /// The log lines in which a leader found a counted resource oversubscribed, with the lines
+    /// before.
     pub fn oversubscription_log(&self) -> String {
         let mut text = String::new();
         for node in 0..self.nodes.len() {
@@ -143,7 +144,7 @@
         text
     }
 
-    /// The last that the controllers said, errors first.
+    /// The errors and the last lines of the controllers' logs.
     pub fn log_excerpt(&self) -> String {
         let mut text = String::new();
         for node in 0..self.nodes.len() {
@@ -187,7 +188,7 @@
     })
 }
 
-/// The times that go with these settings, for [`Live::start`].
+/// The workers' timings that match these settings, for [`LoopbackServices::start`].
 pub fn worker_timings() -> crate::worker::WorkerTimings {
     crate::worker::WorkerTimings {
         heartbeat_interval_ms: 400,
@@ -198,7 +199,7 @@
     }
 }
 
-/// A cloud with one small type of machine, which boots at once.
+/// A cloud with one small machine type that boots quickly.
 pub fn small_cloud() -> Cloud {
     let types = json!({ "Rigs": [{
         "Label": "small", "Cpus": 32, "Gpus": 4, "MemGb": 128, "CacheGb": 40, "FetchGbPerS": 1.0,
--- a/crates/simulator/src/fault_combinations.rs
+++ b/crates/simulator/src/fault_combinations.rs
@@ -1,5 +1,6 @@
-//! Meetings of machines, leaders and cancellations: machines that reach no controller, reports kept
-//! for the next leader, cancellations of what runs or is about to end, and what starts after one.
+//! Combinations of faults of machines, changes of the leader and cancellations: machines that reach
+//! no controller, heartbeats kept for the next leader, cancellations of jobs that run or are about
+//! to complete, and starts after a cancellation.
 
 use crate::simulation::{Call, Event, Fault, NODES, Simulation, UserRequest};
 use indigopath_controller::io::{Destination, Outcome};
@@ -7,31 +8,31 @@
 use indigopath_controller::protocol::{CommandKind, HeartbeatResponse, TaskState, WorkerCommand};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after its user was told that a job is cancelled a command to start its tasks may leave, in
-/// ms, by a leader that does not know it: its lease, and one way through the network.
+/// Longest time, in ms, after a reported cancellation at which a leader that does not know of it may
+/// still send a command to start the job's tasks: its lease, and one network latency.
 const MAX_UNAWARE_MS: u64 = 2_600;
-/// Within which time users call off what runs, in ms.
+/// Period over which users cancel running jobs, in ms.
 const CANCEL_WINDOW_MS: u64 = 200;
-/// What has at least so much left, in s, has long to go.
+/// Remaining run time from which a job counts as long-running, in s.
 const LONG_REMAINING_S: f64 = 30.0;
-/// Machines that hang with a cancellation at most.
+/// Most machines that hang while their jobs are cancelled.
 const MAX_HUNG_MACHINES: usize = 8;
-/// A cancellation at the moment of a job's end comes up to so many ms before or after it.
+/// A cancellation near a job's completion comes up to this many ms before or after it.
 const AROUND_COMPLETION_MS: f64 = 60.0;
 
 #[derive(Default)]
 pub(crate) struct FaultCombinations {
-    /// Reports kept for the next leader, and how long after it begins they arrive, in ms.
+    /// Heartbeats kept for the next leader, and their delay after it starts, in ms.
     kept_heartbeats: Vec<(Command, u64)>,
-    /// Who led last, in which life.
+    /// The last leader and its incarnation.
     last_leader: Option<(usize, u32)>,
-    /// How often somebody began to lead.
+    /// Number of leader terms that began.
     pub(crate) terms: u32,
-    /// Which lives of nodes know which jobs to be over.
+    /// Which incarnation of which node knows which jobs to have ended.
     known_ended: BTreeSet<(usize, u32, String)>,
-    /// Tasks that started after their users had been told.
+    /// Tasks that started after their users had been told of the cancellation.
     pub(crate) starts_after_cancel: u32,
-    /// Commands to start them that left after it, and how long after, in ms, at most.
+    /// Start commands that were sent after it, and the longest time after it, in ms.
     pub(crate) commands_after_cancel: u32,
     pub(crate) latest_command_ms: u64,
     near_completion: BTreeSet<String>,
@@ -43,7 +44,7 @@
 }
 
 impl Simulation {
-    /// What a fault that befalls machines says, of all that there are.
+    /// Selects the machines that a fault affects: a named one, a random share, or a zone.
     pub(crate) fn affected_machines(
         &mut self,
         named: Option<String>,
@@ -56,7 +57,7 @@
         (machines, keyed.get("zone").map(|zone| (*zone).to_owned()))
     }
 
-    /// Whether a machine reaches no controller with its report.
+    /// Whether an active fault drops a machine's heartbeat.
     pub(crate) fn drops_heartbeat(&self, event: &Event) -> bool {
         let Event::Heartbeat { worker: id, .. } = event else {
             return false;
@@ -71,7 +72,7 @@
         })
     }
 
-    /// A report arrives: its copy may be kept for the next leader.
+    /// Keeps a copy of an arriving heartbeat for the next leader, if a fault says so.
     pub(crate) fn keep_heartbeat(&mut self, command: &Command) {
         let kept = self.active_faults().find_map(|fault| match fault {
             Fault::HeartbeatsForNextLeader { share, after_ms } => Some((*share, *after_ms)),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// As a new leader begins, what was kept for it arrives at every node.
+    /// Delivers the kept heartbeats to every node when a new leader starts.
     pub(crate) fn step_fault_combinations(&mut self) {
         let leader = self
             .leader()
@@ -105,8 +106,8 @@
         self.cancel_completing_jobs();
     }
 
-    /// So many jobs that run and have long to go, as their users call them off: with each, after how
-    /// many ms, and a machine of it.
+    /// Selects running jobs with a long remaining run time for cancellation: for each, the delay in
+    /// ms, the job, and one of its machines.
     pub(crate) fn long_running(&self, count: usize) -> Vec<(u64, String, String)> {
         let mut jobs: BTreeMap<&str, &str> = BTreeMap::new();
         for (worker, task) in self.tasks_on_machines() {
@@ -126,7 +127,7 @@
             .collect()
     }
 
-    /// Users call jobs off, each at one node; some of the machines hang as they do.
+    /// Cancels running jobs, each at one node; some of their machines hang at the same time.
     pub(crate) fn cancel_long_running(&mut self, count: usize, hang_ms: u64) -> Result<(), String> {
         let chosen = self.long_running(count);
         if chosen.is_empty() {
@@ -152,7 +153,7 @@
         self.schedule(after_ms, Event::User { node, job, kind });
     }
 
-    /// Users call off a share of the jobs that are about to end, some ms before or after.
+    /// Cancels a share of the jobs that are about to complete, some ms before or after.
     fn cancel_completing_jobs(&mut self) {
         let share = self.active_faults().find_map(|fault| match fault {
             Fault::CancelNearCompletion { share } => Some(*share),
@@ -195,7 +196,7 @@
         (observed.reported_status.as_deref() == Some("cancelled")).then_some(told)
     }
 
-    /// A node is told something: perhaps that jobs are over.
+    /// Records which jobs a response to a node shows to have ended.
     pub(crate) fn record_ended_jobs(&mut self, node: usize, command: &Command) {
         let Command::Answer {
             outcome: Outcome::Answer { body, .. },
@@ -214,7 +215,7 @@
         }
     }
 
-    /// A node has answered a user: where that is told of a cancellation, the node knows it.
+    /// Records that a node that reported a cancellation to a user knows of it.
     pub(crate) fn record_confirmed_cancellation(&mut self, node: usize, job: &str, status: u16) {
         if status == 200 && self.cancel_confirmed_at(job).is_some() {
             let incarnation = self.nodes[node].incarnation;
@@ -224,13 +225,13 @@
         }
     }
 
-    /// Commands leave a node: with an answer to a report, or directly.
+    /// Checks commands that a node sends, in a heartbeat response or directly.
     pub(crate) fn check_outgoing_commands(&mut self, node: usize, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         if !text.contains("\"run\"") {
             return;
         }
-        // A direct command says the same, and more.
+        // A request with direct commands has these fields and more.
         let Ok(answer) = serde_json::from_str::<HeartbeatResponse>(&text) else {
             return;
         };
@@ -257,14 +258,14 @@
         }
     }
 
-    /// Of a call of a node to a machine.
+    /// Checks the commands in a node's call to a machine.
     pub(crate) fn check_outgoing_call(&mut self, call: &Call) {
         if matches!(call.to, Destination::Worker(_)) {
             self.check_outgoing_commands(call.node, &call.body);
         }
     }
 
-    /// A task comes to be on a machine.
+    /// Counts a task that starts after its cancellation was reported.
     pub(crate) fn record_start_after_cancel(&mut self, job: &str) {
         self.fault_combinations.starts_after_cancel += u32::from(self.cancel_confirmed_at(job).is_some());
     }
--- a/crates/simulator/src/job_stream.rs
+++ b/crates/simulator/src/job_stream.rs
@@ -1,19 +1,21 @@
-//! A steady stream of small jobs: `stream wk-1000 rate=4 for=180 cancel=0.25 run=5`, and whatever else
-//! `submit` takes. Their users submit one after the other, so many a second, and go on asking like all
-//! others; that share of them takes the job back, a third at once and the others while it waits or runs,
-//! and as many repeat the submission some time later, also when the job is over.
+//! A steady stream of small jobs: `stream wk-1000 rate=4 for=180 cancel=0.25 run=5`, with all
+//! options of `submit`. Users submit them one after the other at this rate per second and poll like
+//! all others. The `cancel` share of them cancels the job, a third at once and the others while it
+//! waits or runs; the same share repeats the submission some time later, even after the job has
+//! ended.
 //!
-//! `expect keys s/ <= 3`: keys that the state service holds under a prefix. `expect slowest CLASS <= 20`:
-//! the longest time, in s, that a job of the class waited from its acceptance until it began, or was taken
-//! back, or until now.
+//! `expect keys s/ <= 3`: number of keys in the state service under a prefix. `expect slowest CLASS
+//! <= 20`: the longest time, in s, from a job's acceptance until it started, was cancelled, or until
+//! now.
 
 use crate::scenario::body;
 use crate::simulation::{NODES, ObservedJob, ReplyRecipient, Simulation, UserRequest};
 use std::collections::BTreeMap;
 
-/// How soon a user takes a job back that was accepted this moment, in ms.
+/// Delay of an immediate cancellation after acceptance, in ms.
 const IMMEDIATE_CANCEL_MS: (f64, f64) = (10.0, 400.0);
-/// Latest time after acceptance, in runs, at which others take it back, and submissions are repeated.
+/// Latest time of other cancellations and repeated submissions after acceptance, in run times of the
+/// job.
 const LATE_FOLLOW_UP_RUNS: f64 = 2.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -22,7 +24,7 @@
     Resubmit,
 }
 
-/// One stream, and what users of its jobs will do.
+/// A stream of jobs and the pending actions of their users.
 #[derive(Debug)]
 pub(crate) struct JobStream {
     next_at: f64,
@@ -31,7 +33,7 @@
     next_id: u64,
     cancel_share: f64,
     template: ObservedJob,
-    /// How long after its acceptance, by job.
+    /// Job, action, and delay after the job's acceptance in ms.
     follow_ups: Vec<(String, FollowUp, u64)>,
 }
 
@@ -120,7 +122,7 @@
         self.streams = streams;
     }
 
-    /// Whoever is told to come back is told when.
+    /// Checks that a 503 to a user says when to retry.
     pub(crate) fn check_retry_after(
         &mut self,
         asker: Option<&ReplyRecipient>,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// What a line `expect` of this file compares.
+    /// The measured value of an `expect` line of this module.
     pub(crate) fn measure_streams(&self, words: &[&str]) -> Option<f64> {
         match words {
             ["keys", prefix] => Some(self.state.count(prefix) as f64),
--- a/crates/simulator/src/licence_server.rs
+++ b/crates/simulator/src/licence_server.rs
@@ -1,12 +1,11 @@
-//! A stand-in for a licence server: it hands out seats, refuses those beyond its total,
-//! and gets a dead client's seat back only after a while. It shows its state as
-//! `lmstat -a` does.
+//! A model of a licence server: it checks out units, refuses requests beyond its total, and reclaims
+//! a dead client's units only after a while. It reports its state in the format of `lmstat -a`.
 
 use crate::worker::{Task, Worker};
 use indigopath_controller::protocol::TaskEndCause;
 use std::collections::BTreeMap;
 
-/// Which attempt on which host has a seat.
+/// An attempt on a host that holds units.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Client {
     pub host: String,
@@ -14,8 +13,8 @@
     pub attempt: u64,
 }
 
-/// Seats of a client that died. The same attempt may have been started again on the same host: to the
-/// server that is another client.
+/// Units of a client that died. The same attempt may have been started again on the same host, which
+/// the server treats as a different client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct LingeringSeats {
     client: Client,
@@ -27,15 +26,15 @@
 pub struct Feature {
     pub total: u32,
     pub linger_ms: u64,
-    /// Seats of users who are nobody's task.
+    /// Units held by users outside the cluster.
     pub external_units: u32,
     seats: BTreeMap<Client, u32>,
     lingering: Vec<LingeringSeats>,
-    /// Operators gave it another number of units, or users outside had seats, at some time.
+    /// Operators once set another number of units, or external users once held some.
     pub was_changed_externally: bool,
-    /// Check-outs that were refused.
+    /// Checkouts that were refused.
     pub refused_checkouts: u32,
-    /// Most seats that tasks had at a time, dead ones included.
+    /// Most units that tasks held at a time, including those of dead tasks.
     pub peak_task_units: u32,
 }
 
@@ -48,13 +47,13 @@
         }
     }
 
-    /// Seats taken, by whomever.
+    /// Units in use by any client.
     pub fn in_use(&self) -> u32 {
         let dead = self.lingering.iter().map(|seat| seat.units);
         self.external_units + self.seats.values().copied().chain(dead).sum::<u32>()
     }
 
-    /// Seats of tasks, dead ones included.
+    /// Units in use by tasks, including dead ones.
     pub fn task_units(&self) -> u32 {
         self.in_use() - self.external_units
     }
@@ -67,12 +66,12 @@
 }
 
 impl LicenceServer {
-    /// A client asks for seats; false, and nothing is given, if there are too few.
+    /// Checks out units for a client; returns false and assigns none if too few are free.
     fn check_out(&mut self, feature: &str, client: Client, units: u32) -> bool {
         let Some(feature) = self.features.get_mut(feature) else {
             return false;
         };
-        // Asked twice, it has them already.
+        // A repeated request: the client already holds its units.
         if feature.seats.contains_key(&client) {
             return true;
         }
@@ -85,7 +84,7 @@
         true
     }
 
-    /// A task that came to be on a host asks for all its seats; the features that refuse.
+    /// Checks out all units of a task that arrived on a host; returns the features that refused.
     pub fn check_out_all(&mut self, counts: &BTreeMap<String, u32>, host: &str, task: &Task) -> Vec<String> {
         let client = Client {
             host: host.to_owned(),
@@ -98,7 +97,7 @@
         refused.map(|(feature, _)| feature.clone()).collect()
     }
 
-    /// Users outside take so many seats, as far as there are any.
+    /// Sets the units held by external users, up to the number that is free.
     pub fn set_external_units(&mut self, feature: &str, units: u32) {
         if let Some(feature) = self.features.get_mut(feature) {
             let free = feature.total.saturating_sub(feature.task_units());
@@ -107,11 +106,12 @@
         }
     }
 
-    /// Looks after its clients: `fate` says what has become of one.
-    pub fn step(&mut self, now: u64, fate: impl Fn(&Client) -> ClientState) {
+    /// Updates the clients, whose state `state_of` returns, and frees units of dead clients that are
+    /// due.
+    pub fn step(&mut self, now: u64, state_of: impl Fn(&Client) -> ClientState) {
         for feature in self.features.values_mut() {
             let back_at = now + feature.linger_ms;
-            feature.seats.retain(|client, units| match fate(client) {
+            feature.seats.retain(|client, units| match state_of(client) {
                 ClientState::Alive => true,
                 ClientState::Released => false,
                 ClientState::Died => {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// What `lmstat -a` prints.
+    /// The output of `lmstat -a`.
     pub fn lmstat(&self) -> String {
         let mut text = "lmstat\nFeature usage info:\n\n".to_owned();
         for (name, feature) in &self.features {
@@ -154,18 +154,18 @@
     }
 }
 
-/// What has become of a client.
+/// Whether a client still runs and how it ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientState {
     Alive,
-    /// It ended by itself and gave its seat back.
+    /// It completed and released its units.
     Released,
-    /// It is gone, and did not say so.
+    /// It died without releasing its units.
     Died,
 }
 
 impl ClientState {
-    /// Of a client whose host this is, if it is there at all.
+    /// The state of a client on this host, if the host exists.
     pub fn of(host: Option<&Worker>, client: &Client) -> ClientState {
         let task = host.and_then(|worker| {
             let mut tasks = worker.tasks.iter();
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -1,8 +1,8 @@
-//! The same stand-ins in real time, on loopback, round real controller processes.
+//! The models in real time, served on loopback for real controller processes.
 //!
-//! All models share one clock that goes in even steps and catches up with real time
-//! before anything is asked of them, so a busy machine makes them late, never wrong: a
-//! worker whose lease is over has ended its tasks by the time that anybody hears of it.
+//! All models share one clock that advances in equal steps and catches up with real time before each
+//! request. A busy machine therefore delays the models but does not make them wrong: a worker whose
+//! lease has expired has ended its tasks before any other process can observe it.
 
 use crate::cloud::Cloud;
 use crate::licence_server::{ClientState, LicenceServer};
@@ -20,16 +20,16 @@
 use std::time::{Duration, Instant};
 use tiny_http::{Method, Request, Response, Server};
 
-/// Grain of the models' clock, in ms.
+/// Resolution of the models' clock, in ms.
 const STEP_MS: u64 = 10;
 
-/// How long tasks of submit files run, in s.
+/// Run time of tasks of submit files, in s.
 const CONDOR_TASK_RUN_S: f64 = 0.4;
 
-/// Longest wait for a controller's answer, in ms.
+/// Timeout of a heartbeat, in ms.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 
-/// Everything that the stand-ins know.
+/// The state of all models.
 pub struct Models {
     pub now: u64,
     pub state: StateService,
@@ -37,22 +37,22 @@
     pub licences: LicenceServer,
     pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, ObservedJob>,
-    /// Starts with seats that the licence server refused.
+    /// Task starts for which the licence server refused units.
     pub refused_checkouts: Vec<String>,
-    /// Tasks that came to be on a machine.
+    /// Tasks that arrived on a machine.
     pub task_starts: u32,
     started: Instant,
     timings: WorkerTimings,
 }
 
 impl Models {
-    /// Lets time pass up to now, step by step.
+    /// Advances the models to the present, step by step.
     fn catch_up(&mut self) {
         let real = self.started.elapsed().as_millis() as u64;
         while self.now + STEP_MS <= real {
             self.now += STEP_MS;
             self.state.expire_leases(self.now);
-            // Whoever ends does so before anybody else begins.
+            // Tasks that end release their units before others start.
             self.update_licences();
             let ids: Vec<String> = self.workers.keys().cloned().collect();
             let mut arrived = Vec::new();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The licence server sees who has ended.
+    /// Updates the licence server with the tasks that have ended.
     fn update_licences(&mut self) {
         let workers = &self.workers;
         self.licences.step(self.now, |client| {
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Tasks that run now: machine and name.
+    /// The running tasks: machine and name.
     pub fn running(&self) -> Vec<(String, String)> {
         let tasks = self.workers.values().flat_map(|worker| {
             let running = worker
@@ -100,7 +100,7 @@
         tasks.collect()
     }
 
-    /// A task's process dies, and its seat stays with the licence server for a while.
+    /// Kills a task's process; the licence server keeps its units for a while.
     pub fn kill_task(&mut self, host: &str, name: &str) {
         if let Some(worker) = self.workers.get_mut(host) {
             for task in worker.tasks.iter_mut().filter(|task| task.name() == name) {
@@ -110,14 +110,14 @@
         self.update_licences();
     }
 
-    /// A machine stops with all that is on it.
+    /// Kills a machine with everything on it.
     pub fn kill_machine(&mut self, host: &str) {
         self.workers.remove(host);
         self.update_licences();
     }
 }
 
-/// The stand-ins, running until this is dropped.
+/// The running services, which stop when this is dropped.
 pub struct LoopbackServices {
     models: Arc<Mutex<Models>>,
     shutdown: Arc<AtomicBool>,
@@ -141,7 +141,7 @@
 /// Status and body.
 type HttpResponse = (u16, Vec<u8>);
 
-/// How a stand-in answers: method, path, body.
+/// Handles a request: method, path, body.
 type Handler = dyn Fn(&str, &str, &[u8]) -> HttpResponse + Send + Sync;
 
 fn lock(models: &SharedModels) -> MutexGuard<'_, Models> {
@@ -151,7 +151,7 @@
 }
 
 impl LoopbackServices {
-    /// Starts them. Workers report to `nodes`, which are named n0, n1, …
+    /// Starts the services. Workers send heartbeats to `nodes`, which are named n0, n1, …
     pub fn start(
         cloud: Cloud,
         licences: LicenceServer,
@@ -198,13 +198,13 @@
         }
     }
 
-    /// Looks at, or changes, what the stand-ins know, at the present time.
+    /// Reads or changes the models' state at the present time.
     pub fn with<T>(&self, act: impl FnOnce(&mut Models) -> T) -> T {
         act(&mut lock(&self.models))
     }
 }
 
-/// Serves HTTP on a port of its own, a thread a request: watches wait.
+/// Serves HTTP on a port of its own with one thread per request, as watches block.
 fn listen(
     handle: impl Fn(&str, &str, &[u8]) -> HttpResponse + Send + Sync + 'static,
 ) -> (Arc<Server>, SocketAddrV4) {
@@ -238,7 +238,7 @@
     let (status, bytes) = handle(method, &path, &body);
     let length = bytes.len();
     let response = Response::new(status.into(), Vec::new(), Cursor::new(bytes), Some(length), None);
-    // Whoever asked may be gone.
+    // The client may have disconnected.
     let _ = request.respond(response.with_chunked_threshold(usize::MAX));
 }
 
@@ -285,7 +285,7 @@
     (status, value.to_string().into_bytes())
 }
 
-/// Starts a worker for every machine that is up.
+/// Starts a worker for each machine that has booted.
 fn boot_machines(models: &SharedModels, over: &Arc<AtomicBool>, nodes: &[SocketAddrV4]) {
     let mut seen = 0;
     while !over.load(Ordering::Relaxed) {
@@ -294,7 +294,7 @@
         {
             let mut models = lock(models);
             let (now, timings) = (models.now, models.timings);
-            // Machines come up in the order of their names here.
+            // All machines boot in the order of their names here.
             let up: Vec<String> = models
                 .cloud
                 .machines
@@ -322,7 +322,7 @@
     }
 }
 
-/// A worker's life: its address, and its reports.
+/// Runs a worker: serves its address and sends its heartbeats.
 fn run_worker(models: &SharedModels, over: &AtomicBool, id: &str, nodes: &[SocketAddrV4]) {
     let (server, addr) = listen({
         let (models, id) = (models.clone(), id.to_owned());
@@ -379,7 +379,7 @@
     server.unblock();
 }
 
-/// A client of HTTP that waits for its answer, for users and workers.
+/// A blocking HTTP client for users and workers.
 pub struct HttpClient(ureq::Agent);
 
 impl HttpClient {
@@ -391,7 +391,7 @@
         HttpClient(config.into())
     }
 
-    /// Status and body, or nothing if no answer came.
+    /// Returns status and body, or `None` if no response came.
     pub fn call(&self, method: &str, to: SocketAddrV4, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let url = format!("http://{to}{path}");
         let answer = match method {
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -1,22 +1,22 @@
-//! Scenarios drawn by seed, or alike but for their timings, as tests play them.
+//! Runs scenarios that are generated from seeds or that differ only in their timings.
 
 use crate::{run, run_cases};
 
-/// Failing seeds that are printed as the scenarios that they are; the others by number alone.
+/// Failing scenarios that are printed in full; the others are only counted.
 const MAX_PRINTED_FAILURES: usize = 30;
 
-/// What became of some seeds.
+/// The outcome of a range of seeds.
 pub struct SeedResults {
-    /// All that were played.
+    /// All seeds that were run.
     pub played: std::ops::Range<u64>,
     pub failed: Vec<u64>,
 }
 
-/// Plays so many seeds where nothing else is said, or as many as the environment's `NAME_SEEDS` says, from
-/// `NAME_FROM` on. Prints each that fails.
+/// Runs `usual` seeds, or the number in the environment variable `NAME_SEEDS`, starting at
+/// `NAME_FROM`. Prints each failing scenario.
 ///
 /// # Panics
-/// Where one of these is no number.
+/// If one of these variables is not a number.
 pub fn run_seeds(
     name: &str,
     usual: u64,
@@ -43,13 +43,14 @@
     }
 }
 
-/// Times from one on, so far apart, up to another.
+/// Returns the times from `from` up to `to` at a fixed interval.
 pub fn time_steps(from: f64, to: f64, every: f64) -> impl Iterator<Item = f64> {
     let count = ((to - from) / every).round() as u32;
     (0..count).map(move |step| from + f64::from(step) * every)
 }
 
-/// Plays scenarios of one kind, and prints how many failed and the first of them; returns how many.
+/// Runs variants of a scenario and prints how many failed and the first of them; returns the number
+/// of failures.
 pub fn run_variants(kind: &str, ways: &[String]) -> usize {
     let failed = run_cases(ways.len(), |at| run(&ways[at]));
     println!("{kind}: {} ways, {} failed", ways.len(), failed.len());
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service, by its published protocol.
+//! A model of the state service that follows its published protocol.
 
 use indigopath_controller::protocol::{
     Change, LeaseRequest, LeaseResponse, StoredItem, StoredPage, Transaction, WatchEvent, WatchResponse,
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that the service keeps for watches.
+/// Number of changes that the service retains for watches.
 const WATCH_HISTORY_SIZE: usize = 10_000;
 
 #[derive(Default)]
@@ -18,19 +18,19 @@
     history: VecDeque<(u64, WatchEvent)>,
     pub outage: bool,
     outage_started_at: Option<u64>,
-    /// Transactions that met a condition on the leader's key that no longer held.
+    /// Transactions that failed because a condition on the leader's key no longer held.
     pub fenced_transactions: u32,
-    /// Puts and deletes so far.
+    /// Puts and deletes executed so far.
     pub applied_changes: u64,
-    /// Requests and changes a second that it takes, where a scenario sets them.
+    /// Limits on requests and changes per second, where a scenario sets them.
     pub rate_limits: Option<(f64, f64)>,
-    /// What of them is left, and as of when.
+    /// Remaining requests and changes, and the time of the last update.
     remaining_quota: (f64, f64, u64),
-    /// Changes up to here are told no longer, whatever their number.
+    /// Changes up to this revision are no longer available to watches, however few there are.
     compacted_revision: u64,
 }
 
-/// An answer, or a watch that goes on waiting.
+/// A response, or a watch that keeps waiting.
 pub enum Reply {
     Immediate(u16, Value),
     LongPoll { prefix: String, after: u64, until: u64 },
@@ -44,7 +44,7 @@
 
     pub fn end_outage(&mut self, now: u64) {
         self.outage = false;
-        // Every lease has its full time again.
+        // Every lease starts its full time again.
         for (ttl, expires) in self.leases.values_mut() {
             *expires = now + *ttl;
         }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Puts a value there, as some other build would have.
+    /// Stores a value as another version of the software would have.
     pub fn put_externally(&mut self, key: &str, value: Value) {
         let body = json!({ "If": [], "Then": [{ "Put": key, "V": value }] });
         self.handle("POST", "/multi", body.to_string().as_bytes(), 0);
@@ -108,7 +108,7 @@
         self.keys.get(key).map(|(value, _, _)| value)
     }
 
-    /// Values of all keys with this prefix.
+    /// The values of all keys with this prefix.
     pub fn values_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Value> {
         let keys = self.keys.iter().filter(move |(key, _)| key.starts_with(prefix));
         keys.map(|(_, (value, _, _))| value)
@@ -118,9 +118,9 @@
         self.keys.keys().filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// What a watch would be told now, if anything.
+    /// The response to a watch now, if there are changes.
     pub fn watch_response(&self, prefix: &str, after: u64) -> Option<Value> {
-        // In the order of their revisions: most watches look at none of the 10,000.
+        // The history is ordered by revision, so most watches read none of its 10,000 changes.
         let since = self.history.partition_point(|(revision, _)| *revision <= after);
         let events: Vec<WatchEvent> = self
             .history
@@ -147,7 +147,7 @@
         json!({ "Ledger": self.revision, "News": [] })
     }
 
-    /// Whether a request is within the limits; bursts of one second are.
+    /// Whether a request is within the rate limits; bursts of one second are allowed.
     pub fn admits_request(&mut self, path: &str, body: &[u8], now: u64) -> bool {
         let Some((requests, changes)) = self.rate_limits else {
             return true;
@@ -167,13 +167,13 @@
         admits
     }
 
-    /// Records under a prefix, with their versions.
+    /// The records under a prefix with their versions.
     pub fn records<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value, u64)> {
         let keys = self.keys.iter().filter(move |(key, _)| key.starts_with(prefix));
         keys.map(|(key, (value, version, _))| (key.as_str(), value, *version))
     }
 
-    /// Somebody outside changes a record, or takes it away.
+    /// Changes or deletes a record, as a client other than the controllers would.
     pub fn modify_externally(&mut self, key: &str, value: Option<Value>) {
         self.revision += 1;
         match value {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Forgets all changes until now, as after 10,000 others.
+    /// Discards the history, as after 10,000 more changes.
     pub fn compact_history(&mut self) {
         self.history.clear();
         self.compacted_revision = self.revision;
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker, by its published protocol: agent epochs, leases, tokens,
-//! images, gangs.
+//! A model of a worker that follows its published protocol: agent epochs, leases, tokens, image
+//! fetches and gangs.
 
 use crate::simulation::ObservedJob;
 use indigopath_controller::protocol::{
@@ -11,15 +11,15 @@
 
 pub const GANG_PEER_MS: u64 = 5_000;
 
-/// What the platform's settings say of workers, in ms.
+/// Time limits of workers from the platform's settings, in ms.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTimings {
     pub heartbeat_interval_ms: u64,
     pub lease_ms: u64,
     pub gang_wait_ms: u64,
-    /// Shortest time between two reports.
+    /// Shortest time between two heartbeats.
     pub min_heartbeat_gap_ms: u64,
-    /// Wait before the next node is tried.
+    /// Delay before the next node is tried.
     pub retry_ms: u64,
 }
 
@@ -45,13 +45,14 @@
     pub checkpoint_saved: bool,
     pub state_since: u64,
     pub base_progress_s: f64,
-    /// When it will have saved, and when its gang was told to stop.
+    /// When its checkpoint will be saved.
     pub save_complete_at: Option<u64>,
     pub gang_exit_at: Option<u64>,
 }
 
 impl Task {
-    /// On its machine by the rules' reckoning: from having its image until it exits.
+    /// Whether the task counts as being on its machine: from the end of its image fetch until it
+    /// exits.
     pub fn is_on_machine(&self) -> bool {
         !matches!(self.state, TaskState::Exited | TaskState::Fetching)
     }
@@ -63,7 +64,7 @@
 
 pub struct Worker {
     pub id: String,
-    /// Where direct commands reach it.
+    /// Address for direct commands.
     pub addr: String,
     pub timings: WorkerTimings,
     pub machine_type: String,
@@ -73,31 +74,31 @@
     pub seq: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
-    /// Images that it holds, with their size in GB, the latest used last.
+    /// Cached images with their size in GB, the most recently used last.
     cached_images: Vec<(String, f64)>,
-    /// How much of them it holds at most, in GB.
+    /// Capacity of the image cache, in GB.
     pub cache_gb: f64,
-    /// Images on their way, with what is left of each, in ms of a fetch alone.
+    /// Images being fetched, with the remaining time of each at full bandwidth, in ms.
     fetch_remaining_ms: BTreeMap<String, f64>,
-    /// Fetches at one time share the machine's rate.
+    /// Concurrent fetches share the machine's bandwidth.
     pub fetches_share_rate: bool,
-    /// Fetches begun since somebody last counted.
+    /// Fetches started since the counter was last reset.
     pub fetches_started: u32,
     last_step_at: u64,
     pub node: usize,
     pub heartbeat_in_flight: Option<(u64, u64)>,
-    /// When a higher token last counted as a change.
+    /// When a higher token last triggered a heartbeat.
     token_reported_at: Option<u64>,
     pub next_heartbeat_at: u64,
     pub last_heartbeat_at: u64,
-    /// Sending time of the last answered report, or the agent epoch's beginning.
+    /// When the last answered heartbeat was sent, or the agent epoch began.
     pub lease_renewed_at: u64,
     pub hung_until: u64,
     pub reclaim_at: Option<u64>,
     pub faulty: bool,
-    /// Until then it refuses whatever is to start, as if it were full.
+    /// Until then it refuses every start, as if it were full.
     pub refuses_starts_until: u64,
-    /// Replicas that ran and were told to stop, by job, since this was last emptied.
+    /// Jobs of running replicas that were told to stop, since this was last cleared.
     pub stopped_replicas: Vec<String>,
     heartbeats_sent: u64,
 }
@@ -163,7 +164,7 @@
         serde_json::to_vec(&report).unwrap()
     }
 
-    /// The next report, if one is due: its number and body.
+    /// The next heartbeat, if one is due: its number and body.
     pub fn due_heartbeat(&mut self, now: u64) -> Option<(u64, Vec<u8>)> {
         if self.heartbeat_in_flight.is_some() || now < self.next_heartbeat_at || now < self.hung_until {
             return None;
@@ -181,7 +182,7 @@
             .min((self.last_heartbeat_at + self.timings.min_heartbeat_gap_ms).max(now));
     }
 
-    /// Within half a lease a higher token counts as a change at most once.
+    /// Takes over a higher token; it triggers a heartbeat at most once in half a lease.
     fn observe_token(&mut self, token: u64, now: u64) {
         if token > self.token {
             self.token = token;
@@ -241,7 +242,7 @@
         self.next_heartbeat_at = now + self.timings.retry_ms;
     }
 
-    /// A direct command.
+    /// Handles a request with direct commands.
     pub fn handle_direct_commands(
         &mut self,
         body: &[u8],
@@ -324,7 +325,7 @@
         self.tasks.push(task);
     }
 
-    /// Lets time pass on the machine. Returns tasks that came to be on it.
+    /// Advances the machine to this time. Returns the tasks whose images have arrived.
     pub fn step(&mut self, jobs: &mut BTreeMap<String, ObservedJob>, now: u64) -> Vec<Task> {
         if now < self.hung_until {
             return Vec::new();
@@ -415,8 +416,8 @@
         arrived
     }
 
-    /// Images come nearer, once for all tasks that wait for them; a fetch that nobody waits for
-    /// any more is given up.
+    /// Advances image fetches, each shared by all tasks that wait for the image; a fetch that no
+    /// task waits for any more is abandoned.
     fn advance_fetches(&mut self, jobs: &BTreeMap<String, ObservedJob>, now: u64) {
         let mut wanted: BTreeMap<&str, (f64, u64)> = BTreeMap::new();
         for task in self.tasks.iter().filter(|task| task.state == TaskState::Fetching) {
@@ -456,7 +457,8 @@
     }
 }
 
-/// Notes an image as the latest used, and forgets the oldest beyond the cache.
+/// Marks an image as most recently used and evicts the least recently used ones beyond the cache's
+/// capacity.
 fn cache_image(images: &mut Vec<(String, f64)>, image: &str, gb: f64, cache_gb: f64) {
     images.retain(|(name, _)| name != image);
     images.push((image.to_owned(), gb));
--- a/crates/simulator/src/zones.rs
+++ b/crates/simulator/src/zones.rs
@@ -1,19 +1,19 @@
-//! Zones with all that lies in them: `cut area:west * for=45` cuts a zone's machines and its controllers
-//! off from everything else, and not from each other; state service, cloud and users lie in no zone.
-//! `area:leader` is the leader's own zone, and nothing while nobody leads.
+//! Cuts around whole zones: `cut area:west * for=45` separates a zone's machines and controllers
+//! from everything else, but not from each other. The state service, the cloud and users are in no
+//! zone. `area:leader` is the leader's zone, and empty while there is no leader.
 
 use crate::simulation::Simulation;
 
-/// Zones of the controllers, as the settings name them.
+/// Zone of each controller, as in the settings.
 const NODE_ZONES: [&str; 3] = ["east", "west", "east"];
 
-/// The area in which this controller is; of none, an area in which nothing is.
+/// The area of this controller; without one, an empty area.
 pub(crate) fn area_of_node(index: Option<usize>) -> String {
     format!("area:{}", index.map_or("", |index| NODE_ZONES[index]))
 }
 
 impl Simulation {
-    /// Whether what one host sends another leaves an area or enters it.
+    /// Whether a message between two hosts crosses the boundary of an area.
     pub(crate) fn crosses_area(&self, area: &str, from: &str, to: &str) -> bool {
         let Some(zone) = area.strip_prefix("area:") else {
             return false;
