--- a/crates/simulator/src/scenario/actions/controllers.rs
+++ b/crates/simulator/src/scenario/actions/controllers.rs
@@ -1,25 +1,25 @@
-//! What befalls controllers: they end, freeze, stall, find other settings, and their clocks are off.
+//! Actions on controllers: crashes, freezes, stalls, changed settings and clock skew.
 
 use super::super::script::{define_count, define_protection_window, number};
 use super::{Action, nodes_named};
 use crate::simulation::{CrashOn, ElectionCall, NODE_RESTART_MS, NODES, Simulation};
 
-/// False where the verb is about no controller.
+/// Returns false if the verb does not concern controllers.
 pub(super) fn act(simulation: &mut Simulation, action: &Action) -> Result<bool, String> {
     match action.verb()? {
-        // Whoever sends the so manieth call about clusters ends with it, before or after it is carried
-        // out.
+        // The sender of the n-th call about clusters crashes with it, before or after it is
+        // executed.
         "end-at" => {
             let calls = number(action.arg(1)?)? as u32;
             simulation.crash_at_cluster_call = Some((calls, action.arg(2)? == "after"));
         }
-        // Whoever makes such a call next ends with it.
+        // The next sender of such a call crashes with it.
         "end-on" => simulation.crashes_on_call.push_back(CrashOn {
             call: election_call(action.arg(1)?)?,
             executed: action.arg(2)? == "after",
             restart_ms: action.for_ms.unwrap_or(NODE_RESTART_MS),
         }),
-        // Whoever sends the so manieth write of an end, or of the accounts, ends with it.
+        // The sender of the n-th write of an ended job, or of the accounting, crashes with it.
         "end-books" => crash_on_write(simulation, "\"b/~\"", action)?,
         "end-ends" => crash_on_write(simulation, "\"Put\":\"e/", action)?,
         "crash" => {
@@ -32,18 +32,18 @@
                 simulation.nodes[node].frozen_until = simulation.now + action.duration_ms()?;
             }
         }
-        // It decides, and what it sends goes out only when it goes on.
+        // The node goes on deciding, but its messages go out only after the stall.
         "stall" => {
             for node in nodes_named(simulation, action.arg(1)?)? {
                 simulation.nodes[node].stalled_until = simulation.now + action.duration_ms()?;
             }
         }
-        // Operators change a count: nodes find it when they start.
+        // Operators change a counted resource: nodes read it when they start.
         "redefine" => {
             define_count(&mut simulation.operator, action.rest())?;
             simulation.record_redefined_counts();
         }
-        // Nodes that start from now on find a shift so.
+        // Nodes that start from now on read this protection window.
         "reshift" => define_protection_window(&mut simulation.operator, action.rest())?,
         "clock" => set_clock_offset(simulation, action)?,
         _ => return Ok(false),
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// The clocks of these nodes are off by so many s.
+/// Sets the clock offset of these nodes.
 fn set_clock_offset(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let off_ms = (number(action.arg(2)?)? * 1000.0) as i64;
     let nodes = match action.arg(1)? {
--- a/crates/simulator/src/scenario/actions/machines.rs
+++ b/crates/simulator/src/scenario/actions/machines.rs
@@ -1,11 +1,11 @@
-//! What befalls machines, and what the cloud has of them.
+//! Actions on machines and on the cloud's capacity.
 
 use super::super::script::number;
 use super::{Action, machine_named};
 use crate::simulation::Simulation;
 use crate::worker::Worker;
 
-/// False where the verb is about no machine.
+/// Returns false if the verb does not concern machines.
 pub(super) fn act(simulation: &mut Simulation, action: &Action) -> Result<bool, String> {
     match action.verb()? {
         "die" => {
@@ -18,7 +18,7 @@
             let until = simulation.now + action.duration_ms()?;
             worker(simulation, action)?.hung_until = until;
         }
-        // It refuses starts as if it were full.
+        // The machine refuses starts as if it were full.
         "full" => {
             let until = simulation.now + action.duration_ms()?;
             worker(simulation, action)?.refuses_starts_until = until;
@@ -37,7 +37,7 @@
             let (least_s, most_s) = (number(action.arg(1)?)?, number(action.arg(2)?)?);
             simulation.cloud.boot_range_s = Some((least_s, most_s));
         }
-        // Most machines that the cloud has, those that are up among them.
+        // Limit on the cloud's machines, including those that are up.
         "capacity" => simulation.cloud.max_machines = Some(number(action.arg(1)?)? as usize),
         "duds" => simulation.cloud.failing_launches = number(action.arg(1)?)? as u32,
         "stranger" => {
@@ -46,7 +46,7 @@
                 .cloud
                 .launch(action.arg(1)?, action.arg(2)?, false, now);
         }
-        // A type that the cloud sells in this zone alone.
+        // A machine type becomes available in this zone only.
         "sells" => {
             let (name, zone) = (action.arg(1)?, action.arg(2)?.to_owned());
             let mut types = simulation.cloud.types.iter_mut();
@@ -63,7 +63,7 @@
     simulation.workers.get_mut(&id).ok_or("no machine".to_owned())
 }
 
-/// It still appears as running; nothing on it runs.
+/// Kills a machine that the cloud still lists as running.
 fn die(simulation: &mut Simulation, id: &str) {
     simulation.workers.remove(id);
     if let Some(machine) = simulation.cloud.machines.get_mut(id) {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Every so manieth machine of a zone dies: `die-in west part=3`.
+/// Kills every n-th machine of a zone: `die-in west part=3`.
 fn die_in_zone(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let zone = action.arg(1)?;
     let part = action.number_or("part", 1.0)? as usize;
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// The task's process dies; its machine is sound.
+/// Kills a task's process; its machine stays healthy.
 fn kill(simulation: &mut Simulation, task: &str) -> Result<(), String> {
     let task = task.trim_start_matches("of:").trim_end_matches('?');
     let id = simulation.machine_of(task).ok_or("it is nowhere")?;
--- a/crates/simulator/src/scenario/actions/mod.rs
+++ b/crates/simulator/src/scenario/actions/mod.rs
@@ -1,4 +1,4 @@
-//! What happens in a scenario, verb by verb.
+//! The actions of a scenario, by verb.
 
 mod controllers;
 mod machines;
@@ -13,11 +13,11 @@
 
 /// One action: a verb with plain words and `key=value` ones.
 pub(super) struct Action<'a> {
-    /// All of it, as written.
+    /// The whole text.
     text: &'a str,
     plain: Vec<&'a str>,
     keyed: BTreeMap<&'a str, &'a str>,
-    /// For how long, in ms, where it says so.
+    /// Duration in ms, if given.
     for_ms: Option<u64>,
 }
 
@@ -46,27 +46,28 @@
         self.plain.contains(&word)
     }
 
-    /// The number of a key, or another one where it is not given.
+    /// The number of a key, or a default.
     fn number_or(&self, key: &str, otherwise: f64) -> Result<f64, String> {
         self.keyed.get(key).map_or(Ok(otherwise), |value| number(value))
     }
 
-    /// Seconds of a key in ms.
+    /// The value of a key in seconds, or a default, converted to ms.
     fn millis_or(&self, key: &str, otherwise_s: f64) -> Result<u64, String> {
         Ok((self.number_or(key, otherwise_s)? * 1000.0) as u64)
     }
 
-    /// For how long, in ms: whoever needs it fails without.
+    /// Duration in ms; an error if it is missing.
     fn duration_ms(&self) -> Result<u64, String> {
         self.for_ms.ok_or("for how long".to_owned())
     }
 
-    /// Everything behind the verb.
+    /// Everything after the verb.
     fn rest(&self) -> &'a str {
         self.text.split_once(' ').map_or("", |(_, rest)| rest)
     }
 
-    /// It names the machine of a task that may be nowhere (`of:wk-1/0?`), and it is.
+    /// Whether the action names the machine of a task that may have none (`of:wk-1/0?`), and it has
+    /// none.
     fn targets_missing_task(&self, simulation: &Simulation) -> bool {
         let optional = |name: &&&str| name.ends_with('?') && name.starts_with("of:");
         let machine = self.plain.iter().find(optional);
@@ -74,10 +75,10 @@
     }
 }
 
-/// Carries an action out.
+/// Executes an action.
 ///
 /// # Errors
-/// The action cannot be read, or there is nothing that it could be done to.
+/// The action cannot be parsed, or its target does not exist.
 pub(super) fn act(
     simulation: &mut Simulation,
     agenda: &mut Agenda,
@@ -100,11 +101,11 @@
     }
 }
 
-/// Positions of the controllers that a word names.
+/// Indexes of the controllers that a word names.
 fn nodes_named(simulation: &Simulation, name: &str) -> Result<Vec<usize>, String> {
     match name {
         "all" => Ok((0..NODES).collect()),
-        // Nobody, while nobody leads.
+        // Empty while there is no leader.
         "leader?" => Ok(simulation.leader().into_iter().collect()),
         "leader" => simulation
             .leader()
@@ -123,7 +124,7 @@
     }
 }
 
-/// The end of a connection that a word names: a controller, a machine, a zone or a system.
+/// The endpoint that a word names: a controller, a machine, a zone or a system.
 fn host_named(simulation: &Simulation, name: &str) -> Result<String, String> {
     match name {
         "area:leader" | "area:leader?" => Ok(zones::area_of_node(simulation.leader())),
--- a/crates/simulator/src/scenario/actions/network.rs
+++ b/crates/simulator/src/scenario/actions/network.rs
@@ -1,10 +1,11 @@
-//! What befalls messages and the systems that they go to: cuts, outages, late and doubled messages.
+//! Actions on messages and on the systems that receive them: cuts, outages, late and duplicate
+//! messages.
 
 use super::super::script::{Agenda, number};
 use super::{Action, host_named, machine_named, nodes_named};
 use crate::simulation::{DuplicateDelivery, Fault, MessageFault, NetworkCut, Simulation};
 
-/// False where the verb is about no message.
+/// Returns false if the verb does not concern messages.
 pub(super) fn act(simulation: &mut Simulation, agenda: &mut Agenda, action: &Action) -> Result<bool, String> {
     match action.verb()? {
         "cut-off" => cut_off(simulation, action)?,
@@ -33,7 +34,7 @@
                 .message_faults
                 .push(MessageFault::LoseResponse { path });
         }
-        // What is delivered and answered from now on is delivered once more.
+        // Messages delivered and answered from now on are delivered a second time.
         "copies" => {
             let later = action.keyed.get("later").ok_or("how much later")?;
             simulation.duplicate_deliveries.push(DuplicateDelivery {
@@ -62,7 +63,7 @@
     Ok(())
 }
 
-/// A fault that lasts, and strikes a share of all messages or machines of its kind.
+/// Starts a lasting fault that affects a share of all messages or machines of its kind.
 fn begin_fault(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let until = simulation.now + action.duration_ms()?;
     let share = action.number_or("share", 0.0)?;
--- a/crates/simulator/src/scenario/actions/store.rs
+++ b/crates/simulator/src/scenario/actions/store.rs
@@ -1,14 +1,14 @@
-//! What others do to the key-value store and to licence servers.
+//! Actions of other clients on the key-value store and on licence servers.
 
 use super::super::script::number;
 use super::Action;
 use crate::simulation::Simulation;
 
-/// False where the verb is about neither.
+/// Returns false if the verb concerns neither.
 pub(super) fn act(simulation: &mut Simulation, action: &Action) -> Result<bool, String> {
     match action.verb()? {
-        // Somebody outside changes a record; from then on accounts are held against the others at the
-        // end only.
+        // Another client changes a record; from then on the accounting is compared with the other
+        // records only at the end.
         "meddle" => {
             let key = action.arg(1)?;
             simulation.accounting_check.modified_externally |= key.starts_with("b/");
@@ -20,13 +20,13 @@
             simulation.accounting_check.modified_externally = true;
             simulation.state.compact_history();
         }
-        // A value, as some other build would have left it.
+        // A value as another version of the software would have stored it.
         "store" => {
             let text = action.text.splitn(3, ' ').nth(2).ok_or("no value")?;
             let value = serde_json::from_str(text).map_err(|error| error.to_string())?;
             simulation.state.put_externally(action.arg(1)?, value);
         }
-        // Users outside hold so many seats.
+        // External users hold this many units.
         "others" => {
             let seats = number(action.arg(2)?)? as u32;
             simulation.licences.set_external_units(action.arg(1)?, seats);
--- a/crates/simulator/src/scenario/actions/users.rs
+++ b/crates/simulator/src/scenario/actions/users.rs
@@ -1,4 +1,4 @@
-//! What users do: they submit, ask, cancel, repeat themselves, and send what can never run.
+//! Actions of users: submissions, polls, cancellations, repeated and invalid requests.
 
 use super::super::script::{body, number};
 use super::{Action, nodes_named};
@@ -8,7 +8,7 @@
 use indigopath_condor::Bundle;
 use std::collections::BTreeMap;
 
-/// False where the verb is none of a user's.
+/// Returns false if the verb is no action of a user.
 pub(super) fn act(
     simulation: &mut Simulation,
     files: &BTreeMap<String, String>,
@@ -17,7 +17,7 @@
     match action.verb()? {
         "submit" => submit(simulation, action)?,
         "condor" => send_file(simulation, files, action)?,
-        // Its submitter never comes back.
+        // Its submitter never retries.
         "abandon" => {
             let sent = simulation.submitted_files.get_mut(action.arg(1)?);
             sent.ok_or("no such file")?.next_attempt_at = u64::MAX;
@@ -38,13 +38,13 @@
             simulation.streams.push(stream);
         }
         "flood" => flood(simulation, action)?,
-        // The same id for another team, at a node of its own, whichever comes first.
+        // The same id for another team at a certain node, whichever submission comes first.
         "rival" => {
             let (body, _) = body(action.arg(1)?, &action.keyed)?;
             let node = action.number_or("node", 0.0)? as usize % NODES;
             simulation.send_user_request(node, "", UserRequest::submission(&body, 0));
         }
-        // A submission again, with another body: its job's state, never a refusal.
+        // A repeated submission with another body: answered with the job's state, never rejected.
         "resubmit" => {
             let (body, _) = body(action.arg(1)?, &action.keyed)?;
             send_to_nodes(simulation, "", "all", &UserRequest::submission(&body, 200))?;
@@ -53,7 +53,7 @@
         "offer" => simulation.submit_expecting_status(&action.plain, &action.keyed)?,
         "odd-requests" => simulation.begin_unusual_requests(action.duration_ms()?),
         "cancel-now" => cancel_now(simulation, action)?,
-        // What was wrong with the job is mended.
+        // The job's error is fixed.
         "fix" => {
             let job = simulation.jobs.get_mut(action.arg(1)?);
             job.ok_or("no such job")?.always_fails = false;
@@ -63,8 +63,8 @@
     Ok(true)
 }
 
-/// With `count=`, that many alike, numbered from the name's own number, ten a second or one `every=` so
-/// many seconds.
+/// Submits a job; with `count=` that many equal ones, numbered upwards from the given id, ten per
+/// second or one every `every=` seconds.
 fn submit(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let id = action.arg(1)?;
     let every_ms = action.millis_or("every", 0.1)?;
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// A submit file, under a key of its own or another's.
+/// Sends a submit file, under its own submission key or that of another file.
 fn send_file(
     simulation: &mut Simulation,
     files: &BTreeMap<String, String>,
@@ -103,7 +103,7 @@
         ..Bundle::default()
     };
     let mut nodes: Vec<usize> = (0..NODES).collect();
-    // The first turn moves on by one.
+    // The first attempt rotates the nodes by one.
     nodes.rotate_left((first + NODES - 1) % NODES);
     let sending = SubmittedFile {
         body: serde_json::to_vec(&bundle).map_err(|error| error.to_string())?,
@@ -126,7 +126,7 @@
     }
 }
 
-/// A request at each of these nodes, at once.
+/// Sends a request to each of these nodes at once.
 fn send_to_nodes(
     simulation: &mut Simulation,
     job: &str,
@@ -150,7 +150,7 @@
     response_checks::act(simulation, plain, &nodes, cancels, action.for_ms)
 }
 
-/// Submissions of one team, so many a second, whose users neither come again nor ask.
+/// Submits jobs of one team at a fixed rate; their users neither retry nor poll.
 fn flood(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let rate = action.number_or("rate", 500.0)?;
     let first = action.arg(1)?.trim_start_matches("wk-");
@@ -167,7 +167,7 @@
     Ok(())
 }
 
-/// A request at every node whose answer's status must be this.
+/// Sends a request to every node whose response must have this status.
 fn probe(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let body = action.keyed.get("body").copied().unwrap_or("");
     let kind = UserRequest::Probe {
@@ -182,7 +182,7 @@
 fn cancel_now(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let count = number(action.keyed.get("count").ok_or("how many")?)? as usize;
     let called_off = simulation.cancel_long_running(count.max(1), action.millis_or("hang", 0.0)?);
-    // With `?`, nothing happens while nothing has long to go.
+    // With `?`, it is no error if no running job has a long remaining run time.
     if action.has("?") {
         Ok(())
     } else {
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -1,4 +1,4 @@
-//! Judges a scenario that was played to its end.
+//! Evaluates the expectations of a scenario that has run to its end.
 
 use super::script::{Expectations, number};
 use crate::response_checks;
@@ -7,10 +7,10 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Part of what a class or a team asks for under which a day fails.
+/// Minimum share of its requested tasks that a class or a team must be served.
 const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// Whether a scenario that was played to its end went as it must.
+/// Checks whether a scenario that has run to its end met its expectations.
 pub(super) fn evaluate(simulation: &mut Simulation, judged: Expectations) -> Result<(), String> {
     let Expectations {
         conditions: expects,
@@ -21,7 +21,7 @@
     if (simulation.crash_at_cluster_call.is_some() || !simulation.crashes_on_call.is_empty())
         && problems.is_empty()
     {
-        // The call that was to be the last was never made.
+        // The call that was to crash its sender was never made.
         return Err("no end".to_owned());
     }
     if !simulation.jobs.is_empty()
@@ -62,7 +62,8 @@
     }
 }
 
-/// What is wrong with the largest jobs, but for these exceptions; and exceptions that are none.
+/// Returns the problems of the largest jobs without an exception, and the exceptions that do not
+/// apply.
 fn check_largest(simulation: &Simulation, exceptions: &[String]) -> Vec<String> {
     let mut found: BTreeMap<String, String> = BTreeMap::new();
     for (class, jobs) in simulation.largest_jobs() {
@@ -121,20 +122,20 @@
     }
 }
 
-/// Calls, messages and fetches. False where these words are of something else.
+/// Checks calls, messages and fetches. Returns false if the words concern something else.
 fn check_calls(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
-        // Calls to the cloud that were dropped as their permits had run out.
+        // Calls to the cloud that were dropped because their permits had expired.
         ["late", "permits", sign, want] => compare(f64::from(simulation.expired_permits), sign, want),
-        // Messages that were delivered once more.
+        // Messages that were delivered twice.
         ["copies", sign, want] => compare(f64::from(simulation.duplicates_delivered), sign, want),
-        // Messages that faults befell.
+        // Messages that faults affected.
         ["troubled", sign, want] => compare(f64::from(simulation.affected_messages), sign, want),
-        // Acts of replaced leaders at the cloud of which no record told.
+        // Cloud operations of replaced leaders that no record mentions.
         ["unknown", "acts", sign, want] => compare(f64::from(simulation.unrecorded_operations), sign, want),
-        // Fetches that machines began.
+        // Image fetches that machines started.
         ["fetches", "begun", sign, want] => compare(f64::from(simulation.fetches_started), sign, want),
-        // Tasks that waited for their image.
+        // Tasks that waited for an image fetch.
         ["fetches", sign, want] => compare(f64::from(simulation.tasks_awaiting_fetch), sign, want),
         // The most calls of a kind (changes, requests, cloud, workers) in any second.
         ["most", kind, sign, want] => compare(
@@ -146,7 +147,7 @@
             let total = simulation.call_statistics.total.get(*kind).copied().unwrap_or(0);
             compare(total as f64, sign, want)
         }
-        // How often somebody began to lead.
+        // Number of leader terms that began.
         ["terms", sign, want] => compare(f64::from(simulation.fault_combinations.terms), sign, want),
         ["machines", sign, want] => compare(simulation.workers.len() as f64, sign, want),
         ["rented", sign, want] => compare(f64::from(simulation.cloud.launched_total), sign, want),
@@ -160,7 +161,7 @@
                 .count();
             compare(leaders as f64, sign, want)
         }
-        // The longest time, in s, in which nobody led.
+        // The longest time without a leader, in s.
         ["leaderless", sign, want] => compare(simulation.longest_leaderless_ms as f64 / 1000.0, sign, want),
         ["leader", "key"] => simulation
             .state
@@ -172,10 +173,10 @@
     outcome.map(|()| true)
 }
 
-/// Submit files and submissions. False where these words are of something else.
+/// Checks submit files and submissions. Returns false if the words concern something else.
 fn check_submissions(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
-        // Answers to submissions with this status.
+        // Responses to submissions with this status.
         ["submissions", status, sign, want] => {
             let told = simulation
                 .admission_checks
@@ -183,7 +184,7 @@
                 .get(&(number(status)? as u16));
             compare(told.copied().unwrap_or(0).into(), sign, want)
         }
-        // The status of a submit file's answer.
+        // The status of the response to a submit file.
         ["sent", name, sign, want] => {
             let sent = simulation.submitted_files.get(*name).ok_or("no such file")?;
             let status = sent.response.as_ref().map_or(0, |(status, _)| *status);
@@ -204,7 +205,7 @@
         }
         ["clusters", sign, want] => compare(simulation.state.count("c/") as f64, sign, want),
         ["open", "clusters", sign, want] => compare(simulation.state.count("j/~") as f64, sign, want),
-        // Of a cluster: its live jobs, its tasks that are done, run now, or were started.
+        // Of a cluster: its live jobs, or its tasks that are done, running, or were started.
         ["cluster", cluster, what, sign, want] => {
             let cluster = number(cluster)? as u64;
             let jobs = simulation
@@ -227,7 +228,7 @@
             };
             compare(have as f64, sign, want)
         }
-        // Of a team's submissions, those that were accepted within so many seconds.
+        // The share of a team's submissions that were accepted within this many seconds.
         ["prompt", team, within, sign, want] => {
             let within_ms = (number(within)? * 1000.0) as u64;
             let asked = simulation
@@ -254,10 +255,11 @@
     outcome.map(|()| true)
 }
 
-/// Counted resources, accounting, windows, shares and warnings. False where these words are of something else.
+/// Checks counted resources, accounting, protection windows, served shares and warnings. Returns
+/// false if the words concern something else.
 fn check_service(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
-        // Seats that tasks have, or had at most, dead ones included.
+        // Units that tasks hold now, or held at most, including dead tasks.
         ["seats", count, sign, want] | ["most-seats", count, sign, want] => {
             let feature = simulation.licences.features.get(*count).ok_or("no such count")?;
             let seats = if words[0] == "seats" {
@@ -267,8 +269,8 @@
             };
             compare(f64::from(seats), sign, want)
         }
-        // Jobs in a team's book, as its records say; ends of which no record says the owner; and
-        // the books' keys.
+        // Ended jobs in a team's accounting according to its records; ended jobs without an owner in
+        // any record; and the accounting's keys.
         ["book", "unowned", sign, want] => compare(
             simulation.accounting_check.totals(&simulation.state)?.1 as f64,
             sign,
@@ -279,7 +281,7 @@
             let (totals, _) = simulation.accounting_check.totals(&simulation.state)?;
             compare(totals.get(*team).copied().unwrap_or(0) as f64, sign, want)
         }
-        // Of what a class or team asked for, what it had: `served class=batch >= 0.6`.
+        // The served share of what a class or team requested: `served class=batch >= 0.6`.
         ["served", whose, sign, want] => {
             let shares = simulation.served_shares();
             let (served, asked) = shares.get(*whose).ok_or("nothing was asked for")?;
@@ -300,7 +302,7 @@
             sign,
             want,
         ),
-        // Warnings to operators that speak of something, such as `class=batch`.
+        // Warnings to operators that contain a text, such as `class=batch`.
         ["warnings", of, sign, want] => {
             let told: Vec<&String> = simulation
                 .warnings
@@ -309,9 +311,9 @@
                 .collect();
             compare(told.len() as f64, sign, want).map_err(|problem| format!("{problem}: {told:#?}"))
         }
-        // Of the time in which protected replicas were wanted, the part in which they were up.
+        // The share of the time in which protected replicas were wanted that they were up.
         ["protected", sign, want] => compare(simulation.window_checks.protected_availability(), sign, want),
-        // How often windows were opened or closed, as the log of all leaders has it.
+        // How often windows were opened or closed according to the records.
         ["edges", sign, want] => compare(simulation.window_checks.transition_count(), sign, want),
         ["value", key, "says", words @ ..] => {
             let text = simulation
@@ -329,7 +331,7 @@
     outcome.map(|()| true)
 }
 
-/// Jobs. False where these words are of something else.
+/// Checks jobs. Returns false if the words concern something else.
 fn check_jobs(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
         ["all", "done"] => match simulation
@@ -341,7 +343,7 @@
             0 => Ok(()),
             left => Err(format!("{left} are not")),
         },
-        // Jobs of a class whose users were told within so many seconds that they are done.
+        // Jobs of a class whose users were told within this many seconds that they are done.
         ["in-time", class, within, sign, want] => {
             let within_ms = (number(within)? * 1000.0) as u64;
             let done = simulation.jobs.values().filter(|job| job.class == *class);
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -1,68 +1,75 @@
-//! Reads and plays a scenario. A line is `at SECONDS VERB …`, `expect …` (checked
-//! at the end), `teams GPUS` (what each may use, for a large fleet) or `until
-//! SECONDS`; `#` starts a comment. `count NAME units=4 linger=20 red=2 server` defines a
-//! count, with a team's share, and perhaps a licence server that the leader asks.
+//! Parses and runs scenarios. A line is `at SECONDS VERB …`, `expect …` (checked at the end), `teams
+//! GPUS` (the GPU limit of each team, for a large fleet) or `until SECONDS`; `#` starts a comment.
+//! `count NAME units=4 linger=20 red=2 server` defines a counted resource, with a team's share and
+//! optionally a licence server that the leader polls.
 //!
-//! Every class and team must be served at least half of what it asked for by the end (see
-//! [`Simulation::served`]), or the line `unserved class=batch` says that this one is not: which must
-//! then be so.
+//! Every class and team must be served at least half of what it requested by the end (see
+//! [`Simulation::served_shares`]), or the line `unserved class=batch` declares an exception, which
+//! must then apply.
 //!
-//! Of the largest tenth of each shape and class, half must be served, and each must begin within four
-//! minutes of its acceptance, or `largest unserved sweep/batch because …` and `largest late gang/batch
-//! because …` say otherwise: which must be so, too. Users ask about each accepted job every 5 s; once
-//! no fault is left, none may go 75 s without an answer, and there is no exception. After `until` all
-//! faults end, and the world goes on until each job was asked about once more.
+//! Of the largest tenth of each shape and class, half must be served, and each job must start within
+//! four minutes of its acceptance, or `largest unserved sweep/batch because …` and `largest late
+//! gang/batch because …` declare exceptions, which must apply, too. Users poll each accepted job
+//! every 5 s; once no fault is left, no job may go 75 s without a response, without exception. After
+//! `until` all faults end, and the simulation continues until every job was polled once more.
 //!
-//! No job waits for 90 s beside room once no fault is left (see the module `waiting`), or `waits wk-1
-//! because …` says otherwise: which must be so.
+//! No job may wait for 90 s beside free capacity once no fault is left (see the module
+//! `waiting_checks`), or `waits wk-1 because …` declares an exception, which must apply.
 //!
-//! `crash leader for=0.2` ends a process that is back so many seconds later (4 without `for`).
-//! `end-on lease|claim|touch|page before|after for=0.2` ends whoever next makes that call to the state
-//! service, before or after it is carried out: a lease is asked for, the leader's key claimed, the lease
-//! extended, a page of the records read. Several of them happen one after the other, and each must.
+//! `crash leader for=0.2` crashes a process that restarts after this many seconds (4 without `for`).
+//! `end-on lease|claim|touch|page before|after for=0.2` crashes the next node that makes that call
+//! to the state service, before or after it is executed: requesting a lease, claiming the leader's
+//! key, renewing the lease, reading a page of the records. Several of them happen one after the
+//! other, and each must happen.
 //!
-//! Faults that last `for=60` seconds, each with a share of all messages where it says so:
+//! Faults that last `for=60` seconds, each with the share of messages that it affects where it has
+//! one:
 //!
-//! - `late-writes share=0.3 for=60`: transactions get no answer and are carried out 2 to 12 s later,
-//!   after newer ones of the same controller.
-//!   With `at-once` they are carried out at once, and only the answer is lost.
-//! - `late-reports share=0.3 for=60`: a copy of a worker's report arrives at the same node again, 2 s
-//!   to a lease and a half later, whatever the worker's agent epoch and whoever that node then is.
-//! - `deaf MACHINE|share=0.3|zone=east for=60`: nothing reaches these machines, neither answers to
-//!   their reports nor direct commands; their reports arrive. A share is of the machines there are.
-//! - `cut-off NODE for=20`: the node has neither the state service, which refuses it (with `silent`, is
-//!   silent), nor its peers; workers and users reach it.
-//! - `late-reports share=0.3 for=60 for-next after=3`: the copy is kept for the next leader, and arrives
-//!   at every node as that begins, or so many seconds later.
-//! - `mute MACHINE|share=0.3|zone=east for=60`: these machines reach no controller; direct commands reach
-//!   them and are answered.
-//! - `cancel-at-end share=0.5 for=60`: of the jobs that end, that share is called off some ms before or
-//!   after its last task has completed.
-//! - `slow-state times=25 share=0.02 for=60`: calls to the state service are carried out, or answered,
-//!   that many times slower, or up to twice as much.
+//! - `late-writes share=0.3 for=60`: transactions get no response and are executed 2 to 12 s later,
+//!   after newer ones of the same controller. With `at-once` they are executed at once, and only the
+//!   response is lost.
+//! - `late-reports share=0.3 for=60`: a copy of a worker's heartbeat arrives at the same node again,
+//!   2 s to one and a half leases later, whatever the worker's agent epoch and the node's role then
+//!   are.
+//! - `deaf MACHINE|share=0.3|zone=east for=60`: messages to these machines are lost, both responses
+//!   to their heartbeats and direct commands; their heartbeats arrive. A share is of the existing
+//!   machines.
+//! - `cut-off NODE for=20`: the node reaches neither the state service, which refuses it (with
+//!   `silent`, does not respond), nor its peers; workers and users reach it.
+//! - `late-reports share=0.3 for=60 for-next after=3`: the copy is kept for the next leader, and
+//!   arrives at every node when that leader starts, or this many seconds later.
+//! - `mute MACHINE|share=0.3|zone=east for=60`: heartbeats of these machines are lost; direct
+//!   commands reach them and are answered.
+//! - `cancel-at-end share=0.5 for=60`: this share of the jobs that complete is cancelled some ms
+//!   before or after the last task completes.
+//! - `slow-state times=25 share=0.02 for=60`: calls to the state service are executed, or answered,
+//!   this many times slower, or up to twice as much.
 //!
-//! `stream wk-1000 rate=4 for=180 cancel=0.25`: see `stream.rs`.
-//! `odd-requests for=60`: users repeat submissions of unfinished jobs, also with a field gone, cancel jobs
-//! that are done, and send jobs that can never run or lack a field, five a second. Every answer to any
-//! submission is judged: see `accepted.rs`, also for `offer`. `sells small east`: only there.
-//! `cancel-now count=6 hang=20`: users call off so many jobs that run and have long to go, within 0.2 s;
-//! up to eight of their machines hang so long. `boots 0.5 2`: machines rented from now on are up within
-//! that. How many tasks were started after their users were told of the cancellation, how many commands to
-//! start them left after it, and how long after at most, in s, is counted: `expect started-cancelled <= 2`,
-//! `commanded-cancelled`, `commanded-after`. One by a leader that knew breaks a rule.
+//! `stream wk-1000 rate=4 for=180 cancel=0.25`: see `job_stream.rs`.
+//! `odd-requests for=60`: users repeat submissions of unfinished jobs, also with a field missing,
+//! cancel jobs that are done, and submit jobs that can never run or lack a field, five per second.
+//! The response to every submission is checked: see `admission_checks.rs`, also for `offer`. `sells
+//! small east`: this machine type is available in this zone only.
+//! `cancel-now count=6 hang=20`: users cancel this many running jobs with a long remaining run time,
+//! within 0.2 s; up to eight of their machines hang for this many seconds. `boots 0.5 2`: machines
+//! launched from now on boot within this range of seconds. The number of tasks that started after
+//! their users were told of the cancellation, the number of start commands sent after it, and the
+//! longest time after it, in s, are counted: `expect started-cancelled <= 2`, `commanded-cancelled`,
+//! `commanded-after`. A start command of a leader that knew of the cancellation is a violation.
 //!
-//! `withdraw JOB node=n1` asks that node for a job's end, at once; its user repeats it as any other, at
-//! one node after the other, and goes on asking. `ask JOB node=n1` asks a node about a job.
-//! `close-looks`, `withhold` and `repeat` are in `answers.rs`.
+//! `withdraw JOB node=n1` cancels a job at that node, at once; its user repeats it like any other
+//! request, at one node after the other, and goes on polling. `ask JOB node=n1` polls a job at a
+//! node. `close-looks`, `withhold` and `repeat` are in `response_checks.rs`.
 //!
-//! `of:wk-1/0` is the machine of a task; with a `?` behind it nothing happens while the task is nowhere.
+//! `of:wk-1/0` is the machine of a task; with a `?` behind it nothing happens while the task has no
+//! machine.
 //!
-//! `weights off` chooses places without the measure of models' weights.
+//! `weights off` turns image locality off.
 //!
-//! With `shared-fetches`, images that a machine fetches at one time share its rate.
+//! With `shared-fetches`, concurrent image fetches share a machine's bandwidth.
 //!
-//! `condor team=red run=10` serves submit files, whose tasks run so long; `file NAME` and the
-//! lines after it that begin with `|` are one, and `at SECONDS condor NAME` sends it, to one
+//! `condor team=red run=10` serves submit files, whose tasks run this long; `file NAME` and the
+//! following lines that begin with `|` define a file, and `at SECONDS condor NAME` sends it, to one
 //! node after the other, until it is answered.
 
 mod actions;
@@ -77,7 +84,7 @@
 
 pub(crate) use script::{body, number};
 
-/// Plays so many cases on all processors; returns those that failed, with why.
+/// Runs this many cases on all processors; returns the failed ones with their problems.
 pub fn run_cases(
     cases: usize,
     run_case: impl Fn(usize) -> Result<(), String> + Sync,
@@ -105,23 +112,23 @@
     })
 }
 
-/// Plays a scenario; what is wrong, a line each.
+/// Runs a scenario; the error has one line for each problem.
 ///
 /// # Errors
-/// The scenario cannot be read, or it did not go as it must.
+/// The scenario cannot be parsed, or an expectation or a rule does not hold.
 pub fn run(text: &str) -> Result<(), String> {
     run_script(text, None, &mut Observed::default())
 }
 
-/// Plays a scenario; returns as well the digest of all that its controllers sent.
+/// Runs a scenario; also returns the digest of everything that its controllers sent.
 pub fn run_with_digest(text: &str) -> (Result<(), String>, String) {
     let mut observed = Observed::default();
     let outcome = run_script(text, None, &mut observed);
     (outcome, observed.effects.finish())
 }
 
-/// Plays a scenario in which some acts of leaders go another way; returns as well how many acts
-/// there were.
+/// Runs a scenario in which some operations of leaders deviate; also returns the number of
+/// operations.
 pub fn run_with_deviations(
     text: &str,
     deviations: &BTreeMap<usize, Deviation>,
@@ -138,7 +145,7 @@
 /// What a results scenario shows beside its verdict.
 #[derive(Debug, Default)]
 struct Observed {
-    /// Acts of leaders that could have gone another way.
+    /// Operations of leaders that could have deviated.
     leader_operations: usize,
     effects: EffectDigest,
 }
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario's text: what the site is like, what happens when, and what is expected.
+//! Parses a scenario: the site's setup, the timed actions, and the expectations.
 
 use crate::simulation::{ObservedJob, SettingOverrides, Simulation};
 use indigopath_condor::{CondorSettings, Declared};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// A scenario as its text says.
+/// A parsed scenario.
 pub(super) struct Script {
     pub(super) setup: Setup,
     pub(super) agenda: Agenda,
@@ -18,23 +18,23 @@
     pub(super) judged: Expectations,
 }
 
-/// What the site is like as the scenario begins.
+/// The site at the start of the scenario.
 #[derive(Default)]
 pub(super) struct Setup {
     operator: OperatorSettings,
-    /// GPUs that each team may use, in place of the settings'.
+    /// GPU limit of each team, overriding the settings.
     gpus_max: Option<f64>,
-    /// By how much a clock may be off, in ms, in place of the settings'.
+    /// Bound on clock skew, in ms, overriding the settings.
     max_clock_skew_ms: Option<f64>,
-    /// Largest value of the key-value store, in KB, in place of the settings'.
+    /// Largest value of the key-value store, in KB, overriding the settings.
     max_value_kb: Option<f64>,
-    /// Fetches at one time share a machine's rate.
+    /// Concurrent fetches share a machine's bandwidth.
     fetches_share_rate: bool,
-    /// The key-value store refuses what is beyond its rates.
+    /// The key-value store enforces its rate limits.
     enforces_rate_limits: bool,
-    /// How long tasks of submit files run, in s.
+    /// Run time of tasks of submit files, in s.
     condor_run_s: Option<f64>,
-    /// Jobs that are meant to wait beside room.
+    /// Jobs that are expected to wait beside free capacity.
     expected_waits: BTreeSet<String>,
 }
 
@@ -56,24 +56,24 @@
     }
 }
 
-/// How long tasks of submit files run where nothing else is said, in s.
+/// Default run time of tasks of submit files, in s.
 const DEFAULT_CONDOR_RUN_S: f64 = 10.0;
 
-/// What is judged at the end.
+/// What is checked at the end.
 #[derive(Default)]
 pub(super) struct Expectations {
     pub(super) conditions: Vec<String>,
-    /// Classes and teams that are meant to have less than their least share.
+    /// Classes and teams that are expected to get less than the minimum share.
     pub(super) unserved: Vec<String>,
-    /// Exceptions among the largest jobs.
+    /// Exceptions for the largest jobs.
     pub(super) largest: Vec<String>,
 }
 
-/// Actions still to come, by time in ms and line.
+/// Pending actions, by time in ms and line.
 #[derive(Default)]
 pub(super) struct Agenda(BTreeMap<(u64, usize), String>);
 
-/// Behind the lines of any scenario: actions that others bring about.
+/// Line numbers of follow-up actions begin here, above those of any scenario.
 const FIRST_FOLLOW_UP_LINE: usize = 100_000;
 
 impl Agenda {
@@ -81,13 +81,13 @@
         self.0.insert((at_ms, line), action.to_owned());
     }
 
-    /// What another action brings about later.
+    /// Adds an action that another one causes later.
     pub(super) fn add_follow_up(&mut self, at_ms: u64, action: &str) {
         let line = FIRST_FOLLOW_UP_LINE + self.0.len();
         self.add(at_ms, line, action);
     }
 
-    /// The next action that is due by now.
+    /// Removes and returns the next action that is due.
     pub(super) fn next_due(&mut self, now: u64) -> Option<String> {
         let entry = self.0.first_entry()?;
         (entry.key().0 <= now).then(|| entry.remove())
@@ -177,7 +177,7 @@
     }
 }
 
-/// What an exception is for: it needs a reason.
+/// Parses what an exception is for; it must have a reason.
 fn parse_exception(number: usize, text: &str) -> Result<String, String> {
     let (what, _) = text
         .split_once(" because ")
@@ -207,8 +207,8 @@
     Ok(())
 }
 
-/// Defines a shift, or changes it: `shift NAME from=22:14 to=22:16 classes=live rank=1 lead=5
-/// spare=0.1 teams=red closed=2023-11-14 zone=UTC`; `gone` takes it out.
+/// Defines or changes a protection window: `shift NAME from=22:14 to=22:16 classes=live rank=1
+/// lead=5 spare=0.1 teams=red closed=2023-11-14 zone=UTC`; `gone` removes it.
 pub(super) fn define_protection_window(operator: &mut OperatorSettings, text: &str) -> Result<(), String> {
     let (plain, keyed) = words(text);
     let name = plain.first().ok_or("a shift needs a name")?;
@@ -229,13 +229,13 @@
     Ok(())
 }
 
-/// Splits `key=value` words from plain ones.
+/// Separates `key=value` words from plain ones.
 pub(super) fn words(text: &str) -> (Vec<&str>, BTreeMap<&str, &str>) {
     let mut plain = Vec::new();
     let mut keyed = BTreeMap::new();
     for word in text.split_whitespace() {
         match word.split_once('=') {
-            // A path, whatever its query says.
+            // A path may have a query with `=`.
             Some((key, value)) if !key.starts_with('/') => {
                 keyed.insert(key, value);
             }
@@ -245,12 +245,12 @@
     (plain, keyed)
 }
 
-/// A number, or which text is none.
+/// Parses a number; the error contains the text.
 pub(crate) fn number(text: &str) -> Result<f64, String> {
     text.parse().map_err(|_| format!("{text} is no number"))
 }
 
-/// A submission, and what is to be observed of its job.
+/// Builds a submission and the initial observation of its job.
 pub(crate) fn body(id: &str, keyed: &BTreeMap<&str, &str>) -> Result<(Value, ObservedJob), String> {
     let get = |key: &str, or: &str| keyed.get(key).copied().unwrap_or(or).to_owned();
     let amount = |key: &str, or: &str| number(&get(key, or));
@@ -289,7 +289,7 @@
     Ok((body.clone(), ObservedJob { body, ..observed }))
 }
 
-/// Units by count, as in `seat:2,other:1`.
+/// Parses units by counted resource, as in `seat:2,other:1`.
 fn counts(text: &str) -> Result<BTreeMap<String, u32>, String> {
     text.split(',')
         .filter(|part| !part.is_empty())
@@ -300,7 +300,7 @@
         .collect()
 }
 
-/// Serves submit files; how long their tasks run, in s.
+/// Enables submit files; returns the run time of their tasks in s.
 fn enable_condor(operator: &mut OperatorSettings, text: &str) -> Result<f64, String> {
     let (_, keyed) = words(text);
     let get = |key: &str, or: &str| Some(keyed.get(key).copied().unwrap_or(or).to_owned());
