--- a/crates/simulator/src/admission_checks.rs
+++ b/crates/simulator/src/admission_checks.rs
@@ -113,20 +113,21 @@
             return ExpectedOutcome::Never("unknown team");
         };
         let array = job("Shape") == "sweep";
-        let at_once = if array {
+        let concurrent_tasks = if array {
             1
         } else {
             job("Picks").as_u64().unwrap_or(1)
         };
-        let most = amounts(team, ["cpus_max", "gpus_max"]);
-        let most = [most[0], self.gpus_max.unwrap_or(most[1])];
+        let limits = amounts(team, ["cpus_max", "gpus_max"]);
+        let limits = [limits[0], self.gpus_max.unwrap_or(limits[1])];
         let needs = ["Cpus", "Gpus"].map(|field| job(field).as_f64().unwrap_or(0.0));
-        let over = |(need, most): (&f64, &f64)| *most > 0.0 && need * at_once as f64 > most + 1e-6;
-        if needs.iter().zip(&most).any(over) {
+        let exceeds =
+            |(need, limits): (&f64, &f64)| *limits > 0.0 && need * concurrent_tasks as f64 > limits + 1e-6;
+        if needs.iter().zip(&limits).any(exceeds) {
             return ExpectedOutcome::Never("over its team's limit");
         }
         let zones = deployment()["zones"].as_array().into_iter().flatten();
-        let does = |zone: &&Value| {
+        let allows = |zone: &&Value| {
             let mut types = self.cloud.types.iter();
             (job("Yard").is_null() || job("Yard") == *zone)
                 && types.any(|known| {
@@ -139,8 +140,8 @@
                 })
         };
         // Tasks that must run at the same time with half of them in another zone.
-        let apart = job("Apart") == true && at_once > 1;
-        match zones.filter(does).count() {
+        let apart = job("Apart") == true && concurrent_tasks > 1;
+        match zones.filter(allows).count() {
             0 => ExpectedOutcome::Never("no machine fits"),
             _ if apart && job("OneZone") == true => ExpectedOutcome::Never("apart in one zone"),
             1 if apart => ExpectedOutcome::Never("apart, and one zone"),
@@ -170,7 +171,7 @@
         status: u16,
         answer: &[u8],
     ) {
-        let asked = match kind {
+        let submitted = match kind {
             UserRequest::Submit => self.jobs[job].body.to_string().into_bytes(),
             UserRequest::Probe {
                 method: "POST",
@@ -185,14 +186,14 @@
             .responses_by_status
             .entry(status)
             .or_default() += 1;
-        let due = self.expected_outcome(&asked);
+        let expected = self.expected_outcome(&submitted);
         let answer: Value = serde_json::from_slice(answer).unwrap_or_default();
         let id = answer["Id"].as_str().unwrap_or_default();
         let of_file = self
             .jobs
             .get(id)
             .is_some_and(|observed| observed.cluster.is_some());
-        let rule = match (status, &due) {
+        let rule = match (status, &expected) {
             (201, ExpectedOutcome::Malformed(_) | ExpectedOutcome::Never(_)) => "accepted_wrongly",
             (200, _) if !self.admission_checks.acceptable_ids.contains(id) && !of_file => "accepted_wrongly",
             (400, ExpectedOutcome::Accepted | ExpectedOutcome::Never(_)) => "refused_wrongly",
@@ -201,8 +202,8 @@
             (400, ExpectedOutcome::Malformed(field)) if !answer.to_string().contains(field) => "unclear",
             _ => return,
         };
-        let asked = String::from_utf8_lossy(&asked).into_owned();
-        self.violation(rule, format!("{status} {answer}, {due:?}: {asked:.400}"));
+        let submitted = String::from_utf8_lossy(&submitted).into_owned();
+        self.violation(rule, format!("{status} {answer}, {expected:?}: {submitted:.400}"));
     }
 
     /// Carries out `offer ID STATUS …` with `without=FIELD` or `with=FIELD:JSON`: submits the job at
@@ -259,18 +260,18 @@
         }
         let node = (self.draw() * NODES as f64) as usize;
         let kind = (self.draw() * 6.0) as u32;
-        let is = |told: &Option<String>, done: bool| match told.as_deref() {
+        let has_status = |status_text: &Option<String>, done: bool| match status_text.as_deref() {
             Some("done") => done,
             Some("pending" | "running") => !done,
             _ => false,
         };
-        let own = |observed: &&crate::simulation::ObservedJob| {
-            observed.cluster.is_none() && is(&observed.reported_status, kind == 1)
+        let matches_kind = |observed: &&crate::simulation::ObservedJob| {
+            observed.cluster.is_none() && has_status(&observed.reported_status, kind == 1)
         };
         let known: Vec<Value> = self
             .jobs
             .values()
-            .filter(own)
+            .filter(matches_kind)
             .map(|observed| observed.body.clone())
             .collect();
         let known = self.draw_from(&known);
@@ -296,9 +297,9 @@
                 ("/v1/jobs".to_owned(), fresh, 400)
             }
             (4, _) => {
-                let odd = [json!({}), json!([7]), json!(-1), json!(-0.5), json!("")];
-                let odd = [&odd[..], &[Value::Null][..usize::from(required)]].concat();
-                fresh[field] = self.draw_from(&odd).unwrap_or_default();
+                let invalid_values = [json!({}), json!([7]), json!(-1), json!(-0.5), json!("")];
+                let invalid_values = [&invalid_values[..], &[Value::Null][..usize::from(required)]].concat();
+                fresh[field] = self.draw_from(&invalid_values).unwrap_or_default();
                 let status = if is_invalid(field, &fresh[field]) {
                     400
                 } else {
@@ -307,7 +308,7 @@
                 ("/v1/jobs".to_owned(), fresh, status)
             }
             (5, _) => {
-                let never = [
+                let impossible = [
                     json!({"Crew": "nobody"}),
                     json!({"Gpus": 64.0}),
                     json!({"MemGb": 1e6}),
@@ -318,8 +319,8 @@
                     json!({"Shape": "daemon", "Picks": 2, "Apart": true, "OneZone": true}),
                     json!({"Shape": "gang", "Picks": 3, "Apart": true, "Yard": "west"}),
                 ];
-                let never = self.draw_from(&never).unwrap_or_default();
-                for (field, value) in never.as_object().into_iter().flatten() {
+                let impossible = self.draw_from(&impossible).unwrap_or_default();
+                for (field, value) in impossible.as_object().into_iter().flatten() {
                     fresh[field] = value.clone();
                 }
                 ("/v1/jobs".to_owned(), fresh, 422)
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -64,14 +64,14 @@
         program: PathBuf,
         name: &str,
         nodes: Vec<SocketAddrV4>,
-        live: &LoopbackServices,
+        services: &LoopbackServices,
         teams: &Value,
         operator: &str,
     ) -> Controllers {
         let folder = std::env::temp_dir().join(format!("indigopath-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         for node in 0..nodes.len() {
-            let text = node_settings(node, &nodes, live, teams).to_string();
+            let text = node_settings(node, &nodes, services, teams).to_string();
             std::fs::write(folder.join(format!("n{node}.json")), text).expect("settings");
         }
         std::fs::write(folder.join("operator.hcl"), operator).expect("settings");
@@ -166,7 +166,7 @@
     }
 }
 
-fn node_settings(node: usize, nodes: &[SocketAddrV4], live: &LoopbackServices, teams: &Value) -> Value {
+fn node_settings(node: usize, nodes: &[SocketAddrV4], services: &LoopbackServices, teams: &Value) -> Value {
     let peer = |at: usize| SocketAddrV4::new(*nodes[at].ip(), nodes[at].port() + 1).to_string();
     let peers: Vec<Value> = (0..nodes.len())
         .filter(|at| *at != node)
@@ -175,7 +175,7 @@
     json!({
         "member": format!("n{node}"), "area": "east",
         "bind": nodes[node].to_string(), "cluster_listen": peer(node), "siblings": peers,
-        "services": { "cloud": live.cloud.to_string(), "state": live.state.to_string() },
+        "services": { "cloud": services.cloud.to_string(), "state": services.state.to_string() },
         "deployment": {
             "zones": ["east", "west"],
             "teams": teams,
--- a/crates/simulator/src/fault_combinations.rs
+++ b/crates/simulator/src/fault_combinations.rs
@@ -38,9 +38,11 @@
     near_completion: BTreeSet<String>,
 }
 
-fn starts(orders: &[WorkerCommand]) -> impl Iterator<Item = &str> {
-    let starts = orders.iter().filter(|order| order.kind == CommandKind::Start);
-    starts.filter_map(|order| Some(order.task.rsplit_once('/')?.0))
+fn started_jobs(commands: &[WorkerCommand]) -> impl Iterator<Item = &str> {
+    let starts = commands
+        .iter()
+        .filter(|command| command.kind == CommandKind::Start);
+    starts.filter_map(|command| Some(command.task.rsplit_once('/')?.0))
 }
 
 impl Simulation {
@@ -65,8 +67,8 @@
         self.active_faults().any(|fault| match fault {
             Fault::DropHeartbeats { machines, zone } => {
                 let worker = self.workers.get(id);
-                let of = worker.is_some_and(|worker| Some(&worker.zone) == zone.as_ref());
-                of || machines.contains(id)
+                let in_zone = worker.is_some_and(|worker| Some(&worker.zone) == zone.as_ref());
+                in_zone || machines.contains(id)
             }
             _ => false,
         })
@@ -192,8 +194,8 @@
 
     fn cancel_confirmed_at(&self, job: &str) -> Option<u64> {
         let observed = self.jobs.get(job)?;
-        let told = observed.cancel_confirmed_at?;
-        (observed.reported_status.as_deref() == Some("cancelled")).then_some(told)
+        let confirmed_at = observed.cancel_confirmed_at?;
+        (observed.reported_status.as_deref() == Some("cancelled")).then_some(confirmed_at)
     }
 
     /// Records which jobs a response to a node shows to have ended.
@@ -236,11 +238,11 @@
             return;
         };
         let incarnation = self.nodes[node].incarnation;
-        for job in starts(&answer.commands) {
-            let Some(told) = self.cancel_confirmed_at(job) else {
+        for job in started_jobs(&answer.commands) {
+            let Some(confirmed_at) = self.cancel_confirmed_at(job) else {
                 continue;
             };
-            let after_ms = self.now - told;
+            let after_ms = self.now - confirmed_at;
             self.fault_combinations.commands_after_cancel += 1;
             self.fault_combinations.latest_command_ms =
                 self.fault_combinations.latest_command_ms.max(after_ms);
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -34,18 +34,19 @@
     /// machines alone never excuse a missing response.
     pub(crate) fn has_control_plane_fault(&self) -> bool {
         let now = self.now;
-        let of_machines =
+        let affects_machines =
             |name: &str| name == "workers" || name.starts_with("m-") || name.starts_with("zone:");
-        let cut = |(a, b, _): &(String, String, _)| !of_machines(a) && !of_machines(b);
-        let away = |index: usize| {
+        let affects_control_plane =
+            |(a, b, _): &(String, String, _)| !affects_machines(a) && !affects_machines(b);
+        let is_unavailable = |index: usize| {
             let controller = &self.nodes[index];
             controller.node.is_none() || now < controller.frozen_until.max(controller.stalled_until)
         };
         self.state.outage
             || self.has_node_fault()
             || self.refused_until.values().any(|until| now < *until)
-            || self.cuts.iter().any(cut)
-            || (0..NODES).any(away)
+            || self.cuts.iter().any(affects_control_plane)
+            || (0..NODES).any(is_unavailable)
     }
 
     /// Flags accepted jobs about which no node answers although no fault is left. Jobs whose users
@@ -63,15 +64,15 @@
                 .max(observed.last_answered_at)
                 .map(|at| at.max(self.last_control_plane_fault_at))
         };
-        let silent =
+        let is_unanswered =
             |observed: &ObservedJob| since(observed).is_some_and(|at| self.now > at + MAX_UNANSWERED_MS);
-        let forgotten: Vec<String> = self
+        let unanswered: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(id, observed)| silent(observed) && self.next_user_request_at.contains_key(*id))
+            .filter(|(id, observed)| is_unanswered(observed) && self.next_user_request_at.contains_key(*id))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in forgotten {
+        for id in unanswered {
             let observed = self.jobs.get_mut(&id).unwrap();
             // Flag each unanswered period once.
             observed.last_answered_at = Some(self.now);
@@ -96,17 +97,19 @@
             controller.stalled_until = controller.stalled_until.min(self.now);
             controller.restart_at = controller.restart_at.min(self.now);
         }
-        let mended_at = self.now;
-        let told = |observed: &ObservedJob| {
-            observed.accepted_at.is_none() || observed.last_answered_at > Some(mended_at)
+        let faults_ended_at = self.now;
+        let is_answered = |observed: &ObservedJob| {
+            observed.accepted_at.is_none() || observed.last_answered_at > Some(faults_ended_at)
         };
-        let all_told = |simulation: &Simulation| {
+        let all_answered = |simulation: &Simulation| {
             simulation
                 .next_user_request_at
                 .keys()
-                .all(|id| told(&simulation.jobs[id]))
+                .all(|id| is_answered(&simulation.jobs[id]))
         };
-        while self.now <= mended_at + MAX_SETTLE_MS && (!all_told(self) || self.has_wait_beside_capacity()) {
+        while self.now <= faults_ended_at + MAX_SETTLE_MS
+            && (!all_answered(self) || self.has_wait_beside_capacity())
+        {
             self.step();
         }
     }
@@ -118,21 +121,25 @@
         let mut classes: BTreeMap<String, Vec<(&String, &ObservedJob)>> = BTreeMap::new();
         for (id, observed) in &self.jobs {
             let due_at = observed.accepted_at.map(|at| at + MAX_START_WAIT_MS);
-            let back = observed
+            let cancelled_early = observed
                 .cancel_requested_at
                 .is_some_and(|at| due_at.is_none_or(|due| at < due));
-            if observed.submitted_at.is_some() && !observed.rejected && !observed.always_fails && !back {
+            if observed.submitted_at.is_some()
+                && !observed.rejected
+                && !observed.always_fails
+                && !cancelled_early
+            {
                 let class = format!("{}/{}", observed.shape, observed.class);
                 classes.entry(class).or_default().push((id, observed));
             }
         }
-        let judged = classes.into_iter().map(|(class, mut jobs)| {
+        let largest_by_class = classes.into_iter().map(|(class, mut jobs)| {
             jobs.sort_by_key(|(id, observed)| (Reverse(observed.tasks), observed.submitted_at, *id));
             let mut largest = LargestJobs::default();
             for (id, observed) in &jobs[..jobs.len().div_ceil(LARGEST_JOBS_DIVISOR)] {
-                let (served, asked) = self.job_served(observed).unwrap_or_default();
+                let (served, requested) = self.job_served(observed).unwrap_or_default();
                 largest.served += served;
-                largest.requested += asked;
+                largest.requested += requested;
                 let waited = observed
                     .accepted_at
                     // A job may start before a slow response to its submission arrives.
@@ -143,7 +150,7 @@
             }
             (class, largest)
         });
-        judged.collect()
+        largest_by_class.collect()
     }
 }
 
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -155,7 +155,7 @@
     pub fn start(
         cloud: Cloud,
         licences: LicenceServer,
-        times: WorkerTimings,
+        worker_timings: WorkerTimings,
         nodes: Vec<SocketAddrV4>,
     ) -> LoopbackServices {
         let models = Arc::new(Mutex::new(Models {
@@ -168,13 +168,14 @@
             refused_checkouts: Vec::new(),
             task_starts: 0,
             started: Instant::now(),
-            timings: times,
+            timings: worker_timings,
         }));
-        let over = Arc::new(AtomicBool::new(false));
+        let shutdown_flag = Arc::new(AtomicBool::new(false));
         let mut servers = Vec::new();
         let mut serve = |handle: fn(&SharedModels, &AtomicBool, &str, &str, &[u8]) -> HttpResponse| {
-            let (models, over) = (models.clone(), over.clone());
-            let (server, addr) = listen(move |method, path, body| handle(&models, &over, method, path, body));
+            let (models, shutdown_flag) = (models.clone(), shutdown_flag.clone());
+            let (server, addr) =
+                listen(move |method, path, body| handle(&models, &shutdown_flag, method, path, body));
             servers.push(server);
             addr
         };
@@ -185,12 +186,12 @@
             _ => (404, Vec::new()),
         });
         thread::spawn({
-            let (models, over) = (models.clone(), over.clone());
-            move || boot_machines(&models, &over, &nodes)
+            let (models, shutdown_flag) = (models.clone(), shutdown_flag.clone());
+            move || boot_machines(&models, &shutdown_flag, &nodes)
         });
         LoopbackServices {
             models,
-            shutdown: over,
+            shutdown: shutdown_flag,
             state,
             cloud,
             licences,
@@ -244,7 +245,7 @@
 
 fn serve_state(
     models: &SharedModels,
-    over: &AtomicBool,
+    shutdown: &AtomicBool,
     method: &str,
     path: &str,
     body: &[u8],
@@ -264,10 +265,10 @@
         Reply::LongPoll { prefix, after, until } => loop {
             thread::sleep(Duration::from_millis(STEP_MS));
             let models = lock(models);
-            if let Some(news) = models.state.watch_response(&prefix, after) {
-                return (200, text(news));
+            if let Some(watch_response) = models.state.watch_response(&prefix, after) {
+                return (200, text(watch_response));
             }
-            if models.now >= until || over.load(Ordering::Relaxed) {
+            if models.now >= until || shutdown.load(Ordering::Relaxed) {
                 return (200, text(models.state.empty_watch_response()));
             }
         },
@@ -286,9 +287,9 @@
 }
 
 /// Starts a worker for each machine that has booted.
-fn boot_machines(models: &SharedModels, over: &Arc<AtomicBool>, nodes: &[SocketAddrV4]) {
+fn boot_machines(models: &SharedModels, shutdown: &Arc<AtomicBool>, nodes: &[SocketAddrV4]) {
     let mut seen = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !shutdown.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(STEP_MS));
         let mut due = Vec::new();
         {
@@ -316,14 +317,14 @@
             }
         }
         for id in due {
-            let (models, over, nodes) = (models.clone(), over.clone(), nodes.to_vec());
-            thread::spawn(move || run_worker(&models, &over, &id, &nodes));
+            let (models, shutdown, nodes) = (models.clone(), shutdown.clone(), nodes.to_vec());
+            thread::spawn(move || run_worker(&models, &shutdown, &id, &nodes));
         }
     }
 }
 
 /// Runs a worker: serves its address and sends its heartbeats.
-fn run_worker(models: &SharedModels, over: &AtomicBool, id: &str, nodes: &[SocketAddrV4]) {
+fn run_worker(models: &SharedModels, shutdown: &AtomicBool, id: &str, nodes: &[SocketAddrV4]) {
     let (server, addr) = listen({
         let (models, id) = (models.clone(), id.to_owned());
         move |_, path, body| {
@@ -351,7 +352,7 @@
         }
     }
     let client = HttpClient::new(HEARTBEAT_TIMEOUT_MS);
-    while !over.load(Ordering::Relaxed) {
+    while !shutdown.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(STEP_MS));
         let due = {
             let mut models = lock(models);
--- a/crates/simulator/src/response_checks.rs
+++ b/crates/simulator/src/response_checks.rs
@@ -77,11 +77,11 @@
             UserRequest::Probe { .. } => answer["Id"].as_str().unwrap_or_default(),
             _ => job,
         };
-        let Some(word) = ReportedState::of(status, &answer).filter(|_| self.jobs.contains_key(job)) else {
+        let Some(state) = ReportedState::of(status, &answer).filter(|_| self.jobs.contains_key(job)) else {
             return;
         };
         let now = self.now;
-        let wait = match (kind, &word) {
+        let wait = match (kind, &state) {
             (UserRequest::Cancel, ReportedState::Over(_)) => Some("cancelled"),
             (UserRequest::Poll, ReportedState::Over(end)) if end == "done" => Some("done"),
             _ => None,
@@ -94,20 +94,20 @@
                 .push(now - asked_at);
         }
         match self.response_checks.latest_states.get(job) {
-            Some((newest, at, by)) if word.rank() <= newest.rank() => {
-                let older = match word {
-                    ReportedState::Unknown => newest.rank() > 0 && asked_at >= *at,
-                    _ => word != *newest,
+            Some((latest, at, by)) if state.rank() <= latest.rank() => {
+                let older = match state {
+                    ReportedState::Unknown => latest.rank() > 0 && asked_at >= *at,
+                    _ => state != *latest,
                 };
                 if older {
-                    let since = format!("n{by} told {newest:?} at {:.2} s", *at as f64 / 1000.0);
-                    self.violation("older_answer", format!("{job}: n{node} tells {word:?}, {since}"));
+                    let since = format!("n{by} told {latest:?} at {:.2} s", *at as f64 / 1000.0);
+                    self.violation("older_answer", format!("{job}: n{node} tells {state:?}, {since}"));
                 }
             }
             _ => {
                 self.response_checks
                     .latest_states
-                    .insert(job.to_owned(), (word, now, node));
+                    .insert(job.to_owned(), (state, now, node));
                 self.query_all_nodes(job);
             }
         }
@@ -141,11 +141,11 @@
     /// Delay of the response to this call of a node, in ms.
     pub(crate) fn response_delay_ms(&mut self, node: usize, path: &str, body: &[u8]) -> u64 {
         let body = String::from_utf8_lossy(body);
-        let withheld = &mut self.response_checks.delayed_responses;
-        let of =
+        let delayed = &mut self.response_checks.delayed_responses;
+        let matches =
             |held: &DelayedResponse| held.node == node && held.path == path && body.contains(&held.body_text);
-        let at = withheld.iter().position(of);
-        at.map_or(0, |at| withheld.remove(at).delay_ms)
+        let at = delayed.iter().position(matches);
+        at.map_or(0, |at| delayed.remove(at).delay_ms)
     }
 }
 
--- a/crates/simulator/src/scenario/actions/users.rs
+++ b/crates/simulator/src/scenario/actions/users.rs
@@ -69,13 +69,13 @@
     let id = action.arg(1)?;
     let every_ms = action.millis_or("every", 0.1)?;
     let count = action.number_or("count", 1.0)? as u64;
-    for more in 0..count {
+    for offset in 0..count {
         let id = match id.strip_prefix("wk-").and_then(|own| own.parse::<u64>().ok()) {
-            Some(own) => format!("wk-{}", own + more),
+            Some(own) => format!("wk-{}", own + offset),
             None => id.to_owned(),
         };
         let (_, mut observed) = body(&id, &action.keyed)?;
-        let asked_at = simulation.now + more * every_ms;
+        let asked_at = simulation.now + offset * every_ms;
         observed.submitted_at = Some(asked_at);
         simulation.jobs.insert(id.clone(), observed);
         simulation.next_user_request_at.insert(id, asked_at);
@@ -156,12 +156,12 @@
     let first = action.arg(1)?.trim_start_matches("wk-");
     let first: u64 = first.parse().map_err(|_| "no id")?;
     let count = (rate * action.duration_ms()? as f64 / 1000.0) as u64;
-    for more in 0..count {
-        let id = format!("wk-{}", first + more);
+    for offset in 0..count {
+        let id = format!("wk-{}", first + offset);
         let (_, observed) = body(&id, &action.keyed)?;
         simulation.jobs.insert(id.clone(), observed);
-        let node = more as usize % NODES;
-        let after = (more as f64 * 1000.0 / rate) as u64;
+        let node = offset as usize % NODES;
+        let after = (offset as f64 * 1000.0 / rate) as u64;
         simulation.submit_once(after, node, id);
     }
     Ok(())
@@ -181,11 +181,11 @@
 
 fn cancel_now(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let count = number(action.keyed.get("count").ok_or("how many")?)? as usize;
-    let called_off = simulation.cancel_long_running(count.max(1), action.millis_or("hang", 0.0)?);
+    let cancelled = simulation.cancel_long_running(count.max(1), action.millis_or("hang", 0.0)?);
     // With `?`, it is no error if no running job has a long remaining run time.
     if action.has("?") {
         Ok(())
     } else {
-        called_off.map(|_| ())
+        cancelled.map(|_| ())
     }
 }
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -31,17 +31,17 @@
         problems.push("nothing_ran".to_owned());
     }
     let served = simulation.served_shares();
-    for (whose, (served, asked)) in &served {
-        if served / asked < MIN_SERVED_SHARE && !unserved.contains(whose) {
-            problems.push(format!("unserved: {whose} has {served:.1} of {asked}"));
+    for (owner, (served, requested)) in &served {
+        if served / requested < MIN_SERVED_SHARE && !unserved.contains(owner) {
+            problems.push(format!("unserved: {owner} has {served:.1} of {requested}"));
         }
     }
-    for whose in unserved {
+    for owner in unserved {
         if served
-            .get(&whose)
-            .is_none_or(|(served, asked)| served / asked >= MIN_SERVED_SHARE)
+            .get(&owner)
+            .is_none_or(|(served, requested)| served / requested >= MIN_SERVED_SHARE)
         {
-            problems.push(format!("{whose} is served after all"));
+            problems.push(format!("{owner} is served after all"));
         }
     }
     problems.extend(check_largest(simulation, &largest));
@@ -178,11 +178,11 @@
     let outcome = match words {
         // Responses to submissions with this status.
         ["submissions", status, sign, want] => {
-            let told = simulation
+            let responses = simulation
                 .admission_checks
                 .responses_by_status
                 .get(&(number(status)? as u16));
-            compare(told.copied().unwrap_or(0).into(), sign, want)
+            compare(responses.copied().unwrap_or(0).into(), sign, want)
         }
         // The status of the response to a submit file.
         ["sent", name, sign, want] => {
@@ -231,21 +231,21 @@
         // The share of a team's submissions that were accepted within this many seconds.
         ["prompt", team, within, sign, want] => {
             let within_ms = (number(within)? * 1000.0) as u64;
-            let asked = simulation
+            let submitted = simulation
                 .jobs
                 .values()
                 .filter_map(|job| Some((job, job.submitted_at?)));
-            let asked: Vec<_> = asked.filter(|(job, _)| job.team == *team).collect();
-            let prompt = asked
+            let submitted: Vec<_> = submitted.filter(|(job, _)| job.team == *team).collect();
+            let prompt = submitted
                 .iter()
-                .filter(|(job, asked)| job.accepted_at.is_some_and(|at| at <= asked + within_ms));
-            compare(prompt.count() as f64 / asked.len().max(1) as f64, sign, want)
+                .filter(|(job, submitted)| job.accepted_at.is_some_and(|at| at <= submitted + within_ms));
+            compare(prompt.count() as f64 / submitted.len().max(1) as f64, sign, want)
         }
         ["answered", path, sign, want] => compare(
             simulation
                 .probe_responses
                 .iter()
-                .filter(|(asked, status)| asked == path && *status != 503)
+                .filter(|(submitted, status)| submitted == path && *status != 503)
                 .count() as f64,
             sign,
             want,
@@ -282,10 +282,10 @@
             compare(totals.get(*team).copied().unwrap_or(0) as f64, sign, want)
         }
         // The served share of what a class or team requested: `served class=batch >= 0.6`.
-        ["served", whose, sign, want] => {
+        ["served", owner, sign, want] => {
             let shares = simulation.served_shares();
-            let (served, asked) = shares.get(*whose).ok_or("nothing was asked for")?;
-            compare(served / asked, sign, want)
+            let (served, requested) = shares.get(*owner).ok_or("nothing was asked for")?;
+            compare(served / requested, sign, want)
         }
         ["started-cancelled", sign, want] => compare(
             f64::from(simulation.fault_combinations.starts_after_cancel),
@@ -304,12 +304,12 @@
         ),
         // Warnings to operators that contain a text, such as `class=batch`.
         ["warnings", of, sign, want] => {
-            let told: Vec<&String> = simulation
+            let matching: Vec<&String> = simulation
                 .warnings
                 .iter()
                 .filter(|text| text.contains(of))
                 .collect();
-            compare(told.len() as f64, sign, want).map_err(|problem| format!("{problem}: {told:#?}"))
+            compare(matching.len() as f64, sign, want).map_err(|problem| format!("{problem}: {matching:#?}"))
         }
         // The share of the time in which protected replicas were wanted that they were up.
         ["protected", sign, want] => compare(simulation.window_checks.protected_availability(), sign, want),
@@ -355,11 +355,11 @@
         }
         ["live", "jobs", sign, want] => compare(simulation.state.count("j/") as f64, sign, want),
         [id, "told", want] => {
-            let told = job(simulation, id)?.reported_status.clone().unwrap_or_default();
-            if told == *want {
+            let reported = job(simulation, id)?.reported_status.clone().unwrap_or_default();
+            if reported == *want {
                 Ok(())
             } else {
-                Err(format!("its user was told {told:?}"))
+                Err(format!("its user was told {reported:?}"))
             }
         }
         [id, "done", "by", want] => match job(simulation, id)?.completion_reported_at {
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -124,7 +124,7 @@
 pub fn run_with_digest(text: &str) -> (Result<(), String>, String) {
     let mut observed = Observed::default();
     let outcome = run_script(text, None, &mut observed);
-    (outcome, observed.effects.finish())
+    (outcome, observed.effect_digest.finish())
 }
 
 /// Runs a scenario in which some operations of leaders deviate; also returns the number of
@@ -142,12 +142,12 @@
     (outcome, observed.leader_operations)
 }
 
-/// What a results scenario shows beside its verdict.
+/// What a run yields besides its result.
 #[derive(Debug, Default)]
 struct Observed {
     /// Operations of leaders that could have deviated.
     leader_operations: usize,
-    effects: EffectDigest,
+    effect_digest: EffectDigest,
 }
 
 fn run_script(
@@ -160,7 +160,7 @@
         mut agenda,
         files,
         until_ms,
-        judged,
+        expectations: judged,
     } = Script::parse(text)?;
     let mut simulation = setup.build();
     simulation.deviation_plan = deviation_plan;
@@ -171,7 +171,7 @@
         .as_ref()
         .map_or(0, |plan| plan.leader_operations);
     let verdict = expectations::evaluate(&mut simulation, judged);
-    observed.effects = std::mem::take(&mut simulation.effect_digest);
+    observed.effect_digest = std::mem::take(&mut simulation.effect_digest);
     verdict
 }
 
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -15,7 +15,7 @@
     /// Submit files, by name.
     pub(super) files: BTreeMap<String, String>,
     pub(super) until_ms: u64,
-    pub(super) judged: Expectations,
+    pub(super) expectations: Expectations,
 }
 
 /// The site at the start of the scenario.
@@ -51,7 +51,7 @@
         if self.enforces_rate_limits {
             simulation.state.rate_limits = Some(simulation.state_limits());
         }
-        simulation.waiting_checks.meant = self.expected_waits;
+        simulation.waiting_checks.expected = self.expected_waits;
         simulation
     }
 }
@@ -101,7 +101,7 @@
             agenda: Agenda::default(),
             files: BTreeMap::new(),
             until_ms: 0,
-            judged: Expectations::default(),
+            expectations: Expectations::default(),
         };
         let mut file = String::new();
         for (number, line) in text.lines().enumerate() {
@@ -119,11 +119,11 @@
                 "until" => {
                     script.until_ms = rest.parse::<u64>().map_err(|error| error.to_string())? * 1000;
                 }
-                "expect" | "unserved" | "largest" => script.judged.line(number, word, rest)?,
+                "expect" | "unserved" | "largest" => script.expectations.line(number, word, rest)?,
                 _ => script.setup.line(number, word, rest)?,
             }
         }
-        if script.judged.conditions.is_empty() || script.until_ms == 0 {
+        if script.expectations.conditions.is_empty() || script.until_ms == 0 {
             return Err("a scenario needs `expect` and `until`".to_owned());
         }
         Ok(script)
@@ -269,7 +269,7 @@
         image: get("image", "img-1"),
         image_gb: amount("image_gb", "1")?,
         always_fails: flag("broken"),
-        counted_units: counts(&get("counts", ""))?,
+        counted_units: parse_counts(&get("counts", ""))?,
         ..ObservedJob::default()
     };
     let mut body = json!({
@@ -290,7 +290,7 @@
 }
 
 /// Parses units by counted resource, as in `seat:2,other:1`.
-fn counts(text: &str) -> Result<BTreeMap<String, u32>, String> {
+fn parse_counts(text: &str) -> Result<BTreeMap<String, u32>, String> {
     text.split(',')
         .filter(|part| !part.is_empty())
         .map(|part| {
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -12,33 +12,33 @@
     pub failed: Vec<u64>,
 }
 
-/// Runs `usual` seeds, or the number in the environment variable `NAME_SEEDS`, starting at
+/// Runs `default_count` seeds, or the number in the environment variable `NAME_SEEDS`, starting at
 /// `NAME_FROM`. Prints each failing scenario.
 ///
 /// # Panics
 /// If one of these variables is not a number.
 pub fn run_seeds(
     name: &str,
-    usual: u64,
+    default_count: u64,
     scenario: impl Fn(u64) -> String + Sync,
-    play: impl Fn(&str) -> Result<(), String> + Sync,
+    run_scenario: impl Fn(&str) -> Result<(), String> + Sync,
 ) -> SeedResults {
-    let asked = |what: &str, usual: u64| {
+    let from_environment = |what: &str, default_count: u64| {
         let text = std::env::var(format!("{name}_{what}"));
-        text.map_or(usual, |text| text.parse().expect("a number of seeds"))
+        text.map_or(default_count, |text| text.parse().expect("a number of seeds"))
     };
-    let from = asked("FROM", 0);
-    let all = from..from + asked("SEEDS", usual);
+    let from = from_environment("FROM", 0);
+    let range = from..from + from_environment("SEEDS", default_count);
     let seed = |at: usize| from + at as u64;
-    let count = (all.end - all.start) as usize;
-    let failed = run_cases(count, |at| play(&scenario(seed(at))));
+    let count = (range.end - range.start) as usize;
+    let failed = run_cases(count, |at| run_scenario(&scenario(seed(at))));
     println!("{count} seeds from {from} on, {} failed", failed.len());
     for (at, problem) in failed.iter().take(MAX_PRINTED_FAILURES) {
-        let told = problem.replace('\n', "\n# ");
-        println!("# seed {}: {told}\n{}", seed(*at), scenario(seed(*at)));
+        let commented = problem.replace('\n', "\n# ");
+        println!("# seed {}: {commented}\n{}", seed(*at), scenario(seed(*at)));
     }
     SeedResults {
-        played: all,
+        played: range,
         failed: failed.into_iter().map(|(at, _)| seed(at)).collect(),
     }
 }
@@ -51,11 +51,11 @@
 
 /// Runs variants of a scenario and prints how many failed and the first of them; returns the number
 /// of failures.
-pub fn run_variants(kind: &str, ways: &[String]) -> usize {
-    let failed = run_cases(ways.len(), |at| run(&ways[at]));
-    println!("{kind}: {} ways, {} failed", ways.len(), failed.len());
+pub fn run_variants(kind: &str, variants: &[String]) -> usize {
+    let failed = run_cases(variants.len(), |at| run(&variants[at]));
+    println!("{kind}: {} ways, {} failed", variants.len(), failed.len());
     for (at, problem) in failed.iter().take(MAX_PRINTED_FAILURES) {
-        println!("---\n{}{problem}", ways[*at]);
+        println!("---\n{}{problem}", variants[*at]);
     }
     failed.len()
 }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -12,7 +12,7 @@
 use crate::licence_server::{ClientState, Feature, LicenceServer};
 use crate::response_checks::ResponseChecks;
 use crate::state::{Reply, StateService};
-use crate::waiting_checks::Waiting;
+use crate::waiting_checks::WaitingChecks;
 use crate::window_checks::WindowChecks;
 use crate::worker::{self, GANG_PEER_MS, Worker};
 use indigopath_controller::constants::RETRY_AFTER_S;
@@ -448,7 +448,7 @@
     pub(crate) accounting_check: AccountingCheck,
     pub(crate) streams: Vec<JobStream>,
     pub(crate) admission_checks: AdmissionChecks,
-    pub(crate) waiting_checks: Waiting,
+    pub(crate) waiting_checks: WaitingChecks,
     pub(crate) response_checks: ResponseChecks,
     pub(crate) fault_combinations: FaultCombinations,
     /// Digest of everything that the controllers sent.
@@ -549,7 +549,7 @@
             accounting_check: AccountingCheck::default(),
             streams: Vec::new(),
             admission_checks: AdmissionChecks::default(),
-            waiting_checks: Waiting::default(),
+            waiting_checks: WaitingChecks::default(),
             response_checks: ResponseChecks::default(),
             fault_combinations: FaultCombinations::default(),
             effect_digest: EffectDigest::default(),
@@ -581,19 +581,19 @@
     fn start_node(&mut self, index: usize) {
         let mut settings =
             Settings::parse(include_str!("../../controller/tests/support/settings.json")).unwrap();
-        let mut names: Vec<Peer> = settings.peers.clone();
-        names.push(Peer {
+        let mut peers: Vec<Peer> = settings.peers.clone();
+        peers.push(Peer {
             node: "n0".to_owned(),
             addr: settings.peer_listen,
         });
         settings.node = format!("n{index}");
-        names.retain(|peer| peer.node != settings.node);
-        names.sort_by(|a, b| a.node.cmp(&b.node));
-        settings.peers = names;
-        if let Some(most) = self.gpus_max {
+        peers.retain(|peer| peer.node != settings.node);
+        peers.sort_by(|a, b| a.node.cmp(&b.node));
+        settings.peers = peers;
+        if let Some(gpu_limit) = self.gpus_max {
             for team in &mut settings.deployment.teams {
-                team.gpus = most / 2.0;
-                team.gpus_max = most;
+                team.gpus = gpu_limit / 2.0;
+                team.gpus_max = gpu_limit;
             }
         }
         if let Some(value_kb) = self.max_value_kb {
@@ -698,11 +698,11 @@
     fn is_dropped(&self, from: &str, to: &str) -> bool {
         self.active_faults().any(|fault| match fault {
             Fault::DropInbound { machines, zone } => {
-                let of = self
+                let in_zone = self
                     .workers
                     .get(to)
                     .is_some_and(|worker| Some(&worker.zone) == zone.as_ref());
-                of || machines.contains(to)
+                in_zone || machines.contains(to)
             }
             Fault::IsolateNode { node, silent } => {
                 let name = format!("n{node}");
@@ -724,15 +724,15 @@
 
     /// Whether an active fault keeps nodes from the state service or from each other.
     pub(crate) fn has_node_fault(&self) -> bool {
-        let of_machines = |fault: &Fault| {
-            let reports = matches!(
+        let affects_machines = |fault: &Fault| {
+            let late_heartbeats = matches!(
                 fault,
                 Fault::LateHeartbeats { .. } | Fault::HeartbeatsForNextLeader { .. }
             );
-            let deaf = matches!(fault, Fault::DropInbound { .. } | Fault::DropHeartbeats { .. });
-            reports || deaf || matches!(fault, Fault::CancelNearCompletion { .. })
+            let one_way = matches!(fault, Fault::DropInbound { .. } | Fault::DropHeartbeats { .. });
+            late_heartbeats || one_way || matches!(fault, Fault::CancelNearCompletion { .. })
         };
-        self.active_faults().any(|fault| !of_machines(fault))
+        self.active_faults().any(|fault| !affects_machines(fault))
     }
 
     // ---- the network ---------------------------------------------------------
@@ -911,7 +911,7 @@
                     {
                         continue;
                     }
-                    let asked = Call {
+                    let controller_call = Call {
                         node: index,
                         incarnation,
                         call,
@@ -921,8 +921,8 @@
                         body,
                         is_duplicate: false,
                     };
-                    self.check_outgoing_call(&asked);
-                    self.send(&name, &host, Event::Call(asked));
+                    self.check_outgoing_call(&controller_call);
+                    self.send(&name, &host, Event::Call(controller_call));
                 }
                 Effect::Warning(text) => self.warnings.push(text),
                 Effect::Frame { peer, bytes } => {
@@ -1066,9 +1066,10 @@
 
     /// Delay after which a message on this path is delivered a second time, if it is.
     fn duplicate_delay_ms(&self, path: &str) -> Option<u64> {
-        let mut copies = self.duplicate_deliveries.iter();
-        let copies = copies.find(|copies| self.now < copies.until && copies.matches(path))?;
-        Some(copies.delay_ms)
+        let mut duplicates = self.duplicate_deliveries.iter();
+        let duplicates =
+            duplicates.find(|duplicates| self.now < duplicates.until && duplicates.matches(path))?;
+        Some(duplicates.delay_ms)
     }
 
     fn duplicate_command(&mut self, to: usize, path: &str, command: &Command) {
@@ -1105,7 +1106,7 @@
         request
     }
 
-    fn handle_call(&mut self, asked: Call) {
+    fn handle_call(&mut self, controller_call: Call) {
         let Call {
             node,
             incarnation,
@@ -1115,7 +1116,7 @@
             ref path,
             ref body,
             is_duplicate,
-        } = asked;
+        } = controller_call;
         let from = host(to);
         let kind = match to {
             Destination::State => "requests",
@@ -1124,28 +1125,28 @@
             Destination::Licences(_) => "licences",
         };
         self.call_statistics.record(kind, 1, self.now);
-        let mut silent = false;
-        let mut answer_ms = 0;
-        let mishap = self.message_faults.iter().position(|mishap| {
+        let mut response_lost = false;
+        let mut response_delay_ms = 0;
+        let message_fault = self.message_faults.iter().position(|message_fault| {
             let (MessageFault::LoseResponse { path: wanted } | MessageFault::Delay { path: wanted, .. }) =
-                mishap;
+                message_fault;
             // `/multi:b/~` matches only bodies that contain the text after the colon.
-            let (wanted, words) = wanted.split_once(':').unwrap_or((wanted, ""));
+            let (wanted, body_text) = wanted.split_once(':').unwrap_or((wanted, ""));
             !is_duplicate
                 && wanted == path
-                && String::from_utf8_lossy(body).contains(words)
+                && String::from_utf8_lossy(body).contains(body_text)
                 && (path != "/do" || String::from_utf8_lossy(body).contains("\"run\""))
         });
-        if let Some(at) = mishap {
+        if let Some(at) = message_fault {
             match self.message_faults.remove(at) {
-                MessageFault::LoseResponse { .. } => silent = true,
+                MessageFault::LoseResponse { .. } => response_lost = true,
                 MessageFault::Delay { by_ms, .. } => {
                     // The sender has given up by then and ignores the response.
                     self.schedule(
                         by_ms,
                         Event::Call(Call {
                             incarnation: 0,
-                            ..asked
+                            ..controller_call
                         }),
                     );
                     return;
@@ -1158,25 +1159,25 @@
                     Fault::LateWrites { share } => Some(*share),
                     _ => None,
                 });
-            let slower_ms = self.state_delay_ms();
+            let delay_ms = self.state_delay_ms();
             // A slow call is either executed late or answered late.
-            if late || slower_ms > 0 && self.draw() < 0.5 {
+            if late || delay_ms > 0 && self.draw() < 0.5 {
                 let after_ms = if late {
                     self.draw_ms(LATE_WRITE_DELAY_MS)
                 } else {
-                    slower_ms
+                    delay_ms
                 };
                 let incarnation = if late { 0 } else { incarnation };
                 let call = Call {
                     incarnation,
                     is_duplicate: true,
-                    ..asked
+                    ..controller_call
                 };
                 self.schedule(after_ms, Event::Call(call));
                 return;
             }
-            answer_ms = slower_ms + self.response_delay_ms(node, path, body);
-            silent |= path == "/multi"
+            response_delay_ms = delay_ms + self.response_delay_ms(node, path, body);
+            response_lost |= path == "/multi"
                 && self.affects_message(|fault| match fault {
                     Fault::LostWriteResponses { share } => Some(*share),
                     _ => None,
@@ -1184,14 +1185,14 @@
         }
         match self.next_deviation(to, method, path, body) {
             None => (),
-            Some(Deviation::LoseResponse) => silent = true,
+            Some(Deviation::LoseResponse) => response_lost = true,
             Some(Deviation::LoseRequest) => return,
             Some(Deviation::Delay) => {
                 self.schedule(
                     DEVIATION_DELAY_MS,
                     Event::Call(Call {
                         incarnation: 0,
-                        ..asked
+                        ..controller_call
                     }),
                 );
                 return;
@@ -1279,7 +1280,7 @@
                 };
                 if self.now < worker.hung_until {
                     let wait = worker.hung_until - self.now;
-                    self.schedule(wait, Event::Call(asked));
+                    self.schedule(wait, Event::Call(controller_call));
                     return;
                 }
                 Some(if path == "/do" {
@@ -1291,18 +1292,18 @@
         };
         if answer.is_some()
             && !is_duplicate
-            && let Some(later_ms) = self.duplicate_delay_ms(&asked.path)
+            && let Some(later_ms) = self.duplicate_delay_ms(&controller_call.path)
         {
             self.duplicates_delivered += 1;
             let copy = Call {
                 incarnation: 0,
                 is_duplicate: true,
-                ..asked.clone()
+                ..controller_call.clone()
             };
             self.schedule(later_ms, Event::Call(copy));
         }
         if let Some((status, body)) = answer
-            && !silent
+            && !response_lost
         {
             let answer = Event::Response {
                 node,
@@ -1310,8 +1311,8 @@
                 call,
                 outcome: Outcome::Answer { status, body },
             };
-            if answer_ms > 0 {
-                self.schedule(answer_ms, answer);
+            if response_delay_ms > 0 {
+                self.schedule(response_delay_ms, answer);
             } else {
                 self.send(&from, &format!("n{node}"), answer);
             }
@@ -1387,12 +1388,12 @@
             "/rentals/return" => {
                 let names: MachineNames = serde_json::from_slice(body).unwrap();
                 let known = self.recorded_releases();
-                let there = |id: &String| {
+                let exists = |id: &String| {
                     let machine = self.cloud.machines.get(id);
                     machine.is_some_and(|machine| machine.removed_at.is_none())
                 };
                 let names = names.machines.into_iter();
-                names.filter(|id| there(id) && !known.contains(id)).collect()
+                names.filter(|id| exists(id) && !known.contains(id)).collect()
             }
             "/rentals" => {
                 let request: LaunchRequest = serde_json::from_slice(body).unwrap();
@@ -1455,15 +1456,15 @@
                 self.watches.push(watch);
                 continue;
             }
-            let news = self
+            let watch_response = self
                 .state
                 .watch_response(&watch.prefix, watch.after)
                 .or_else(|| (self.now >= watch.until).then(|| self.state.empty_watch_response()));
-            match news {
-                Some(news) => {
+            match watch_response {
+                Some(watch_response) => {
                     let outcome = Outcome::Answer {
                         status: 200,
-                        body: news.to_string().into_bytes(),
+                        body: watch_response.to_string().into_bytes(),
                     };
                     let event = Event::Response {
                         node: watch.node,
@@ -1479,7 +1480,7 @@
     }
 
     fn step_machines(&mut self) {
-        let up: Vec<String> = self
+        let booted: Vec<String> = self
             .cloud
             .machines
             .iter()
@@ -1490,7 +1491,7 @@
             })
             .map(|(id, _)| id.clone())
             .collect();
-        for id in up {
+        for id in booted {
             let machine = &self.cloud.machines[&id];
             let mut worker = Worker::new(&id, &machine.machine_type, &machine.zone, machine.spot, self.now);
             let known = self
@@ -1502,13 +1503,13 @@
             worker.fetches_share_rate = self.fetches_share_rate;
             self.workers.insert(id, worker);
         }
-        let taken: Vec<String> = self
+        let reclaimed: Vec<String> = self
             .workers
             .values()
             .filter(|worker| worker.reclaim_at.is_some_and(|at| self.now >= at))
             .map(|worker| worker.id.clone())
             .collect();
-        for id in taken {
+        for id in reclaimed {
             self.cloud.remove(&id, self.now);
             self.workers.remove(&id);
         }
@@ -1622,10 +1623,10 @@
         self.step_submit_files();
         for job in due {
             let observed = &self.jobs[&job];
-            let over = matches!(observed.reported_status.as_deref(), Some("done" | "cancelled"));
+            let ended = matches!(observed.reported_status.as_deref(), Some("done" | "cancelled"));
             let kind = if !observed.accepted {
                 UserRequest::Submit
-            } else if observed.cancel_requested && !over {
+            } else if observed.cancel_requested && !ended {
                 UserRequest::Cancel
             } else {
                 UserRequest::Poll
@@ -1673,13 +1674,13 @@
                 self.violation("went_back", format!("{name} was {}, is {status}", before.0));
             }
         }
-        if let Some((201, told)) = &before
+        if let Some((201, first_body)) = &before
             && status == 201
-            && told["cluster"] != answer["cluster"]
+            && first_body["cluster"] != answer["cluster"]
         {
             self.violation(
                 "two_clusters",
-                format!("{name} is {} and {}", told["cluster"], answer["cluster"]),
+                format!("{name} is {} and {}", first_body["cluster"], answer["cluster"]),
             );
         }
         let others: Vec<Value> = self
@@ -1753,12 +1754,14 @@
         if let UserRequest::Probe {
             method,
             path,
-            body: asked,
+            body: submitted_body,
             status: wanted,
         } = kind
         {
             if path == "/v1/jobs"
-                && let Err(problem) = self.accounting_check.check_foreign_submission(&asked, body)
+                && let Err(problem) = self
+                    .accounting_check
+                    .check_foreign_submission(&submitted_body, body)
             {
                 self.violation("told_too_much", problem);
             }
@@ -1774,9 +1777,9 @@
             }
             // The reported status counts for any route and any node.
             let answer: Value = serde_json::from_slice(body).unwrap_or_default();
-            let about = answer["Id"].as_str().filter(|id| self.jobs.contains_key(*id));
-            if let (200 | 201, Some(id), Some(told)) = (status, about, answer["Status"].as_str()) {
-                self.record_reported_status(id, told);
+            let known_job = answer["Id"].as_str().filter(|id| self.jobs.contains_key(*id));
+            if let (200 | 201, Some(id), Some(reported)) = (status, known_job, answer["Status"].as_str()) {
+                self.record_reported_status(id, reported);
             }
             return;
         }
@@ -1805,34 +1808,34 @@
             return;
         }
         let answer: Value = serde_json::from_slice(body).unwrap();
-        let told = answer["Status"].as_str().unwrap().to_owned();
+        let reported = answer["Status"].as_str().unwrap().to_owned();
         self.jobs.get_mut(job).unwrap().last_answered_at = Some(now);
-        self.record_reported_status(job, &told);
+        self.record_reported_status(job, &reported);
     }
 
     /// Records the status of a job that any node reported to a user on any route.
-    fn record_reported_status(&mut self, job: &str, told: &str) {
+    fn record_reported_status(&mut self, job: &str, reported: &str) {
         let now = self.now;
         let observed = self.jobs.get_mut(job).unwrap();
-        let before = observed.reported_status.replace(told.to_owned());
+        let before = observed.reported_status.replace(reported.to_owned());
         let complete = observed.completed_tasks.len() as u32 == observed.tasks && observed.shape != "daemon";
         // Jobs of submit files are cancelled by their cluster number.
         let (wanted, of_file) = (observed.cancel_requested, observed.cluster.is_some());
-        if told == "cancelled" {
+        if reported == "cancelled" {
             observed.cancel_confirmed_at.get_or_insert(now);
         }
-        if told == "done" {
+        if reported == "done" {
             observed.completion_reported_at.get_or_insert(now);
         }
         if let Some(before) = before.filter(|before| matches!(before.as_str(), "done" | "cancelled"))
-            && before != told
+            && before != reported
         {
-            self.violation("went_back", format!("{job} was {before}, is {told}"));
+            self.violation("went_back", format!("{job} was {before}, is {reported}"));
         }
-        if told == "done" && !complete {
+        if reported == "done" && !complete {
             self.violation("not_done", job);
         }
-        if told == "cancelled" && !wanted && !of_file {
+        if reported == "cancelled" && !wanted && !of_file {
             self.violation("went_back", format!("{job} is cancelled, but not by its user"));
         }
     }
@@ -1899,7 +1902,7 @@
             .as_array()
             .is_none_or(|types| types.iter().any(|allowed| *allowed == machine_type.as_str()));
         let zone_ok = body["Yard"].as_str().is_none_or(|only| only == zone);
-        let one_ok = body["OneZone"] != true || elsewhere.iter().all(|(_, other, _)| *other == zone);
+        let one_zone_ok = body["OneZone"] != true || elsewhere.iter().all(|(_, other, _)| *other == zone);
         let mut in_zone: BTreeSet<&String> = elsewhere
             .iter()
             .filter(|(_, other, _)| *other == zone)
@@ -1907,7 +1910,7 @@
             .collect();
         in_zone.insert(&name);
         let apart_ok = body["Apart"] != true || in_zone.len() as u32 <= observed.tasks.div_ceil(2);
-        if !(type_ok && zone_ok && one_ok && apart_ok) || (spot && body["Loaners"] != true) {
+        if !(type_ok && zone_ok && one_zone_ok && apart_ok) || (spot && body["Loaners"] != true) {
             self.violation(
                 "wrong_place",
                 format!("{name} on {machine} ({machine_type}, {zone}, spot {spot})"),
@@ -1987,16 +1990,16 @@
     pub(crate) fn served_shares(&self) -> BTreeMap<String, (f64, f64)> {
         let mut shares: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         for observed in self.jobs.values() {
-            let Some((served, asked)) = self.job_served(observed) else {
+            let Some((served, requested)) = self.job_served(observed) else {
                 continue;
             };
-            for whose in [
+            for owner in [
                 format!("class={}", observed.class),
                 format!("team={}", observed.team),
             ] {
-                let share = shares.entry(whose).or_default();
+                let share = shares.entry(owner).or_default();
                 share.0 += served;
-                share.1 += asked;
+                share.1 += requested;
             }
         }
         shares
@@ -2009,13 +2012,13 @@
         if until < due_at || observed.rejected || observed.always_fails {
             return None;
         }
-        let asked = f64::from(observed.tasks);
+        let requested = f64::from(observed.tasks);
         let served = match observed.shape.as_str() {
             "daemon" if observed.replica_wanted_ms == 0 => return None,
-            "daemon" => asked * observed.replica_up_ms as f64 / observed.replica_wanted_ms as f64,
+            "daemon" => requested * observed.replica_up_ms as f64 / observed.replica_wanted_ms as f64,
             _ => observed.started_tasks.union(&observed.completed_tasks).count() as f64,
         };
-        Some((served, asked))
+        Some((served, requested))
     }
 
     /// The machine that a task is on now.
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -55,13 +55,13 @@
         if self.outage {
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (_, expires))| *expires < now)
             .map(|(id, _)| *id)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.revoke_lease(lease);
         }
     }
@@ -215,12 +215,12 @@
             ("GET", "/changes") => {
                 let after: u64 = query["From"].parse().unwrap();
                 let hold: u64 = query["HoldMs"].parse().unwrap();
-                let forgot = self.history.len() >= WATCH_HISTORY_SIZE && self.history[0].0 > after;
-                if forgot || after < self.compacted_revision {
+                let is_discarded = self.history.len() >= WATCH_HISTORY_SIZE && self.history[0].0 > after;
+                if is_discarded || after < self.compacted_revision {
                     return Reply::Immediate(410, json!({}));
                 }
                 match self.watch_response(query["Under"], after) {
-                    Some(news) => Reply::Immediate(200, news),
+                    Some(watch_response) => Reply::Immediate(200, watch_response),
                     None => Reply::LongPoll {
                         prefix: query["Under"].to_owned(),
                         after,
--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -23,18 +23,18 @@
 const IDLE_SAMPLES: usize = 4;
 
 #[derive(Default)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingChecks {
     /// Jobs that are expected to wait.
-    pub(crate) meant: BTreeSet<String>,
+    pub(crate) expected: BTreeSet<String>,
     /// Jobs that waited too long, expected or not.
-    pub(crate) found: BTreeSet<String>,
+    pub(crate) overdue: BTreeSet<String>,
     /// When the last fault ended.
-    calm_from: u64,
+    last_fault_at: u64,
     /// Since when each job waits beside free capacity.
-    since: BTreeMap<String, u64>,
-    asks: BTreeMap<String, PlacementRequest>,
+    waiting_since: BTreeMap<String, u64>,
+    placement_requests: BTreeMap<String, PlacementRequest>,
     /// Free resources of each machine in the last samples.
-    rooms: BTreeMap<String, VecDeque<Resources>>,
+    free_samples: BTreeMap<String, VecDeque<Resources>>,
     teams: Vec<Team>,
 }
 
@@ -95,12 +95,13 @@
         }
     }
 
-    fn allows(&self, room: &IdleMachine<'_>) -> bool {
-        let kind = |kinds: &Value| kinds[room.machine_type][room.zone][usize::from(room.spot)].is_u64();
+    fn allows(&self, machine: &IdleMachine<'_>) -> bool {
+        let kind =
+            |kinds: &Value| kinds[machine.machine_type][machine.zone][usize::from(machine.spot)].is_u64();
         let types = self.types.as_ref();
-        types.is_none_or(|types| types.iter().any(|name| name == room.machine_type))
-            && self.zone.as_ref().is_none_or(|only| only == room.zone)
-            && (self.spot || !room.spot)
+        types.is_none_or(|types| types.iter().any(|name| name == machine.machine_type))
+            && self.zone.as_ref().is_none_or(|only| only == machine.zone)
+            && (self.spot || !machine.spot)
             && self.kinds.as_ref().is_none_or(kind)
     }
 }
@@ -139,9 +140,9 @@
 
     /// Whether a job waits beside free capacity, so that the simulation must continue.
     pub(crate) fn has_wait_beside_capacity(&self) -> bool {
-        let since = self.waiting_checks.since.iter();
+        let since = self.waiting_checks.waiting_since.iter();
         since
-            .filter(|(id, _)| !self.waiting_checks.found.contains(*id))
+            .filter(|(id, _)| !self.waiting_checks.overdue.contains(*id))
             .count()
             > 0
     }
@@ -149,47 +150,55 @@
     /// Flags jobs that waited too long beside free capacity.
     pub(crate) fn check_waiting(&mut self) {
         if self.has_any_fault() {
-            self.waiting_checks.calm_from = self.now;
-            self.waiting_checks.since.clear();
+            self.waiting_checks.last_fault_at = self.now;
+            self.waiting_checks.waiting_since.clear();
         }
         if !self.now.is_multiple_of(CHECK_INTERVAL_MS) {
             return;
         }
         let mut waiting = std::mem::take(&mut self.waiting_checks);
         for (id, observed) in &self.jobs {
-            if observed.accepted && !waiting.asks.contains_key(id) {
-                waiting.asks.insert(id.clone(), PlacementRequest::of(observed));
+            if observed.accepted && !waiting.placement_requests.contains_key(id) {
+                waiting
+                    .placement_requests
+                    .insert(id.clone(), PlacementRequest::of(observed));
             }
         }
         if waiting.teams.is_empty() {
             waiting.teams = self.teams();
         }
         self.sample_free_resources(&mut waiting);
-        let calm = self.now > waiting.calm_from;
-        let beside = if calm {
+        let is_calm = self.now > waiting.last_fault_at;
+        let waits = if is_calm {
             self.waits_beside_capacity(&waiting)
         } else {
             BTreeMap::new()
         };
-        let (now, mut vain) = (self.now, Vec::new());
-        waiting.since.retain(|id, _| beside.contains_key(id));
-        for (id, machine) in beside {
-            let since = *waiting.since.entry(id.clone()).or_insert(now);
-            if now < since + MAX_WAIT_MS || !waiting.found.insert(id.clone()) || waiting.meant.contains(&id) {
+        let (now, mut overdue_lines) = (self.now, Vec::new());
+        waiting.waiting_since.retain(|id, _| waits.contains_key(id));
+        for (id, machine) in waits {
+            let since = *waiting.waiting_since.entry(id.clone()).or_insert(now);
+            if now < since + MAX_WAIT_MS
+                || !waiting.overdue.insert(id.clone())
+                || waiting.expected.contains(&id)
+            {
                 continue;
             }
-            vain.push(format!("{id}, since {} s, as {machine} has room", since / 1_000));
+            overdue_lines.push(format!("{id}, since {} s, as {machine} has room", since / 1_000));
         }
         self.waiting_checks = waiting;
-        for line in vain {
+        for line in overdue_lines {
             self.violation("waits", line);
         }
     }
 
     /// Declared exceptions that did not occur.
     pub(crate) fn unmet_wait_exceptions(&self) -> impl Iterator<Item = String> {
-        let none = self.waiting_checks.meant.difference(&self.waiting_checks.found);
-        none.map(|id| format!("waits {id}: it is not so"))
+        let unmet = self
+            .waiting_checks
+            .expected
+            .difference(&self.waiting_checks.overdue);
+        unmet.map(|id| format!("waits {id}: it is not so"))
     }
 
     fn teams(&self) -> Vec<Team> {
@@ -201,78 +210,85 @@
         teams
     }
 
-    fn sample_free_resources(&self, waiting: &mut Waiting) {
-        waiting.rooms.retain(|id, _| self.workers.contains_key(id));
+    fn sample_free_resources(&self, waiting: &mut WaitingChecks) {
+        waiting.free_samples.retain(|id, _| self.workers.contains_key(id));
         for (id, worker) in &self.workers {
             let mut types = self.cloud.types.iter();
             let known = types.find(|known| known.name == worker.machine_type);
             let mut free = known.map(|known| known.resources()).unwrap_or_default();
             for task in worker.tasks.iter().filter(|task| task.state != TaskState::Exited) {
-                if let Some(ask) = waiting.asks.get(&task.job) {
-                    free -= ask.needs;
+                if let Some(request) = waiting.placement_requests.get(&task.job) {
+                    free -= request.needs;
                 }
             }
-            let looks = waiting.rooms.entry(id.clone()).or_default();
-            looks.push_back(free);
-            if looks.len() > IDLE_SAMPLES {
-                looks.pop_front();
+            let samples = waiting.free_samples.entry(id.clone()).or_default();
+            samples.push_back(free);
+            if samples.len() > IDLE_SAMPLES {
+                samples.pop_front();
             }
         }
     }
 
     /// Healthy machines with the resources that stayed free in all samples.
-    fn idle_machines<'a>(&'a self, waiting: &'a Waiting) -> Vec<IdleMachine<'a>> {
-        let sound = self.workers.values().filter(|worker| {
-            let seen = waiting.rooms.get(&worker.id).map_or(0, VecDeque::len);
-            worker.reclaim_at.is_none() && !worker.faulty && seen == IDLE_SAMPLES
+    fn idle_machines<'a>(&'a self, waiting: &'a WaitingChecks) -> Vec<IdleMachine<'a>> {
+        let healthy = self.workers.values().filter(|worker| {
+            let sample_count = waiting.free_samples.get(&worker.id).map_or(0, VecDeque::len);
+            worker.reclaim_at.is_none() && !worker.faulty && sample_count == IDLE_SAMPLES
         });
-        let rooms = sound.map(|worker| {
-            let least = |a: Resources, b: &Resources| Resources {
+        let idle = healthy.map(|worker| {
+            let minimum = |a: Resources, b: &Resources| Resources {
                 cpus: a.cpus.min(b.cpus),
                 gpus: a.gpus.min(b.gpus),
                 memory_gb: a.memory_gb.min(b.memory_gb),
             };
-            let looks = &waiting.rooms[&worker.id];
+            let samples = &waiting.free_samples[&worker.id];
             IdleMachine {
                 id: &worker.id,
                 machine_type: &worker.machine_type,
                 zone: &worker.zone,
                 spot: worker.spot,
-                free: looks.iter().skip(1).fold(looks[0], least),
+                free: samples.iter().skip(1).fold(samples[0], minimum),
             }
         });
-        rooms.collect()
+        idle.collect()
     }
 
     /// Jobs that wait beside free capacity now, each with a machine that has it.
-    fn waits_beside_capacity(&self, waiting: &Waiting) -> BTreeMap<String, String> {
-        let rooms = self.idle_machines(waiting);
+    fn waits_beside_capacity(&self, waiting: &WaitingChecks) -> BTreeMap<String, String> {
+        let idle_machines = self.idle_machines(waiting);
         let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut held: BTreeMap<&str, u32> = BTreeMap::new();
-        let mut there: BTreeMap<&str, PlacedTasks<'_>> = BTreeMap::new();
+        let mut placement: BTreeMap<&str, PlacedTasks<'_>> = BTreeMap::new();
         for (worker, task) in self.workers.values().flat_map(|worker| {
             let tasks = worker.tasks.iter().filter(|task| task.state != TaskState::Exited);
             tasks.map(move |task| (worker, task))
         }) {
-            let (Some(observed), Some(ask)) = (self.jobs.get(&task.job), waiting.asks.get(&task.job)) else {
+            let (Some(observed), Some(request)) = (
+                self.jobs.get(&task.job),
+                waiting.placement_requests.get(&task.job),
+            ) else {
                 continue;
             };
-            *used.entry(&observed.team).or_default() += ask.needs;
+            *used.entry(&observed.team).or_default() += request.needs;
             for (count, units) in &observed.counted_units {
                 *held.entry(count).or_default() += units;
             }
-            let there = there.entry(&task.job).or_default();
-            there.indexes.insert(task.index);
-            *there.zones.entry(&worker.zone).or_default() += 1;
-            there.is_running |= matches!(task.state, TaskState::Running | TaskState::Saving);
+            let placement = placement.entry(&task.job).or_default();
+            placement.indexes.insert(task.index);
+            *placement.zones.entry(&worker.zone).or_default() += 1;
+            placement.is_running |= matches!(task.state, TaskState::Running | TaskState::Saving);
         }
         let none = PlacedTasks::default();
-        let mut beside = BTreeMap::new();
+        let mut waits = BTreeMap::new();
         for (id, observed) in &self.jobs {
             let over = observed.cancel_requested_at.is_some() || observed.rejected || observed.always_fails;
-            let there = there.get(id.as_str()).unwrap_or(&none);
-            let placed = observed.completed_tasks.union(&there.indexes).count() as u32;
-            let Some(ask) = waiting.asks.get(id).filter(|_| !over && placed < observed.tasks) else {
+            let placement = placement.get(id.as_str()).unwrap_or(&none);
+            let placed = observed.completed_tasks.union(&placement.indexes).count() as u32;
+            let Some(request) = waiting
+                .placement_requests
+                .get(id)
+                .filter(|_| !over && placed < observed.tasks)
+            else {
                 continue;
             };
             let gang = observed.shape == "gang";
@@ -282,23 +298,30 @@
                 1
             };
             // Only the records tell that a submit file's job was removed or is held.
-            let parked = observed.cluster.is_some_and(|of| {
+            let held_back = observed.cluster.is_some_and(|of| {
                 self.state.value(&format!("j/{id}")).is_none() || self.check_runnable(id, of).is_err()
             });
-            if gang && there.is_running || parked {
+            if gang && placement.is_running || held_back {
                 continue;
             }
             let mut usage = used.get(observed.team.as_str()).copied().unwrap_or_default();
-            usage += ask.needs.scaled_by(tasks as f64);
+            usage += request.needs.scaled_by(tasks as f64);
             let within = |team: &Team| team.name == observed.team && team.allows(&usage);
             if !waiting.teams.iter().any(within) || !self.has_units(observed, tasks as u32, &held) {
                 continue;
             }
-            if let Some(machine) = find_machine(ask, gang, tasks, observed.tasks as usize, there, &rooms) {
-                beside.insert(id.clone(), machine.to_owned());
+            if let Some(machine) = find_machine(
+                request,
+                gang,
+                tasks,
+                observed.tasks as usize,
+                placement,
+                &idle_machines,
+            ) {
+                waits.insert(id.clone(), machine.to_owned());
             }
         }
-        beside
+        waits
     }
 
     /// Whether there are units for this many more tasks. Resources with shares for teams are not
@@ -319,34 +342,34 @@
 
 /// Returns a machine that could take one of the missing tasks, if there is room for all of them.
 fn find_machine<'a>(
-    ask: &PlacementRequest,
+    request: &PlacementRequest,
     gang: bool,
     missing: usize,
     all: usize,
-    there: &PlacedTasks<'_>,
-    rooms: &[IdleMachine<'a>],
+    placement: &PlacedTasks<'_>,
+    idle_machines: &[IdleMachine<'a>],
 ) -> Option<&'a str> {
     let mut by_zone: BTreeMap<&str, (usize, &'a str)> = BTreeMap::new();
-    for room in rooms
+    for machine in idle_machines
         .iter()
-        .filter(|room| ask.needs.fits_in(&room.free) && ask.allows(room))
+        .filter(|machine| request.needs.fits_in(&machine.free) && request.allows(machine))
     {
-        let (places, _) = by_zone.entry(room.zone).or_insert((0, room.id));
-        *places += ask.needs.instances_in(&room.free).min(all as f64) as usize;
+        let (places, _) = by_zone.entry(machine.zone).or_insert((0, machine.id));
+        *places += request.needs.instances_in(&machine.free).min(all as f64) as usize;
     }
-    let taken = |zone: &str| there.zones.get(zone).copied().unwrap_or(0);
-    if ask.one_zone {
+    let taken = |zone: &str| placement.zones.get(zone).copied().unwrap_or(0);
+    if request.one_zone {
         // In the zone of the placed tasks; a gang that does not run may move to another zone as a
         // whole.
         return by_zone.into_iter().find_map(|(zone, (places, id))| {
-            let alone = there.zones.keys().all(|other| *other == zone);
+            let alone = placement.zones.keys().all(|other| *other == zone);
             let needed = if alone { missing } else { all };
-            ((alone || gang) && places >= needed && taken(zone) + needed <= ask.max_tasks_per_zone)
+            ((alone || gang) && places >= needed && taken(zone) + needed <= request.max_tasks_per_zone)
                 .then_some(id)
         });
     }
     let places = |(zone, (places, _)): (&&str, &(usize, &str))| {
-        (*places).min(ask.max_tasks_per_zone.saturating_sub(taken(zone)))
+        (*places).min(request.max_tasks_per_zone.saturating_sub(taken(zone)))
     };
     if by_zone.iter().map(places).sum::<usize>() < missing {
         return None;
--- a/crates/simulator/src/window_checks.rs
+++ b/crates/simulator/src/window_checks.rs
@@ -84,33 +84,33 @@
         }
         self.check_window_transitions();
         let mut up: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut there: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut placed: BTreeMap<&str, u64> = BTreeMap::new();
         for task in self.workers.values().flat_map(|worker| &worker.tasks) {
             *up.entry(&task.job).or_default() += u64::from(task.state == TaskState::Running);
-            *there.entry(&task.job).or_default() += u64::from(task.state != TaskState::Exited);
+            *placed.entry(&task.job).or_default() += u64::from(task.state != TaskState::Exited);
         }
-        let mut lacking = BTreeMap::new();
+        let mut missing_since = BTreeMap::new();
         let (mut up_ms, mut due_ms) = (0, 0);
         for (id, observed) in &self.jobs {
             let wanted = u64::from(observed.tasks);
-            let of = |counts: &BTreeMap<&str, u64>| counts.get(id.as_str()).copied().unwrap_or(0);
+            let count_of = |counts: &BTreeMap<&str, u64>| counts.get(id.as_str()).copied().unwrap_or(0);
             if self.protection_rank(observed).is_some() {
                 due_ms += wanted * step_ms;
-                up_ms += of(&up).min(wanted) * step_ms;
+                up_ms += count_of(&up).min(wanted) * step_ms;
             }
-            if observed.shape == "daemon" && observed.accepted && of(&there) < wanted {
+            if observed.shape == "daemon" && observed.accepted && count_of(&placed) < wanted {
                 let since = self
                     .window_checks
                     .replicas_missing_since
                     .get(id)
                     .copied()
                     .unwrap_or(self.now);
-                lacking.insert(id.clone(), since);
+                missing_since.insert(id.clone(), since);
             }
         }
         self.window_checks.protected_up_ms += up_ms;
         self.window_checks.protected_wanted_ms += due_ms;
-        self.window_checks.replicas_missing_since = lacking;
+        self.window_checks.replicas_missing_since = missing_since;
     }
 
     fn check_window_transitions(&mut self) {
@@ -149,11 +149,11 @@
             if self.protection_rank(observed).is_none() || observed.cancel_requested {
                 continue;
             }
-            let asked = self
+            let justified = self
                 .jobs
                 .values()
                 .any(|other| other.accepted && priority(other) < priority(observed));
-            if !asked {
+            if !justified {
                 self.violation("economy", format!("{job} on {machine} is stopped"));
             }
         }
@@ -187,14 +187,14 @@
             let since = self.window_checks.replicas_missing_since.get(id);
             since.is_some_and(|since| self.now >= since + MIN_WAIT_MS)
         };
-        let before = self.jobs.iter().find(|(id, other)| {
+        let passed_over = self.jobs.iter().find(|(id, other)| {
             waited(id)
                 && self.protection_rank(other).is_some_and(|better| better < rank)
                 && priority(other) == priority(observed)
                 && fits(other)
                 && allows(other)
         });
-        if let Some((id, _)) = before {
+        if let Some((id, _)) = passed_over {
             let what = format!("{job} of rank {rank} starts on {machine}, and {id} waits");
             self.violation("rank", what);
         }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -249,27 +249,27 @@
         jobs: &BTreeMap<String, ObservedJob>,
         now: u64,
     ) -> (u16, Vec<u8>) {
-        let orders: DirectCommands = serde_json::from_slice(body).unwrap();
-        if orders.token < self.token || orders.agent_epoch != self.agent_epoch {
+        let request: DirectCommands = serde_json::from_slice(body).unwrap();
+        if request.token < self.token || request.agent_epoch != self.agent_epoch {
             return (409, self.heartbeat(now));
         }
-        self.observe_token(orders.token, now);
-        self.execute(&orders.commands, jobs, now);
+        self.observe_token(request.token, now);
+        self.execute(&request.commands, jobs, now);
         (200, self.heartbeat(now))
     }
 
-    fn execute(&mut self, orders: &[WorkerCommand], jobs: &BTreeMap<String, ObservedJob>, now: u64) {
-        for order in orders {
-            let (job, index) = order.task.rsplit_once('/').unwrap();
+    fn execute(&mut self, commands: &[WorkerCommand], jobs: &BTreeMap<String, ObservedJob>, now: u64) {
+        for command in commands {
+            let (job, index) = command.task.rsplit_once('/').unwrap();
             let index: u32 = index.parse().unwrap();
             let known = self
                 .tasks
                 .iter()
-                .position(|task| task.job == job && task.index == index && task.attempt == order.attempt);
-            match (order.kind, known) {
-                (CommandKind::Start, None) => self.start(job, index, order.attempt, jobs, now),
+                .position(|task| task.job == job && task.index == index && task.attempt == command.attempt);
+            match (command.kind, known) {
+                (CommandKind::Start, None) => self.start(job, index, command.attempt, jobs, now),
                 (CommandKind::Stop, Some(at)) => {
-                    let grace_ms = (order.grace_s.unwrap_or(0.0) * 1000.0) as u64;
+                    let grace_ms = (command.grace_s.unwrap_or(0.0) * 1000.0) as u64;
                     let task = &mut self.tasks[at];
                     let observed = &jobs[job];
                     let save_ms = (observed.checkpoint_save_s * 1000.0) as u64;
@@ -293,7 +293,7 @@
                 _ => (),
             }
         }
-        if !orders.is_empty() {
+        if !commands.is_empty() {
             self.advance_heartbeat(now);
         }
     }
