--- a/crates/indigopath/tests/condor.rs
+++ b/crates/indigopath/tests/condor.rs
@@ -1,9 +1,9 @@
-//! Submit files from the command line to real controllers, on loopback, while controllers are
-//! killed at random: every cluster that was accepted is there once, all of it is done, and
-//! nothing that was refused ran.
+//! Loopback test that submits files from the command line to real controllers while controllers are
+//! killed at random: every accepted cluster exists exactly once and completes, and nothing that was
+//! rejected runs.
 //!
-//! The seed is printed; `INDIGOPATH_SEED=N` plays the same decisions again. Time is only an
-//! upper bound: nothing is judged by how long it took.
+//! The seed is printed; `INDIGOPATH_SEED=N` repeats the same random decisions. Times are only upper
+//! bounds: no check depends on how long something took.
 
 use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, times};
 use indigopath_simulator::licence_server::LicenceServer;
@@ -15,27 +15,31 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// No run may take longer, in s; one takes about twenty seconds.
-const LONGEST_S: u64 = 400;
+/// Time limit of a run, in s; a run takes about twenty seconds.
+const RUN_TIMEOUT_S: u64 = 400;
 
-/// Controllers, and the command line that asks them.
-struct Site {
+/// The controllers, and the command line that sends requests to them.
+struct TestSite {
     controllers: Controllers,
-    began: Instant,
+    started_at: Instant,
 }
 
-impl Site {
-    fn keep_up(&mut self) {
-        let late = self.began.elapsed() >= Duration::from_secs(LONGEST_S);
-        assert!(!late, "it takes too long\n{}", self.controllers.problems());
+impl TestSite {
+    fn restart_controllers(&mut self) {
+        let has_timed_out = self.started_at.elapsed() >= Duration::from_secs(RUN_TIMEOUT_S);
+        assert!(
+            !has_timed_out,
+            "the run takes too long\n{}",
+            self.controllers.problems()
+        );
         self.controllers.keep_up();
     }
 
-    fn command(&self, words: &[&str]) -> Command {
+    fn command(&self, arguments: &[&str]) -> Command {
         let mut command = Command::new(&self.controllers.program);
         command
             .arg("condor")
-            .args(words)
+            .args(arguments)
             .current_dir(&self.controllers.folder)
             .stdin(Stdio::null());
         for node in &self.controllers.nodes {
@@ -44,24 +48,25 @@
         command
     }
 
-    /// The command line, until it is answered, while controllers come back.
-    fn run(&mut self, words: &[&str]) -> Output {
+    /// Runs the command until a controller answers, restarting killed controllers meanwhile.
+    fn run(&mut self, arguments: &[&str]) -> Output {
         loop {
-            self.keep_up();
-            let output = self.command(words).output().expect("the program runs");
-            let silent = String::from_utf8_lossy(&output.stderr).contains("no controller that can tell");
-            if !silent {
+            self.restart_controllers();
+            let output = self.command(arguments).output().expect("the program runs");
+            let is_unanswered =
+                String::from_utf8_lossy(&output.stderr).contains("no controller that can tell");
+            if !is_unanswered {
                 return output;
             }
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
-    fn json(&mut self, words: &[&str]) -> Value {
-        let words: Vec<&str> = words.iter().copied().chain(["--format", "json"]).collect();
-        let output = self.run(&words);
+    fn json(&mut self, arguments: &[&str]) -> Value {
+        let arguments: Vec<&str> = arguments.iter().copied().chain(["--format", "json"]).collect();
+        let output = self.run(&arguments);
         serde_json::from_slice(&output.stdout)
-            .unwrap_or_else(|_| panic!("{words:?}: {}", String::from_utf8_lossy(&output.stderr)))
+            .unwrap_or_else(|_| panic!("{arguments:?}: {}", String::from_utf8_lossy(&output.stderr)))
     }
 }
 
@@ -76,8 +81,8 @@
     }
 "#;
 
-/// The most memory that a process has had, in kB, where the system tells.
-fn peak_kb(process: u32) -> Option<u64> {
+/// Returns the peak memory use of a process, in kB, if the system provides it.
+fn peak_memory_kb(process: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
     line.trim().trim_end_matches(" kB").trim().parse().ok()
@@ -87,8 +92,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Done tasks of a cluster, by the workers' own count.
-fn done(live: &Live, cluster: u64) -> usize {
+/// Returns the number of completed tasks of a cluster as counted by the workers.
+fn count_completed_tasks(live: &Live, cluster: u64) -> usize {
     let prefix = format!("wk-99{cluster:010}");
     live.with(|models| {
         let jobs = models.jobs.iter().filter(|(id, _)| id.starts_with(&prefix));
@@ -96,17 +101,21 @@
     })
 }
 
-fn until(site: &mut Site, what: &str, mut holds: impl FnMut(&mut Site) -> bool) {
-    while !holds(site) {
-        let late = site.began.elapsed() >= Duration::from_secs(LONGEST_S);
-        assert!(!late, "{what} never came\n{}", site.controllers.problems());
-        site.keep_up();
+fn wait_until(site: &mut TestSite, what: &str, mut is_met: impl FnMut(&mut TestSite) -> bool) {
+    while !is_met(site) {
+        let has_timed_out = site.started_at.elapsed() >= Duration::from_secs(RUN_TIMEOUT_S);
+        assert!(
+            !has_timed_out,
+            "{what} never came\n{}",
+            site.controllers.problems()
+        );
+        site.restart_controllers();
         std::thread::sleep(Duration::from_millis(100));
     }
 }
 
 #[test]
-fn submit_files_run_once_whatever_controllers_end() {
+fn submit_files_run_once_while_controllers_are_killed() {
     let seed = std::env::var("INDIGOPATH_SEED")
         .ok()
         .and_then(|seed| seed.parse().ok())
@@ -117,9 +126,9 @@
     let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }, { "name": "comics" }]);
-    let mut site = Site {
+    let mut site = TestSite {
         controllers: Controllers::new(program, "condor", nodes, &live, &teams, OPERATOR),
-        began: Instant::now(),
+        started_at: Instant::now(),
     };
     let write = |name: &str, text: &str| std::fs::write(site.controllers.folder.join(name), text).unwrap();
     write("items.txt", "1\n2\n3\n");
@@ -135,7 +144,7 @@
         "universe = parallel\nmachine_count = 5\nrequest_gpus = 4\nqueue\n",
     );
     write("held.sub", "hold = true\nqueue 2\n");
-    // As large as a file from a user gets: most of it items.
+    // As large as a user's file gets; most of it is items.
     let items: String = (0..10_000)
         .map(|number| format!("scans/volume-7/page-{number:06}.tif\n"))
         .collect();
@@ -143,35 +152,35 @@
         "large.sub",
         &format!("arguments = $(Item)\nhold = true\nqueue from (\n{items})\n"),
     );
-    until(&mut site, "the first answer", |site| {
+    wait_until(&mut site, "the first answer", |site| {
         site.json(&["q"])["jobs"].is_array()
     });
 
-    // What is refused is told, and nothing of it is there.
-    let bad = site.run(&["submit", "bad.sub"]);
-    assert_eq!(bad.status.code(), Some(1));
+    // Rejections are reported, and nothing of the rejected files is submitted.
+    let unknown_attribute = site.run(&["submit", "bad.sub"]);
+    assert_eq!(unknown_attribute.status.code(), Some(1));
     assert!(
-        text(&bad.stderr).contains("bad.sub:2:16: requirements"),
+        text(&unknown_attribute.stderr).contains("bad.sub:2:16: requirements"),
         "{}",
-        text(&bad.stderr)
+        text(&unknown_attribute.stderr)
     );
-    let broken = site.run(&["submit", "broken.sub"]);
-    assert_eq!(broken.status.code(), Some(1));
+    let unclosed_macro = site.run(&["submit", "broken.sub"]);
+    assert_eq!(unclosed_macro.status.code(), Some(1));
     assert!(
-        text(&broken.stderr).starts_with("broken.sub:1:16: "),
+        text(&unclosed_macro.stderr).starts_with("broken.sub:1:16: "),
         "{}",
-        text(&broken.stderr)
+        text(&unclosed_macro.stderr)
     );
     assert_eq!(site.run(&["submit", "none.sub"]).status.code(), Some(2));
     assert_eq!(site.run(&["hold", "x"]).status.code(), Some(2));
     assert_eq!(site.run(&["hold", "77"]).status.code(), Some(1));
     assert_eq!(site.json(&["history"])["clusters"], json!([]));
 
-    // Clusters while controllers end: each is accepted once, under a number of its own.
+    // Submits clusters while controllers are killed: each is accepted once, with its own number.
     let mut clusters = Vec::new();
     let mut kills = 0;
     for _ in 0..12 {
-        site.keep_up();
+        site.restart_controllers();
         let mut child = site
             .command(&["submit", "pages.sub", "--owner", "awa", "--format", "json"])
             .stdout(Stdio::piped())
@@ -184,25 +193,25 @@
             _ => site.controllers.kill(rng.random_range(0..NODES)),
         }
         kills += 1;
-        until(&mut site, "an answer", |_| child.try_wait().unwrap().is_some());
+        wait_until(&mut site, "an answer", |_| child.try_wait().unwrap().is_some());
         let output = child.wait_with_output().unwrap();
         assert!(output.status.success(), "{}", site.controllers.problems());
         let accepted: Value = serde_json::from_slice(&output.stdout).unwrap();
         assert_eq!((&accepted["procs"], &accepted["jobs"]), (&json!(9), &json!(2)));
         clusters.push(accepted["cluster"].as_u64().unwrap());
     }
-    let mut different = clusters.clone();
-    different.dedup();
-    assert_eq!(different.len(), clusters.len(), "{clusters:?}");
+    let mut distinct = clusters.clone();
+    distinct.dedup();
+    assert_eq!(distinct.len(), clusters.len(), "{clusters:?}");
     assert_eq!(
         site.json(&["history"])["clusters"].as_array().unwrap().len(),
         clusters.len()
     );
 
-    // What is over the limit is held, and a release does not bypass it.
-    let over = site.json(&["submit", "over.sub"]);
-    let over = over["cluster"].as_u64().unwrap().to_string();
-    let released = site.run(&["release", &over]);
+    // Jobs over the quota are held, and a release does not bypass the quota.
+    let over_quota = site.json(&["submit", "over.sub"]);
+    let over_quota = over_quota["cluster"].as_u64().unwrap().to_string();
+    let released = site.run(&["release", &over_quota]);
     assert_eq!(released.status.code(), Some(1));
     assert!(
         text(&released.stderr).contains("team vision's limit of 16"),
@@ -213,13 +222,13 @@
     assert_eq!(held["held"][0]["reason"], "hold = true in the submit file");
     let held = held["cluster"].as_u64().unwrap();
     let submitted = site.run(&["submit", "large.sub"]);
-    let told = text(&submitted.stdout);
+    let stdout = text(&submitted.stdout);
     assert!(
-        told.starts_with("10000 job(s) submitted to cluster "),
-        "{told}{}",
+        stdout.starts_with("10000 job(s) submitted to cluster "),
+        "{stdout}{}",
         text(&submitted.stderr)
     );
-    let large = told
+    let large = stdout
         .trim_end_matches(['.', '\n'])
         .rsplit(' ')
         .next()
@@ -227,45 +236,52 @@
         .to_owned();
 
     for cluster in &clusters {
-        until(&mut site, "the end of a cluster", |_| done(&live, *cluster) == 9);
-        until(&mut site, "its record", |site| {
+        wait_until(&mut site, "the end of a cluster", |_| {
+            count_completed_tasks(&live, *cluster) == 9
+        });
+        wait_until(&mut site, "its record", |site| {
             let history = site.json(&["history", &cluster.to_string()]);
             let jobs = history["jobs"].as_array().unwrap().clone();
             jobs.len() == 2 && jobs.iter().all(|job| job["state"] == "completed")
         });
     }
-    assert_eq!(done(&live, held), 0);
+    assert_eq!(count_completed_tasks(&live, held), 0);
     let queue = text(&site.run(&["q"]).stdout);
     assert!(
         queue.contains("JOB_IDS") && queue.contains("10003 held"),
         "{queue}"
     );
-    let why = text(&site.run(&["q", "--hold"]).stdout);
-    assert!(why.contains("it needs 20 GPUs at once"), "{why}");
+    let hold_table = text(&site.run(&["q", "--hold"]).stdout);
+    assert!(hold_table.contains("it needs 20 GPUs at once"), "{hold_table}");
     let released = site.run(&["release", &held.to_string()]);
     assert_eq!(
         text(&released.stdout),
         format!("All jobs in cluster {held} have been released\n")
     );
-    until(&mut site, "the end of what was held", |_| done(&live, held) == 2);
-    for cluster in [&over, &large] {
+    wait_until(&mut site, "the end of what was held", |_| {
+        count_completed_tasks(&live, held) == 2
+    });
+    for cluster in [&over_quota, &large] {
         let removed = site.run(&["rm", cluster]);
         assert!(removed.status.success(), "{}", text(&removed.stderr));
     }
-    until(&mut site, "an empty queue", |site| {
+    wait_until(&mut site, "an empty queue", |site| {
         site.json(&["q"])["jobs"] == json!([])
     });
-    // The largest file went through one of them; the platform gives each 200 MB.
+    // One of the controllers handled the largest file; the platform allows each 200 MB.
     let peaks: Vec<u64> = site
         .controllers
         .running
         .iter()
         .flatten()
-        .filter_map(|child| peak_kb(child.id()))
+        .filter_map(|child| peak_memory_kb(child.id()))
         .collect();
     println!("memory peaks in kB: {peaks:?}");
     assert!(peaks.iter().all(|peak| *peak < 200_000), "{peaks:?}");
-    let total: usize = clusters.iter().map(|cluster| done(&live, *cluster)).sum();
+    let total: usize = clusters
+        .iter()
+        .map(|cluster| count_completed_tasks(&live, *cluster))
+        .sum();
     println!(
         "{} clusters of 9 procs, {total} done, {kills} kills of controllers",
         clusters.len()
--- a/crates/indigopath/tests/docs.rs
+++ b/crates/indigopath/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages name what exists: files, packages, functions, programs and tests.
+//! Checks that the files, packages, functions, programs and tests named in the documentation exist.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
     std::fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// All files below a folder.
+/// Appends all files below a folder to `found`.
 fn files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -28,18 +28,18 @@
 fn sources() -> Vec<PathBuf> {
     let mut found = Vec::new();
     files(&root().join("crates"), &mut found);
-    found.retain(|path| path.extension().is_some_and(|kind| kind == "rs"));
+    found.retain(|path| path.extension().is_some_and(|extension| extension == "rs"));
     assert!(!found.is_empty());
     found
 }
 
-/// What stands between backquotes in a text.
-fn quoted(text: &str) -> impl Iterator<Item = &str> {
+/// Returns the code spans of a text.
+fn code_spans(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
 
-/// Names of functions, types, constants and variants in all sources.
-fn defined() -> BTreeSet<String> {
+/// Returns all words in the sources, including the names of functions, types, constants and variants.
+fn source_words() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for path in sources() {
         let text = std::fs::read_to_string(path).unwrap();
@@ -52,8 +52,8 @@
     names
 }
 
-/// Functions by their definitions.
-fn functions() -> BTreeSet<String> {
+/// Returns the names of all functions defined in the sources.
+fn function_names() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for path in sources() {
         let text = std::fs::read_to_string(path).unwrap();
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn links_lead_somewhere() {
+fn links_resolve() {
     let mut pages: Vec<String> = PAGES.map(str::to_owned).to_vec();
     let mut docs = Vec::new();
     files(&root().join("docs"), &mut docs);
     let docs = docs
         .iter()
-        .filter(|path| path.extension().is_some_and(|kind| kind == "md"));
+        .filter(|path| path.extension().is_some_and(|extension| extension == "md"));
     pages.extend(docs.map(|path| path.strip_prefix(root()).unwrap().display().to_string()));
     let mut broken = Vec::new();
     for page in &pages {
@@ -93,8 +93,8 @@
     let mut missing = Vec::new();
     for page in PAGES {
         let text = read(page);
-        for path in quoted(&text).filter(|path| path.starts_with("crates/") && !path.contains(' ')) {
-            // `*.txt` names the files of a folder.
+        for path in code_spans(&text).filter(|path| path.starts_with("crates/") && !path.contains(' ')) {
+            // A pattern such as `*.txt` stands for the files of a folder.
             let file = path.split_once('*').map_or(path, |(folder, _)| folder);
             if !root().join(file.trim_end_matches('/')).exists() {
                 missing.push(format!("{page}: {path}"));
@@ -105,20 +105,20 @@
 }
 
 #[test]
-fn the_architecture_names_functions_and_types_that_exist() {
-    let functions = functions();
-    let defined = defined();
+fn functions_and_types_in_the_architecture_exist() {
+    let function_names = function_names();
+    let source_words = source_words();
     let text = read("docs/ARCHITECTURE.md");
     let mut missing = Vec::new();
-    for name in quoted(&text).filter(|name| name.ends_with("()")) {
+    for name in code_spans(&text).filter(|name| name.ends_with("()")) {
         let function = name.trim_end_matches("()").rsplit("::").next().unwrap();
-        if !functions.contains(function) {
+        if !function_names.contains(function) {
             missing.push(name.to_owned());
         }
     }
-    for name in quoted(&text).filter(|name| name.starts_with(char::is_uppercase) && !name.contains(' ')) {
+    for name in code_spans(&text).filter(|name| name.starts_with(char::is_uppercase) && !name.contains(' ')) {
         for part in name.trim_end_matches("()").split("::") {
-            if !defined.contains(part) {
+            if !source_words.contains(part) {
                 missing.push(name.to_owned());
             }
         }
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn commands_name_targets_that_exist() {
+fn targets_in_commands_exist() {
     let text = read("README.md");
     let manifests: Vec<String> = std::fs::read_dir(root().join("crates"))
         .unwrap()
@@ -143,10 +143,10 @@
     let mut missing = Vec::new();
     for pair in words.windows(2) {
         let target = pair[1].trim_matches(|letter: char| !letter.is_alphanumeric());
-        let named = |line: &str| manifests.iter().any(|manifest| manifest.contains(line));
+        let is_declared = |line: &str| manifests.iter().any(|manifest| manifest.contains(line));
         let exists = match pair[0].trim_matches('`') {
-            "-p" => named(&format!("name = \"{target}\"")),
-            "--bin" => named(&format!("name = \"{target}\"")) || stems.contains(target),
+            "-p" => is_declared(&format!("name = \"{target}\"")),
+            "--bin" => is_declared(&format!("name = \"{target}\"")) || stems.contains(target),
             "--test" | "--example" => stems.contains(target),
             _ => true,
         };
--- a/crates/indigopath/tests/intake.rs
+++ b/crates/indigopath/tests/intake.rs
@@ -1,5 +1,5 @@
-//! Bodies that are no submission, sent to a real controller on loopback: each gets a clear status, and
-//! the controller goes on. Time is only an upper bound: nothing is judged by how long it took.
+//! Loopback test that sends invalid submissions to a real controller: each gets a definite status, and
+//! the controller keeps running. Times are only upper bounds: no check depends on how long something took.
 
 use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, times};
 use indigopath_simulator::licence_server::LicenceServer;
@@ -11,95 +11,99 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for the controller to answer at all, in s.
-const LONGEST_S: u64 = 60;
+/// Longest wait for any response of the controller, in s.
+const RESPONSE_TIMEOUT_S: u64 = 60;
 
-/// Status and text of the answer to a submission, once it can be decided.
-fn submit(at: SocketAddrV4, body: &[u8]) -> (u16, String) {
+/// Submits a body, retrying while the controller is unavailable, and returns the status and text of the
+/// response.
+fn submit(node_addr: SocketAddrV4, body: &[u8]) -> (u16, String) {
     let agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(Duration::from_secs(LONGEST_S)))
+        .timeout_global(Some(Duration::from_secs(RESPONSE_TIMEOUT_S)))
         .build()
         .new_agent();
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
-        let answer = agent.post(format!("http://{at}/v1/jobs")).send(body);
-        if let Ok(mut answer) = answer
-            && answer.status() != 503
+        let response = agent.post(format!("http://{node_addr}/v1/jobs")).send(body);
+        if let Ok(mut response) = response
+            && response.status() != 503
         {
-            let text = answer.body_mut().read_to_string().expect("text");
-            return (answer.status().as_u16(), text);
+            let text = response.body_mut().read_to_string().expect("text");
+            return (response.status().as_u16(), text);
         }
-        assert!(began.elapsed() < Duration::from_secs(LONGEST_S), "no answer");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(RESPONSE_TIMEOUT_S),
+            "no response"
+        );
         thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn whatever_body_comes_gets_a_clear_status() {
+fn every_submission_body_gets_a_definite_status() {
     let nodes = addresses(18_390)[..1].to_vec();
-    let at = nodes[0];
+    let node_addr = nodes[0];
     let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }]);
     let mut controllers = Controllers::new(program, "intake", nodes, &live, &teams, "");
     controllers.keep_up();
-    let good = json!({
+    let valid = json!({
         "Id": "wk-1", "Lane": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "standard", "Picks": 1,
         "Cpus": 1.0, "Gpus": 0.0, "MemGb": 1.0, "Kit": "img", "PullGb": 0.1, "OneZone": false, "Apart": false,
         "Loaners": true, "RuntimeS": 1.0, "StashEveryS": 0.0, "StashS": 0.0,
     });
-    let with = |field: &str, value: Value| {
-        let mut body = good.clone();
+    let with_field = |field: &str, value: Value| {
+        let mut body = valid.clone();
         body[field] = value;
         body.to_string()
     };
-    for field in good.as_object().unwrap().keys() {
-        let mut body = good.clone();
+    for field in valid.as_object().unwrap().keys() {
+        let mut body = valid.clone();
         body.as_object_mut().unwrap().remove(field);
-        let (status, text) = submit(at, body.to_string().as_bytes());
+        let (status, text) = submit(node_addr, body.to_string().as_bytes());
         assert!(
             status == 400 && text.contains(field),
             "without {field}: {status} {text}"
         );
-        let (status, text) = submit(at, with(field, Value::Null).as_bytes());
+        let (status, text) = submit(node_addr, with_field(field, Value::Null).as_bytes());
         assert!(
             status == 400 && text.contains(field),
             "{field} null: {status} {text}"
         );
     }
-    let full = with("X", " ".repeat(64 * 1024 - 8 - good.to_string().len()).into());
-    assert_eq!(full.len(), 64 * 1024 - 1);
-    let deep = "[".repeat(64 * 1024);
-    for (body, wanted) in [
+    let largest = with_field("X", " ".repeat(64 * 1024 - 8 - valid.to_string().len()).into());
+    assert_eq!(largest.len(), 64 * 1024 - 1);
+    let deeply_nested = "[".repeat(64 * 1024);
+    for (body, expected_status) in [
         ("", 400),
         ("[]", 400),
-        (&deep, 400),
-        (&good.to_string()[1..], 400),
-        (&good.to_string()[..50], 400),
-        (&with("Crew", "nobody".into()), 422),
-        (&with("Gpus", 5.into()), 422),
-        (&with("Rigs", json!(["none"])), 422),
-        (&format!("{full}  "), 413),
-        // What may be null is missing in it: accepted, and known from then on, whatever comes.
-        (&full, 201),
-        (&with("Cpus", "x".into()), 200),
+        (&deeply_nested, 400),
+        (&valid.to_string()[1..], 400),
+        (&valid.to_string()[..50], 400),
+        (&with_field("Crew", "nobody".into()), 422),
+        (&with_field("Gpus", 5.into()), 422),
+        (&with_field("Rigs", json!(["none"])), 422),
+        (&format!("{largest}  "), 413),
+        // The optional fields are missing here: it is accepted, and later submissions with its id get 200.
+        (&largest, 201),
+        (&with_field("Cpus", "x".into()), 200),
         (r#"{"Id":"wk-1"}"#, 200),
         ("wk-1", 400),
     ] {
-        let (status, text) = submit(at, body.as_bytes());
-        assert_eq!(status, wanted, "{body:.60}: {text}");
+        let (status, text) = submit(node_addr, body.as_bytes());
+        assert_eq!(status, expected_status, "{body:.60}: {text}");
         assert!(text.len() < 4096, "{} bytes", text.len());
     }
-    // Cut off in the middle of a head and of a body.
-    for part in [
+    // Requests cut off in the head and in the body.
+    for partial_request in [
         "POST /v1/jobs HT",
         "POST /v1/jobs HTTP/1.1\r\nContent-Length: 90\r\n\r\n{\"Id\":",
     ] {
-        let mut stream = TcpStream::connect(at).expect("a connection");
-        stream.write_all(part.as_bytes()).expect("sent");
+        let mut stream = TcpStream::connect(node_addr).expect("a connection");
+        stream.write_all(partial_request.as_bytes()).expect("sent");
         stream.shutdown(Shutdown::Write).expect("closed");
     }
-    assert_eq!(submit(at, b"{}").0, 400);
+    assert_eq!(submit(node_addr, b"{}").0, 400);
     controllers.keep_up();
 }
--- a/crates/indigopath/tests/sockets.rs
+++ b/crates/indigopath/tests/sockets.rs
@@ -1,6 +1,6 @@
-//! More workers than sockets, and users meanwhile, on loopback against a real controller: nobody is
-//! refused. Without closing answers, workers beyond the limit find no room, and their reports
-//! fail. Time is only an upper bound: nothing is judged by how long it took.
+//! Loopback test with more workers than sockets, and concurrent users: a real controller refuses no
+//! connection. Without responses that close connections, workers beyond the limit would find no slot, and
+//! their reports would fail. Times are only upper bounds: no check depends on how long something took.
 
 use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, times};
 use indigopath_simulator::licence_server::LicenceServer;
@@ -10,25 +10,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Sockets of the controller.
-const SOCKETS: usize = 40;
+/// Maximum number of sockets of the controller.
+const MAX_SOCKETS: usize = 40;
 
-/// Workers, each on a connection that it keeps until an answer closes it.
+/// Number of workers, each with a connection that it keeps until a response closes it.
 const WORKERS: usize = 60;
 
-/// Reports of each worker.
-const REPORTS: usize = 8;
+/// Reports sent by each worker.
+const REPORTS_PER_WORKER: usize = 8;
 
-/// Users: with whoever reads the metrics, as many as their reserve holds.
+/// Number of users. Together with the client that reads the metrics, they fill the reserve for users.
 const USERS: usize = 4;
 
-/// Longest wait for the controller to answer at all, in s.
-const LONGEST_S: u64 = 60;
+/// Longest wait for any response of the controller, in s.
+const RESPONSE_TIMEOUT_S: u64 = 60;
 
-fn agent() -> ureq::Agent {
+fn http_agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(Duration::from_secs(LONGEST_S)))
+        .timeout_global(Some(Duration::from_secs(RESPONSE_TIMEOUT_S)))
         .build()
         .new_agent()
 }
@@ -42,53 +42,58 @@
 #[test]
 fn sixty_workers_report_on_forty_sockets() {
     let nodes = addresses(18_380)[..1].to_vec();
-    let at = nodes[0];
+    let node_addr = nodes[0];
     let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }]);
     let mut controllers = Controllers::new(program, "sockets", nodes, &live, &teams, "");
-    let file = controllers.folder.join("n0.json");
-    let mut settings: Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
-    settings["deployment"]["resources"]["max_sockets"] = json!(SOCKETS);
-    std::fs::write(&file, settings.to_string()).unwrap();
+    let settings_path = controllers.folder.join("n0.json");
+    let mut settings: Value = serde_json::from_slice(&std::fs::read(&settings_path).unwrap()).unwrap();
+    settings["deployment"]["resources"]["max_sockets"] = json!(MAX_SOCKETS);
+    std::fs::write(&settings_path, settings.to_string()).unwrap();
     controllers.keep_up();
-    let began = Instant::now();
-    let reader = agent();
-    while reader.get(format!("http://{at}/healthz")).call().is_err() {
+    let started_at = Instant::now();
+    let metrics_client = http_agent();
+    while metrics_client
+        .get(format!("http://{node_addr}/healthz"))
+        .call()
+        .is_err()
+    {
         assert!(
-            began.elapsed() < Duration::from_secs(LONGEST_S),
-            "it does not answer\n{}",
+            started_at.elapsed() < Duration::from_secs(RESPONSE_TIMEOUT_S),
+            "the controller does not respond\n{}",
             controllers.problems()
         );
         thread::sleep(Duration::from_millis(20));
     }
 
     let worker = move |number: usize| {
-        let agent = agent();
-        for seq in 1..=REPORTS {
-            // Nobody listens there: orders to it fail at once.
+        let agent = http_agent();
+        for sequence in 1..=REPORTS_PER_WORKER {
+            // Nothing listens at this address, so commands sent to the worker fail at once.
             let report = json!({
                 "Host": format!("m-{number:06}"), "Endpoint": "127.0.0.1:1", "Rig": "small", "Yard": "east",
-                "Loaners": false, "Shift": 1, "Tick": seq, "Baton": 0, "WarningS": null, "Picks": [],
+                "Loaners": false, "Shift": 1, "Tick": sequence, "Baton": 0, "WarningS": null, "Picks": [],
             });
-            let answer = agent
-                .post(format!("http://{at}/v1/report"))
+            let response = agent
+                .post(format!("http://{node_addr}/v1/report"))
                 .header("Content-Type", "application/json")
                 .send(report.to_string().as_bytes());
-            let mut answer = answer.unwrap_or_else(|error| panic!("worker {number}, report {seq}: {error}"));
-            answer.body_mut().read_to_vec().expect("a body");
+            let mut response =
+                response.unwrap_or_else(|error| panic!("worker {number}, report {sequence}: {error}"));
+            response.body_mut().read_to_vec().expect("a body");
             thread::sleep(Duration::from_millis(200));
         }
     };
     let user = move |number: usize| {
-        let agent = agent();
-        for _ in 0..10 * REPORTS {
-            let path = format!("http://{at}/v1/jobs/wk-{number:06}");
-            let mut answer = agent
+        let agent = http_agent();
+        for _ in 0..10 * REPORTS_PER_WORKER {
+            let path = format!("http://{node_addr}/v1/jobs/wk-{number:06}");
+            let mut response = agent
                 .get(path)
                 .call()
                 .unwrap_or_else(|error| panic!("user {number}: {error}"));
-            answer.body_mut().read_to_vec().expect("a body");
+            response.body_mut().read_to_vec().expect("a body");
             thread::sleep(Duration::from_millis(20));
         }
     };
@@ -97,15 +102,15 @@
         .chain((0..USERS).map(|number| thread::spawn(move || user(number))))
         .collect();
     for client in clients {
-        client.join().expect("everybody is answered");
+        client.join().expect("all clients get responses");
     }
     controllers.keep_up();
 
-    let mut answer = reader
-        .get(format!("http://{at}/metrics"))
+    let mut response = metrics_client
+        .get(format!("http://{node_addr}/metrics"))
         .call()
         .expect("metrics");
-    let text = answer.body_mut().read_to_string().expect("text");
+    let text = response.body_mut().read_to_string().expect("text");
     let closed = "indigopath_connections_closed_total";
     assert_eq!(
         metric(&text, "indigopath_connections_refused_total{class=\"newcomer\"}"),
@@ -115,7 +120,10 @@
         metric(&text, &format!("{closed}{{class=\"user\",how=\"answer\"}}")),
         0
     );
-    // Forty sockets cannot keep sixty connections.
-    let answered = metric(&text, &format!("{closed}{{class=\"worker\",how=\"answer\"}}"));
-    assert!(answered >= (WORKERS - SOCKETS) as u64, "{answered}");
+    // Forty sockets cannot hold sixty connections.
+    let closed_by_response = metric(&text, &format!("{closed}{{class=\"worker\",how=\"answer\"}}"));
+    assert!(
+        closed_by_response >= (WORKERS - MAX_SOCKETS) as u64,
+        "{closed_by_response}"
+    );
 }
