--- a/crates/connection_limits/src/limiter.rs
+++ b/crates/connection_limits/src/limiter.rs
@@ -48,7 +48,11 @@
 
 impl fmt::Display for NoCapacity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "no room for another connection of class {}", self.0.name())
+        write!(
+            f,
+            "no free slot for another connection of class {}",
+            self.0.name()
+        )
     }
 }
 
--- a/crates/image_locality/src/error.rs
+++ b/crates/image_locality/src/error.rs
@@ -20,7 +20,7 @@
     },
     /// The image takes more than half of the largest cache, so that no machine can hold two such images.
     #[error(
-        "image {image} has {gb:.1} GB, over half of the largest cache of {cache_gb:.1} GB: no machine keeps two such"
+        "image {image} has {gb:.1} GB, over half of the largest cache of {cache_gb:.1} GB: no machine can cache two such images"
     )]
     ExceedsHalfOfCache {
         /// Name of the image.
--- a/crates/indigopath/src/client.rs
+++ b/crates/indigopath/src/client.rs
@@ -21,7 +21,7 @@
 
 #[derive(Args, Clone)]
 pub struct Nodes {
-    /// Controller to ask; several may be given, and the first that can answer does
+    /// Controller to send requests to; several may be given, and the first that can answer does
     #[arg(
         long = "node",
         value_name = "ADDRESS:PORT",
@@ -30,11 +30,11 @@
         global = true
     )]
     nodes: Vec<SocketAddrV4>,
-    /// As which team to ask: another's jobs are not there. Without it, as the one that the
-    /// operators name for submit files without accounting_group
+    /// Team to act for; jobs of other teams are not visible. The default is the team that the
+    /// operators set for submit files without accounting_group
     #[arg(long, value_name = "TEAM", env = "INDIGOPATH_TEAM", global = true)]
     team: Option<String>,
-    /// How to show it
+    /// Output format
     #[arg(long, value_enum, default_value_t = Format::Table, global = true)]
     pub format: Format,
 }
@@ -47,14 +47,14 @@
 
 #[derive(Debug, Error)]
 pub enum ClientError {
-    #[error("no controller is named: give --node ADDRESS:PORT, or set INDIGOPATH_NODES")]
+    #[error("no controller is given: use --node ADDRESS:PORT or set INDIGOPATH_NODES")]
     NoNodes,
-    #[error("no controller that can tell answered: {0}")]
+    #[error("no controller can answer: {0}")]
     NoResponse(String),
     /// A controller rejected the request: the status and the body with the reason.
     #[error("{}", error_message(.1))]
     Refused(u16, String),
-    #[error("a controller's answer cannot be read: {0}")]
+    #[error("invalid response from a controller: {0}")]
     InvalidResponse(#[from] serde_json::Error),
 }
 
@@ -128,7 +128,7 @@
             });
             match response {
                 Ok((200 | 201, body)) => return Ok(RoundOutcome::Answered(body)),
-                Ok((421, _)) => problems.push(format!("{node} does not lead")),
+                Ok((421, _)) => problems.push(format!("{node} is not the leader")),
                 Ok((503, body)) => problems.push(format!("{node}: {}", error_message(&body))),
                 Ok((status, body)) => return Err(ClientError::Refused(status, body)),
                 Err(error) => {
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -31,20 +31,20 @@
 enum CondorCommand {
     /// Submit a file as a cluster, as a whole or not at all
     Submit(SubmitArgs),
-    /// Show what is queued, runs or is held
+    /// Show idle, running and held jobs
     Q(QueueArgs),
-    /// Keep clusters from running; what runs is stopped
+    /// Hold clusters or procs; running jobs are stopped
     Hold(IdArgs),
-    /// Let held clusters run
+    /// Release held clusters or procs
     Release(IdArgs),
-    /// Remove clusters
+    /// Remove clusters or procs
     Rm(IdArgs),
-    /// Show accepted clusters, or what became of one
+    /// Show accepted clusters, or the jobs of one
     History {
-        /// Only this one, job by job
+        /// Show only this cluster, job by job
         cluster: Option<u64>,
     },
-    /// Say, without submitting, what would become of each proc of a file
+    /// Show, without submitting, how each proc of a file would be handled
     Explain(ExplainArgs),
 }
 
@@ -52,25 +52,25 @@
 struct SubmitArgs {
     /// The submit file
     file: PathBuf,
-    /// Who submits
+    /// Owner of the submission
     #[arg(long, env = "USER", default_value = "nobody")]
     owner: String,
-    /// Tells the submission from others: the same file with the same key is the same cluster
+    /// Key that identifies the submission: the same file with the same key is the same cluster
     #[arg(long)]
     key: Option<String>,
-    /// Longest time to try for, in s
+    /// How long to retry, in s
     #[arg(long, value_name = "SECONDS", default_value_t = 120)]
     wait: u64,
 }
 
 #[derive(Args)]
 struct QueueArgs {
-    /// Only these clusters
+    /// Show only these clusters
     clusters: Vec<u64>,
-    /// A line for each array of procs that ask for the same
+    /// Show a line for each array of procs with the same request
     #[arg(long)]
     nobatch: bool,
-    /// Only what is held, and why
+    /// Show only held jobs, and why they are held
     #[arg(long)]
     hold: bool,
 }
@@ -86,7 +86,7 @@
 struct ExplainArgs {
     /// The submit file
     file: PathBuf,
-    /// Machine types, as the cloud's GET /flavors answers (JSON)
+    /// Machine types, as returned by the cloud's GET /flavors (JSON)
     #[arg(long, value_name = "FLAVORS.json")]
     machines: PathBuf,
     #[command(flatten)]
@@ -102,9 +102,9 @@
     /// An error in the submit file. Its message starts with the location and gets no prefix.
     #[error("{0}")]
     Submit(#[from] SubmitError),
-    #[error("what was found cannot be written: {0}")]
+    #[error("cannot write the output: {0}")]
     Write(#[from] std::io::Error),
-    #[error("{0:?} is neither a cluster nor a proc: one is 7 or 7.3")]
+    #[error("invalid id {0:?}: expected a cluster, such as 7, or a proc, such as 7.3")]
     InvalidId(String),
     #[error("{0}")]
     Bundle(String),
@@ -182,7 +182,7 @@
         if body.len() > MAX_SUBMIT_BODY_BYTES {
             let size = body.len();
             return Err(CondorError::Bundle(format!(
-                "the file and what goes along are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are taken: split it"
+                "the submit file and the files it reads are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are accepted: split it"
             )));
         }
         let deadline = Instant::now() + Duration::from_secs(self.wait);
@@ -193,7 +193,7 @@
                 // Resending with the same key never creates a second cluster.
                 Err(ClientError::NoResponse(problem)) if Instant::now() < deadline => {
                     if problem != last_problem {
-                        eprintln!("indigopath: {problem}; trying again");
+                        eprintln!("indigopath: {problem}; retrying");
                         last_problem = problem;
                     }
                     std::thread::sleep(Duration::from_millis(RETRY_DELAY_MS));
@@ -213,7 +213,10 @@
                 }
                 Err(error) => {
                     if matches!(error, ClientError::NoResponse(_)) {
-                        eprintln!("indigopath: to go on with it later: --key {}", bundle.key);
+                        eprintln!(
+                            "indigopath: to retry this submission later, use --key {}",
+                            bundle.key
+                        );
                     }
                     return Err(error.into());
                 }
@@ -434,7 +437,7 @@
             code = ExitCode::FAILURE;
         }
         let text = nodes.format_output(&changed, |changed| match (changed.procs, id.contains('.')) {
-            (0, _) => format!("nothing of {id} is {participle}"),
+            (0, _) => format!("no jobs of {id} have been {participle}"),
             (_, true) => format!("Job {id} {participle}"),
             (_, false) if changed.not.is_empty() => {
                 format!("All jobs in cluster {id} have been {participle}")
--- a/crates/indigopath/src/counts.rs
+++ b/crates/indigopath/src/counts.rs
@@ -17,14 +17,14 @@
 
 #[derive(Subcommand)]
 enum CountsCommand {
-    /// Every count at a glance (the default)
+    /// Show an overview of all counts (the default)
     List,
-    /// Tasks that hold units, and units that linger
+    /// Show the tasks that hold units, and the units that linger
     Holders {
-        /// Of this count only
+        /// Only holders of this count
         count: Option<String>,
     },
-    /// Why a job waits
+    /// Show why a job waits
     Explain {
         /// The job's id
         job: String,
@@ -33,7 +33,7 @@
 
 #[derive(Debug, Error)]
 pub enum CountsError {
-    #[error("{0:?} is no job id: one is wk- and a number")]
+    #[error("invalid job id {0:?}: expected wk- and a number")]
     InvalidJobId(String),
     #[error(transparent)]
     Client(#[from] ClientError),
@@ -99,7 +99,7 @@
     remarks.extend(count.closed.clone());
     let taken = u64::from(count.held) + u64::from(count.lingering) + u64::from(count.others);
     if taken > u64::from(count.usable) && count.closed.is_none() {
-        remarks.push("more is taken than there is: nothing starts".to_owned());
+        remarks.push("more units are taken than exist: nothing starts".to_owned());
     }
     if count.units.is_some_and(|units| count.usable < units) {
         remarks.push(format!(
@@ -108,7 +108,7 @@
         ));
     }
     if count.leaving > 0 {
-        remarks.push(format!("{} are being given up", count.leaving));
+        remarks.push(format!("{} are being released", count.leaving));
     }
     let shares: Vec<String> = count
         .teams
@@ -124,7 +124,7 @@
 
 fn holder_table(list: &HolderList) -> String {
     if list.holders.is_empty() {
-        return "nobody holds any".to_owned();
+        return "no units are held".to_owned();
     }
     let rows = list.holders.iter().map(|holder| {
         vec![
--- a/crates/indigopath/src/counts/tests.rs
+++ b/crates/indigopath/src/counts/tests.rs
@@ -26,7 +26,7 @@
     let text = count_table(&CountList { counts: vec![count] });
     let lines: Vec<&str> = text.lines().collect();
     assert!(lines[0].trim_start().starts_with("COUNT"), "{text}");
-    assert!(lines[1].contains("more is taken than there is"), "{text}");
+    assert!(lines[1].contains("more units are taken than exist"), "{text}");
     assert!(lines[1].contains("fewer than the 4 defined"), "{text}");
     assert!(lines[1].contains("red 1/2"), "{text}");
 }
--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -956,16 +956,16 @@
     };
     match event {
         ShortageEvent::Short => log::info!(
-            "sockets run short: answers to workers close their connections from now on; open: {}",
+            "sockets are short: responses to workers close their connections from now on; open: {}",
             format_counts(open)
         ),
         ShortageEvent::Refusing(class) => log::warn!(
-            "sockets run out: connections are refused, first a {}; open: {}",
+            "sockets are exhausted: connections are refused, the first of class {}; open: {}",
             class.name(),
             format_counts(open)
         ),
         ShortageEvent::Over { lasted_ms, counts } => log::info!(
-            "sockets suffice again: they ran short for {:.1} s; closed with an answer: {}; unused and closed: {}; refused: {}",
+            "socket shortage over after {:.1} s; closed with a response: {}; closed while idle: {}; refused: {}",
             lasted_ms as f64 / 1_000.0,
             format_counts(counts.closed_by_response),
             format_counts(counts.idle_closed),
--- a/crates/indigopath/src/main.rs
+++ b/crates/indigopath/src/main.rs
@@ -39,20 +39,20 @@
     /// The platform's settings (JSON)
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' own settings (HCL)
+    /// The operators' settings (HCL)
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check the settings files and say what is wrong with them
+    /// Check the settings files and report errors
     Check(SettingsFiles),
     /// Show counted resources: licences and other named counts
     Counts(counts::CountsArgs),
-    /// HTCondor submit files: what becomes of them here
+    /// Submit HTCondor submit files and manage their clusters
     Condor(condor::CondorArgs),
-    /// Print completions for a shell
+    /// Print the completion script for a shell
     Completions {
         /// The shell
         shell: clap_complete::Shell,
@@ -148,7 +148,7 @@
         (Some(Command::Check(files)), _) => (files, true),
         (None, Some(files)) => (files, false),
         (None, None) => {
-            eprintln!("indigopath: --config FILE is needed; see --help");
+            eprintln!("indigopath: --config FILE is required; see --help");
             return ExitCode::from(INVALID_SETTINGS_STATUS);
         }
     };
@@ -174,7 +174,7 @@
     init_logger(&settings.node);
     log::info!("started version={}", env!("CARGO_PKG_VERSION"));
     for warning in warnings {
-        log::warn!("settings doubtful: {warning}");
+        log::warn!("settings warning: {warning}");
     }
     let result = event_loop::EventLoop::new(settings).and_then(event_loop::EventLoop::run);
     if let Err(error) = result {
--- a/crates/indigopath/tests/condor.rs
+++ b/crates/indigopath/tests/condor.rs
@@ -53,8 +53,7 @@
         loop {
             self.restart_controllers();
             let output = self.command(arguments).output().expect("the program runs");
-            let is_unanswered =
-                String::from_utf8_lossy(&output.stderr).contains("no controller that can tell");
+            let is_unanswered = String::from_utf8_lossy(&output.stderr).contains("no controller can answer");
             if !is_unanswered {
                 return output;
             }
