--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -220,7 +220,7 @@
     /// Machine kinds that the requirements expression of the job allows, if it had one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kinds: Option<Arc<KindSet>>,
-    /// The job's part of its cluster, if it came from a submit file.
+    /// The submit file that the job came from, if it did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub condor: Option<Arc<SubmitOrigin>>,
     /// Wall-clock time of the submission at the accepting node, in ms since 1970.
@@ -250,7 +250,7 @@
 
     /// The cluster of a submit file that the job belongs to.
     pub fn cluster(&self) -> Option<u64> {
-        self.condor.as_ref().map(|part| part.cluster)
+        self.condor.as_ref().map(|origin| origin.cluster)
     }
 
     /// Maximum number of its tasks in one zone.
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -556,7 +556,7 @@
     let kinds: Vec<Vec<String>> = results
         .outcomes
         .iter()
-        .map(|outcome| site.kinds.names(&outcome.kinds))
+        .map(|outcome| site.kinds.names_in_set(&outcome.kinds))
         .collect();
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     match format {
--- a/crates/indigopath/tests/condor.rs
+++ b/crates/indigopath/tests/condor.rs
@@ -5,9 +5,9 @@
 //! The seed is printed; `INDIGOPATH_SEED=N` repeats the same random decisions. Times are only upper
 //! bounds: no check depends on how long something took.
 
-use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, times};
+use indigopath_simulator::controllers::{Controllers, NODES, addresses, small_cloud, worker_timings};
 use indigopath_simulator::licence_server::LicenceServer;
-use indigopath_simulator::loopback::Live;
+use indigopath_simulator::loopback::LoopbackServices;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -30,9 +30,9 @@
         assert!(
             !has_timed_out,
             "the run takes too long\n{}",
-            self.controllers.problems()
+            self.controllers.log_excerpt()
         );
-        self.controllers.keep_up();
+        self.controllers.restart_stopped();
     }
 
     fn command(&self, arguments: &[&str]) -> Command {
@@ -40,7 +40,7 @@
         command
             .arg("condor")
             .args(arguments)
-            .current_dir(&self.controllers.folder)
+            .current_dir(&self.controllers.directory)
             .stdin(Stdio::null());
         for node in &self.controllers.nodes {
             command.args(["--node", &node.to_string()]);
@@ -92,11 +92,11 @@
 }
 
 /// Returns the number of completed tasks of a cluster as counted by the workers.
-fn count_completed_tasks(live: &Live, cluster: u64) -> usize {
+fn count_completed_tasks(live: &LoopbackServices, cluster: u64) -> usize {
     let prefix = format!("wk-99{cluster:010}");
     live.with(|models| {
         let jobs = models.jobs.iter().filter(|(id, _)| id.starts_with(&prefix));
-        jobs.map(|(_, facts)| facts.done.len()).sum()
+        jobs.map(|(_, facts)| facts.completed_tasks.len()).sum()
     })
 }
 
@@ -106,7 +106,7 @@
         assert!(
             !has_timed_out,
             "{what} never came\n{}",
-            site.controllers.problems()
+            site.controllers.log_excerpt()
         );
         site.restart_controllers();
         std::thread::sleep(Duration::from_millis(100));
@@ -122,14 +122,19 @@
     println!("seed {seed}");
     let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = addresses(18_180);
-    let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
+    let live = LoopbackServices::start(
+        small_cloud(),
+        LicenceServer::default(),
+        worker_timings(),
+        nodes.clone(),
+    );
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }, { "name": "comics" }]);
     let mut site = TestSite {
         controllers: Controllers::new(program, "condor", nodes, &live, &teams, OPERATOR),
         started_at: Instant::now(),
     };
-    let write = |name: &str, text: &str| std::fs::write(site.controllers.folder.join(name), text).unwrap();
+    let write = |name: &str, text: &str| std::fs::write(site.controllers.directory.join(name), text).unwrap();
     write("items.txt", "1\n2\n3\n");
     write(
         "pages.sub",
@@ -194,7 +199,7 @@
         kills += 1;
         wait_until(&mut site, "an answer", |_| child.try_wait().unwrap().is_some());
         let output = child.wait_with_output().unwrap();
-        assert!(output.status.success(), "{}", site.controllers.problems());
+        assert!(output.status.success(), "{}", site.controllers.log_excerpt());
         let accepted: Value = serde_json::from_slice(&output.stdout).unwrap();
         assert_eq!((&accepted["procs"], &accepted["jobs"]), (&json!(9), &json!(2)));
         clusters.push(accepted["cluster"].as_u64().unwrap());
@@ -270,7 +275,7 @@
     // One of the controllers handled the largest file; the platform allows each 200 MB.
     let peaks: Vec<u64> = site
         .controllers
-        .running
+        .processes
         .iter()
         .flatten()
         .filter_map(|child| peak_memory_kb(child.id()))
--- a/crates/indigopath/tests/intake.rs
+++ b/crates/indigopath/tests/intake.rs
@@ -1,9 +1,9 @@
 //! Loopback test that sends invalid submissions to a real controller: each gets a definite status, and
 //! the controller keeps running. Times are only upper bounds: no check depends on how long something took.
 
-use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, times};
+use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, worker_timings};
 use indigopath_simulator::licence_server::LicenceServer;
-use indigopath_simulator::loopback::Live;
+use indigopath_simulator::loopback::LoopbackServices;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddrV4, TcpStream};
@@ -43,11 +43,16 @@
 fn every_submission_body_gets_a_definite_status() {
     let nodes = addresses(18_390)[..1].to_vec();
     let node_addr = nodes[0];
-    let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
+    let live = LoopbackServices::start(
+        small_cloud(),
+        LicenceServer::default(),
+        worker_timings(),
+        nodes.clone(),
+    );
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }]);
     let mut controllers = Controllers::new(program, "intake", nodes, &live, &teams, "");
-    controllers.keep_up();
+    controllers.restart_stopped();
     let valid = json!({
         "Id": "wk-1", "Lane": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "standard", "Picks": 1,
         "Cpus": 1.0, "Gpus": 0.0, "MemGb": 1.0, "Kit": "img", "PullGb": 0.1, "OneZone": false, "Apart": false,
@@ -105,5 +110,5 @@
         stream.shutdown(Shutdown::Write).expect("closed");
     }
     assert_eq!(submit(node_addr, b"{}").0, 400);
-    controllers.keep_up();
+    controllers.restart_stopped();
 }
--- a/crates/indigopath/tests/sockets.rs
+++ b/crates/indigopath/tests/sockets.rs
@@ -2,9 +2,9 @@
 //! connection. Without responses that close connections, workers beyond the limit would find no slot, and
 //! their reports would fail. Times are only upper bounds: no check depends on how long something took.
 
-use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, times};
+use indigopath_simulator::controllers::{Controllers, addresses, small_cloud, worker_timings};
 use indigopath_simulator::licence_server::LicenceServer;
-use indigopath_simulator::loopback::Live;
+use indigopath_simulator::loopback::LoopbackServices;
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::thread;
@@ -43,15 +43,20 @@
 fn sixty_workers_report_on_forty_sockets() {
     let nodes = addresses(18_380)[..1].to_vec();
     let node_addr = nodes[0];
-    let live = Live::start(small_cloud(), LicenceServer::default(), times(), nodes.clone());
+    let live = LoopbackServices::start(
+        small_cloud(),
+        LicenceServer::default(),
+        worker_timings(),
+        nodes.clone(),
+    );
     let program = PathBuf::from(env!("CARGO_BIN_EXE_indigopath"));
     let teams = json!([{ "name": "vision", "gpus": 8.0, "gpus_max": 16.0 }]);
     let mut controllers = Controllers::new(program, "sockets", nodes, &live, &teams, "");
-    let settings_path = controllers.folder.join("n0.json");
+    let settings_path = controllers.directory.join("n0.json");
     let mut settings: Value = serde_json::from_slice(&std::fs::read(&settings_path).unwrap()).unwrap();
     settings["deployment"]["resources"]["max_sockets"] = json!(MAX_SOCKETS);
     std::fs::write(&settings_path, settings.to_string()).unwrap();
-    controllers.keep_up();
+    controllers.restart_stopped();
     let started_at = Instant::now();
     let metrics_client = http_agent();
     while metrics_client
@@ -62,7 +67,7 @@
         assert!(
             started_at.elapsed() < Duration::from_secs(RESPONSE_TIMEOUT_S),
             "the controller does not respond\n{}",
-            controllers.problems()
+            controllers.log_excerpt()
         );
         thread::sleep(Duration::from_millis(20));
     }
@@ -104,7 +109,7 @@
     for client in clients {
         client.join().expect("all clients get responses");
     }
-    controllers.keep_up();
+    controllers.restart_stopped();
 
     let mut response = metrics_client
         .get(format!("http://{node_addr}/metrics"))
