--- a/crates/condor/src/cluster.rs
+++ b/crates/condor/src/cluster.rs
@@ -1,17 +1,17 @@
-//! Clusters: what a submitter sends, the arrays that its procs become, and what is recorded of
-//! them.
+//! Clusters: the submission that a client sends, the job arrays into which its procs are grouped,
+//! and the stored records.
 //!
 //! | key | value | written by |
 //! |---|---|---|
-//! | `n/cluster` | [`NumberRecord`]: the next number | whoever takes one |
-//! | `k/<key>` | [`KeyRecord`]: which cluster a submission became | the node that takes its number |
-//! | `j/~<cluster>` | [`OpenRecord`]: it is being recorded, and nothing of it starts | the same; gone once it is accepted |
-//! | `c/<cluster>` | [`ClusterRecord`]: it is accepted | the node that accepts it |
-
-use crate::constants::{MAX_JOBS, MAX_OWNER};
-use crate::judge::{Judged, Outcome};
-use crate::site::Kinds;
-use crate::source::{Files, Matching};
+//! | `n/cluster` | [`NextClusterRecord`]: the next cluster number | the node that takes a number |
+//! | `k/<key>` | [`SubmissionKeyRecord`]: the cluster that a submission became | the node that takes its number |
+//! | `j/~<cluster>` | [`OpenClusterRecord`]: the cluster is being recorded, and none of its jobs starts | the same node; deleted when the cluster is accepted |
+//! | `c/<cluster>` | [`ClusterRecord`]: the cluster is accepted | the node that accepts it |
+
+use crate::constants::{MAX_CLUSTER_JOBS, MAX_OWNER_BYTES};
+use crate::matchmaking::{MatchResults, Outcome};
+use crate::site::MachineKinds;
+use crate::source::{PathKind, SubmitEnvironment};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
@@ -19,55 +19,55 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A submission with everything that its file asks of the place from which it is sent, so
-/// that any node makes the same of it.
+/// A submission with everything that its file reads from the submitting host, so that every node
+/// parses it alike.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// Chosen by the submitter: a submission with the same key is the same, sent again.
+    /// Idempotency key chosen by the submitter: a submission with the same key is a retry.
     pub key: String,
     pub owner: String,
-    /// Name of the file, for messages.
+    /// Name of the submit file, for messages.
     pub file: String,
     pub text: String,
-    /// Time of submission, in s since 1970.
+    /// Time of submission: Unix time in s.
     pub at_s: i64,
-    /// Texts of other files, by path.
+    /// Contents of the other files read, by path.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub reads: BTreeMap<String, String>,
-    /// Paths that a pattern matches.
+    /// Paths matched by the file's patterns.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub matches: Vec<Matched>,
+    pub matches: Vec<MatchedPaths>,
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub environment: BTreeMap<String, String>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Matched {
+pub struct MatchedPaths {
     pub pattern: String,
-    pub what: Matching,
+    pub what: PathKind,
     pub paths: Vec<String>,
 }
 
-/// Longest key, in bytes.
-const MAX_KEY: usize = 64;
+/// Maximum length of a submission key, in bytes.
+const MAX_KEY_BYTES: usize = 64;
 
 impl Bundle {
-    /// What is wrong with it, apart from its text.
+    /// Validates everything but the text of the file.
     ///
     /// # Errors
-    /// The field that cannot be used, and why.
+    /// Returns the invalid field and the reason.
     pub fn check(&self) -> Result<(), String> {
-        let plain = |text: &str| {
+        let is_plain = |text: &str| {
             text.bytes()
                 .all(|byte| byte.is_ascii_alphanumeric() || b"-_.@".contains(&byte))
         };
-        if self.key.len() < 8 || self.key.len() > MAX_KEY || !plain(&self.key) {
-            return Err(format!("key must be 8 to {MAX_KEY} letters and digits"));
+        if self.key.len() < 8 || self.key.len() > MAX_KEY_BYTES || !is_plain(&self.key) {
+            return Err(format!("key must be 8 to {MAX_KEY_BYTES} letters and digits"));
         }
-        if self.owner.is_empty() || self.owner.len() > MAX_OWNER || !plain(&self.owner) {
-            return Err(format!("owner must be 1 to {MAX_OWNER} letters and digits"));
+        if self.owner.is_empty() || self.owner.len() > MAX_OWNER_BYTES || !is_plain(&self.owner) {
+            return Err(format!("owner must be 1 to {MAX_OWNER_BYTES} letters and digits"));
         }
         if self.file.is_empty() || self.file.len() > 4_096 {
             return Err("file must be a path".to_owned());
@@ -75,58 +75,58 @@
         Ok(())
     }
 
-    /// Tells submissions apart that carry the same key.
+    /// Returns a digest that distinguishes submissions with the same key.
     pub fn digest(&self) -> String {
-        // Plain data: it serialises always, and the same way each time.
+        // Serialization of plain data cannot fail, and is deterministic.
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         blake3::hash(&bytes).to_hex().to_string()
     }
 }
 
-impl Files for Bundle {
-    fn read(&self, path: &str) -> Result<String, String> {
+impl SubmitEnvironment for Bundle {
+    fn read_file(&self, path: &str) -> Result<String, String> {
         let text = self.reads.get(path).cloned();
         text.ok_or_else(|| "there is no such file, or it was not sent along".to_owned())
     }
 
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String> {
-        let found = self
+    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
+        let matched = self
             .matches
             .iter()
             .find(|matched| matched.pattern == pattern && matched.what == what);
-        found
+        matched
             .map(|matched| matched.paths.clone())
             .ok_or_else(|| "its matches were not sent along".to_owned())
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         self.environment.get(name).cloned()
     }
 }
 
-/// Notes what a file asks for while it is read, to be sent along.
+/// Records what a submit file reads while it is parsed, to be sent along with it.
 pub struct Recorder<'f> {
-    files: &'f dyn Files,
+    files: &'f dyn SubmitEnvironment,
     bundle: RefCell<Bundle>,
 }
 
 impl<'f> Recorder<'f> {
-    pub fn new(files: &'f dyn Files) -> Recorder<'f> {
+    pub fn new(files: &'f dyn SubmitEnvironment) -> Recorder<'f> {
         Recorder {
             files,
             bundle: RefCell::default(),
         }
     }
 
-    /// What was asked for.
+    /// Returns the recorded reads.
     pub fn finish(self) -> Bundle {
         self.bundle.into_inner()
     }
 }
 
-impl Files for Recorder<'_> {
-    fn read(&self, path: &str) -> Result<String, String> {
-        let text = self.files.read(path)?;
+impl SubmitEnvironment for Recorder<'_> {
+    fn read_file(&self, path: &str) -> Result<String, String> {
+        let text = self.files.read_file(path)?;
         self.bundle
             .borrow_mut()
             .reads
@@ -134,9 +134,9 @@
         Ok(text)
     }
 
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String> {
-        let paths = self.files.matching(pattern, what)?;
-        self.bundle.borrow_mut().matches.push(Matched {
+    fn matching_paths(&self, pattern: &str, what: PathKind) -> Result<Vec<String>, String> {
+        let paths = self.files.matching_paths(pattern, what)?;
+        self.bundle.borrow_mut().matches.push(MatchedPaths {
             pattern: pattern.to_owned(),
             what,
             paths: paths.clone(),
@@ -144,8 +144,8 @@
         Ok(paths)
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
-        let value = self.files.variable(name)?;
+    fn env_var(&self, name: &str) -> Option<String> {
+        let value = self.files.env_var(name)?;
         self.bundle
             .borrow_mut()
             .environment
@@ -154,46 +154,50 @@
     }
 }
 
-/// Why work is not to start yet.
+/// Why a job is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Why {
-    /// A user asked for it, in the file or later; a user takes it back.
+pub enum HoldReason {
+    /// A user holds it, in the submit file or later, and can release it.
     User,
-    /// It asks for more than its team's limit; over once the limit allows it.
+    /// It needs more than its team's limit; released once the limit allows it.
     Limit,
-    /// Its team is none here; over once it is.
+    /// Its team does not exist; released once it does.
     Team,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hold {
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: HoldReason,
     pub text: String,
 }
 
-/// Steps of a type's ordinary and spot machines, by zone.
-type Zones = BTreeMap<Arc<str>, [Option<u16>; 2]>;
+/// Preference steps of a machine type's ordinary and spot machines, by zone.
+type StepsByZone = BTreeMap<Arc<str>, [Option<u16>; 2]>;
 
-/// Kinds of machines that a job may use, each with its step down from the one that the job
-/// likes best.
+/// Kinds of machines that a job may use, each with its preference step: how many ranks it is below
+/// the kind that the job prefers most.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct KindSet(BTreeMap<Arc<str>, Zones>);
+pub struct KindSet(BTreeMap<Arc<str>, StepsByZone>);
 
 impl KindSet {
-    /// The kinds that an outcome allows.
-    pub fn of(outcome: &Outcome, kinds: &Kinds) -> KindSet {
-        let rank = |at: usize| outcome.ranks.get(at).copied().unwrap_or(0.0);
+    /// Returns the kinds that an outcome allows.
+    pub fn from_outcome(outcome: &Outcome, kinds: &MachineKinds) -> KindSet {
+        let rank = |position: usize| outcome.ranks.get(position).copied().unwrap_or(0.0);
         let mut ranks: Vec<f64> = outcome.kinds.ones().map(rank).collect();
         ranks.sort_by(|a, b| b.total_cmp(a));
         ranks.dedup();
         let mut set = KindSet::default();
-        for (at, kind) in kinds.all().iter().enumerate() {
-            if !outcome.kinds.contains(at) {
+        for (position, kind) in kinds.all().iter().enumerate() {
+            if !outcome.kinds.contains(position) {
                 continue;
             }
-            let step = ranks.iter().position(|other| *other == rank(at)).unwrap_or(0);
+            let step = ranks
+                .iter()
+                .position(|other| *other == rank(position))
+                .unwrap_or(0);
             let zones = set.0.entry(Arc::from(kind.machine_type.as_str())).or_default();
             let steps = zones.entry(Arc::from(kind.zone.as_str())).or_default();
             steps[usize::from(kind.spot)] = Some(u16::try_from(step).unwrap_or(u16::MAX));
@@ -201,40 +205,41 @@
         set
     }
 
-    /// How far a kind is from the one liked best; `None` if it may not be used.
-    pub fn step(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
+    /// Returns how many ranks a kind is below the most preferred one; `None` if the job may not use
+    /// it.
+    pub fn preference_step(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         self.0.get(machine_type)?.get(zone)?[usize::from(spot)]
     }
 
-    /// Whether any of them is a spot machine.
+    /// Whether any of the kinds is a spot machine.
     pub fn any_spot(&self) -> bool {
         let mut steps = self.0.values().flat_map(BTreeMap::values);
         steps.any(|[_, spot]| spot.is_some())
     }
 }
 
-/// Numbers of procs.
+/// A non-empty set of proc numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Procs {
+pub struct ProcSet {
     first: u32,
     count: u32,
-    /// A bitmap from the first on, unless they follow each other.
+    /// A base64 bitmap that begins at the first number; `None` if the numbers are consecutive.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     bits: Option<String>,
 }
 
-impl Procs {
-    /// Of numbers in their order, of which there is at least one.
-    pub fn new(numbers: &[u32]) -> Procs {
+impl ProcSet {
+    /// Creates the set from ascending numbers, of which there must be at least one.
+    pub fn new(numbers: &[u32]) -> ProcSet {
         let first = numbers.first().copied().unwrap_or(0);
         let last = numbers.last().copied().unwrap_or(first);
         let span = (last - first) as usize + 1;
         let mut bits = vec![0u8; span.div_ceil(8)];
         for number in numbers {
-            let at = (number - first) as usize;
-            bits[at / 8] |= 1 << (at % 8);
+            let position = (number - first) as usize;
+            bits[position / 8] |= 1 << (position % 8);
         }
-        Procs {
+        ProcSet {
             first,
             count: numbers.len() as u32,
             bits: (span != numbers.len()).then(|| STANDARD_NO_PAD.encode(bits)),
@@ -245,7 +250,7 @@
         self.count
     }
 
-    /// All of them, in their order.
+    /// Returns all numbers in ascending order.
     pub fn numbers(&self) -> Vec<u32> {
         let Some(bits) = &self.bits else {
             return (self.first..self.first.saturating_add(self.count)).collect();
@@ -255,7 +260,7 @@
             let ones = (0..8).filter(move |bit| bits >> bit & 1 == 1);
             ones.map(move |bit| byte * 8 + bit)
         });
-        set.map(|at| self.first + at).collect()
+        set.map(|position| self.first + position).collect()
     }
 
     pub fn contains(&self, number: u32) -> bool {
@@ -265,7 +270,7 @@
         }
     }
 
-    /// As in `0-2,5`, and no longer than is bearable.
+    /// Formats the set as in `0-2,5`, with at most 8 ranges.
     pub fn text(&self) -> String {
         let mut ranges: Vec<(u32, u32)> = Vec::new();
         for number in self.numbers() {
@@ -289,110 +294,112 @@
     }
 }
 
-/// What a job keeps of the file that it came from.
+/// What a job's record keeps of the submit file that it came from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct SubmitOrigin {
     pub cluster: u64,
-    pub procs: Procs,
+    pub procs: ProcSet,
     pub owner: String,
-    /// The program and its arguments, for display.
+    /// The executable and its arguments, for display.
     pub cmd: String,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub holds: Vec<Hold>,
 }
 
-impl Part {
-    /// Why it is held, if it is.
-    pub fn held(&self) -> Option<String> {
+impl SubmitOrigin {
+    /// Why the job is held, if it is.
+    pub fn hold_text(&self) -> Option<String> {
         let texts: Vec<&str> = self.holds.iter().map(|hold| hold.text.as_str()).collect();
         (!texts.is_empty()).then(|| texts.join("; "))
     }
 }
 
-/// Procs that ask for the same.
+/// Procs with the same request, which become one job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Array {
-    /// Position of their outcome.
+pub struct JobArray {
+    /// Index of their outcome in the match results.
     pub outcome: usize,
     pub procs: Vec<u32>,
 }
 
-/// A cluster that would be more jobs than one may be.
+/// The cluster would have more jobs than allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the file makes {0} different requests or more; at most {MAX_JOBS} are taken at once: split it")]
+#[error(
+    "the file makes {0} different requests or more; at most {MAX_CLUSTER_JOBS} are taken at once: split it"
+)]
 pub struct TooManyJobs(pub usize);
 
-/// The arrays of a cluster, in the order of their first procs. A proc that is a gang is one
-/// by itself.
+/// Groups the procs of a cluster into job arrays, in the order of their first procs. A proc that is
+/// a gang becomes an array of its own.
 ///
 /// # Errors
-/// There are too many to be recorded.
-pub fn arrays(judged: &Judged) -> Result<Vec<Array>, TooManyJobs> {
-    let mut arrays: Vec<Array> = Vec::new();
-    let mut array_of: BTreeMap<usize, usize> = BTreeMap::new();
-    for (proc, at) in (0u32..).zip(&judged.of) {
-        let outcome = *at as usize;
-        let request = judged
+/// There are more arrays than a cluster may have jobs.
+pub fn group_into_arrays(results: &MatchResults) -> Result<Vec<JobArray>, TooManyJobs> {
+    let mut arrays: Vec<JobArray> = Vec::new();
+    let mut array_by_outcome: BTreeMap<usize, usize> = BTreeMap::new();
+    for (proc, position) in (0u32..).zip(&results.outcome_of_proc) {
+        let outcome = *position as usize;
+        let request = results
             .outcomes
             .get(outcome)
             .and_then(|outcome| outcome.request.as_ref());
-        let alone = request.is_some_and(|request| request.gang.is_some());
-        match array_of.get(&outcome) {
-            Some(array) if !alone => arrays[*array].procs.push(proc),
+        let is_gang = request.is_some_and(|request| request.gang.is_some());
+        match array_by_outcome.get(&outcome) {
+            Some(array) if !is_gang => arrays[*array].procs.push(proc),
             _ => {
-                array_of.insert(outcome, arrays.len());
-                arrays.push(Array {
+                array_by_outcome.insert(outcome, arrays.len());
+                arrays.push(JobArray {
                     outcome,
                     procs: vec![proc],
                 });
             }
         }
     }
-    if arrays.len() > MAX_JOBS {
+    if arrays.len() > MAX_CLUSTER_JOBS {
         return Err(TooManyJobs(arrays.len()));
     }
     Ok(arrays)
 }
 
-/// Prefix of the records of which cluster a submission became.
-pub const KEYS: &str = "k/";
-/// The next cluster's number.
-pub const NUMBER: &str = "n/cluster";
-/// Prefix of accepted clusters.
-pub const CLUSTERS: &str = "c/";
-/// What stands before the number in the key of an open cluster, under the jobs' prefix. It
-/// comes after every job's name, so that whoever reads page by page learns last which are
-/// open still: what is open no longer by then was accepted or given up.
-pub const OPEN: &str = "~";
-
-pub fn key_key(key: &str) -> String {
-    format!("{KEYS}{key}")
+/// Key prefix of the records that map submission keys to clusters.
+pub const SUBMISSION_KEY_PREFIX: &str = "k/";
+/// Key of the next cluster number.
+pub const NEXT_CLUSTER_KEY: &str = "n/cluster";
+/// Key prefix of accepted clusters.
+pub const CLUSTER_PREFIX: &str = "c/";
+/// Precedes the cluster number in the key of an open cluster, below the prefix of jobs. It sorts
+/// after every job id, so that a page-by-page read learns last which clusters are still open: a
+/// cluster that is no longer open by then was accepted or abandoned.
+pub const OPEN_MARKER: &str = "~";
+
+pub fn submission_key(key: &str) -> String {
+    format!("{SUBMISSION_KEY_PREFIX}{key}")
 }
 
 pub fn cluster_key(cluster: u64) -> String {
-    format!("{CLUSTERS}{cluster:010}")
+    format!("{CLUSTER_PREFIX}{cluster:010}")
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NumberRecord {
+pub struct NextClusterRecord {
     pub next: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyRecord {
+pub struct SubmissionKeyRecord {
     pub cluster: u64,
-    /// Of what was submitted under the key.
+    /// Digest of the submission with this key.
     pub digest: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenRecord {
-    /// Digest of the jobs that it is to have: two nodes that made something else of the same
-    /// file must not mix.
+pub struct OpenClusterRecord {
+    /// Digest of the planned jobs: two nodes that planned the same file differently must not mix
+    /// their jobs.
     pub plan: String,
-    /// Time of day at which it was opened, in ms since 1970.
+    /// Unix time, in ms, at which the cluster was opened.
     pub at_ms: u64,
-    /// The leader has given it up.
+    /// The leader has abandoned the cluster.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub abandoned: bool,
 }
@@ -405,7 +412,7 @@
     pub procs: u32,
     pub jobs: u32,
     pub at_ms: u64,
-    /// Teams of its jobs, as the file names them. Not in records of earlier builds.
+    /// Teams of the cluster's jobs, as named in the file. Missing in records of earlier builds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<String>,
 }
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -36,14 +36,14 @@
         open_connections: PerClass([0, 3, 40, 4, 2, 1]),
         shortages: ShortageCounts {
             refused: PerClass([2, 0, 0, 0, 0, 0]),
-            answered: PerClass([0, 0, 9, 0, 0, 0]),
+            closed_by_response: PerClass([0, 0, 9, 0, 0, 0]),
             ..ShortageCounts::default()
         },
         throttled: Vec::new(),
         accounting: None,
         served_shares: vec![(ShareOwner::Class("batch".to_owned()), 0.5)],
-        protection_windows: vec![ShiftStatus {
-            shift: "trading".into(),
+        protection_windows: vec![WindowStatus {
+            schedule: "trading".into(),
             open: true,
             until_ms: Some(1_796_104_800_000),
             services: 3,
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -11,7 +11,7 @@
 use indigopath_counted_resources::{
     Definition, Definitions, Demand, Linger, LingerSet, Requester, ReservationPolicy,
 };
-use indigopath_simulator::licence_server::{Fate, Feature, LicenceServer};
+use indigopath_simulator::licence_server::{ClientState, Feature, LicenceServer};
 use indigopath_simulator::simulation::ObservedJob;
 use indigopath_simulator::worker::Worker;
 use proptest::prelude::*;
@@ -111,7 +111,7 @@
             run_s: 4.0,
             image: "img".to_owned(),
             image_gb: 0.2,
-            counts: BTreeMap::from([("seat".to_owned(), 1)]),
+            counted_units: BTreeMap::from([("seat".to_owned(), 1)]),
             ..ObservedJob::default()
         };
         let mut definition = Definition::with_units(UNITS);
@@ -300,7 +300,7 @@
         }
         // The licence server notices the end of a client at once.
         self.step_licence_server();
-        let taken = self.licences.features["seat"].of_tasks();
+        let taken = self.licences.features["seat"].task_units();
         let counted = self.query_ledger(|ledger| ledger.get("seat").map_or(0, |pool| pool.taken() as u32));
         prop_assert!(
             counted >= taken,
@@ -361,7 +361,7 @@
             CommandOutcome::Answered | CommandOutcome::Duplicated(_) | CommandOutcome::Unanswered
                 if now >= self.workers[index].hung_until =>
             {
-                let (status, response) = self.workers[index].direct(&body, &self.jobs, now);
+                let (status, response) = self.workers[index].handle_direct_commands(&body, &self.jobs, now);
                 let machine = self.machines.get_mut(&id).unwrap();
                 if let CommandOutcome::Duplicated(ms) = command_outcome {
                     self.late.push((now + ms, index, body));
@@ -387,9 +387,9 @@
 
     fn send_heartbeat(&mut self, index: usize, answered: bool) {
         let now = self.now;
-        self.workers[index].next_report = now;
+        self.workers[index].next_heartbeat_at = now;
         let agent_epoch = self.workers[index].agent_epoch;
-        let Some((number, body)) = self.workers[index].due_report(now) else {
+        let Some((number, body)) = self.workers[index].due_heartbeat(now) else {
             return;
         };
         if serde_json::from_slice::<Heartbeat>(&body).unwrap().token > self.token {
@@ -409,14 +409,14 @@
                 .unwrap(),
             )
         });
-        self.workers[index].answered(number, agent_epoch, outcome, 3, &self.jobs, now);
+        self.workers[index].handle_heartbeat_response(number, agent_epoch, outcome, 3, &self.jobs, now);
     }
 
     fn step_licence_server(&mut self) {
         let workers = &self.workers;
         self.licences.step(self.now, |client| {
             let host = workers.iter().find(|worker| worker.id == client.host);
-            Fate::on(host, client)
+            ClientState::of(host, client)
         });
     }
 
@@ -431,7 +431,7 @@
             })
             .collect();
         for (_, index, body) in due {
-            self.workers[index].direct(&body, &self.jobs, now);
+            self.workers[index].handle_direct_commands(&body, &self.jobs, now);
         }
         self.step_licence_server();
         self.lingers.prune(now);
@@ -439,8 +439,8 @@
             let started_tasks = self.workers[index].step(&mut self.jobs, now);
             for task in started_tasks {
                 self.started += 1;
-                let seat = &self.jobs[JOB].counts;
-                let refused = self.licences.admit(seat, &self.workers[index].id, &task);
+                let seat = &self.jobs[JOB].counted_units;
+                let refused = self.licences.check_out_all(seat, &self.workers[index].id, &task);
                 prop_assert!(refused.is_empty(), "{} is refused its seat at {now}", task.name());
             }
         }
@@ -477,7 +477,7 @@
         }
     }
     assert!(harness.started > 20, "only {} tasks started", harness.started);
-    assert_eq!(harness.licences.features["seat"].refused, 0);
+    assert_eq!(harness.licences.features["seat"].refused_checkouts, 0);
 }
 
 /// A start that needs a seat is executed, but its response is lost, and the worker's lease ends a moment
@@ -495,7 +495,7 @@
     // A worker that has seen a token reports it in its next heartbeat.
     let machines = (0..MACHINES).chain(0..MACHINES);
     let mut events: Vec<Event> = machines.map(|index| Event::Heartbeat(index, true)).collect();
-    let lease_ms = harness.workers[0].times.lease_ms;
+    let lease_ms = harness.workers[0].timings.lease_ms;
     for _ in 0..lease_ms / 2_000 - 1 {
         events.push(Event::Wait(2_000));
         events.extend([Event::Heartbeat(1, true), Event::Heartbeat(2, true)]);
--- a/crates/controller/tests/counts_seeds.rs
+++ b/crates/controller/tests/counts_seeds.rs
@@ -36,13 +36,13 @@
 
 #[test]
 fn a_leaders_unit_counts_match_the_running_tasks() {
-    let seeds = indigopath_simulator::play_seeds("COUNTS", SEEDS, scenario, |text| {
+    let seeds = indigopath_simulator::run_seeds("COUNTS", SEEDS, scenario, |text| {
         indigopath_simulator::run(text).or_else(|problem| ignore_unrelated_problems(&problem))
     });
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/duties_walk.rs
+++ b/crates/controller/tests/duties_walk.rs
@@ -11,7 +11,7 @@
 //! keep the simulator's rules, leave no operation of a replaced leader that its successor could not know of,
 //! finish both jobs and end with one leader.
 
-use indigopath_simulator::{Deviation, play_all, walk};
+use indigopath_simulator::{Deviation, run_cases, run_with_deviations};
 use std::collections::BTreeMap;
 
 const SCENARIO: &str = "\
@@ -45,7 +45,7 @@
     });
     // All schedules with a late operation whose sender crashes: recorded intents exist for these.
     let is_late_with_crash =
-        |schedule: &Schedule| schedule.values().eq([&Deviation::Late, &Deviation::EndAfter]);
+        |schedule: &Schedule| schedule.values().eq([&Deviation::Delay, &Deviation::CrashAfter]);
     let (late_with_crash, others): (Vec<Schedule>, Vec<Schedule>) = pairs.partition(is_late_with_crash);
     schedules.extend(late_with_crash);
     schedules.extend(others.into_iter().step_by(sample_interval));
@@ -54,12 +54,12 @@
 
 #[test]
 fn the_next_leader_knows_the_outcome_of_every_operation() {
-    let (outcome, operations) = walk(SCENARIO, &Schedule::new());
+    let (outcome, operations) = run_with_deviations(SCENARIO, &Schedule::new());
     outcome.expect("without a deviation");
     assert!(operations >= 8, "{operations} acts");
     let all = std::env::var("DUTIES_WALK").is_ok_and(|which| which == "all");
     let schedules = schedules(operations, if all { 1 } else { SAMPLE });
-    let failed = play_all(schedules.len(), |at| walk(SCENARIO, &schedules[at]).0);
+    let failed = run_cases(schedules.len(), |at| run_with_deviations(SCENARIO, &schedules[at]).0);
     println!(
         "{operations} acts, {} ways, {} failed",
         schedules.len(),
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -3,7 +3,7 @@
 //! were renamed. Each must be readable, and must be written again byte for byte.
 
 use indigopath_accounting::{JobAccounting, Team, read_history};
-use indigopath_condor::cluster::{ClusterRecord, KeyRecord, NumberRecord, OpenRecord};
+use indigopath_condor::cluster::{ClusterRecord, NextClusterRecord, OpenClusterRecord, SubmissionKeyRecord};
 use indigopath_controller::model::JobSpec;
 use indigopath_controller::peers::Frame;
 use indigopath_controller::protocol;
@@ -56,14 +56,14 @@
         match (prefix, rest) {
             ("", "leader") => assert_record_round_trips::<LeaderRecord>(&stored),
             ("", "types") => assert_record_round_trips::<protocol::MachineTypeList>(&stored),
-            ("j/", rest) if rest.starts_with('~') => assert_record_round_trips::<OpenRecord>(&stored),
+            ("j/", rest) if rest.starts_with('~') => assert_record_round_trips::<OpenClusterRecord>(&stored),
             ("j/", _) => assert_record_round_trips::<JobSpec>(&stored),
             ("e/", _) => assert_record_round_trips::<EndedJobRecord>(&stored),
             ("d/", _) => assert_record_round_trips::<CompletedTasksRecord>(&stored),
             ("s/", _) => assert_record_round_trips::<ShardRecord>(&stored),
             ("h/", _) => assert_record_round_trips::<protocol::LaunchRequest>(&stored),
-            ("n/", _) => assert_record_round_trips::<NumberRecord>(&stored),
-            ("k/", _) => assert_record_round_trips::<KeyRecord>(&stored),
+            ("n/", _) => assert_record_round_trips::<NextClusterRecord>(&stored),
+            ("k/", _) => assert_record_round_trips::<SubmissionKeyRecord>(&stored),
             ("c/", _) => assert_record_round_trips::<ClusterRecord>(&stored),
             // Tests below read both. Writing them is covered by the digests of the scenarios.
             ("b/" | "t/", _) => (),
@@ -101,10 +101,10 @@
     {
         let value: Value = serde_json::from_str(stored.value.get()).unwrap();
         let mut accounting = JobAccounting::new(14_000);
-        accounting.read(&stored.key, &value).unwrap();
+        accounting.load_record(&stored.key, &value).unwrap();
         let Some(team) = value["team"].as_str() else {
             assert_eq!(
-                accounting.at().revision,
+                accounting.last_position().revision,
                 value["at"]["revision"].as_u64().unwrap(),
                 "{}",
                 stored.key
@@ -119,7 +119,7 @@
             assert_eq!(**job, *line[0].as_str().unwrap());
             assert_eq!(entry.accepted_ms, line[3].as_u64().unwrap());
             assert_eq!(entry.ended_ms, line[4].as_u64().unwrap());
-            assert_eq!(serde_json::to_value(entry.by()).unwrap(), line[2]);
+            assert_eq!(serde_json::to_value(entry.ended_by()).unwrap(), line[2]);
             assert_eq!(serde_json::to_value(&entry.stats).unwrap(), line[6]);
         }
         assert_eq!(
@@ -145,7 +145,7 @@
             14_000,
         );
         let number = stored.key["t/".len()..].parse().unwrap();
-        window_state.adopt(number, stored.value.get(), 1).unwrap();
+        window_state.restore(number, stored.value.get(), 1).unwrap();
     }
     assert_eq!(stored.len(), 3);
 }
--- a/crates/controller/tests/horizon.rs
+++ b/crates/controller/tests/horizon.rs
@@ -7,7 +7,7 @@
 //! The scenarios of a test differ by a fraction of a second, so that the outage begins at every step
 //! of the refusal, of the election and of the new leader's recovery.
 
-use indigopath_simulator::{play_ways, steps};
+use indigopath_simulator::{run_variants, time_steps};
 
 /// When the state service begins to refuse the leader, in s.
 const REFUSED_S: f64 = 40.0;
@@ -40,7 +40,7 @@
         .iter()
         .map(|faults| format!("{WORKLOAD}{faults}{EXPECTATIONS}"))
         .collect();
-    let failed = play_ways(name, &scenarios);
+    let failed = run_variants(name, &scenarios);
     assert!(failed == 0, "{name}: {failed} of {} ways", scenarios.len());
 }
 
@@ -48,7 +48,7 @@
 // until after the next leader has read all records.
 #[test]
 fn cancelled_jobs_stop_in_an_outage_after_the_leader_is_refused() {
-    let scenarios: Vec<String> = steps(1.0, 4.0, 0.05)
+    let scenarios: Vec<String> = time_steps(1.0, 4.0, 0.05)
         .flat_map(|outage_s| {
             [0.05, 0.5, 1.5].map(|cancelled_after_s| {
                 format!(
@@ -66,7 +66,7 @@
 // begins meanwhile. Its lease renewals are answered all that time.
 #[test]
 fn cancelled_jobs_stop_in_an_outage_while_the_next_leader_recovers() {
-    let scenarios: Vec<String> = steps(3.0, 9.0, 0.15)
+    let scenarios: Vec<String> = time_steps(3.0, 9.0, 0.15)
         .flat_map(|outage_s| {
             [1, 3].map(|lost_responses| {
                 let lost_page = format!("at {REFUSED_S} lose-answer /store?Under=j/&Limit=500\n");
@@ -86,7 +86,7 @@
 // answered in between, while the watch that was open stays open.
 #[test]
 fn cancelled_jobs_stop_in_an_outage_after_repeated_short_refusals() {
-    let scenarios: Vec<String> = steps(1.0, 5.0, 0.1)
+    let scenarios: Vec<String> = time_steps(1.0, 5.0, 0.1)
         .flat_map(|outage_s| {
             [1.6, 2.0, 2.2].map(|for_s| {
                 let refusals: String = [0.0, 2.4, 4.8]
@@ -109,7 +109,7 @@
 // confirmed cancellations.
 #[test]
 fn cancelled_jobs_stop_in_an_outage_after_the_leader_falls_behind() {
-    let scenarios: Vec<String> = steps(39.0, 39.2, 0.01)
+    let scenarios: Vec<String> = time_steps(39.0, 39.2, 0.01)
         .flat_map(|refused_s| {
             [44.0, 48.0, 52.0, 55.0].map(|outage_s| {
                 let lost_page = "at 39.8 lose-answer /store?Under=j/&Limit=500\n";
@@ -142,7 +142,7 @@
                     let hanging = "at 41 hang of:wk-1/0 for=25\nat 41 hang of:wk-3/0 for=25\n";
                     ["", no_responses, hanging].into_iter().flat_map(move |machines| {
                         [1.5, 2.7, 3.1].into_iter().map(move |outage_s| {
-                            let polls: String = steps(40.2, 40.0 + outage_s, 0.2)
+                            let polls: String = time_steps(40.2, 40.0 + outage_s, 0.2)
                                 .map(|at| format!("at {at} ask wk-1 node=n{}\n", (node + 1) % 3))
                                 .collect();
                             let cancellations: String = (1..4)
@@ -165,7 +165,7 @@
 // after which the next outage begins.
 #[test]
 fn cancelled_jobs_stop_in_repeated_outages_and_around_their_ends() {
-    let scenarios: Vec<String> = steps(0.0, 3.0, 0.25)
+    let scenarios: Vec<String> = time_steps(0.0, 3.0, 0.25)
         .flat_map(|delay_s| {
             let repeated = format!(
                 "at {REFUSED_S} refuse leader for=14\n{}at {} outage state for=74\n\
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -3,7 +3,7 @@
 //! Besides, no leader may start a task of a job that it knows to have ended, or whose end was confirmed to
 //! a user longer ago than the leader's lease.
 
-use indigopath_simulator::{play_ways, steps};
+use indigopath_simulator::{run_variants, time_steps};
 
 /// Two teams exactly at their limits of 16 and 32 GPUs, and jobs of both that wait for GPUs.
 const FULL_QUOTA: &str = "\
@@ -17,7 +17,7 @@
 
 /// Runs all scenarios. No rule and no expectation may be violated.
 fn run_scenarios(name: &str, scenarios: &[String]) {
-    let failed = play_ways(name, scenarios);
+    let failed = run_variants(name, scenarios);
     assert!(failed == 0, "{name}: {failed} of {} ways", scenarios.len());
 }
 
@@ -66,7 +66,7 @@
         "stall leader? for=3",
         "cut-off leader? for=11",
     ];
-    let scenarios: Vec<String> = steps(0.0, 2.4, 0.2)
+    let scenarios: Vec<String> = time_steps(0.0, 2.4, 0.2)
         .enumerate()
         .map(|(number, delay_s)| {
             let mut text = String::from(FULL_QUOTA);
@@ -103,7 +103,7 @@
 // With a grace of ten minutes in `cancellation_watermark::grace_ms`, `ran_cancelled` fails.
 #[test]
 fn jobs_cancelled_as_the_leader_is_refused_stop_in_the_outage_after_it() {
-    let scenarios: Vec<String> = steps(0.6, 3.6, 0.5)
+    let scenarios: Vec<String> = time_steps(0.6, 3.6, 0.5)
         .flat_map(|outage_after_s| {
             [10.0, 20.0, 27.0, 33.0].map(|hang_s| {
                 format!(
@@ -125,7 +125,7 @@
     let scenarios: Vec<String> = [0.0, 0.05, 1.0, 8.0]
         .into_iter()
         .flat_map(|delay_s| {
-            steps(41.0, 43.0, 0.5).map(move |at| {
+            time_steps(41.0, 43.0, 0.5).map(move |at| {
                 format!(
                     "{FULL_QUOTA}at 25 late-reports share=0.7 for=100 for-next after={delay_s}\n\
                      at 40 withdraw wk-1\nat {at} crash leader for=0.5\nat 46 cancel-now count=1 hang=15\n\
@@ -142,7 +142,7 @@
 // their responses and the leader crashes. Some machines are launched by a call that gets no response.
 #[test]
 fn late_writes_on_fast_booting_machines_start_nothing_twice() {
-    let scenarios: Vec<String> = steps(4.0, 8.0, 0.2)
+    let scenarios: Vec<String> = time_steps(4.0, 8.0, 0.2)
         .flat_map(|at| {
             ["0.3 1", "0.5 2"].map(|boots| {
                 format!(
@@ -165,7 +165,7 @@
 // Jobs are cancelled within milliseconds of the end of their last task, also while the leader changes.
 #[test]
 fn jobs_cancelled_around_their_end_are_not_started() {
-    let scenarios: Vec<String> = steps(30.0, 34.0, 0.25)
+    let scenarios: Vec<String> = time_steps(30.0, 34.0, 0.25)
         .map(|at| {
             format!(
                 "at 1 submit wk-1 shape=daemon class=live tasks=2 gpus=1\nat 10 cancel-at-end share=0.7 for=60\n\
--- a/crates/controller/tests/packages_seeds.rs
+++ b/crates/controller/tests/packages_seeds.rs
@@ -16,11 +16,11 @@
 
 #[test]
 fn faults_with_windows_accounting_and_images_violate_no_rule() {
-    let seeds = indigopath_simulator::play_seeds("PACKAGES", SEEDS, scenario, indigopath_simulator::run);
+    let seeds = indigopath_simulator::run_seeds("PACKAGES", SEEDS, scenario, indigopath_simulator::run);
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/pairs_seeds.rs
+++ b/crates/controller/tests/pairs_seeds.rs
@@ -13,9 +13,9 @@
 
 #[test]
 fn pairs_of_fault_combinations_violate_no_rule() {
-    let seeds = indigopath_simulator::play_seeds("PAIRS", SEEDS, scenario, indigopath_simulator::run);
+    let seeds = indigopath_simulator::run_seeds("PAIRS", SEEDS, scenario, indigopath_simulator::run);
     let mut results: BTreeMap<(&str, &str), (usize, usize)> = BTreeMap::new();
-    for seed in seeds.all.clone() {
+    for seed in seeds.played.clone() {
         results.entry(pair(seed)).or_default().0 += 1;
     }
     for seed in &seeds.failed {
@@ -28,7 +28,7 @@
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/controller/tests/waiting_seeds.rs
+++ b/crates/controller/tests/waiting_seeds.rs
@@ -25,13 +25,13 @@
 
 #[test]
 fn no_task_waits_although_there_is_capacity() {
-    let seeds = indigopath_simulator::play_seeds("WAITING", SEEDS, scenario, |text| {
+    let seeds = indigopath_simulator::run_seeds("WAITING", SEEDS, scenario, |text| {
         indigopath_simulator::run(text).or_else(|problem| ignore_unrelated_problems(&problem))
     });
     assert!(
         seeds.failed.is_empty(),
         "of {:?} failed {:?}",
-        seeds.all,
+        seeds.played,
         seeds.failed
     );
 }
--- a/crates/protection_windows/src/window_state/windows.rs
+++ b/crates/protection_windows/src/window_state/windows.rs
@@ -1,27 +1,27 @@
-//! Opening and closing of windows by the clock.
+//! Opens and closes windows by the clock.
 
 use super::WindowState;
-use crate::constants::{CLOSED_KEPT_DAYS, DAY_MS};
+use crate::constants::{CLOSED_WINDOW_RETENTION_DAYS, DAY_MS};
 use crate::event::{CloseReason, Event};
-use crate::timetable::{Shift, Window};
+use crate::timetable::{Window, WindowSchedule};
 use crate::{Day, Name};
 use std::collections::BTreeMap;
 
-/// A window of a shift, by the day on which it opens.
+/// Identifies a window by its schedule and the day on which it opens.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WindowKey {
-    pub(super) shift: Name,
+    pub(super) schedule: Name,
     pub(super) day: Day,
 }
 
-/// How far a window's opening or closing is on record.
+/// Whether the opening or closing of a window is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The opening is decided, and not on record yet.
+    /// The opening is decided but not recorded yet.
     Opening,
-    /// It is open on record.
+    /// The window is recorded as open.
     Open,
-    /// The closing is decided, and not on record yet.
+    /// The closing is decided but not recorded yet.
     Closing,
 }
 
@@ -29,38 +29,40 @@
 pub(super) struct OpenWindow {
     pub(super) stage: Stage,
     pub(super) opened_ms: u64,
-    /// When protection is to begin, if the settings have the window.
+    /// When protection starts, if the settings define the window.
     pub(super) ready_ms: Option<u64>,
     pub(super) closes_ms: u64,
     pub(super) rank: u16,
-    /// Its services are protected now.
+    /// Whether its services are protected now.
     pub(super) active: bool,
 }
 
-/// The latest window of a shift that is over.
+/// The latest closed window of a schedule.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClosedWindow {
     pub(super) day: Day,
     pub(super) at_ms: u64,
 }
 
-/// Notes that a window was closed, unless a later one of the shift was.
-pub(super) fn note_closed(closed: &mut BTreeMap<Name, ClosedWindow>, key: &WindowKey, at_ms: u64) {
-    let later = closed.get(&key.shift).is_some_and(|latest| latest.day >= key.day);
-    if !later {
+/// Records that a window was closed, unless a later one of the same schedule was.
+pub(super) fn record_closed(closed: &mut BTreeMap<Name, ClosedWindow>, key: &WindowKey, at_ms: u64) {
+    let is_later_closed = closed
+        .get(&key.schedule)
+        .is_some_and(|latest| latest.day >= key.day);
+    if !is_later_closed {
         let window = ClosedWindow { day: key.day, at_ms };
-        closed.insert(key.shift.clone(), window);
+        closed.insert(key.schedule.clone(), window);
     }
 }
 
 impl WindowState {
-    /// Opens windows whose time has come; returns whether anything changed that is on record.
+    /// Opens windows that are due, and returns whether the record has to be written.
     pub(super) fn open_windows(&mut self, time: u64, events: &mut Vec<Event>) -> bool {
         let mut changed = false;
         let timetable = self.timetable.clone();
-        for (name, shift) in timetable.iter() {
-            for window in shift.around(time) {
-                changed |= self.open_window(name, shift, window, time, events);
+        for (name, schedule) in timetable.iter() {
+            for window in schedule.windows_near(time) {
+                changed |= self.open_window(name, schedule, window, time, events);
             }
         }
         changed
@@ -69,28 +71,28 @@
     fn open_window(
         &mut self,
         name: &Name,
-        shift: &Shift,
+        schedule: &WindowSchedule,
         window: Window,
         time: u64,
         events: &mut Vec<Event>,
     ) -> bool {
         let key = WindowKey {
-            shift: name.clone(),
+            schedule: name.clone(),
             day: window.day,
         };
         if let Some(open) = self.windows.get_mut(&key) {
-            // The settings in force say when it ends; the record says that it has begun.
-            let same = open.closes_ms == window.closes_ms && open.rank == shift.rank;
+            // The end and the rank follow the current settings; that it is open follows the record.
+            let is_unchanged = open.closes_ms == window.closes_ms && open.rank == schedule.rank;
             open.closes_ms = window.closes_ms;
             open.ready_ms = Some(window.ready_ms);
-            open.rank = shift.rank;
-            return !same;
+            open.rank = schedule.rank;
+            return !is_unchanged;
         }
-        let over = self
+        let is_over = self
             .closed
             .get(name)
             .is_some_and(|closed| window.day <= closed.day);
-        if over || !self.may_be_open(&window, time) {
+        if is_over || !self.may_be_open(&window, time) {
             return false;
         }
         let open = OpenWindow {
@@ -98,40 +100,41 @@
             opened_ms: time,
             ready_ms: Some(window.ready_ms),
             closes_ms: window.closes_ms,
-            rank: shift.rank,
-            // At the first update, a former leader may have begun to protect.
-            active: !self.looked,
+            rank: schedule.rank,
+            // At the first update, a previous leader may already have started to protect.
+            active: !self.has_updated,
         };
         self.windows.insert(key, open);
         events.push(Event::Opened {
-            shift: name.clone(),
+            schedule: name.clone(),
             day: window.day,
             closes_ms: window.closes_ms,
         });
         true
     }
 
-    /// Whether the window is open by some clock within the bound.
+    /// Whether the window may be open by some clock within the bound.
     fn may_be_open(&self, window: &Window, time: u64) -> bool {
-        time + self.bound_ms >= window.ready_ms && time < window.closes_ms + self.bound_ms
+        time + self.max_clock_difference_ms >= window.ready_ms
+            && time < window.closes_ms + self.max_clock_difference_ms
     }
 
-    /// Closes windows whose end has come; returns whether anything changed that is on record.
+    /// Closes windows that are due, and returns whether the record has to be written.
     pub(super) fn close_windows(&mut self, time: u64, events: &mut Vec<Event>) -> bool {
         let mut changed = false;
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for (key, window) in &mut self.windows {
-            let shift = self.timetable.get(&key.shift);
-            if shift.is_none() && self.told_missing.insert(key.shift.clone()) {
+            let schedule = self.timetable.get(&key.schedule);
+            if schedule.is_none() && self.reported_missing.insert(key.schedule.clone()) {
                 events.push(Event::NotInSettings {
-                    shift: key.shift.clone(),
+                    schedule: key.schedule.clone(),
                     closes_ms: window.closes_ms,
                 });
             }
-            let why = if shift.is_some_and(|shift| shift.window(key.day).is_none()) {
+            let reason = if schedule.is_some_and(|schedule| schedule.window_on(key.day).is_none()) {
                 CloseReason::NoWindow
-            } else if time >= window.closes_ms + self.bound_ms {
-                CloseReason::Over
+            } else if time >= window.closes_ms + self.max_clock_difference_ms {
+                CloseReason::Ended
             } else {
                 continue;
             };
@@ -139,38 +142,38 @@
                 window.stage = Stage::Closing;
                 changed = true;
                 events.push(Event::Closed {
-                    shift: key.shift.clone(),
+                    schedule: key.schedule.clone(),
                     day: key.day,
-                    why,
+                    reason,
                 });
-            } else if self.locked {
-                // Nothing is written any more, so the end will never be on record.
-                gone.push(key.clone());
+            } else if self.writes_disabled {
+                // Writing is disabled, so the closing will never be recorded.
+                removed.push(key.clone());
             }
         }
-        for key in gone {
+        for key in removed {
             self.windows.remove(&key);
-            note_closed(&mut self.closed, &key, time);
+            record_closed(&mut self.closed, &key, time);
             changed = true;
         }
-        self.forget_closed(time) || changed
+        self.drop_old_closed(time) || changed
     }
 
-    /// Forgets windows that were closed days ago; returns whether there were any.
-    fn forget_closed(&mut self, time: u64) -> bool {
-        let kept_from = i64::try_from(time).unwrap_or(0) - CLOSED_KEPT_DAYS * DAY_MS;
+    /// Drops closed windows after their retention time, and returns whether there were any.
+    fn drop_old_closed(&mut self, time: u64) -> bool {
+        let retained_from = i64::try_from(time).unwrap_or(0) - CLOSED_WINDOW_RETENTION_DAYS * DAY_MS;
         let before = self.closed.len();
         self.closed
-            .retain(|_, closed| i64::try_from(closed.at_ms).unwrap_or(i64::MAX) >= kept_from);
+            .retain(|_, closed| i64::try_from(closed.at_ms).unwrap_or(i64::MAX) >= retained_from);
         self.closed.len() < before
     }
 
-    /// Begins to act on windows that are open on record, or by this node's clock.
+    /// Activates windows that are recorded as open, or have started by this node's clock.
     pub(super) fn activate_windows(&mut self, time: u64) {
         for window in self.windows.values_mut() {
-            let begun = window.ready_ms.is_some_and(|ready| time >= ready);
-            window.active |= window.stage == Stage::Open || window.stage == Stage::Opening && begun;
+            let has_started = window.ready_ms.is_some_and(|ready| time >= ready);
+            window.active |= window.stage == Stage::Open || window.stage == Stage::Opening && has_started;
         }
-        self.looked = true;
+        self.has_updated = true;
     }
 }
