--- a/crates/classad/src/eval.rs
+++ b/crates/classad/src/eval.rs
@@ -127,7 +127,7 @@
     }
 
     /// Steps of all evaluations so far, for whoever has to bound many of them.
-    pub fn spent(&self) -> u64 {
+    pub fn total_steps(&self) -> u64 {
         self.spent + u64::from(self.steps)
     }
 
--- a/crates/classad/src/functions.rs
+++ b/crates/classad/src/functions.rs
@@ -21,7 +21,7 @@
     /// Most arguments, if there is a most.
     pub most: Option<usize>,
     /// Its value follows from its arguments alone, not from when it is asked.
-    pub steady: bool,
+    pub deterministic: bool,
     pub(crate) call: fn(&mut Evaluator, Call<'_>) -> Value,
 }
 
@@ -44,7 +44,7 @@
         name,
         least,
         most,
-        steady: true,
+        deterministic: true,
         call,
     }
 }
@@ -59,7 +59,7 @@
 
 const fn of_the_time(name: &'static str, least: usize, most: usize, call: Body) -> Function {
     Function {
-        steady: false,
+        deterministic: false,
         ..function(name, least, Some(most), call)
     }
 }
@@ -232,7 +232,7 @@
     }),
     // Versions.
     exactly("versioncmp", 2, |e, c| {
-        strings(e, c, |e, s| order(e, versions(&s[0], &s[1])))
+        strings(e, c, |e, s| order(e, compare_versions(&s[0], &s[1])))
     }),
     exactly("versionLT", 2, |e, c| version(e, c, Ordering::is_lt)),
     exactly("versionLE", 2, |e, c| version(e, c, Ordering::is_le)),
@@ -241,7 +241,7 @@
     exactly("versionEQ", 2, |e, c| version(e, c, Ordering::is_eq)),
     exactly("version_in_range", 3, |e, c| {
         strings(e, c, |_, s| {
-            Value::Bool(versions(&s[1], &s[0]).is_le() && versions(&s[0], &s[2]).is_le())
+            Value::Bool(compare_versions(&s[1], &s[0]).is_le() && compare_versions(&s[0], &s[2]).is_le())
         })
     }),
     // Time, in s since 1970.
@@ -520,12 +520,12 @@
             Some(Value::Int(length)) => Some(*length),
             Some(other) => return evaluator.fail(Fault::Operand("substr", other.type_name())),
         };
-        Value::from(part(text, *start, length))
+        Value::from(substring(text, *start, length))
     })
 }
 
 /// The part of a text that `substr` means.
-pub fn part(text: &str, start: i64, length: Option<i64>) -> String {
+pub fn substring(text: &str, start: i64, length: Option<i64>) -> String {
     let count = text.chars().count() as i64;
     let start = if start < 0 {
         count.saturating_add(start)
@@ -770,12 +770,12 @@
 
 fn version(evaluator: &mut Evaluator, call: Call<'_>, holds: fn(Ordering) -> bool) -> Value {
     strings(evaluator, call, |_, texts| {
-        Value::Bool(holds(versions(&texts[0], &texts[1])))
+        Value::Bool(holds(compare_versions(&texts[0], &texts[1])))
     })
 }
 
 /// Runs of digits by their number, all else letter by letter.
-pub fn versions(left: &str, right: &str) -> Ordering {
+pub fn compare_versions(left: &str, right: &str) -> Ordering {
     let (mut left, mut right) = (left, right);
     loop {
         let digits = |text: &str| text.bytes().take_while(u8::is_ascii_digit).count();
--- a/crates/classad/src/lib.rs
+++ b/crates/classad/src/lib.rs
@@ -40,7 +40,7 @@
 pub use ad::Ad;
 pub use eval::{Evaluator, Fault};
 pub use expr::{Binary, Expr, Kind, Record, Reference, Scope, Unary};
-pub use functions::{Function, part, versions};
+pub use functions::{Function, compare_versions, substring};
 pub use names::{Name, nearest};
 pub use parser::{ParseError, Position};
 pub use value::Value;
--- a/crates/condor/src/macros.rs
+++ b/crates/condor/src/macros.rs
@@ -4,7 +4,7 @@
 use crate::printf;
 use crate::source::{Line, SourceLocation, SubmitEnvironment, SubmitError};
 use crate::template::{self, Piece, Template, is_path_function};
-use indigopath_classad::{Ad, Evaluator, Expr, Value, part};
+use indigopath_classad::{Ad, Evaluator, Expr, Value, substring};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -442,8 +442,8 @@
                     .collect();
                 let text = self.resolve_word(first, proc, depth)?;
                 match &numbers[..] {
-                    [Ok(start)] => Ok(part(&text, *start, None)),
-                    [Ok(start), Ok(length)] => Ok(part(&text, *start, Some(*length))),
+                    [Ok(start)] => Ok(substring(&text, *start, None)),
+                    [Ok(start), Ok(length)] => Ok(substring(&text, *start, Some(*length))),
                     _ => Err("it takes a name, a start and perhaps a length".to_owned()),
                 }
             }
--- a/crates/condor/src/matchmaking.rs
+++ b/crates/condor/src/matchmaking.rs
@@ -159,7 +159,7 @@
     /// outcome.
     fn request(&mut self, reading: ParsedRequest) -> (Outcome, bool) {
         let ParsedRequest { request, ad } = reading;
-        if self.evaluator.spent() > MAX_EVALUATION_STEPS {
+        if self.evaluator.total_steps() > MAX_EVALUATION_STEPS {
             return (self.out_of_budget(), true);
         }
         let mut names = FxHashSet::default();
@@ -181,7 +181,7 @@
             return (self.unmatched(Verdict::Refused, reason, Some(request)), shared);
         }
         let kinds = self.kinds(&request, &ad, &names);
-        if self.evaluator.spent() > MAX_EVALUATION_STEPS {
+        if self.evaluator.total_steps() > MAX_EVALUATION_STEPS {
             return (self.out_of_budget(), shared);
         }
         if kinds.is_clear() {
@@ -239,7 +239,7 @@
         let location = |index| source_expr.entry.definition.location_in_value(index);
         let what = &source_expr.entry.definition.name;
         for (function, index) in source_expr.expr.calls() {
-            if !function.steady {
+            if !function.deterministic {
                 let text = format!(
                     "{what}: {}() changes with time, and a match is made once",
                     function.name
@@ -343,7 +343,7 @@
         let mut truth_by_class: Vec<Option<bool>> = vec![None; all.equivalence_class_count()];
         let mut holds = FixedBitSet::with_capacity(all.all().len());
         for (index, kind) in all.all().iter().enumerate() {
-            let over_budget = self.evaluator.spent() > MAX_EVALUATION_STEPS;
+            let over_budget = self.evaluator.total_steps() > MAX_EVALUATION_STEPS;
             if over_budget || (!depends_on_machine_only && !kinds.contains(index)) {
                 continue;
             }
@@ -410,7 +410,7 @@
         };
         if let Some(source_expr) = &request.requirements {
             for term in source_expr.expr.terms().into_iter().take(MAX_TERMS_SHOWN) {
-                if self.evaluator.spent() > MAX_EVALUATION_STEPS {
+                if self.evaluator.total_steps() > MAX_EVALUATION_STEPS {
                     break;
                 }
                 let mut excluded = Vec::new();
--- a/crates/condor/src/submit.rs
+++ b/crates/condor/src/submit.rs
@@ -8,7 +8,7 @@
 use crate::macros::{Definition, Macros, ProcContext, evaluate_constant};
 use crate::queue::{self, Source};
 use crate::source::{Line, Lines, SourceLocation, SubmitEnvironment, SubmitError};
-use indigopath_classad::{nearest, versions};
+use indigopath_classad::{compare_versions, nearest};
 use std::sync::Arc;
 
 /// The version with which `if version` conditions compare: that of the submit language supported
@@ -249,7 +249,7 @@
                     .into_iter()
                     .find(|operator| rest.starts_with(operator))
                     .ok_or_else(|| line.error(offset, "a comparison is missing after \"version\""))?;
-                let order = versions(LANGUAGE_VERSION, rest[operator.len()..].trim());
+                let order = compare_versions(LANGUAGE_VERSION, rest[operator.len()..].trim());
                 match operator {
                     "==" => order.is_eq(),
                     "!=" => order.is_ne(),
