--- a/crates/classad/src/eval.rs
+++ b/crates/classad/src/eval.rs
@@ -1,7 +1,10 @@
 //! What an expression comes to, for two ads that look at each other.
 
-use crate::constants::{MAX_MADE, MAX_RECURSION, MAX_REFERENCES, MAX_REGEX, MAX_STEPS, REGEXES_KEPT};
-use crate::expr::{Binary, Expr, Kind, Record, Scope, Unary};
+use crate::constants::{
+    MAX_RECURSION_DEPTH, MAX_REFERENCE_DEPTH, MAX_REGEX_BYTES, MAX_RESULT_SIZE, MAX_STEPS,
+    REGEX_CACHE_ENTRIES,
+};
+use crate::expr::{BinaryOp, Expr, Kind, Record, Scope, UnaryOp};
 use crate::{Ad, Name, Value};
 use regex::{Regex, RegexBuilder};
 use rustc_hash::FxHashMap;
@@ -15,24 +18,24 @@
 pub enum Fault {
     #[error("{0} refers to itself")]
     Cycle(Name),
-    #[error("it refers to attributes more than {MAX_REFERENCES} deep")]
-    Depth,
+    #[error("it refers to attributes more than {MAX_REFERENCE_DEPTH} deep")]
+    DepthLimit,
     #[error("it takes more than {MAX_STEPS} steps")]
-    Steps,
-    #[error("it makes a text or a list of more than {MAX_MADE} bytes or entries")]
-    Size,
+    StepLimit,
+    #[error("it makes a text or a list of more than {MAX_RESULT_SIZE} bytes or entries")]
+    SizeLimit,
     #[error("{0} cannot be applied to {1}")]
     Operand(&'static str, &'static str),
     #[error("{0} cannot be applied to {1} and {2}")]
     Operands(&'static str, &'static str, &'static str),
     #[error("it divides by zero")]
-    Zero,
+    DivisionByZero,
     #[error("{0} leaves the range of integers")]
     Overflow(&'static str),
     #[error("{0}: {1}")]
-    Call(&'static str, String),
+    FunctionCall(&'static str, String),
     #[error("it says so itself")]
-    Literal,
+    ErrorLiteral,
 }
 
 /// Whose turn it is: the ad that an expression belongs to.
@@ -43,7 +46,7 @@
 }
 
 impl Side {
-    fn across(self) -> Side {
+    fn opposite(self) -> Side {
         match self {
             Side::Own => Side::Other,
             Side::Other => Side::Own,
@@ -60,7 +63,7 @@
 
 /// Where an expression stands.
 #[derive(Clone, Copy)]
-pub(crate) struct Place<'e> {
+pub(crate) struct Context<'e> {
     side: Side,
     frame: Option<&'e Frame<'e>>,
 }
@@ -71,10 +74,10 @@
     now_s: i64,
     steps: u32,
     /// Steps of all evaluations before this one.
-    spent: u64,
+    previous_steps: u64,
     recursion: u32,
     /// Attributes that are being evaluated: where their expression lies, and their name.
-    open: Vec<usize>,
+    active_attributes: Vec<usize>,
     fault: Option<Fault>,
     /// Compiled patterns by options and text, and where their key is put together.
     patterns: FxHashMap<String, Option<Rc<Regex>>>,
@@ -110,25 +113,25 @@
 
     /// The value of an expression of `my`, which looks at `target`.
     pub fn evaluate(&mut self, expr: &Expr, my: &Ad, target: Option<&Ad>) -> Value {
-        self.spent += u64::from(self.steps);
+        self.previous_steps += u64::from(self.steps);
         self.steps = 0;
         self.recursion = 0;
-        self.open.clear();
+        self.active_attributes.clear();
         self.fault = None;
         let ads = Ads {
             own: my,
             other: target,
         };
-        let place = Place {
+        let context = Context {
             side: Side::Own,
             frame: None,
         };
-        self.value(expr, ads, place)
+        self.evaluate_expr(expr, ads, context)
     }
 
     /// Steps of all evaluations so far, for whoever has to bound many of them.
     pub fn total_steps(&self) -> u64 {
-        self.spent + u64::from(self.steps)
+        self.previous_steps + u64::from(self.steps)
     }
 
     /// What went wrong first in the last evaluation, if it came to ERROR.
@@ -137,7 +140,7 @@
     }
 
     /// Forgets what went wrong since then.
-    pub(crate) fn restore(&mut self, fault: Option<Fault>) {
+    pub(crate) fn restore_fault(&mut self, fault: Option<Fault>) {
         self.fault = fault;
     }
 
@@ -152,7 +155,7 @@
     }
 
     /// Accounts for work that is not a step of a walk.
-    pub(crate) fn spend(&mut self, steps: usize) -> bool {
+    pub(crate) fn charge_steps(&mut self, steps: usize) -> bool {
         self.steps = self
             .steps
             .saturating_add(u32::try_from(steps).unwrap_or(u32::MAX));
@@ -160,69 +163,69 @@
     }
 
     /// A string, unless it is longer than any may be.
-    pub(crate) fn text(&mut self, text: String) -> Value {
-        if text.len() > MAX_MADE || !self.spend(text.len() / 64) {
-            return self.fail(Fault::Size);
+    pub(crate) fn string_result(&mut self, text: String) -> Value {
+        if text.len() > MAX_RESULT_SIZE || !self.charge_steps(text.len() / 64) {
+            return self.fail(Fault::SizeLimit);
         }
         Value::from(text)
     }
 
-    pub(crate) fn value(&mut self, expr: &Expr, ads: Ads<'_>, place: Place<'_>) -> Value {
+    pub(crate) fn evaluate_expr(&mut self, expr: &Expr, ads: Ads<'_>, context: Context<'_>) -> Value {
         self.steps += 1;
         if self.steps > MAX_STEPS {
-            return self.fail(Fault::Steps);
+            return self.fail(Fault::StepLimit);
         }
-        if self.recursion >= MAX_RECURSION {
-            return self.fail(Fault::Depth);
+        if self.recursion >= MAX_RECURSION_DEPTH {
+            return self.fail(Fault::DepthLimit);
         }
         self.recursion += 1;
-        let value = self.walk(expr, ads, place);
+        let value = self.evaluate_node(expr, ads, context);
         self.recursion -= 1;
         value
     }
 
-    fn walk(&mut self, expr: &Expr, ads: Ads<'_>, place: Place<'_>) -> Value {
+    fn evaluate_node(&mut self, expr: &Expr, ads: Ads<'_>, context: Context<'_>) -> Value {
         match &expr.kind {
-            Kind::Literal(Value::Error) => self.fail(Fault::Literal),
+            Kind::Literal(Value::Error) => self.fail(Fault::ErrorLiteral),
             Kind::Literal(value) => value.clone(),
-            Kind::Attribute(scope, name) => self.attribute(*scope, name, ads, place),
+            Kind::Attribute(scope, name) => self.attribute(*scope, name, ads, context),
             Kind::Unary(operator, operand) => {
-                let operand = self.value(operand, ads, place);
+                let operand = self.evaluate_expr(operand, ads, context);
                 self.unary(*operator, operand)
             }
-            Kind::Binary(operator @ (Binary::And | Binary::Or), two) => {
-                self.logical(*operator, two, ads, place)
+            Kind::Binary(operator @ (BinaryOp::And | BinaryOp::Or), operands) => {
+                self.logical(*operator, operands, ads, context)
             }
-            Kind::Binary(operator, two) => {
+            Kind::Binary(operator, operands) => {
                 self.steps += 2;
-                let (made_left, made_right);
-                let left = match plain(&two.0, ads, place) {
+                let (computed_left, computed_right);
+                let left = match literal_value(&operands.0, ads, context) {
                     Some(value) => value,
                     None => {
-                        made_left = self.value(&two.0, ads, place);
-                        &made_left
+                        computed_left = self.evaluate_expr(&operands.0, ads, context);
+                        &computed_left
                     }
                 };
-                let right = match plain(&two.1, ads, place) {
+                let right = match literal_value(&operands.1, ads, context) {
                     Some(value) => value,
                     None => {
-                        made_right = self.value(&two.1, ads, place);
-                        &made_right
+                        computed_right = self.evaluate_expr(&operands.1, ads, context);
+                        &computed_right
                     }
                 };
                 self.binary(*operator, left, right)
             }
-            Kind::Choose(three) => {
-                let condition = self.value(&three.0, ads, place);
+            Kind::Conditional(operands) => {
+                let condition = self.evaluate_expr(&operands.0, ads, context);
                 match (condition.truth(), condition) {
-                    (Some(true), _) => self.value(&three.1, ads, place),
-                    (Some(false), _) => self.value(&three.2, ads, place),
+                    (Some(true), _) => self.evaluate_expr(&operands.1, ads, context),
+                    (Some(false), _) => self.evaluate_expr(&operands.2, ads, context),
                     (None, Value::Undefined) => Value::Undefined,
                     (None, other) => self.fail(Fault::Operand("?", other.type_name())),
                 }
             }
-            Kind::Otherwise(two) => match self.value(&two.0, ads, place) {
-                Value::Undefined => self.value(&two.1, ads, place),
+            Kind::IfUndefined(operands) => match self.evaluate_expr(&operands.0, ads, context) {
+                Value::Undefined => self.evaluate_expr(&operands.1, ads, context),
                 value => value,
             },
             Kind::Call(function, arguments) => (function.call)(
@@ -231,33 +234,33 @@
                     name: function.name,
                     arguments,
                     ads,
-                    place,
+                    context,
                 },
             ),
             Kind::List(entries) => {
                 let entries: Vec<Value> = entries
                     .iter()
-                    .map(|entry| self.value(entry, ads, place))
+                    .map(|entry| self.evaluate_expr(entry, ads, context))
                     .collect();
                 Value::List(Arc::from(entries))
             }
             Kind::Record(record) => {
                 let frame = Frame {
                     record,
-                    outer: place.frame,
+                    outer: context.frame,
                 };
-                let inside = Place {
+                let inner_context = Context {
                     frame: Some(&frame),
-                    ..place
+                    ..context
                 };
                 let attributes: Vec<(Name, Value)> = record
                     .0
                     .iter()
-                    .map(|(name, expr)| (name.clone(), self.named(name, expr, ads, inside)))
+                    .map(|(name, expr)| (name.clone(), self.attribute_value(name, expr, ads, inner_context)))
                     .collect();
                 Value::Record(Arc::from(attributes))
             }
-            Kind::Select(base, name) => match self.value(base, ads, place) {
+            Kind::Select(base, name) => match self.evaluate_expr(base, ads, context) {
                 Value::Record(attributes) => attributes
                     .iter()
                     .rev()
@@ -265,21 +268,21 @@
                     .map_or(Value::Undefined, |(_, value)| value.clone()),
                 Value::List(entries) => {
                     // Of a list of records, the attribute of each.
-                    let each = entries.iter().map(|entry| match entry {
+                    let values = entries.iter().map(|entry| match entry {
                         Value::Record(attributes) => attributes
                             .iter()
                             .find(|(other, _)| other == name)
                             .map_or(Value::Undefined, |(_, value)| value.clone()),
                         _ => Value::Error,
                     });
-                    Value::List(each.collect())
+                    Value::List(values.collect())
                 }
                 Value::Undefined => Value::Undefined,
                 other => self.fail(Fault::Operand(".", other.type_name())),
             },
-            Kind::Index(two) => {
-                let base = self.value(&two.0, ads, place);
-                let index = self.value(&two.1, ads, place);
+            Kind::Index(operands) => {
+                let base = self.evaluate_expr(&operands.0, ads, context);
+                let index = self.evaluate_expr(&operands.1, ads, context);
                 self.index(base, index)
             }
         }
@@ -306,109 +309,115 @@
         }
     }
 
-    fn attribute(&mut self, scope: Scope, name: &Name, ads: Ads<'_>, place: Place<'_>) -> Value {
+    fn attribute(&mut self, scope: Scope, name: &Name, ads: Ads<'_>, context: Context<'_>) -> Value {
         if scope == Scope::Any {
-            let mut frame = place.frame;
+            let mut frame = context.frame;
             while let Some(Frame { record, outer }) = frame {
                 if let Some(expr) = record.find(name.key()) {
-                    return self.named(name, expr, ads, Place { frame, ..place });
+                    return self.attribute_value(name, expr, ads, Context { frame, ..context });
                 }
                 frame = *outer;
             }
         }
         let sides: &[Side] = match scope {
-            Scope::Any => &[place.side, place.side.across()],
-            Scope::My => &[place.side],
-            Scope::Target => &[place.side.across()],
+            Scope::Any => &[context.side, context.side.opposite()],
+            Scope::My => &[context.side],
+            Scope::Target => &[context.side.opposite()],
         };
         for side in sides {
             if let Some(expr) = ads.side(*side).and_then(|ad| ad.find(name.key())) {
-                let place = Place {
+                let context = Context {
                     side: *side,
                     frame: None,
                 };
-                return self.named(name, expr, ads, place);
+                return self.attribute_value(name, expr, ads, context);
             }
         }
         Value::Undefined
     }
 
     /// The value of an attribute, which must not need itself.
-    fn named(&mut self, name: &Name, expr: &Expr, ads: Ads<'_>, place: Place<'_>) -> Value {
+    fn attribute_value(&mut self, name: &Name, expr: &Expr, ads: Ads<'_>, context: Context<'_>) -> Value {
         match &expr.kind {
-            Kind::Literal(Value::Error) => return self.fail(Fault::Literal),
+            Kind::Literal(Value::Error) => return self.fail(Fault::ErrorLiteral),
             Kind::Literal(value) => return value.clone(),
             _ => (),
         }
         // Where it lies tells it from its namesakes in other records and ads.
-        let whose = std::ptr::from_ref(expr).addr();
-        if self.open.contains(&whose) {
+        let expr_address = std::ptr::from_ref(expr).addr();
+        if self.active_attributes.contains(&expr_address) {
             return self.fail(Fault::Cycle(name.clone()));
         }
-        if self.open.len() >= MAX_REFERENCES {
-            return self.fail(Fault::Depth);
+        if self.active_attributes.len() >= MAX_REFERENCE_DEPTH {
+            return self.fail(Fault::DepthLimit);
         }
-        self.open.push(whose);
-        let value = self.value(expr, ads, place);
-        self.open.pop();
+        self.active_attributes.push(expr_address);
+        let value = self.evaluate_expr(expr, ads, context);
+        self.active_attributes.pop();
         value
     }
 
-    fn unary(&mut self, operator: Unary, operand: Value) -> Value {
+    fn unary(&mut self, operator: UnaryOp, operand: Value) -> Value {
         let text = match operator {
-            Unary::Minus => "-",
-            Unary::Plus => "+",
-            Unary::Not => "!",
-            Unary::BitNot => "~",
+            UnaryOp::Minus => "-",
+            UnaryOp::Plus => "+",
+            UnaryOp::Not => "!",
+            UnaryOp::BitNot => "~",
         };
         match (operator, operand) {
             (_, Value::Undefined) => Value::Undefined,
             (_, Value::Error) => Value::Error,
-            (Unary::Not, operand) => match operand.truth() {
+            (UnaryOp::Not, operand) => match operand.truth() {
                 Some(truth) => Value::Bool(!truth),
                 None => self.fail(Fault::Operand(text, operand.type_name())),
             },
-            (Unary::Minus, Value::Real(value)) => Value::Real(-value),
-            (Unary::Plus, Value::Real(value)) => Value::Real(value),
-            (Unary::Plus, operand) if operand.as_int().is_some() => operand,
-            (Unary::Minus, operand) if operand.as_int().is_some() => {
+            (UnaryOp::Minus, Value::Real(value)) => Value::Real(-value),
+            (UnaryOp::Plus, Value::Real(value)) => Value::Real(value),
+            (UnaryOp::Plus, operand) if operand.as_int().is_some() => operand,
+            (UnaryOp::Minus, operand) if operand.as_int().is_some() => {
                 match operand.as_int().and_then(i64::checked_neg) {
                     Some(value) => Value::Int(value),
                     None => self.fail(Fault::Overflow(text)),
                 }
             }
-            (Unary::BitNot, Value::Int(value)) => Value::Int(!value),
+            (UnaryOp::BitNot, Value::Int(value)) => Value::Int(!value),
             (_, operand) => self.fail(Fault::Operand(text, operand.type_name())),
         }
     }
 
     /// `&&` and `||`: what the first operand settles, the second cannot change; else an
     /// ERROR counts for more than what is UNDEFINED.
-    fn logical(&mut self, operator: Binary, two: &(Expr, Expr), ads: Ads<'_>, place: Place<'_>) -> Value {
-        let settles = operator == Binary::Or;
-        let mut unknown = false;
-        for operand in [&two.0, &two.1] {
-            match self.value(operand, ads, place) {
-                Value::Undefined => unknown = true,
+    fn logical(
+        &mut self,
+        operator: BinaryOp,
+        operands: &(Expr, Expr),
+        ads: Ads<'_>,
+        context: Context<'_>,
+    ) -> Value {
+        let deciding = operator == BinaryOp::Or;
+        let mut has_undefined = false;
+        for operand in [&operands.0, &operands.1] {
+            match self.evaluate_expr(operand, ads, context) {
+                Value::Undefined => has_undefined = true,
                 Value::Error => return Value::Error,
                 value => match value.truth() {
-                    Some(truth) if truth == settles => return Value::Bool(settles),
+                    Some(truth) if truth == deciding => return Value::Bool(deciding),
                     Some(_) => (),
-                    None => return self.fail(Fault::Operand(operator.text(), value.type_name())),
+                    None => return self.fail(Fault::Operand(operator.symbol(), value.type_name())),
                 },
             }
         }
-        if unknown {
+        if has_undefined {
             Value::Undefined
         } else {
-            Value::Bool(!settles)
+            Value::Bool(!deciding)
         }
     }
 
-    pub(crate) fn binary(&mut self, operator: Binary, left: &Value, right: &Value) -> Value {
+    pub(crate) fn binary(&mut self, operator: BinaryOp, left: &Value, right: &Value) -> Value {
         match operator {
-            Binary::Is => return Value::Bool(left.is(right)),
-            Binary::Isnt => return Value::Bool(!left.is(right)),
+            BinaryOp::Is => return Value::Bool(left.is(right)),
+            BinaryOp::Isnt => return Value::Bool(!left.is(right)),
             _ => (),
         }
         match (left, right) {
@@ -417,27 +426,27 @@
             _ => (),
         }
         let value = match operator {
-            Binary::Equal
-            | Binary::NotEqual
-            | Binary::Less
-            | Binary::AtMost
-            | Binary::More
-            | Binary::AtLeast => compare(left, right).map(|order| {
+            BinaryOp::Equal
+            | BinaryOp::NotEqual
+            | BinaryOp::Less
+            | BinaryOp::LessOrEqual
+            | BinaryOp::Greater
+            | BinaryOp::GreaterOrEqual => compare(left, right).map(|order| {
                 Value::Bool(match operator {
-                    Binary::Equal => order == Some(Ordering::Equal),
-                    Binary::NotEqual => order != Some(Ordering::Equal),
-                    Binary::Less => order == Some(Ordering::Less),
-                    Binary::AtMost => order.is_some_and(Ordering::is_le),
-                    Binary::More => order == Some(Ordering::Greater),
+                    BinaryOp::Equal => order == Some(Ordering::Equal),
+                    BinaryOp::NotEqual => order != Some(Ordering::Equal),
+                    BinaryOp::Less => order == Some(Ordering::Less),
+                    BinaryOp::LessOrEqual => order.is_some_and(Ordering::is_le),
+                    BinaryOp::Greater => order == Some(Ordering::Greater),
                     _ => order.is_some_and(Ordering::is_ge),
                 })
             }),
-            Binary::BitOr
-            | Binary::BitXor
-            | Binary::BitAnd
-            | Binary::ShiftLeft
-            | Binary::ShiftRight
-            | Binary::ShiftRightZero => bits(operator, left, right),
+            BinaryOp::BitOr
+            | BinaryOp::BitXor
+            | BinaryOp::BitAnd
+            | BinaryOp::ShiftLeft
+            | BinaryOp::ShiftRight
+            | BinaryOp::ShiftRightZero => bitwise(operator, left, right),
             _ => match self.arithmetic(operator, left, right) {
                 Some(Ok(value)) => Some(value),
                 Some(Err(fault)) => return self.fail(fault),
@@ -446,45 +455,45 @@
         };
         value.unwrap_or_else(|| {
             self.fail(Fault::Operands(
-                operator.text(),
+                operator.symbol(),
                 left.type_name(),
                 right.type_name(),
             ))
         })
     }
 
-    fn arithmetic(&self, operator: Binary, left: &Value, right: &Value) -> Option<Result<Value, Fault>> {
+    fn arithmetic(&self, operator: BinaryOp, left: &Value, right: &Value) -> Option<Result<Value, Fault>> {
         if let (Some(left), Some(right)) = (left.as_int(), right.as_int()) {
-            if right == 0 && matches!(operator, Binary::Divide | Binary::Modulo) {
-                return Some(Err(Fault::Zero));
+            if right == 0 && matches!(operator, BinaryOp::Divide | BinaryOp::Modulo) {
+                return Some(Err(Fault::DivisionByZero));
             }
             let value = match operator {
-                Binary::Plus => left.checked_add(right),
-                Binary::Minus => left.checked_sub(right),
-                Binary::Times => left.checked_mul(right),
-                Binary::Divide => left.checked_div(right),
+                BinaryOp::Plus => left.checked_add(right),
+                BinaryOp::Minus => left.checked_sub(right),
+                BinaryOp::Times => left.checked_mul(right),
+                BinaryOp::Divide => left.checked_div(right),
                 _ => left.checked_rem(right),
             };
-            return Some(value.map(Value::Int).ok_or(Fault::Overflow(operator.text())));
+            return Some(value.map(Value::Int).ok_or(Fault::Overflow(operator.symbol())));
         }
         let (left, right) = (left.as_number()?, right.as_number()?);
-        if right == 0.0 && matches!(operator, Binary::Divide | Binary::Modulo) {
-            return Some(Err(Fault::Zero));
+        if right == 0.0 && matches!(operator, BinaryOp::Divide | BinaryOp::Modulo) {
+            return Some(Err(Fault::DivisionByZero));
         }
         Some(Ok(Value::Real(match operator {
-            Binary::Plus => left + right,
-            Binary::Minus => left - right,
-            Binary::Times => left * right,
-            Binary::Divide => left / right,
+            BinaryOp::Plus => left + right,
+            BinaryOp::Minus => left - right,
+            BinaryOp::Times => left * right,
+            BinaryOp::Divide => left / right,
             _ => left % right,
         })))
     }
 
     /// A compiled pattern, as below, of texts that are shared.
     pub(crate) fn shared_pattern(&mut self, pattern: &Arc<str>, options: &Arc<str>) -> Option<Rc<Regex>> {
-        if let Some((known, with, compiled)) = &self.last_pattern
-            && Arc::ptr_eq(known, pattern)
-            && known == pattern
+        if let Some((cached, with, compiled)) = &self.last_pattern
+            && Arc::ptr_eq(cached, pattern)
+            && cached == pattern
             && with == options
         {
             return Some(compiled.clone());
@@ -501,10 +510,10 @@
         self.pattern_key.push_str(options);
         self.pattern_key.push('/');
         self.pattern_key.push_str(pattern);
-        if let Some(known) = self.patterns.get(&self.pattern_key) {
-            return known.clone();
+        if let Some(cached) = self.patterns.get(&self.pattern_key) {
+            return cached.clone();
         }
-        if self.patterns.len() >= REGEXES_KEPT {
+        if self.patterns.len() >= REGEX_CACHE_ENTRIES {
             self.patterns.clear();
         }
         let has = |option: char| options.contains([option, option.to_ascii_uppercase()]);
@@ -514,7 +523,7 @@
             .multi_line(has('m'))
             .dot_matches_new_line(has('s'))
             .ignore_whitespace(has('x'))
-            .size_limit(MAX_REGEX)
+            .size_limit(MAX_REGEX_BYTES)
             .build()
             .ok()
             .map(Rc::new);
@@ -525,12 +534,12 @@
 
 /// The value of a literal, or of an attribute that is one: what most comparisons compare,
 /// and what takes neither steps nor copies.
-fn plain<'e>(expr: &'e Expr, ads: Ads<'e>, place: Place<'_>) -> Option<&'e Value> {
+fn literal_value<'e>(expr: &'e Expr, ads: Ads<'e>, context: Context<'_>) -> Option<&'e Value> {
     let found = match &expr.kind {
         Kind::Literal(_) => expr,
-        Kind::Attribute(scope, name) if place.frame.is_none() => {
-            let own = || ads.side(place.side)?.find(name.key());
-            let other = || ads.side(place.side.across())?.find(name.key());
+        Kind::Attribute(scope, name) if context.frame.is_none() => {
+            let own = || ads.side(context.side)?.find(name.key());
+            let other = || ads.side(context.side.opposite())?.find(name.key());
             match scope {
                 Scope::Any => own().or_else(other)?,
                 Scope::My => own()?,
@@ -565,25 +574,25 @@
     }
 }
 
-fn bits(operator: Binary, left: &Value, right: &Value) -> Option<Value> {
+fn bitwise(operator: BinaryOp, left: &Value, right: &Value) -> Option<Value> {
     if let (Value::Bool(left), Value::Bool(right)) = (left, right) {
         return Some(Value::Bool(match operator {
-            Binary::BitOr => left | right,
-            Binary::BitXor => left ^ right,
-            Binary::BitAnd => left & right,
+            BinaryOp::BitOr => left | right,
+            BinaryOp::BitXor => left ^ right,
+            BinaryOp::BitAnd => left & right,
             _ => return None,
         }));
     }
     let (left, right) = (left.as_int()?, right.as_int()?);
     // Shifts count modulo the width, as processors do.
-    let by = (right & 63) as u32;
+    let shift = (right & 63) as u32;
     Some(Value::Int(match operator {
-        Binary::BitOr => left | right,
-        Binary::BitXor => left ^ right,
-        Binary::BitAnd => left & right,
-        Binary::ShiftLeft => left.wrapping_shl(by),
-        Binary::ShiftRight => left.wrapping_shr(by),
-        _ => (left as u64).wrapping_shr(by) as i64,
+        BinaryOp::BitOr => left | right,
+        BinaryOp::BitXor => left ^ right,
+        BinaryOp::BitAnd => left & right,
+        BinaryOp::ShiftLeft => left.wrapping_shl(shift),
+        BinaryOp::ShiftRight => left.wrapping_shr(shift),
+        _ => (left as u64).wrapping_shr(shift) as i64,
     }))
 }
 
@@ -593,32 +602,32 @@
     pub(crate) name: &'static str,
     pub(crate) arguments: &'e [Expr],
     ads: Ads<'e>,
-    place: Place<'e>,
+    context: Context<'e>,
 }
 
 impl Call<'_> {
     /// The value of an argument; UNDEFINED if it is not given.
-    pub(crate) fn value(&self, at: usize, evaluator: &mut Evaluator) -> Value {
-        match self.arguments.get(at) {
-            Some(argument) => evaluator.value(argument, self.ads, self.place),
+    pub(crate) fn argument(&self, index: usize, evaluator: &mut Evaluator) -> Value {
+        match self.arguments.get(index) {
+            Some(argument) => evaluator.evaluate_expr(argument, self.ads, self.context),
             None => Value::Undefined,
         }
     }
 
-    pub(crate) fn all(&self, evaluator: &mut Evaluator) -> Vec<Value> {
+    pub(crate) fn arguments(&self, evaluator: &mut Evaluator) -> Vec<Value> {
         (0..self.arguments.len())
-            .map(|at| self.value(at, evaluator))
+            .map(|index| self.argument(index, evaluator))
             .collect()
     }
 
     /// The value of a text that is an expression, evaluated where the call stands.
-    pub(crate) fn text_value(&self, text: &str, evaluator: &mut Evaluator) -> Value {
-        if !evaluator.spend(text.len()) {
-            return evaluator.fail(Fault::Steps);
+    pub(crate) fn evaluate_text(&self, text: &str, evaluator: &mut Evaluator) -> Value {
+        if !evaluator.charge_steps(text.len()) {
+            return evaluator.fail(Fault::StepLimit);
         }
         match Expr::parse(text) {
-            Ok(expr) => evaluator.value(&expr, self.ads, self.place),
-            Err(error) => evaluator.fail(Fault::Call(self.name, error.to_string())),
+            Ok(expr) => evaluator.evaluate_expr(&expr, self.ads, self.context),
+            Err(error) => evaluator.fail(Fault::FunctionCall(self.name, error.to_string())),
         }
     }
 }
--- a/crates/classad/src/expr.rs
+++ b/crates/classad/src/expr.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unary {
+pub enum UnaryOp {
     Minus,
     Plus,
     Not,
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Binary {
+pub enum BinaryOp {
     Or,
     And,
     BitOr,
@@ -36,9 +36,9 @@
     Is,
     Isnt,
     Less,
-    AtMost,
-    More,
-    AtLeast,
+    LessOrEqual,
+    Greater,
+    GreaterOrEqual,
     ShiftLeft,
     ShiftRight,
     ShiftRightZero,
@@ -49,46 +49,46 @@
     Modulo,
 }
 
-impl Binary {
+impl BinaryOp {
     /// How tightly it binds; all of them lean to the left.
-    pub(crate) fn binding(self) -> u8 {
+    pub(crate) fn precedence(self) -> u8 {
         match self {
-            Binary::Or => 2,
-            Binary::And => 3,
-            Binary::BitOr => 4,
-            Binary::BitXor => 5,
-            Binary::BitAnd => 6,
-            Binary::Equal | Binary::NotEqual | Binary::Is | Binary::Isnt => 7,
-            Binary::Less | Binary::AtMost | Binary::More | Binary::AtLeast => 8,
-            Binary::ShiftLeft | Binary::ShiftRight | Binary::ShiftRightZero => 9,
-            Binary::Plus | Binary::Minus => 10,
-            Binary::Times | Binary::Divide | Binary::Modulo => 11,
+            BinaryOp::Or => 2,
+            BinaryOp::And => 3,
+            BinaryOp::BitOr => 4,
+            BinaryOp::BitXor => 5,
+            BinaryOp::BitAnd => 6,
+            BinaryOp::Equal | BinaryOp::NotEqual | BinaryOp::Is | BinaryOp::Isnt => 7,
+            BinaryOp::Less | BinaryOp::LessOrEqual | BinaryOp::Greater | BinaryOp::GreaterOrEqual => 8,
+            BinaryOp::ShiftLeft | BinaryOp::ShiftRight | BinaryOp::ShiftRightZero => 9,
+            BinaryOp::Plus | BinaryOp::Minus => 10,
+            BinaryOp::Times | BinaryOp::Divide | BinaryOp::Modulo => 11,
         }
     }
 
-    pub fn text(self) -> &'static str {
+    pub fn symbol(self) -> &'static str {
         match self {
-            Binary::Or => "||",
-            Binary::And => "&&",
-            Binary::BitOr => "|",
-            Binary::BitXor => "^",
-            Binary::BitAnd => "&",
-            Binary::Equal => "==",
-            Binary::NotEqual => "!=",
-            Binary::Is => "=?=",
-            Binary::Isnt => "=!=",
-            Binary::Less => "<",
-            Binary::AtMost => "<=",
-            Binary::More => ">",
-            Binary::AtLeast => ">=",
-            Binary::ShiftLeft => "<<",
-            Binary::ShiftRight => ">>",
-            Binary::ShiftRightZero => ">>>",
-            Binary::Plus => "+",
-            Binary::Minus => "-",
-            Binary::Times => "*",
-            Binary::Divide => "/",
-            Binary::Modulo => "%",
+            BinaryOp::Or => "||",
+            BinaryOp::And => "&&",
+            BinaryOp::BitOr => "|",
+            BinaryOp::BitXor => "^",
+            BinaryOp::BitAnd => "&",
+            BinaryOp::Equal => "==",
+            BinaryOp::NotEqual => "!=",
+            BinaryOp::Is => "=?=",
+            BinaryOp::Isnt => "=!=",
+            BinaryOp::Less => "<",
+            BinaryOp::LessOrEqual => "<=",
+            BinaryOp::Greater => ">",
+            BinaryOp::GreaterOrEqual => ">=",
+            BinaryOp::ShiftLeft => "<<",
+            BinaryOp::ShiftRight => ">>",
+            BinaryOp::ShiftRightZero => ">>>",
+            BinaryOp::Plus => "+",
+            BinaryOp::Minus => "-",
+            BinaryOp::Times => "*",
+            BinaryOp::Divide => "/",
+            BinaryOp::Modulo => "%",
         }
     }
 }
@@ -111,12 +111,12 @@
     Attribute(Scope, Name),
     Select(Box<Expr>, Name),
     Index(Box<(Expr, Expr)>),
-    Unary(Unary, Box<Expr>),
-    Binary(Binary, Box<(Expr, Expr)>),
+    Unary(UnaryOp, Box<Expr>),
+    Binary(BinaryOp, Box<(Expr, Expr)>),
     /// `a ? b : c`
-    Choose(Box<(Expr, Expr, Expr)>),
+    Conditional(Box<(Expr, Expr, Expr)>),
     /// `a ?: b`: the second where the first is UNDEFINED.
-    Otherwise(Box<(Expr, Expr)>),
+    IfUndefined(Box<(Expr, Expr)>),
     Call(&'static Function, Vec<Expr>),
     List(Vec<Expr>),
     Record(Arc<Record>),
@@ -150,33 +150,34 @@
     /// `None` if it would be nested too deeply: whoever walks it does so by recursion.
     pub(crate) fn new(kind: Kind, at: usize) -> Option<Expr> {
         let mut expr = Expr { kind, at, depth: 0 };
-        let below = expr.children().map(|child| child.depth).max().unwrap_or(0);
-        expr.depth = below + 1;
+        let child_depth = expr.children().map(|child| child.depth).max().unwrap_or(0);
+        expr.depth = child_depth + 1;
         (expr.depth <= MAX_DEPTH).then_some(expr)
     }
 
     /// The expressions of which it is made.
     pub fn children(&self) -> impl Iterator<Item = &Expr> {
-        let few: [Option<&Expr>; 3] = match &self.kind {
-            Kind::Select(one, _) | Kind::Unary(_, one) => [Some(one), None, None],
-            Kind::Index(two) | Kind::Binary(_, two) | Kind::Otherwise(two) => {
-                [Some(&two.0), Some(&two.1), None]
+        let fixed: [Option<&Expr>; 3] = match &self.kind {
+            Kind::Select(operand, _) | Kind::Unary(_, operand) => [Some(operand), None, None],
+            Kind::Index(operands) | Kind::Binary(_, operands) | Kind::IfUndefined(operands) => {
+                [Some(&operands.0), Some(&operands.1), None]
             }
-            Kind::Choose(three) => [Some(&three.0), Some(&three.1), Some(&three.2)],
+            Kind::Conditional(operands) => [Some(&operands.0), Some(&operands.1), Some(&operands.2)],
             _ => [None; 3],
         };
-        let many: &[Expr] = match &self.kind {
+        let sequence: &[Expr] = match &self.kind {
             Kind::Call(_, entries) | Kind::List(entries) => entries,
             _ => &[],
         };
-        let named: &[(Name, Expr)] = match &self.kind {
+        let attributes: &[(Name, Expr)] = match &self.kind {
             Kind::Record(record) => &record.0,
             _ => &[],
         };
-        few.into_iter()
+        fixed
+            .into_iter()
             .flatten()
-            .chain(many)
-            .chain(named.iter().map(|(_, expr)| expr))
+            .chain(sequence)
+            .chain(attributes.iter().map(|(_, expr)| expr))
     }
 
     /// Every attribute that it names, whether or not an evaluation would come to it: those
@@ -237,34 +238,34 @@
     /// Equal expressions have the same; others hardly ever do.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = FxHasher::default();
-        self.feed(&mut hasher);
+        self.hash_into(&mut hasher);
         hasher.finish()
     }
 
-    fn feed(&self, hasher: &mut FxHasher) {
+    fn hash_into(&self, hasher: &mut FxHasher) {
         std::mem::discriminant(&self.kind).hash(hasher);
         match &self.kind {
-            Kind::Literal(value) => feed_value(value, hasher),
+            Kind::Literal(value) => hash_value(value, hasher),
             Kind::Attribute(scope, name) => (scope, name).hash(hasher),
             Kind::Select(_, name) => name.hash(hasher),
             Kind::Unary(operator, _) => std::mem::discriminant(operator).hash(hasher),
             Kind::Binary(operator, _) => std::mem::discriminant(operator).hash(hasher),
             Kind::Call(function, _) => function.name.hash(hasher),
             Kind::Record(record) => record.0.iter().for_each(|(name, _)| name.hash(hasher)),
-            Kind::Index(_) | Kind::Choose(_) | Kind::Otherwise(_) | Kind::List(_) => (),
+            Kind::Index(_) | Kind::Conditional(_) | Kind::IfUndefined(_) | Kind::List(_) => (),
         }
         for child in self.children() {
-            child.feed(hasher);
+            child.hash_into(hasher);
         }
     }
 
     /// The parts that all must hold: those between its outermost `&&`.
     pub fn terms(&self) -> Vec<&Expr> {
         let mut terms = Vec::new();
-        let mut open = vec![self];
-        while let Some(expr) = open.pop() {
+        let mut pending = vec![self];
+        while let Some(expr) = pending.pop() {
             match &expr.kind {
-                Kind::Binary(Binary::And, two) => open.extend([&two.1, &two.0]),
+                Kind::Binary(BinaryOp::And, operands) => pending.extend([&operands.1, &operands.0]),
                 _ => terms.push(expr),
             }
         }
@@ -272,7 +273,7 @@
     }
 }
 
-fn feed_value(value: &Value, hasher: &mut FxHasher) {
+fn hash_value(value: &Value, hasher: &mut FxHasher) {
     std::mem::discriminant(value).hash(hasher);
     match value {
         Value::Bool(value) => value.hash(hasher),
@@ -280,7 +281,7 @@
         // As equality sees it, where the two zeros are the same.
         Value::Real(value) => (*value + 0.0).to_bits().hash(hasher),
         Value::Str(text) => text.hash(hasher),
-        Value::List(entries) => entries.iter().for_each(|entry| feed_value(entry, hasher)),
+        Value::List(entries) => entries.iter().for_each(|entry| hash_value(entry, hasher)),
         Value::Undefined | Value::Error | Value::Record(_) => (),
     }
 }
--- a/crates/classad/src/functions.rs
+++ b/crates/classad/src/functions.rs
@@ -4,9 +4,9 @@
 //! ERROR and an UNDEFINED one makes it UNDEFINED.
 
 use crate::Value;
-use crate::constants::MAX_MADE;
+use crate::constants::MAX_RESULT_SIZE;
 use crate::eval::{Call, Evaluator, Fault};
-use crate::expr::Binary;
+use crate::expr::BinaryOp;
 use chrono::DateTime;
 use std::cmp::Ordering;
 use std::fmt::Write;
@@ -17,9 +17,9 @@
     /// As the manual writes it; found without case.
     pub name: &'static str,
     /// Fewest arguments.
-    pub least: usize,
+    pub min_arguments: usize,
     /// Most arguments, if there is a most.
-    pub most: Option<usize>,
+    pub max_arguments: Option<usize>,
     /// Its value follows from its arguments alone, not from when it is asked.
     pub deterministic: bool,
     pub(crate) call: fn(&mut Evaluator, Call<'_>) -> Value,
@@ -37,30 +37,45 @@
     }
 }
 
-type Body = fn(&mut Evaluator, Call<'_>) -> Value;
+type FunctionBody = fn(&mut Evaluator, Call<'_>) -> Value;
 
-const fn function(name: &'static str, least: usize, most: Option<usize>, call: Body) -> Function {
+const fn function(
+    name: &'static str,
+    min_arguments: usize,
+    max_arguments: Option<usize>,
+    call: FunctionBody,
+) -> Function {
     Function {
         name,
-        least,
-        most,
+        min_arguments,
+        max_arguments,
         deterministic: true,
         call,
     }
 }
 
-const fn exactly(name: &'static str, arguments: usize, call: Body) -> Function {
+const fn exactly(name: &'static str, arguments: usize, call: FunctionBody) -> Function {
     function(name, arguments, Some(arguments), call)
 }
 
-const fn up_to(name: &'static str, least: usize, most: usize, call: Body) -> Function {
-    function(name, least, Some(most), call)
+const fn between(
+    name: &'static str,
+    min_arguments: usize,
+    max_arguments: usize,
+    call: FunctionBody,
+) -> Function {
+    function(name, min_arguments, Some(max_arguments), call)
 }
 
-const fn of_the_time(name: &'static str, least: usize, most: usize, call: Body) -> Function {
+const fn time_dependent(
+    name: &'static str,
+    min_arguments: usize,
+    max_arguments: usize,
+    call: FunctionBody,
+) -> Function {
     Function {
         deterministic: false,
-        ..function(name, least, Some(most), call)
+        ..function(name, min_arguments, Some(max_arguments), call)
     }
 }
 
@@ -77,41 +92,41 @@
 static FUNCTIONS: [Function; 69] = [
     // Types.
     exactly("isUndefined", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::Undefined))
+        Value::Bool(matches!(c.argument(0, e), Value::Undefined))
     }),
     exactly("isError", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::Error))
+        Value::Bool(matches!(c.argument(0, e), Value::Error))
     }),
     exactly("isString", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::Str(_)))
+        Value::Bool(matches!(c.argument(0, e), Value::Str(_)))
     }),
     exactly("isInteger", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::Int(_)))
+        Value::Bool(matches!(c.argument(0, e), Value::Int(_)))
     }),
     exactly("isReal", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::Real(_)))
+        Value::Bool(matches!(c.argument(0, e), Value::Real(_)))
     }),
     exactly("isBoolean", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::Bool(_)))
+        Value::Bool(matches!(c.argument(0, e), Value::Bool(_)))
     }),
     exactly("isList", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::List(_)))
+        Value::Bool(matches!(c.argument(0, e), Value::List(_)))
     }),
     exactly("isClassAd", 1, |e, c| {
-        Value::Bool(matches!(c.value(0, e), Value::Record(_)))
+        Value::Bool(matches!(c.argument(0, e), Value::Record(_)))
     }),
     exactly("bool", 1, to_bool),
     exactly("int", 1, |e, c| rounded(e, c, f64::trunc)),
     exactly("real", 1, to_real),
     exactly("string", 1, |e, c| {
-        strict(e, c, |e, values| e.text(plain(&values[0])))
+        with_arguments(e, c, |e, values| e.string_result(display_text(&values[0])))
     }),
     // Choices.
     exactly("ifThenElse", 3, if_then_else),
     exactly("eval", 1, evaluate),
     exactly("unparse", 1, |e, c| {
         let text = c.arguments.first().map(ToString::to_string).unwrap_or_default();
-        e.text(text)
+        e.string_result(text)
     }),
     // Numbers.
     exactly("floor", 1, |e, c| rounded(e, c, f64::floor)),
@@ -121,144 +136,147 @@
     exactly("pow", 2, power),
     exactly("quantize", 2, quantize),
     exactly("sum", 1, |e, c| {
-        over_list(e, c, |e, numbers| fold(e, numbers, Binary::Plus))
+        with_number_list(e, c, |e, numbers| fold(e, numbers, BinaryOp::Plus))
     }),
-    exactly("avg", 1, |e, c| over_list(e, c, average)),
+    exactly("avg", 1, |e, c| with_number_list(e, c, average)),
     exactly("min", 1, |e, c| {
-        over_list(e, c, |_, numbers| extreme(numbers, Ordering::Less))
+        with_number_list(e, c, |_, numbers| extreme(numbers, Ordering::Less))
     }),
     exactly("max", 1, |e, c| {
-        over_list(e, c, |_, numbers| extreme(numbers, Ordering::Greater))
+        with_number_list(e, c, |_, numbers| extreme(numbers, Ordering::Greater))
     }),
     // Strings.
     function("strcat", 0, None, |e, c| {
-        strict(e, c, |e, values| {
-            let text = values.iter().map(plain).collect();
-            e.text(text)
+        with_arguments(e, c, |e, values| {
+            let text = values.iter().map(display_text).collect();
+            e.string_result(text)
         })
     }),
     function("join", 1, None, join),
-    up_to("substr", 2, 3, substr),
+    between("substr", 2, 3, substr),
     exactly("strcmp", 2, |e, c| {
-        strings(e, c, |e, s| order(e, s[0].cmp(&s[1])))
+        with_strings(e, c, |e, s| ordering_value(e, s[0].cmp(&s[1])))
     }),
     exactly("stricmp", 2, |e, c| {
-        strings(e, c, |e, s| {
-            order(e, s[0].to_ascii_lowercase().cmp(&s[1].to_ascii_lowercase()))
+        with_strings(e, c, |e, s| {
+            ordering_value(e, s[0].to_ascii_lowercase().cmp(&s[1].to_ascii_lowercase()))
         })
     }),
     exactly("toUpper", 1, |e, c| {
-        strings(e, c, |e, s| e.text(s[0].to_uppercase()))
+        with_strings(e, c, |e, s| e.string_result(s[0].to_uppercase()))
     }),
     exactly("toLower", 1, |e, c| {
-        strings(e, c, |e, s| e.text(s[0].to_lowercase()))
+        with_strings(e, c, |e, s| e.string_result(s[0].to_lowercase()))
     }),
     exactly("size", 1, size),
-    up_to("split", 1, 2, |e, c| {
-        strings(e, c, |_, s| {
+    between("split", 1, 2, |e, c| {
+        with_strings(e, c, |_, s| {
             let separators = s.get(1).map_or(" ,", |separators| separators);
-            Value::List(entries(&s[0], separators).map(Value::from).collect())
+            Value::List(split_entries(&s[0], separators).map(Value::from).collect())
         })
     }),
     exactly("splitUserName", 1, |e, c| {
-        strings(e, c, |_, s| at_sign(&s[0], true))
+        with_strings(e, c, |_, s| split_at_sign(&s[0], true))
     }),
     exactly("splitSlotName", 1, |e, c| {
-        strings(e, c, |_, s| at_sign(&s[0], false))
+        with_strings(e, c, |_, s| split_at_sign(&s[0], false))
     }),
     exactly("strlen", 1, |e, c| {
-        strings(e, c, |_, s| Value::Int(s[0].chars().count() as i64))
+        with_strings(e, c, |_, s| Value::Int(s[0].chars().count() as i64))
     }),
     // Patterns.
-    up_to("regexp", 2, 3, |e, c| {
-        matching(e, c, 2, |e, r, s| e.text_matches(r, &s[1]))
+    between("regexp", 2, 3, |e, c| {
+        with_pattern(e, c, 2, |e, r, s| e.text_matches(r, &s[1]))
     }),
-    up_to("regexps", 3, 4, |e, c| {
-        matching(e, c, 3, |e, r, s| replaced(e, r, s, Part::Match))
+    between("regexps", 3, 4, |e, c| {
+        with_pattern(e, c, 3, |e, r, s| replace_matches(e, r, s, Replacement::Match))
     }),
-    up_to("replace", 3, 4, |e, c| {
-        matching(e, c, 3, |e, r, s| replaced(e, r, s, Part::First))
+    between("replace", 3, 4, |e, c| {
+        with_pattern(e, c, 3, |e, r, s| replace_matches(e, r, s, Replacement::First))
     }),
-    up_to("replaceAll", 3, 4, |e, c| {
-        matching(e, c, 3, |e, r, s| replaced(e, r, s, Part::All))
+    between("replaceAll", 3, 4, |e, c| {
+        with_pattern(e, c, 3, |e, r, s| replace_matches(e, r, s, Replacement::All))
     }),
-    up_to("regexpMember", 2, 3, regexp_member),
-    up_to("stringList_regexpMember", 2, 4, |e, c| {
-        strings(e, c, |e, s| {
+    between("regexpMember", 2, 3, regexp_member),
+    between("stringList_regexpMember", 2, 4, |e, c| {
+        with_strings(e, c, |e, s| {
             let separators = s.get(2).map_or(" ,", |separators| separators);
             let options = s.get(3).map_or("", |options| options);
             let Some(pattern) = e.pattern(&s[0], options) else {
-                return e.fail(Fault::Call("stringList_regexpMember", "no pattern".to_owned()));
+                return e.fail(Fault::FunctionCall(
+                    "stringList_regexpMember",
+                    "no pattern".to_owned(),
+                ));
             };
-            Value::Bool(entries(&s[1], separators).any(|entry| pattern.is_match(entry)))
+            Value::Bool(split_entries(&s[1], separators).any(|entry| pattern.is_match(entry)))
         })
     }),
     // Lists.
-    exactly("member", 2, |e, c| member(e, c, Binary::Equal)),
-    exactly("identicalMember", 2, |e, c| member(e, c, Binary::Is)),
+    exactly("member", 2, |e, c| member(e, c, BinaryOp::Equal)),
+    exactly("identicalMember", 2, |e, c| member(e, c, BinaryOp::Is)),
     exactly("anyCompare", 3, |e, c| compare_all(e, c, true)),
     exactly("allCompare", 3, |e, c| compare_all(e, c, false)),
     // Lists in strings.
-    up_to("stringListSize", 1, 2, |e, c| {
-        on_list(e, c, 1, |_, _, list| Value::Int(list.len() as i64))
+    between("stringListSize", 1, 2, |e, c| {
+        with_string_list(e, c, 1, |_, _, list| Value::Int(list.len() as i64))
     }),
-    up_to("stringListSum", 1, 2, |e, c| {
-        on_numbers(e, c, |e, n| fold(e, n, Binary::Plus))
+    between("stringListSum", 1, 2, |e, c| {
+        with_numeric_strings(e, c, |e, n| fold(e, n, BinaryOp::Plus))
     }),
-    up_to("stringListAvg", 1, 2, |e, c| on_numbers(e, c, average)),
-    up_to("stringListMin", 1, 2, |e, c| {
-        on_numbers(e, c, |_, n| extreme(n, Ordering::Less))
+    between("stringListAvg", 1, 2, |e, c| with_numeric_strings(e, c, average)),
+    between("stringListMin", 1, 2, |e, c| {
+        with_numeric_strings(e, c, |_, n| extreme(n, Ordering::Less))
     }),
-    up_to("stringListMax", 1, 2, |e, c| {
-        on_numbers(e, c, |_, n| extreme(n, Ordering::Greater))
+    between("stringListMax", 1, 2, |e, c| {
+        with_numeric_strings(e, c, |_, n| extreme(n, Ordering::Greater))
     }),
-    up_to("stringListMember", 2, 3, |e, c| {
-        on_list(e, c, 2, |_, s, list| Value::Bool(list.contains(&&*s[0])))
+    between("stringListMember", 2, 3, |e, c| {
+        with_string_list(e, c, 2, |_, s, list| Value::Bool(list.contains(&&*s[0])))
     }),
-    up_to("stringListIMember", 2, 3, |e, c| {
-        on_list(e, c, 2, |_, s, list| {
+    between("stringListIMember", 2, 3, |e, c| {
+        with_string_list(e, c, 2, |_, s, list| {
             Value::Bool(list.iter().any(|entry| entry.eq_ignore_ascii_case(&s[0])))
         })
     }),
-    up_to("stringListSubsetMatch", 2, 3, |e, c| subset(e, c, |a, b| a == b)),
-    up_to("stringListISubsetMatch", 2, 3, |e, c| {
+    between("stringListSubsetMatch", 2, 3, |e, c| subset(e, c, |a, b| a == b)),
+    between("stringListISubsetMatch", 2, 3, |e, c| {
         subset(e, c, |a, b| a.eq_ignore_ascii_case(b))
     }),
-    up_to("stringListsIntersect", 2, 3, |e, c| {
-        on_list(e, c, 2, |_, s, list| {
+    between("stringListsIntersect", 2, 3, |e, c| {
+        with_string_list(e, c, 2, |_, s, list| {
             let separators = s.get(2).map_or(" ,", |separators| separators);
-            Value::Bool(entries(&s[0], separators).any(|entry| list.contains(&entry)))
+            Value::Bool(split_entries(&s[0], separators).any(|entry| list.contains(&entry)))
         })
     }),
     // Versions.
     exactly("versioncmp", 2, |e, c| {
-        strings(e, c, |e, s| order(e, compare_versions(&s[0], &s[1])))
+        with_strings(e, c, |e, s| ordering_value(e, compare_versions(&s[0], &s[1])))
     }),
-    exactly("versionLT", 2, |e, c| version(e, c, Ordering::is_lt)),
-    exactly("versionLE", 2, |e, c| version(e, c, Ordering::is_le)),
-    exactly("versionGT", 2, |e, c| version(e, c, Ordering::is_gt)),
-    exactly("versionGE", 2, |e, c| version(e, c, Ordering::is_ge)),
-    exactly("versionEQ", 2, |e, c| version(e, c, Ordering::is_eq)),
+    exactly("versionLT", 2, |e, c| test_version(e, c, Ordering::is_lt)),
+    exactly("versionLE", 2, |e, c| test_version(e, c, Ordering::is_le)),
+    exactly("versionGT", 2, |e, c| test_version(e, c, Ordering::is_gt)),
+    exactly("versionGE", 2, |e, c| test_version(e, c, Ordering::is_ge)),
+    exactly("versionEQ", 2, |e, c| test_version(e, c, Ordering::is_eq)),
     exactly("version_in_range", 3, |e, c| {
-        strings(e, c, |_, s| {
+        with_strings(e, c, |_, s| {
             Value::Bool(compare_versions(&s[1], &s[0]).is_le() && compare_versions(&s[0], &s[2]).is_le())
         })
     }),
     // Time, in s since 1970.
-    of_the_time("time", 0, 0, |e, _| Value::Int(e.now_s())),
-    of_the_time("formatTime", 0, 2, format_time),
+    time_dependent("time", 0, 0, |e, _| Value::Int(e.now_s())),
+    time_dependent("formatTime", 0, 2, format_time),
     exactly("interval", 1, interval),
     exactly("isAbsTime", 1, |_, _| Value::Bool(false)),
     exactly("isRelTime", 1, |_, _| Value::Bool(false)),
 ];
 
 /// All arguments, unless one of them is ERROR or UNDEFINED.
-fn strict(
+fn with_arguments(
     evaluator: &mut Evaluator,
     call: Call<'_>,
     with: impl Fn(&mut Evaluator, &[Value]) -> Value,
 ) -> Value {
-    let values = call.all(evaluator);
+    let values = call.arguments(evaluator);
     if values.iter().any(|value| matches!(value, Value::Error)) {
         return Value::Error;
     }
@@ -269,12 +287,12 @@
 }
 
 /// All arguments, which have to be strings.
-fn strings(
+fn with_strings(
     evaluator: &mut Evaluator,
     call: Call<'_>,
     with: impl Fn(&mut Evaluator, &[Arc<str>]) -> Value,
 ) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let mut texts = Vec::with_capacity(values.len());
         for value in values {
             match value {
@@ -282,33 +300,33 @@
                 other => return evaluator.fail(Fault::Operand(call.name, other.type_name())),
             }
         }
-        if !evaluator.spend(texts.iter().map(|text| text.len() / 64).sum()) {
-            return evaluator.fail(Fault::Steps);
+        if !evaluator.charge_steps(texts.iter().map(|text| text.len() / 64).sum()) {
+            return evaluator.fail(Fault::StepLimit);
         }
         with(evaluator, &texts)
     })
 }
 
 /// A value as `string()` shows it.
-fn plain(value: &Value) -> String {
+fn display_text(value: &Value) -> String {
     match value {
         Value::Str(text) => text.to_string(),
         other => other.to_string(),
     }
 }
 
-fn order(_: &mut Evaluator, order: Ordering) -> Value {
+fn ordering_value(_: &mut Evaluator, order: Ordering) -> Value {
     Value::Int(order as i64)
 }
 
-fn entries<'a>(text: &'a str, separators: &'a str) -> impl Iterator<Item = &'a str> {
+fn split_entries<'a>(text: &'a str, separators: &'a str) -> impl Iterator<Item = &'a str> {
     text.split(move |next| separators.contains(next))
         .map(str::trim)
         .filter(|entry| !entry.is_empty())
 }
 
 fn to_bool(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| match &values[0] {
+    with_arguments(evaluator, call, |evaluator, values| match &values[0] {
         Value::Str(text) if text.eq_ignore_ascii_case("true") => Value::Bool(true),
         Value::Str(text) if text.eq_ignore_ascii_case("false") => Value::Bool(false),
         value => match value.truth() {
@@ -333,7 +351,7 @@
 }
 
 fn to_real(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         match numeric(&values[0]).and_then(|value| value.as_number()) {
             Some(value) => Value::Real(value),
             None => evaluator.fail(Fault::Operand("real", values[0].type_name())),
@@ -342,7 +360,7 @@
 }
 
 fn rounded(evaluator: &mut Evaluator, call: Call<'_>, round: fn(f64) -> f64) -> Value {
-    strict(evaluator, call, |evaluator, values| match numeric(&values[0]) {
+    with_arguments(evaluator, call, |evaluator, values| match numeric(&values[0]) {
         Some(Value::Int(value)) => Value::Int(value),
         Some(Value::Real(value)) => {
             let value = round(value);
@@ -358,10 +376,10 @@
 }
 
 fn if_then_else(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    let condition = call.value(0, evaluator);
+    let condition = call.argument(0, evaluator);
     match (condition.truth(), condition) {
-        (Some(true), _) => call.value(1, evaluator),
-        (Some(false), _) => call.value(2, evaluator),
+        (Some(true), _) => call.argument(1, evaluator),
+        (Some(false), _) => call.argument(2, evaluator),
         (None, Value::Undefined) => Value::Undefined,
         (None, other) => evaluator.fail(Fault::Operand("ifThenElse", other.type_name())),
     }
@@ -369,14 +387,14 @@
 
 /// A string is read as an expression; anything else is what it is.
 fn evaluate(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    match call.value(0, evaluator) {
-        Value::Str(text) => call.text_value(&text, evaluator),
+    match call.argument(0, evaluator) {
+        Value::Str(text) => call.evaluate_text(&text, evaluator),
         value => value,
     }
 }
 
 fn absolute(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| match &values[0] {
+    with_arguments(evaluator, call, |evaluator, values| match &values[0] {
         Value::Int(value) => value
             .checked_abs()
             .map_or_else(|| evaluator.fail(Fault::Overflow("abs")), Value::Int),
@@ -386,7 +404,7 @@
 }
 
 fn power(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| match values {
+    with_arguments(evaluator, call, |evaluator, values| match values {
         [Value::Int(base), Value::Int(exponent)] if *exponent >= 0 => {
             let exponent = u32::try_from(*exponent).unwrap_or(u32::MAX);
             match base.checked_pow(exponent) {
@@ -405,7 +423,7 @@
 /// The least multiple of the second that is no less than the first; of a list, its first
 /// entry that is no less, or the least multiple of its last.
 fn quantize(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let Some(wanted) = values[0].as_number() else {
             return evaluator.fail(Fault::Operand("quantize", values[0].type_name()));
         };
@@ -427,10 +445,10 @@
                 evaluator.fail(Fault::Operand("quantize", step.type_name()))
             }
             (Value::Int(wanted), Value::Int(step)) => {
-                let over = wanted.rem_euclid(*step);
-                let more = if over == 0 { 0 } else { step - over };
+                let remainder = wanted.rem_euclid(*step);
+                let missing = if remainder == 0 { 0 } else { step - remainder };
                 wanted
-                    .checked_add(more)
+                    .checked_add(missing)
                     .map_or_else(|| evaluator.fail(Fault::Overflow("quantize")), Value::Int)
             }
             (_, step) => {
@@ -447,12 +465,12 @@
 }
 
 /// A list of numbers; entries that are UNDEFINED are passed over.
-fn over_list(
+fn with_number_list(
     evaluator: &mut Evaluator,
     call: Call<'_>,
     with: impl Fn(&mut Evaluator, Vec<Value>) -> Value,
 ) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let Value::List(entries) = &values[0] else {
             return evaluator.fail(Fault::Operand(call.name, values[0].type_name()));
         };
@@ -468,7 +486,7 @@
     })
 }
 
-fn fold(evaluator: &mut Evaluator, numbers: Vec<Value>, operator: Binary) -> Value {
+fn fold(evaluator: &mut Evaluator, numbers: Vec<Value>, operator: BinaryOp) -> Value {
     let sum = numbers
         .into_iter()
         .reduce(|sum, number| evaluator.binary(operator, &sum, &number));
@@ -477,7 +495,7 @@
 
 fn average(evaluator: &mut Evaluator, numbers: Vec<Value>) -> Value {
     let count = numbers.len();
-    match fold(evaluator, numbers, Binary::Plus).as_number() {
+    match fold(evaluator, numbers, BinaryOp::Plus).as_number() {
         Some(sum) if count > 0 => Value::Real(sum / count as f64),
         Some(_) => Value::Real(0.0),
         None => Value::Error,
@@ -493,21 +511,21 @@
 }
 
 fn join(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let (separator, rest) = match values {
             [Value::List(entries)] => (String::new(), entries.to_vec()),
-            [separator, Value::List(entries)] => (plain(separator), entries.to_vec()),
-            [separator, rest @ ..] => (plain(separator), rest.to_vec()),
+            [separator, Value::List(entries)] => (display_text(separator), entries.to_vec()),
+            [separator, rest @ ..] => (display_text(separator), rest.to_vec()),
             [] => (String::new(), Vec::new()),
         };
-        let texts: Vec<String> = rest.iter().map(plain).collect();
-        evaluator.text(texts.join(&separator))
+        let texts: Vec<String> = rest.iter().map(display_text).collect();
+        evaluator.string_result(texts.join(&separator))
     })
 }
 
 /// Positions count characters; what is negative counts from the end.
 fn substr(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let (Value::Str(text), Value::Int(start)) = (&values[0], &values[1]) else {
             return evaluator.fail(Fault::Operands(
                 "substr",
@@ -546,7 +564,7 @@
 }
 
 fn size(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| match &values[0] {
+    with_arguments(evaluator, call, |evaluator, values| match &values[0] {
         Value::Str(text) => Value::Int(text.chars().count() as i64),
         Value::List(entries) => Value::Int(entries.len() as i64),
         Value::Record(attributes) => Value::Int(attributes.len() as i64),
@@ -556,9 +574,9 @@
 
 /// What stands before and after the `@`; without one, all of it is the first for a user,
 /// the second for a slot.
-fn at_sign(text: &str, user: bool) -> Value {
+fn split_at_sign(text: &str, user: bool) -> Value {
     let (first, second) = match text.split_once('@') {
-        Some(two) => two,
+        Some(halves) => halves,
         None if user => (text, ""),
         None => ("", text),
     };
@@ -572,18 +590,18 @@
 }
 
 /// A pattern, its options as the argument at `options`, and all arguments.
-fn matching(
+fn with_pattern(
     evaluator: &mut Evaluator,
     call: Call<'_>,
     options: usize,
     with: impl Fn(&mut Evaluator, &regex::Regex, &[Arc<str>]) -> Value,
 ) -> Value {
-    strings(evaluator, call, |evaluator, texts| {
-        static NONE: LazyLock<Arc<str>> = LazyLock::new(|| Arc::from(""));
-        let given = texts.get(options).unwrap_or(&NONE);
+    with_strings(evaluator, call, |evaluator, texts| {
+        static NO_OPTIONS: LazyLock<Arc<str>> = LazyLock::new(|| Arc::from(""));
+        let given = texts.get(options).unwrap_or(&NO_OPTIONS);
         match evaluator.shared_pattern(&texts[0], given) {
             Some(pattern) => with(evaluator, &pattern, texts),
-            None => evaluator.fail(Fault::Call(
+            None => evaluator.fail(Fault::FunctionCall(
                 call.name,
                 format!("{:?} is no pattern, or one too large", texts[0]),
             )),
@@ -593,32 +611,37 @@
 
 /// What of the text comes back.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Part {
+enum Replacement {
     /// What stands for the first match, alone.
     Match,
     First,
     All,
 }
 
-fn replaced(evaluator: &mut Evaluator, pattern: &regex::Regex, texts: &[Arc<str>], part: Part) -> Value {
+fn replace_matches(
+    evaluator: &mut Evaluator,
+    pattern: &regex::Regex,
+    texts: &[Arc<str>],
+    replacement: Replacement,
+) -> Value {
     let (text, template) = (&texts[1], &texts[2]);
     let mut out = String::new();
     let mut copied = 0;
     for found in pattern.captures_iter(text) {
         let Some(whole) = found.get(0) else { break };
-        if part != Part::Match {
+        if replacement != Replacement::Match {
             out.push_str(&text[copied..whole.start()]);
         }
         substitute(template, &found, &mut out);
         copied = whole.end();
-        if part != Part::All || out.len() > MAX_MADE {
+        if replacement != Replacement::All || out.len() > MAX_RESULT_SIZE {
             break;
         }
     }
-    if part != Part::Match {
+    if replacement != Replacement::Match {
         out.push_str(&text[copied..]);
     }
-    evaluator.text(out)
+    evaluator.string_result(out)
 }
 
 /// `\0` to `\9` stand for what the groups of the pattern matched.
@@ -639,7 +662,7 @@
 }
 
 fn regexp_member(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let options = match values.get(2) {
             None => "",
             Some(Value::Str(options)) => options,
@@ -653,18 +676,18 @@
             ));
         };
         let Some(pattern) = evaluator.pattern(pattern, options) else {
-            return evaluator.fail(Fault::Call("regexpMember", "no pattern".to_owned()));
+            return evaluator.fail(Fault::FunctionCall("regexpMember", "no pattern".to_owned()));
         };
-        let mut unknown = false;
+        let mut has_undefined = false;
         for entry in list.iter() {
             match entry {
                 Value::Str(text) if pattern.is_match(text) => return Value::Bool(true),
                 Value::Str(_) => (),
-                Value::Undefined => unknown = true,
+                Value::Undefined => has_undefined = true,
                 other => return evaluator.fail(Fault::Operand("regexpMember", other.type_name())),
             }
         }
-        if unknown {
+        if has_undefined {
             Value::Undefined
         } else {
             Value::Bool(false)
@@ -672,30 +695,30 @@
     })
 }
 
-fn member(evaluator: &mut Evaluator, call: Call<'_>, operator: Binary) -> Value {
-    let wanted = call.value(0, evaluator);
-    let list = call.value(1, evaluator);
+fn member(evaluator: &mut Evaluator, call: Call<'_>, operator: BinaryOp) -> Value {
+    let wanted = call.argument(0, evaluator);
+    let list = call.argument(1, evaluator);
     let list = match (&wanted, list) {
         (Value::Error, _) | (_, Value::Error) => return Value::Error,
-        (Value::Undefined, _) if operator == Binary::Equal => return Value::Undefined,
+        (Value::Undefined, _) if operator == BinaryOp::Equal => return Value::Undefined,
         (_, Value::Undefined) => return Value::Undefined,
         (_, Value::List(list)) => list,
         (_, other) => return evaluator.fail(Fault::Operand(call.name, other.type_name())),
     };
-    if !evaluator.spend(list.len()) {
-        return evaluator.fail(Fault::Steps);
+    if !evaluator.charge_steps(list.len()) {
+        return evaluator.fail(Fault::StepLimit);
     }
     // Entries of another type are no error here: they are not it.
     let known = evaluator.fault().cloned();
     let found = list
         .iter()
         .any(|entry| evaluator.binary(operator, &wanted, entry) == Value::Bool(true));
-    evaluator.restore(known);
+    evaluator.restore_fault(known);
     Value::Bool(found)
 }
 
 fn compare_all(evaluator: &mut Evaluator, call: Call<'_>, any: bool) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let (Value::Str(operator), Value::List(list)) = (&values[0], &values[1]) else {
             return evaluator.fail(Fault::Operands(
                 call.name,
@@ -704,21 +727,21 @@
             ));
         };
         let operator = match &**operator {
-            "<" => Binary::Less,
-            "<=" => Binary::AtMost,
-            ">" => Binary::More,
-            ">=" => Binary::AtLeast,
-            "==" => Binary::Equal,
-            "!=" => Binary::NotEqual,
-            "is" | "=?=" => Binary::Is,
-            "isnt" | "=!=" => Binary::Isnt,
+            "<" => BinaryOp::Less,
+            "<=" => BinaryOp::LessOrEqual,
+            ">" => BinaryOp::Greater,
+            ">=" => BinaryOp::GreaterOrEqual,
+            "==" => BinaryOp::Equal,
+            "!=" => BinaryOp::NotEqual,
+            "is" | "=?=" => BinaryOp::Is,
+            "isnt" | "=!=" => BinaryOp::Isnt,
             other => {
                 let why = format!("{other:?} does not compare");
-                return evaluator.fail(Fault::Call(call.name, why));
+                return evaluator.fail(Fault::FunctionCall(call.name, why));
             }
         };
-        if !evaluator.spend(list.len()) {
-            return evaluator.fail(Fault::Steps);
+        if !evaluator.charge_steps(list.len()) {
+            return evaluator.fail(Fault::StepLimit);
         }
         let mut holds = |entry: &Value| evaluator.binary(operator, entry, &values[2]) == Value::Bool(true);
         Value::Bool(if any {
@@ -730,28 +753,28 @@
 }
 
 /// The entries of the list in the string before the separators, which stand at `separators`.
-fn on_list(
+fn with_string_list(
     evaluator: &mut Evaluator,
     call: Call<'_>,
     separators: usize,
     with: impl Fn(&mut Evaluator, &[Arc<str>], Vec<&str>) -> Value,
 ) -> Value {
-    strings(evaluator, call, |evaluator, texts| {
+    with_strings(evaluator, call, |evaluator, texts| {
         let given = texts.get(separators).map_or(" ,", |separators| separators);
-        let list: Vec<&str> = entries(&texts[separators - 1], given).collect();
-        if !evaluator.spend(list.len()) {
-            return evaluator.fail(Fault::Steps);
+        let list: Vec<&str> = split_entries(&texts[separators - 1], given).collect();
+        if !evaluator.charge_steps(list.len()) {
+            return evaluator.fail(Fault::StepLimit);
         }
         with(evaluator, texts, list)
     })
 }
 
-fn on_numbers(
+fn with_numeric_strings(
     evaluator: &mut Evaluator,
     call: Call<'_>,
     with: impl Fn(&mut Evaluator, Vec<Value>) -> Value,
 ) -> Value {
-    on_list(evaluator, call, 1, |evaluator, _, list| {
+    with_string_list(evaluator, call, 1, |evaluator, _, list| {
         let numbers: Option<Vec<Value>> = list.iter().map(|entry| numeric(&Value::from(*entry))).collect();
         match numbers {
             Some(numbers) => with(evaluator, numbers),
@@ -761,15 +784,16 @@
 }
 
 fn subset(evaluator: &mut Evaluator, call: Call<'_>, same: fn(&str, &str) -> bool) -> Value {
-    on_list(evaluator, call, 2, |_, texts, list| {
+    with_string_list(evaluator, call, 2, |_, texts, list| {
         let separators = texts.get(2).map_or(" ,", |separators| separators);
-        let all = entries(&texts[0], separators).all(|entry| list.iter().any(|other| same(entry, other)));
+        let all =
+            split_entries(&texts[0], separators).all(|entry| list.iter().any(|other| same(entry, other)));
         Value::Bool(all)
     })
 }
 
-fn version(evaluator: &mut Evaluator, call: Call<'_>, holds: fn(Ordering) -> bool) -> Value {
-    strings(evaluator, call, |_, texts| {
+fn test_version(evaluator: &mut Evaluator, call: Call<'_>, holds: fn(Ordering) -> bool) -> Value {
+    with_strings(evaluator, call, |_, texts| {
         Value::Bool(holds(compare_versions(&texts[0], &texts[1])))
     })
 }
@@ -779,12 +803,12 @@
     let (mut left, mut right) = (left, right);
     loop {
         let digits = |text: &str| text.bytes().take_while(u8::is_ascii_digit).count();
-        let (many, others) = (digits(left), digits(right));
-        if many > 0 && others > 0 {
+        let (left_digits, right_digits) = (digits(left), digits(right));
+        if left_digits > 0 && right_digits > 0 {
             let number = |text: &'_ str| text.trim_start_matches('0').to_owned();
-            let (a, b) = (number(&left[..many]), number(&right[..others]));
+            let (a, b) = (number(&left[..left_digits]), number(&right[..right_digits]));
             match a.len().cmp(&b.len()).then_with(|| a.cmp(&b)) {
-                Ordering::Equal => (left, right) = (&left[many..], &right[others..]),
+                Ordering::Equal => (left, right) = (&left[left_digits..], &right[right_digits..]),
                 order => return order,
             }
             continue;
@@ -802,11 +826,11 @@
 fn format_time(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
     let at = match call.arguments.first() {
         None => Value::Int(evaluator.now_s()),
-        Some(_) => call.value(0, evaluator),
+        Some(_) => call.argument(0, evaluator),
     };
     let format = match call.arguments.get(1) {
         None => Value::from("%c"),
-        Some(_) => call.value(1, evaluator),
+        Some(_) => call.argument(1, evaluator),
     };
     match (at, format) {
         (Value::Error, _) | (_, Value::Error) => Value::Error,
@@ -818,8 +842,11 @@
             let mut out = String::new();
             // Formats that mean nothing fail when they are written.
             match time.map(|time| write!(out, "{}", time.format(&format))) {
-                Some(Ok(())) => evaluator.text(out),
-                _ => evaluator.fail(Fault::Call("formatTime", format!("{format:?} is no format"))),
+                Some(Ok(())) => evaluator.string_result(out),
+                _ => evaluator.fail(Fault::FunctionCall(
+                    "formatTime",
+                    format!("{format:?} is no format"),
+                )),
             }
         }
         (at, format) => evaluator.fail(Fault::Operands("formatTime", at.type_name(), format.type_name())),
@@ -828,7 +855,7 @@
 
 /// Seconds as days, hours, minutes and seconds.
 fn interval(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    strict(evaluator, call, |evaluator, values| {
+    with_arguments(evaluator, call, |evaluator, values| {
         let Some(seconds) = values[0].as_number() else {
             return evaluator.fail(Fault::Operand("interval", values[0].type_name()));
         };
--- a/crates/classad/src/lexer.rs
+++ b/crates/classad/src/lexer.rs
@@ -16,9 +16,9 @@
     #[regex(r#""([^"\\]|\\[\s\S])*""#)]
     Str,
     #[regex(r"'([^'\\]|\\[\s\S])+'")]
-    Quoted,
+    QuotedName,
     #[regex(r"[A-Za-z_][A-Za-z0-9_]*")]
-    Word,
+    Identifier,
     #[token("||")]
     Or,
     #[token("&&")]
@@ -38,19 +38,19 @@
     #[token("!=")]
     NotEqual,
     #[token("<=")]
-    AtMost,
+    LessOrEqual,
     #[token("<")]
     Less,
     #[token(">=")]
-    AtLeast,
+    GreaterOrEqual,
     #[token(">")]
-    More,
+    Greater,
     #[token("<<")]
-    Left,
+    ShiftLeft,
     #[token(">>")]
-    Right,
+    ShiftRight,
     #[token(">>>")]
-    RightZero,
+    ShiftRightZero,
     #[token("+")]
     Plus,
     #[token("-")]
@@ -78,17 +78,17 @@
     #[token("=")]
     Assign,
     #[token("(")]
-    Open,
+    OpenParen,
     #[token(")")]
-    Close,
+    CloseParen,
     #[token("[")]
-    OpenRecord,
+    OpenBracket,
     #[token("]")]
-    CloseRecord,
+    CloseBracket,
     #[token("{")]
-    OpenList,
+    OpenBrace,
     #[token("}")]
-    CloseList,
+    CloseBrace,
 }
 
 /// What an escape in a string stands for. A backslash before any other character is one,
--- a/crates/classad/src/lib.rs
+++ b/crates/classad/src/lib.rs
@@ -39,7 +39,7 @@
 
 pub use ad::Ad;
 pub use eval::{Evaluator, Fault};
-pub use expr::{Binary, Expr, Kind, Record, Reference, Scope, Unary};
+pub use expr::{BinaryOp, Expr, Kind, Record, Reference, Scope, UnaryOp};
 pub use functions::{Function, compare_versions, substring};
 pub use names::{Name, nearest};
 pub use parser::{ParseError, Position};
--- a/crates/classad/src/names.rs
+++ b/crates/classad/src/names.rs
@@ -1,6 +1,6 @@
 //! Names of attributes: compared without case, shown as written.
 
-use crate::constants::NEAREST;
+use crate::constants::MAX_SUGGESTIONS;
 use std::fmt;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -45,12 +45,12 @@
             .next()
             .is_some_and(|first| first.is_ascii_alphabetic() || first == b'_')
             && bytes.all(|byte| byte.is_ascii_alphanumeric() || byte == b'_')
-            && !RESERVED.contains(&&*self.key)
+            && !RESERVED_WORDS.contains(&&*self.key)
     }
 }
 
 /// Words that are no names.
-pub(crate) const RESERVED: [&str; 8] = [
+pub(crate) const RESERVED_WORDS: [&str; 8] = [
     "true",
     "false",
     "undefined",
@@ -96,7 +96,7 @@
 /// The known names most like `name`, the likest first; none that is not like it at all.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let name = name.to_ascii_lowercase();
-    let mut found: Vec<(usize, &str)> = known
+    let mut matches: Vec<(usize, &str)> = known
         .into_iter()
         .filter_map(|known| {
             let key = known.to_ascii_lowercase();
@@ -109,7 +109,11 @@
             (distance <= name.len().max(key.len()) / 2).then_some((distance, known))
         })
         .collect();
-    found.sort();
-    found.dedup();
-    found.into_iter().map(|(_, known)| known).take(NEAREST).collect()
+    matches.sort();
+    matches.dedup();
+    matches
+        .into_iter()
+        .map(|(_, known)| known)
+        .take(MAX_SUGGESTIONS)
+        .collect()
 }
--- a/crates/classad/src/parser.rs
+++ b/crates/classad/src/parser.rs
@@ -1,8 +1,8 @@
 //! From tokens to a tree: by binding powers, so that nesting costs one level of recursion a
 //! level, and every error knows its place.
 
-use crate::constants::{MAX_DEPTH, MAX_TEXT};
-use crate::expr::{Binary, Expr, Kind, Record, Scope, Unary};
+use crate::constants::{MAX_DEPTH, MAX_EXPRESSION_BYTES};
+use crate::expr::{BinaryOp, Expr, Kind, Record, Scope, UnaryOp};
 use crate::functions;
 use crate::lexer::{Token, unescape};
 use crate::{Name, Value, nearest};
@@ -56,8 +56,8 @@
     /// # Errors
     /// The first place where the text is none, or is longer or deeper than it may be.
     pub fn parse(text: &str) -> Result<Expr, ParseError> {
-        Parser::over(text)
-            .and_then(Parser::whole)
+        Parser::new(text)
+            .and_then(Parser::parse_all)
             .map_err(|(at, problem)| ParseError {
                 position: Position::of(text, at),
                 at,
@@ -82,52 +82,52 @@
 }
 
 /// What binds less than every operator: `?:`, which leans to the right.
-const CHOICE: u8 = 1;
+const CONDITIONAL_PRECEDENCE: u8 = 1;
 /// Prefix operators bind more tightly than all others.
-const PREFIX: u8 = 12;
+const PREFIX_PRECEDENCE: u8 = 12;
 
-fn binary(token: Token, text: &str) -> Option<Binary> {
+fn binary_operator(token: Token, text: &str) -> Option<BinaryOp> {
     Some(match token {
-        Token::Or => Binary::Or,
-        Token::And => Binary::And,
-        Token::BitOr => Binary::BitOr,
-        Token::BitXor => Binary::BitXor,
-        Token::BitAnd => Binary::BitAnd,
-        Token::Equal => Binary::Equal,
-        Token::NotEqual => Binary::NotEqual,
-        Token::Is => Binary::Is,
-        Token::Isnt => Binary::Isnt,
-        Token::Word if text.eq_ignore_ascii_case("is") => Binary::Is,
-        Token::Word if text.eq_ignore_ascii_case("isnt") => Binary::Isnt,
-        Token::Less => Binary::Less,
-        Token::AtMost => Binary::AtMost,
-        Token::More => Binary::More,
-        Token::AtLeast => Binary::AtLeast,
-        Token::Left => Binary::ShiftLeft,
-        Token::Right => Binary::ShiftRight,
-        Token::RightZero => Binary::ShiftRightZero,
-        Token::Plus => Binary::Plus,
-        Token::Minus => Binary::Minus,
-        Token::Times => Binary::Times,
-        Token::Divide => Binary::Divide,
-        Token::Modulo => Binary::Modulo,
+        Token::Or => BinaryOp::Or,
+        Token::And => BinaryOp::And,
+        Token::BitOr => BinaryOp::BitOr,
+        Token::BitXor => BinaryOp::BitXor,
+        Token::BitAnd => BinaryOp::BitAnd,
+        Token::Equal => BinaryOp::Equal,
+        Token::NotEqual => BinaryOp::NotEqual,
+        Token::Is => BinaryOp::Is,
+        Token::Isnt => BinaryOp::Isnt,
+        Token::Identifier if text.eq_ignore_ascii_case("is") => BinaryOp::Is,
+        Token::Identifier if text.eq_ignore_ascii_case("isnt") => BinaryOp::Isnt,
+        Token::Less => BinaryOp::Less,
+        Token::LessOrEqual => BinaryOp::LessOrEqual,
+        Token::Greater => BinaryOp::Greater,
+        Token::GreaterOrEqual => BinaryOp::GreaterOrEqual,
+        Token::ShiftLeft => BinaryOp::ShiftLeft,
+        Token::ShiftRight => BinaryOp::ShiftRight,
+        Token::ShiftRightZero => BinaryOp::ShiftRightZero,
+        Token::Plus => BinaryOp::Plus,
+        Token::Minus => BinaryOp::Minus,
+        Token::Times => BinaryOp::Times,
+        Token::Divide => BinaryOp::Divide,
+        Token::Modulo => BinaryOp::Modulo,
         _ => return None,
     })
 }
 
 impl<'t> Parser<'t> {
-    fn over(text: &'t str) -> Result<Parser<'t>, Problem> {
-        if text.len() > MAX_TEXT {
+    fn new(text: &'t str) -> Result<Parser<'t>, Problem> {
+        if text.len() > MAX_EXPRESSION_BYTES {
             return Err((
-                MAX_TEXT,
-                format!("the expression is longer than {MAX_TEXT} bytes"),
+                MAX_EXPRESSION_BYTES,
+                format!("the expression is longer than {MAX_EXPRESSION_BYTES} bytes"),
             ));
         }
         let mut lexemes = Vec::with_capacity(text.len() / 4);
         for (token, span) in Token::lexer(text).spanned() {
             let Ok(token) = token else {
-                let what = &text[span.start..];
-                let problem = match what.chars().next() {
+                let remaining = &text[span.start..];
+                let problem = match remaining.chars().next() {
                     Some('"') => "this string does not end".to_owned(),
                     Some('\'') => "this quoted name does not end, or is empty".to_owned(),
                     Some(other) => format!("{other:?} means nothing here"),
@@ -149,8 +149,8 @@
         })
     }
 
-    fn whole(mut self) -> Result<Expr, Problem> {
-        let expr = self.expression(CHOICE)?;
+    fn parse_all(mut self) -> Result<Expr, Problem> {
+        let expr = self.parse_expression(CONDITIONAL_PRECEDENCE)?;
         match self.peek() {
             None => Ok(expr),
             Some(lexeme) if lexeme.token == Token::Assign => {
@@ -167,21 +167,21 @@
         self.lexemes.get(self.next)
     }
 
-    fn at(&self) -> usize {
+    fn offset(&self) -> usize {
         self.peek().map_or(self.end, |lexeme| lexeme.at)
     }
 
-    fn take(&mut self, token: Token) -> bool {
+    fn accept(&mut self, token: Token) -> bool {
         let found = self.peek().is_some_and(|lexeme| lexeme.token == token);
         self.next += usize::from(found);
         found
     }
 
     fn expect(&mut self, token: Token, what: &str) -> Result<(), Problem> {
-        if self.take(token) {
+        if self.accept(token) {
             return Ok(());
         }
-        Err((self.at(), format!("{what} is missing{}", self.found())))
+        Err((self.offset(), format!("{what} is missing{}", self.found())))
     }
 
     /// What stands where something else should.
@@ -196,31 +196,31 @@
         Expr::new(kind, at).ok_or_else(|| too_deep(at))
     }
 
-    fn expression(&mut self, least: u8) -> Result<Expr, Problem> {
+    fn parse_expression(&mut self, min_precedence: u8) -> Result<Expr, Problem> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
-            return Err(too_deep(self.at()));
+            return Err(too_deep(self.offset()));
         }
-        let mut left = self.prefixed()?;
+        let mut left = self.parse_prefix()?;
         while let Some(lexeme) = self.peek() {
             let at = left.at;
-            if let Some(operator) = binary(lexeme.token, lexeme.text) {
-                if operator.binding() < least {
+            if let Some(operator) = binary_operator(lexeme.token, lexeme.text) {
+                if operator.precedence() < min_precedence {
                     break;
                 }
                 self.next += 1;
-                let right = self.expression(operator.binding() + 1)?;
+                let right = self.parse_expression(operator.precedence() + 1)?;
                 left = self.node(Kind::Binary(operator, Box::new((left, right))), at)?;
-            } else if lexeme.token == Token::Question && least <= CHOICE {
+            } else if lexeme.token == Token::Question && min_precedence <= CONDITIONAL_PRECEDENCE {
                 self.next += 1;
-                if self.take(Token::Colon) {
-                    let otherwise = self.expression(CHOICE)?;
-                    left = self.node(Kind::Otherwise(Box::new((left, otherwise))), at)?;
+                if self.accept(Token::Colon) {
+                    let otherwise = self.parse_expression(CONDITIONAL_PRECEDENCE)?;
+                    left = self.node(Kind::IfUndefined(Box::new((left, otherwise))), at)?;
                 } else {
-                    let then = self.expression(CHOICE)?;
+                    let then = self.parse_expression(CONDITIONAL_PRECEDENCE)?;
                     self.expect(Token::Colon, "the \":\" of \"?\"")?;
-                    let otherwise = self.expression(CHOICE)?;
-                    left = self.node(Kind::Choose(Box::new((left, then, otherwise))), at)?;
+                    let otherwise = self.parse_expression(CONDITIONAL_PRECEDENCE)?;
+                    left = self.node(Kind::Conditional(Box::new((left, then, otherwise))), at)?;
                 }
             } else {
                 break;
@@ -230,30 +230,30 @@
         Ok(left)
     }
 
-    fn prefixed(&mut self) -> Result<Expr, Problem> {
-        let at = self.at();
+    fn parse_prefix(&mut self) -> Result<Expr, Problem> {
+        let at = self.offset();
         let operator = match self.peek().map(|lexeme| lexeme.token) {
-            Some(Token::Minus) => Unary::Minus,
-            Some(Token::Plus) => Unary::Plus,
-            Some(Token::Not) => Unary::Not,
-            Some(Token::BitNot) => Unary::BitNot,
-            _ => return self.postfixed(),
+            Some(Token::Minus) => UnaryOp::Minus,
+            Some(Token::Plus) => UnaryOp::Plus,
+            Some(Token::Not) => UnaryOp::Not,
+            Some(Token::BitNot) => UnaryOp::BitNot,
+            _ => return self.parse_postfix(),
         };
         self.next += 1;
-        let operand = self.expression(PREFIX)?;
+        let operand = self.parse_expression(PREFIX_PRECEDENCE)?;
         self.node(Kind::Unary(operator, Box::new(operand)), at)
     }
 
-    fn postfixed(&mut self) -> Result<Expr, Problem> {
-        let mut expr = self.operand()?;
+    fn parse_postfix(&mut self) -> Result<Expr, Problem> {
+        let mut expr = self.parse_operand()?;
         loop {
             let at = expr.at;
-            if self.take(Token::Dot) {
-                let name = self.name()?;
+            if self.accept(Token::Dot) {
+                let name = self.parse_name()?;
                 expr = self.node(Kind::Select(Box::new(expr), name), at)?;
-            } else if self.take(Token::OpenRecord) {
-                let index = self.expression(CHOICE)?;
-                self.expect(Token::CloseRecord, "\"]\"")?;
+            } else if self.accept(Token::OpenBracket) {
+                let index = self.parse_expression(CONDITIONAL_PRECEDENCE)?;
+                self.expect(Token::CloseBracket, "\"]\"")?;
                 expr = self.node(Kind::Index(Box::new((expr, index))), at)?;
             } else {
                 return Ok(expr);
@@ -261,17 +261,17 @@
         }
     }
 
-    fn name(&mut self) -> Result<Name, Problem> {
+    fn parse_name(&mut self) -> Result<Name, Problem> {
         let name = match self.peek() {
-            Some(lexeme) if lexeme.token == Token::Word => Name::new(lexeme.text),
-            Some(lexeme) if lexeme.token == Token::Quoted => quoted(lexeme.text),
-            _ => return Err((self.at(), format!("a name is missing{}", self.found()))),
+            Some(lexeme) if lexeme.token == Token::Identifier => Name::new(lexeme.text),
+            Some(lexeme) if lexeme.token == Token::QuotedName => unquote_name(lexeme.text),
+            _ => return Err((self.offset(), format!("a name is missing{}", self.found()))),
         };
         self.next += 1;
         Ok(name)
     }
 
-    fn operand(&mut self) -> Result<Expr, Problem> {
+    fn parse_operand(&mut self) -> Result<Expr, Problem> {
         let Some(lexeme) = self.peek() else {
             return Err((self.end, "something is missing at the end".to_owned()));
         };
@@ -279,18 +279,18 @@
         self.next += 1;
         let kind = match token {
             Token::Int | Token::Real => Kind::Literal(
-                number(text).ok_or_else(|| (at, format!("{text} is no number that can be kept")))?,
+                parse_number(text).ok_or_else(|| (at, format!("{text} is no number that can be kept")))?,
             ),
-            Token::Str => Kind::Literal(Value::from(unescape(inner(text)))),
-            Token::Quoted => Kind::Attribute(Scope::Any, quoted(text)),
-            Token::Word => return self.word(text, at),
-            Token::Open => {
-                let inside = self.expression(CHOICE)?;
-                self.expect(Token::Close, "\")\"")?;
+            Token::Str => Kind::Literal(Value::from(unescape(strip_quotes(text)))),
+            Token::QuotedName => Kind::Attribute(Scope::Any, unquote_name(text)),
+            Token::Identifier => return self.parse_identifier(text, at),
+            Token::OpenParen => {
+                let inside = self.parse_expression(CONDITIONAL_PRECEDENCE)?;
+                self.expect(Token::CloseParen, "\")\"")?;
                 return Ok(inside);
             }
-            Token::OpenList => Kind::List(self.sequence(Token::CloseList, "\"}\"")?),
-            Token::OpenRecord => Kind::Record(Arc::new(self.record()?)),
+            Token::OpenBrace => Kind::List(self.parse_sequence(Token::CloseBrace, "\"}\"")?),
+            Token::OpenBracket => Kind::Record(Arc::new(self.parse_record()?)),
             _ => {
                 return Err((at, format!("something is missing before {text:?}")));
             }
@@ -298,9 +298,9 @@
         self.node(kind, at)
     }
 
-    fn word(&mut self, text: &str, at: usize) -> Result<Expr, Problem> {
-        if self.take(Token::Open) {
-            return self.call(text, at);
+    fn parse_identifier(&mut self, text: &str, at: usize) -> Result<Expr, Problem> {
+        if self.accept(Token::OpenParen) {
+            return self.parse_call(text, at);
         }
         let kind = match text.to_ascii_lowercase().as_str() {
             "true" => Kind::Literal(Value::Bool(true)),
@@ -311,14 +311,14 @@
             scope @ ("my" | "target") => {
                 self.expect(Token::Dot, &format!("the \".\" and a name after {text}"))?;
                 let scope = if scope == "my" { Scope::My } else { Scope::Target };
-                Kind::Attribute(scope, self.name()?)
+                Kind::Attribute(scope, self.parse_name()?)
             }
             _ => Kind::Attribute(Scope::Any, Name::new(text)),
         };
         self.node(kind, at)
     }
 
-    fn call(&mut self, text: &str, at: usize) -> Result<Expr, Problem> {
+    fn parse_call(&mut self, text: &str, at: usize) -> Result<Expr, Problem> {
         let Some(function) = functions::find(text) else {
             let mut problem = format!("there is no function {text:?}");
             let near = nearest(text, functions::names());
@@ -327,10 +327,13 @@
             }
             return Err((at, problem));
         };
-        let arguments = self.sequence(Token::Close, "\")\"")?;
-        let (least, most) = (function.least, function.most.unwrap_or(usize::MAX));
+        let arguments = self.parse_sequence(Token::CloseParen, "\")\"")?;
+        let (least, most) = (
+            function.min_arguments,
+            function.max_arguments.unwrap_or(usize::MAX),
+        );
         if !(least..=most).contains(&arguments.len()) {
-            let wanted = match function.most {
+            let wanted = match function.max_arguments {
                 Some(most) if most == least => format!("{least}"),
                 Some(most) => format!("{least} to {most}"),
                 None => format!("at least {least}"),
@@ -348,14 +351,14 @@
     }
 
     /// Expressions with commas between, up to the end.
-    fn sequence(&mut self, close: Token, end: &str) -> Result<Vec<Expr>, Problem> {
+    fn parse_sequence(&mut self, close: Token, end: &str) -> Result<Vec<Expr>, Problem> {
         let mut entries = Vec::new();
-        if self.take(close) {
+        if self.accept(close) {
             return Ok(entries);
         }
         loop {
-            entries.push(self.expression(CHOICE)?);
-            if !self.take(Token::Comma) {
+            entries.push(self.parse_expression(CONDITIONAL_PRECEDENCE)?);
+            if !self.accept(Token::Comma) {
                 self.expect(close, end)?;
                 return Ok(entries);
             }
@@ -363,14 +366,16 @@
     }
 
     /// `name = expression` with semicolons between, up to the end.
-    fn record(&mut self) -> Result<Record, Problem> {
+    fn parse_record(&mut self) -> Result<Record, Problem> {
         let mut record = Record::default();
-        while !self.take(Token::CloseRecord) {
-            let name = self.name()?;
+        while !self.accept(Token::CloseBracket) {
+            let name = self.parse_name()?;
             self.expect(Token::Assign, "\"=\"")?;
-            record.0.push((name, self.expression(CHOICE)?));
-            if !self.take(Token::Semicolon) {
-                self.expect(Token::CloseRecord, "\";\" or \"]\"")?;
+            record
+                .0
+                .push((name, self.parse_expression(CONDITIONAL_PRECEDENCE)?));
+            if !self.accept(Token::Semicolon) {
+                self.expect(Token::CloseBracket, "\";\" or \"]\"")?;
                 break;
             }
         }
@@ -383,16 +388,16 @@
 }
 
 /// A text without its quotes.
-fn inner(text: &str) -> &str {
+fn strip_quotes(text: &str) -> &str {
     text.get(1..text.len().saturating_sub(1)).unwrap_or_default()
 }
 
-fn quoted(text: &str) -> Name {
-    Name::new(&unescape(inner(text)))
+fn unquote_name(text: &str) -> Name {
+    Name::new(&unescape(strip_quotes(text)))
 }
 
 /// A number with its unit: K, M, G and T count in steps of 1024.
-fn number(text: &str) -> Option<Value> {
+fn parse_number(text: &str) -> Option<Value> {
     if let Some(digits) = text.strip_prefix("0x").or_else(|| text.strip_prefix("0X")) {
         return i64::from_str_radix(digits, 16).ok().map(Value::Int);
     }
--- a/crates/classad/src/print.rs
+++ b/crates/classad/src/print.rs
@@ -1,12 +1,12 @@
 //! From a tree to text that reads back as the same tree.
 
-use crate::expr::{Expr, Kind, Scope, Unary};
+use crate::expr::{Expr, Kind, Scope, UnaryOp};
 use crate::lexer::escape;
 use crate::{Name, Value};
 use std::fmt;
 
 /// Names that `.` may follow are quoted where they would read as something else.
-fn name(name: &Name, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+fn write_name(name: &Name, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     if name.is_plain() {
         f.write_str(name.text())
     } else {
@@ -15,10 +15,10 @@
 }
 
 /// How tightly an expression binds; operands bind more tightly than any operator.
-fn binding(expr: &Expr) -> u8 {
+fn precedence(expr: &Expr) -> u8 {
     match &expr.kind {
-        Kind::Choose(_) | Kind::Otherwise(_) => 1,
-        Kind::Binary(operator, _) => operator.binding(),
+        Kind::Conditional(_) | Kind::IfUndefined(_) => 1,
+        Kind::Binary(operator, _) => operator.precedence(),
         Kind::Unary(..) => 12,
         Kind::Literal(Value::Int(value)) if *value < 0 => 12,
         Kind::Literal(Value::Real(value)) if value.is_sign_negative() => 12,
@@ -26,15 +26,15 @@
     }
 }
 
-fn within(expr: &Expr, least: u8, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-    if binding(expr) < least {
+fn write_operand(expr: &Expr, min_precedence: u8, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    if precedence(expr) < min_precedence {
         write!(f, "({expr})")
     } else {
         write!(f, "{expr}")
     }
 }
 
-fn list(entries: &[Expr], f: &mut fmt::Formatter<'_>) -> fmt::Result {
+fn write_list(entries: &[Expr], f: &mut fmt::Formatter<'_>) -> fmt::Result {
     for (at, entry) in entries.iter().enumerate() {
         let comma = if at == 0 { "" } else { ", " };
         write!(f, "{comma}{entry}")?;
@@ -52,56 +52,56 @@
                     Scope::My => "MY.",
                     Scope::Target => "TARGET.",
                 })?;
-                name(attribute, f)
+                write_name(attribute, f)
             }
             Kind::Select(base, attribute) => {
-                within(base, 13, f)?;
+                write_operand(base, 13, f)?;
                 // "1.a" would be a number.
                 let number = matches!(base.kind, Kind::Literal(Value::Int(_) | Value::Real(_)));
                 f.write_str(if number { " ." } else { "." })?;
-                name(attribute, f)
+                write_name(attribute, f)
             }
-            Kind::Index(two) => {
-                within(&two.0, 13, f)?;
-                write!(f, "[{}]", two.1)
+            Kind::Index(operands) => {
+                write_operand(&operands.0, 13, f)?;
+                write!(f, "[{}]", operands.1)
             }
             Kind::Unary(operator, operand) => {
                 f.write_str(match operator {
-                    Unary::Minus => "-",
-                    Unary::Plus => "+",
-                    Unary::Not => "!",
-                    Unary::BitNot => "~",
+                    UnaryOp::Minus => "-",
+                    UnaryOp::Plus => "+",
+                    UnaryOp::Not => "!",
+                    UnaryOp::BitNot => "~",
                 })?;
-                within(operand, 12, f)
+                write_operand(operand, 12, f)
             }
-            Kind::Binary(operator, two) => {
-                within(&two.0, operator.binding(), f)?;
-                write!(f, " {} ", operator.text())?;
-                within(&two.1, operator.binding() + 1, f)
+            Kind::Binary(operator, operands) => {
+                write_operand(&operands.0, operator.precedence(), f)?;
+                write!(f, " {} ", operator.symbol())?;
+                write_operand(&operands.1, operator.precedence() + 1, f)
             }
-            Kind::Choose(three) => {
-                within(&three.0, 2, f)?;
-                write!(f, " ? {} : {}", three.1, three.2)
+            Kind::Conditional(operands) => {
+                write_operand(&operands.0, 2, f)?;
+                write!(f, " ? {} : {}", operands.1, operands.2)
             }
-            Kind::Otherwise(two) => {
-                within(&two.0, 2, f)?;
-                write!(f, " ?: {}", two.1)
+            Kind::IfUndefined(operands) => {
+                write_operand(&operands.0, 2, f)?;
+                write!(f, " ?: {}", operands.1)
             }
             Kind::Call(function, arguments) => {
                 write!(f, "{}(", function.name)?;
-                list(arguments, f)?;
+                write_list(arguments, f)?;
                 f.write_str(")")
             }
             Kind::List(entries) => {
                 f.write_str("{")?;
-                list(entries, f)?;
+                write_list(entries, f)?;
                 f.write_str("}")
             }
             Kind::Record(record) => {
                 f.write_str("[")?;
                 for (at, (attribute, expr)) in record.0.iter().enumerate() {
                     f.write_str(if at == 0 { "" } else { "; " })?;
-                    name(attribute, f)?;
+                    write_name(attribute, f)?;
                     write!(f, " = {expr}")?;
                 }
                 f.write_str("]")
@@ -136,7 +136,7 @@
                 f.write_str("[")?;
                 for (at, (attribute, value)) in attributes.iter().enumerate() {
                     f.write_str(if at == 0 { "" } else { "; " })?;
-                    name(attribute, f)?;
+                    write_name(attribute, f)?;
                     write!(f, " = {value}")?;
                 }
                 f.write_str("]")
--- a/crates/classad/tests/published.rs
+++ b/crates/classad/tests/published.rs
@@ -120,12 +120,16 @@
     }
     let expr = Expr::parse("a19").unwrap();
     assert_eq!(evaluator.evaluate(&expr, &costly, Some(&machine)), Value::Error);
-    assert_eq!(evaluator.fault(), Some(&Fault::Steps), "after {MAX_STEPS} steps");
+    assert_eq!(
+        evaluator.fault(),
+        Some(&Fault::StepLimit),
+        "after {MAX_STEPS} steps"
+    );
     let long = Expr::parse(&format!("strcat({})", vec!["x"; 200].join(","))).unwrap();
     let mut large = Ad::default();
     large.set("x", Value::from("y".repeat(10_000)));
     assert_eq!(evaluator.evaluate(&long, &large, None), Value::Error);
-    assert_eq!(evaluator.fault(), Some(&Fault::Size));
+    assert_eq!(evaluator.fault(), Some(&Fault::SizeLimit));
     let pattern = Expr::parse(r#"regexp("(a{1000}){1000}", "a")"#).unwrap();
     assert_eq!(evaluator.evaluate(&pattern, &large, None), Value::Error);
     let again = Expr::parse("eval(again)").unwrap();
