--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -278,8 +278,8 @@
 }
 
 fn format_time(ms: u64) -> String {
-    let at = chrono::DateTime::from_timestamp_millis(ms as i64).unwrap_or_default();
-    at.format("%m/%d %H:%M").to_string()
+    let time = chrono::DateTime::from_timestamp_millis(ms as i64).unwrap_or_default();
+    time.format("%m/%d %H:%M").to_string()
 }
 
 /// Returns the numbers of done, running, idle and held procs of an array. A gang counts as one proc.
@@ -451,12 +451,12 @@
 
 fn show_history(nodes: &Nodes, cluster: Option<u64>) -> Result<ExitCode, CondorError> {
     let path = format!("{}history", paths::CONDOR);
-    let found: History = match cluster {
+    let history: History = match cluster {
         Some(cluster) => nodes.get(&format!("{path}/{cluster}"))?,
         None => nodes.get(&path)?,
     };
-    let text = nodes.format_output(&found, |found| {
-        let rows = found.clusters.iter().map(|record| {
+    let text = nodes.format_output(&history, |history| {
+        let rows = history.clusters.iter().map(|record| {
             vec![
                 record.cluster.to_string(),
                 record.owner.clone(),
@@ -472,7 +472,7 @@
             rows,
         );
         if cluster.is_some() {
-            let jobs = found
+            let jobs = history
                 .jobs
                 .iter()
                 .map(|job| vec![job.job.clone(), job.tasks.to_string(), job.state.clone()]);
@@ -561,13 +561,13 @@
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     match format {
         Format::Json => {
-            for (proc, at) in results.outcome_of_proc.iter().enumerate() {
-                let at = *at as usize;
+            for (proc, outcome_index) in results.outcome_of_proc.iter().enumerate() {
+                let outcome_index = *outcome_index as usize;
                 let line = ProcLine {
                     proc,
-                    verdict: results.outcomes[at].verdict,
-                    kinds: &kinds[at],
-                    reason: results.outcomes[at].reason.as_deref(),
+                    verdict: results.outcomes[outcome_index].verdict,
+                    kinds: &kinds[outcome_index],
+                    reason: results.outcomes[outcome_index].reason.as_deref(),
                 };
                 serde_json::to_writer(&mut out, &line).map_err(std::io::Error::from)?;
                 out.write_all(b"\n")?;
@@ -577,19 +577,24 @@
             let mut rows = Vec::new();
             // Consecutive procs with the same outcome share a row.
             let mut first = 0;
-            while let Some(at) = results.outcome_of_proc.get(first).copied() {
+            while let Some(outcome_index) = results.outcome_of_proc.get(first).copied() {
                 let count = results.outcome_of_proc[first..]
                     .iter()
-                    .take_while(|other| **other == at)
+                    .take_while(|other| **other == outcome_index)
                     .count();
-                let outcome = &results.outcomes[at as usize];
+                let outcome = &results.outcomes[outcome_index as usize];
                 let procs = match count {
                     1 => first.to_string(),
                     _ => format!("{first}-{}", first + count - 1),
                 };
                 let verdict = format!("{:?}", outcome.verdict).to_lowercase();
                 let reason = outcome.reason.clone().unwrap_or_default();
-                rows.push(vec![procs, verdict, kinds[at as usize].join(", "), reason]);
+                rows.push(vec![
+                    procs,
+                    verdict,
+                    kinds[outcome_index as usize].join(", "),
+                    reason,
+                ]);
                 first += count;
             }
             let header = ["PROCS", "VERDICT", "MACHINES", "REASON"];
