--- a/crates/controller/tests/answers_seeds.rs
+++ b/crates/controller/tests/answers_seeds.rs
@@ -17,7 +17,7 @@
     let seeds = indigopath_simulator::run_seeds("ANSWERS", SEEDS, scenario, indigopath_simulator::run);
     assert!(
         seeds.failed.is_empty(),
-        "of {:?} failed {:?}",
+        "of seeds {:?}, {:?} failed",
         seeds.played,
         seeds.failed
     );
--- a/crates/controller/tests/clusters_at_every_step.rs
+++ b/crates/controller/tests/clusters_at_every_step.rs
@@ -55,8 +55,11 @@
     let problems = problems.into_inner().unwrap();
     assert!(problems.is_empty(), "{}", problems.join("\n"));
     let crashes = crashes.into_inner();
-    println!("{crashes} ends");
-    assert!((min_crashes..2 * MAX_CALLS).contains(&crashes), "{crashes} ends");
+    println!("{crashes} crashes");
+    assert!(
+        (min_crashes..2 * MAX_CALLS).contains(&crashes),
+        "{crashes} crashes"
+    );
 }
 
 #[test]
--- a/crates/controller/tests/counts_oracle.rs
+++ b/crates/controller/tests/counts_oracle.rs
@@ -304,7 +304,7 @@
         let counted = self.query_ledger(|ledger| ledger.get("seat").map_or(0, |pool| pool.taken() as u32));
         prop_assert!(
             counted >= taken,
-            "{counted} seats by the book, {taken} in truth, at {}",
+            "the ledger counts {counted} seats as taken, {taken} are taken, at {}",
             self.now
         );
         Ok(())
@@ -515,7 +515,7 @@
         harness.apply(event).unwrap();
     }
     assert_eq!(harness.workers[0].agent_epoch, 2, "its lease ended");
-    assert_eq!(harness.started, 3, "each task has come to be on a machine once");
+    assert_eq!(harness.started, 3, "each task started once");
     let taken = harness.query_ledger(|ledger| ledger.get("seat").map_or(0, |pool| pool.taken() as u32));
     assert_eq!(taken, UNITS);
 }
--- a/crates/controller/tests/counts_seeds.rs
+++ b/crates/controller/tests/counts_seeds.rs
@@ -41,7 +41,7 @@
     });
     assert!(
         seeds.failed.is_empty(),
-        "of {:?} failed {:?}",
+        "of seeds {:?}, {:?} failed",
         seeds.played,
         seeds.failed
     );
--- a/crates/controller/tests/duties_seeds.rs
+++ b/crates/controller/tests/duties_seeds.rs
@@ -16,7 +16,7 @@
     let seeds = indigopath_simulator::run_seeds("DUTIES", SEEDS, scenario, indigopath_simulator::run);
     assert!(
         seeds.failed.is_empty(),
-        "of {:?} failed {:?}",
+        "of seeds {:?}, {:?} failed",
         seeds.played,
         seeds.failed
     );
--- a/crates/controller/tests/duties_walk.rs
+++ b/crates/controller/tests/duties_walk.rs
@@ -56,17 +56,24 @@
 fn the_next_leader_knows_the_outcome_of_every_operation() {
     let (outcome, operations) = run_with_deviations(SCENARIO, &Schedule::new());
     outcome.expect("without a deviation");
-    assert!(operations >= 8, "{operations} acts");
+    assert!(operations >= 8, "{operations} operations");
     let all = std::env::var("DUTIES_WALK").is_ok_and(|which| which == "all");
     let schedules = schedules(operations, if all { 1 } else { SAMPLE });
-    let failed = run_cases(schedules.len(), |at| run_with_deviations(SCENARIO, &schedules[at]).0);
+    let failed = run_cases(schedules.len(), |at| {
+        run_with_deviations(SCENARIO, &schedules[at]).0
+    });
     println!(
-        "{operations} acts, {} ways, {} failed",
+        "{operations} operations, {} schedules, {} failed",
         schedules.len(),
         failed.len()
     );
     for (at, problem) in failed.iter().take(5) {
         println!("{:?}: {problem}", schedules[*at]);
     }
-    assert!(failed.is_empty(), "{} of {} ways", failed.len(), schedules.len());
+    assert!(
+        failed.is_empty(),
+        "{} of {} schedules failed",
+        failed.len(),
+        schedules.len()
+    );
 }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -67,7 +67,7 @@
             ("c/", _) => assert_record_round_trips::<ClusterRecord>(&stored),
             // Tests below read both. Writing them is covered by the digests of the scenarios.
             ("b/" | "t/", _) => (),
-            _ => panic!("a key of no kind: {}", stored.key),
+            _ => panic!("unknown kind of key: {}", stored.key),
         }
     }
 }
@@ -187,7 +187,7 @@
             "heartbeat answer" => assert_message_round_trips::<protocol::HeartbeatResponse>(text),
             "direct orders" => assert_message_round_trips::<protocol::DirectCommands>(text),
             "submission" => assert_submission_is_read(text),
-            kind => panic!("a message of no kind: {kind}"),
+            kind => panic!("unknown kind of message: {kind}"),
         }
     }
 }
--- a/crates/controller/tests/horizon.rs
+++ b/crates/controller/tests/horizon.rs
@@ -41,7 +41,11 @@
         .map(|faults| format!("{WORKLOAD}{faults}{EXPECTATIONS}"))
         .collect();
     let failed = run_variants(name, &scenarios);
-    assert!(failed == 0, "{name}: {failed} of {} ways", scenarios.len());
+    assert!(
+        failed == 0,
+        "{name}: {failed} of {} scenarios failed",
+        scenarios.len()
+    );
 }
 
 // The state service refuses the leader, and is then unavailable from before the leader's lease ends
@@ -59,7 +63,7 @@
             })
         })
         .collect();
-    run_scenarios("refused, then down", &scenarios);
+    run_scenarios("outage after a refusal of the leader", &scenarios);
 }
 
 // The next leader takes long to recover because responses to its reads are lost, and the outage
@@ -79,7 +83,7 @@
             })
         })
         .collect();
-    run_scenarios("down while it reads", &scenarios);
+    run_scenarios("outage while the next leader recovers", &scenarios);
 }
 
 // The service refuses the leader several times, each time for less than its lease: lease renewals are
@@ -100,7 +104,7 @@
             })
         })
         .collect();
-    run_scenarios("refused in turns, then down", &scenarios);
+    run_scenarios("outage after repeated refusals", &scenarios);
 }
 
 // The leader falls too far behind the change log: its watch is refused just after a watch was answered,
@@ -123,7 +127,7 @@
             })
         })
         .collect();
-    run_scenarios("read anew, then down", &scenarios);
+    run_scenarios("outage after the leader falls behind", &scenarios);
 }
 
 // Each node in turn confirms the cancellations, and users first learn of them on each route: the
@@ -158,7 +162,7 @@
                 })
         })
         .collect();
-    run_scenarios("whoever tells first", &scenarios);
+    run_scenarios("cancellations confirmed by any node and route", &scenarios);
 }
 
 // The refusal and the outage occur twice in one run; and a leader is refused just as an outage ends,
@@ -183,7 +187,7 @@
             [repeated, at_outage_end]
         })
         .collect();
-    run_scenarios("twice, and around the end", &scenarios);
+    run_scenarios("repeated outages and their ends", &scenarios);
 }
 
 // The leader loses the state service and its peers. It alone hears the workers of one zone, and the next
@@ -211,5 +215,5 @@
                 })
         })
         .collect();
-    run_scenarios("heard by the cut leader alone", &scenarios);
+    run_scenarios("workers heard only by a partitioned leader", &scenarios);
 }
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -18,7 +18,11 @@
 /// Runs all scenarios. No rule and no expectation may be violated.
 fn run_scenarios(name: &str, scenarios: &[String]) {
     let failed = run_variants(name, scenarios);
-    assert!(failed == 0, "{name}: {failed} of {} ways", scenarios.len());
+    assert!(
+        failed == 0,
+        "{name}: {failed} of {} scenarios failed",
+        scenarios.len()
+    );
 }
 
 // Every team is at its limit. Jobs are cancelled whose machines hang, are partitioned, or lose their
@@ -52,7 +56,7 @@
             })
         })
         .collect();
-    run_scenarios("at the limit", &scenarios);
+    run_scenarios("cancellations at the quota limit", &scenarios);
 }
 
 // Ten leaders in two minutes, which end in different ways, some during an outage, while jobs are cancelled
@@ -95,7 +99,7 @@
             format!("{text}{concurrent_fault}at 100 withdraw wk-1\nuntil 300\nexpect wk-1 told cancelled\nexpect wk-4 told done\n")
         })
         .collect();
-    run_scenarios("ten leaders", &scenarios);
+    run_scenarios("ten leaders in two minutes", &scenarios);
 }
 
 // Jobs are cancelled at the moment at which the state service begins to refuse the leader. Shortly after,
@@ -114,7 +118,7 @@
             })
         })
         .collect();
-    run_scenarios("refused, then down, machines hang", &scenarios);
+    run_scenarios("outage after a refusal, machines hang", &scenarios);
 }
 
 // A copy of every report is kept and delivered to every node as a new leader begins, or after it has acted.
@@ -135,7 +139,7 @@
             })
         })
         .collect();
-    run_scenarios("old reports", &scenarios);
+    run_scenarios("old reports to a new leader", &scenarios);
 }
 
 // Machines boot within two seconds and get tasks at once, while transactions are executed late or lose
@@ -159,7 +163,7 @@
             })
         })
         .collect();
-    run_scenarios("quick machines", &scenarios);
+    run_scenarios("late writes and fast-booting machines", &scenarios);
 }
 
 // Jobs are cancelled within milliseconds of the end of their last task, also while the leader changes.
@@ -175,5 +179,5 @@
             )
         })
         .collect();
-    run_scenarios("around the end", &scenarios);
+    run_scenarios("cancellations around the end", &scenarios);
 }
--- a/crates/controller/tests/packages_seeds.rs
+++ b/crates/controller/tests/packages_seeds.rs
@@ -19,7 +19,7 @@
     let seeds = indigopath_simulator::run_seeds("PACKAGES", SEEDS, scenario, indigopath_simulator::run);
     assert!(
         seeds.failed.is_empty(),
-        "of {:?} failed {:?}",
+        "of seeds {:?}, {:?} failed",
         seeds.played,
         seeds.failed
     );
--- a/crates/controller/tests/pairs_seeds.rs
+++ b/crates/controller/tests/pairs_seeds.rs
@@ -27,7 +27,7 @@
     println!("{} pairs", results.len());
     assert!(
         seeds.failed.is_empty(),
-        "of {:?} failed {:?}",
+        "of seeds {:?}, {:?} failed",
         seeds.played,
         seeds.failed
     );
--- a/crates/controller/tests/waiting_seeds.rs
+++ b/crates/controller/tests/waiting_seeds.rs
@@ -30,7 +30,7 @@
     });
     assert!(
         seeds.failed.is_empty(),
-        "of {:?} failed {:?}",
+        "of seeds {:?}, {:?} failed",
         seeds.played,
         seeds.failed
     );
