--- a/crates/classad/src/ad.rs
+++ b/crates/classad/src/ad.rs
@@ -1,30 +1,31 @@
-//! Ads: what a job or a machine says of itself.
+//! Ads: the attributes that describe a job or a machine.
 
 use crate::{Expr, Name, Value};
 
-/// Attributes by name. The values may be expressions that name others.
+/// Attributes by name. Values are expressions and may refer to other attributes.
 ///
-/// In the order of the names' lengths, then of the names: ads have a dozen attributes, are made by the thousand, and are
-/// looked into by the million, for which a sorted list does better than a table.
+/// Stored as a list sorted by name length, then by name. Ads have about a dozen attributes,
+/// are created by the thousand and are looked up by the million; a sorted list is faster than
+/// a hash table for that.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Ad {
     attributes: Vec<(Name, Expr)>,
 }
 
 impl Ad {
-    /// An ad with room for so many attributes.
+    /// Creates an empty ad with capacity for the given number of attributes.
     pub fn with_capacity(attributes: usize) -> Ad {
         Ad {
             attributes: Vec::with_capacity(attributes),
         }
     }
 
-    /// Sets an attribute to a value, in place of what it was.
+    /// Sets an attribute to a value, replacing any previous one.
     pub fn set(&mut self, name: &str, value: Value) {
         self.insert(Name::new(name), Expr::literal(value));
     }
 
-    /// Sets an attribute to an expression, in place of what it was.
+    /// Sets an attribute to an expression, replacing any previous one.
     pub fn insert(&mut self, name: Name, expr: Expr) {
         match self.position(name.key()) {
             Ok(at) => self.attributes[at] = (name, expr),
@@ -32,6 +33,7 @@
         }
     }
 
+    /// The index of the attribute, or the index at which to insert it.
     fn position(&self, key: &str) -> Result<usize, usize> {
         self.attributes.binary_search_by(|(name, _)| {
             let order = name.key().len().cmp(&key.len());
@@ -39,6 +41,7 @@
         })
     }
 
+    /// Looks up an attribute; case is ignored.
     pub fn get(&self, name: &str) -> Option<&Expr> {
         if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
             self.find(&name.to_ascii_lowercase())
@@ -47,7 +50,7 @@
         }
     }
 
-    /// By the name's lower-case form.
+    /// Looks up an attribute by the lower-case form of its name.
     pub(crate) fn find(&self, key: &str) -> Option<&Expr> {
         let at = self.position(key).ok()?;
         self.attributes.get(at).map(|(_, expr)| expr)
@@ -57,7 +60,7 @@
         self.find(name.key()).is_some()
     }
 
-    /// In no order that means anything.
+    /// Iterates over the attributes in an unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &Expr)> {
         self.attributes.iter().map(|(name, expr)| (name, expr))
     }
--- a/crates/classad/src/lexer.rs
+++ b/crates/classad/src/lexer.rs
@@ -1,7 +1,8 @@
-//! From text to tokens.
+//! Tokenizer, and escape sequences of strings and quoted names.
 
 use logos::Logos;
 
+/// A token; whitespace and comments are skipped.
 #[derive(Logos, Debug, Clone, Copy, PartialEq, Eq)]
 #[logos(skip r"[ \t\r\n\f]+")]
 #[logos(skip(r"//[^\n]*", allow_greedy = true))]
@@ -91,8 +92,8 @@
     CloseBrace,
 }
 
-/// What an escape in a string stands for. A backslash before any other character is one,
-/// so that the patterns which people write (`\.`, `\d`) stay what they are.
+/// Replaces the escape sequences of a string. A backslash before a character that forms no
+/// escape sequence stays, so that regular expressions such as `\.` and `\d` keep their meaning.
 pub fn unescape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     let mut rest = text.chars();
@@ -107,7 +108,7 @@
             .take(3)
             .take_while(|digit| ('0'..='7').contains(digit))
             .collect();
-        // Three digits: "\\1" is a group of a pattern.
+        // Octal escapes have exactly three digits: `\1` refers to a group of a regular expression.
         if octal.len() == 3
             && let Ok(code @ 1..=127) = u8::from_str_radix(&octal, 8)
         {
@@ -127,7 +128,7 @@
     out
 }
 
-/// A string or a quoted name as it would be written.
+/// Writes a string or a quoted name in its quotes, with escape sequences.
 pub fn escape(text: &str, quote: char, out: &mut impl std::fmt::Write) -> std::fmt::Result {
     out.write_char(quote)?;
     for next in text.chars() {
--- a/crates/classad/src/lib.rs
+++ b/crates/classad/src/lib.rs
@@ -1,6 +1,8 @@
-//! ClassAd expressions, the language in which HTCondor's jobs and machines say what they
-//! ask of each other: parsing, printing, evaluation with UNDEFINED and ERROR, and what an
-//! expression refers to. Without input or output; time is an input.
+//! ClassAd expressions, the language in which HTCondor jobs and machines state their
+//! requirements on each other: parsing, printing, evaluation with UNDEFINED and ERROR, and
+//! the attributes that an expression refers to.
+//!
+//! The crate does no I/O and reads no clock: the caller passes the current time.
 //!
 //! ```
 //! use indigopath_classad::{Ad, Evaluator, Expr, Value};
@@ -14,16 +16,19 @@
 //! let mut evaluator = Evaluator::new(0);
 //! assert_eq!(evaluator.evaluate(&wanted, &job, Some(&machine)), Value::Bool(true));
 //!
-//! // What nobody has is UNDEFINED, not false.
+//! // An attribute that neither ad has is UNDEFINED, not false.
 //! let unknown = Expr::parse("TARGET.Disk > 1000")?;
 //! assert_eq!(evaluator.evaluate(&unknown, &job, Some(&machine)), Value::Undefined);
 //! # Ok::<(), indigopath_classad::ParseError>(())
 //! ```
 //!
-//! The language is that of HTCondor's published manual, "ClassAd Mechanism". What differs:
-//! a function that does not exist is an error of the text, not of its evaluation; integers
-//! that overflow are ERROR; times of day are integers, as there are no values of type
-//! absolute or relative time; `random()` is refused, as a match has to come out the same twice.
+//! The language follows the chapter "ClassAd Mechanism" of the HTCondor manual, with these
+//! differences:
+//!
+//! - Calling a function that does not exist is a parse error, not an evaluation error.
+//! - Integer overflow evaluates to ERROR.
+//! - There are no absolute or relative time types; times are integers.
+//! - `random()` is rejected, because matching must be reproducible.
 #![forbid(unsafe_code)]
 
 mod ad;
--- a/crates/classad/src/names.rs
+++ b/crates/classad/src/names.rs
@@ -1,11 +1,11 @@
-//! Names of attributes: compared without case, shown as written.
+//! Attribute names: compared without regard to case, displayed as written.
 
 use crate::constants::MAX_SUGGESTIONS;
 use std::fmt;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A name as written, with the lower-case form by which it is found.
+/// A name as written, together with its lower-case form, which is used for lookups.
 #[derive(Debug, Clone)]
 pub struct Name {
     text: Arc<str>,
@@ -23,22 +23,22 @@
         Name { text, key }
     }
 
-    /// As written.
+    /// The name as written.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// In lower case.
+    /// The name in lower case.
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// The same, shared.
+    /// The name in lower case, as a shared string.
     pub fn shared_key(&self) -> Arc<str> {
         self.key.clone()
     }
 
-    /// Whether it can stand in an expression without quotes.
+    /// Whether the name can be written in an expression without quotes.
     pub(crate) fn is_plain(&self) -> bool {
         let mut bytes = self.key.bytes();
         bytes
@@ -49,7 +49,7 @@
     }
 }
 
-/// Words that are no names.
+/// Keywords, which are not valid as unquoted names.
 pub(crate) const RESERVED_WORDS: [&str; 8] = [
     "true",
     "false",
@@ -93,7 +93,10 @@
     }
 }
 
-/// The known names most like `name`, the likest first; none that is not like it at all.
+/// The known names most similar to `name`, closest first; dissimilar names are left out.
+///
+/// If one contains the other (both of 3 characters or more), the distance is 1; the distance must
+/// not exceed half the length of the longer name.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let name = name.to_ascii_lowercase();
     let mut matches: Vec<(usize, &str)> = known
--- a/crates/classad/src/value.rs
+++ b/crates/classad/src/value.rs
@@ -1,14 +1,14 @@
-//! Values of expressions.
+//! Values that expressions evaluate to.
 
 use crate::Name;
 use std::sync::Arc;
 
-/// What an expression comes to.
+/// The result of evaluating an expression.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
-    /// Something that the expression needs is not there.
+    /// An attribute that the expression needs does not exist.
     Undefined,
-    /// The expression makes no sense for what is there.
+    /// The expression cannot be applied to the values that it refers to.
     Error,
     Bool(bool),
     Int(i64),
@@ -37,7 +37,7 @@
 }
 
 impl Value {
-    /// A number: an integer where it is one.
+    /// Converts a number to `Int` if it is integral and below 9e15 in magnitude, else to `Real`.
     pub fn number(value: f64) -> Value {
         if value.fract() == 0.0 && value.abs() < 9e15 {
             Value::Int(value as i64)
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Its number, with true as 1 and false as 0; `None` if it is none.
+    /// The numeric value, with true as 1 and false as 0; `None` if the value is not numeric.
     pub fn as_number(&self) -> Option<f64> {
         match self {
             Value::Int(value) => Some(*value as f64),
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Its truth, with any number but 0 as true: `None` for UNDEFINED, ERROR and what has
-    /// none.
+    /// The truth value, where any number other than 0 is true; `None` for UNDEFINED, ERROR
+    /// and types without a truth value.
     pub fn truth(&self) -> Option<bool> {
         match self {
             Value::Bool(value) => Some(*value),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What `=?=` compares: the same type and the same value, letters' case included.
+    /// The comparison of `=?=`: same type and same value; strings compare case-sensitively.
     pub fn is(&self, other: &Value) -> bool {
         match (self, other) {
             (Value::List(a), Value::List(b)) => {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The name of its type, for people.
+    /// The name of the type as error messages show it.
     pub fn type_name(&self) -> &'static str {
         match self {
             Value::Undefined => "UNDEFINED",
