--- a/crates/classad/src/constants.rs
+++ b/crates/classad/src/constants.rs
@@ -1,30 +1,33 @@
-//! Bounds on what an expression may cost, with units and reasons.
+//! Limits on the size of expressions and on the cost of their evaluation.
 
-/// Longest expression, in bytes: far beyond what people write, small enough that
-/// thousands can be checked in a second.
+/// Maximum length of an expression, in bytes: far longer than any written by hand, and short
+/// enough that thousands can be checked per second.
 pub const MAX_EXPRESSION_BYTES: usize = 32 * 1024;
 
-/// Deepest nesting of an expression, operators and chains of `||` included. Every level is a
-/// level of recursion, of which a thread with a stack of 2 MB bears several times as many.
+/// Maximum nesting depth of an expression, counting operators, also those of a chain of `||`.
+/// Each level costs one level of recursion; a thread with a 2 MB stack can hold several times
+/// as many.
 pub const MAX_DEPTH: u16 = 250;
 
-/// Deepest chain of attributes that refer to each other, each at most [`MAX_DEPTH`] deep.
+/// Maximum length of a chain of attributes that refer to each other, each nested at most
+/// [`MAX_DEPTH`] deep.
 pub const MAX_REFERENCE_DEPTH: usize = 24;
 
-/// Deepest recursion of an evaluation altogether, attributes that refer to others included.
+/// Maximum recursion depth of an evaluation, including attributes that refer to others.
 pub const MAX_RECURSION_DEPTH: u32 = 500;
 
-/// Nodes that one evaluation may visit. A requirement has dozens.
+/// Maximum number of steps (visited nodes and charged work) of one evaluation. A typical
+/// requirement has dozens of nodes.
 pub const MAX_STEPS: u32 = 20_000;
 
-/// Longest string, in bytes, or list, in entries, that an evaluation may make.
+/// Maximum size of a string, in bytes, or a list, in entries, that an evaluation may create.
 pub const MAX_RESULT_SIZE: usize = 64 * 1024;
 
-/// Most memory of a compiled regular expression, in bytes.
+/// Maximum memory of a compiled regular expression, in bytes.
 pub const MAX_REGEX_BYTES: usize = 256 * 1024;
 
-/// Compiled regular expressions that an evaluator keeps.
+/// Maximum number of compiled regular expressions in the cache of an evaluator.
 pub const REGEX_CACHE_ENTRIES: usize = 64;
 
-/// Nearest known names that an error lists.
+/// Maximum number of similar names that an error message suggests.
 pub const MAX_SUGGESTIONS: usize = 3;
--- a/crates/classad/src/expr.rs
+++ b/crates/classad/src/expr.rs
@@ -1,4 +1,4 @@
-//! Expressions as trees.
+//! Expression trees.
 
 use crate::constants::MAX_DEPTH;
 use crate::functions::Function;
@@ -7,15 +7,18 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Whose attribute is meant.
+/// Which ad an attribute reference is resolved in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Scope {
-    /// The enclosing records', else the own ad's, else the other's.
+    /// No prefix: the enclosing records first, then the own ad, then the other ad.
     Any,
+    /// `MY.`: the own ad.
     My,
+    /// `TARGET.`: the other ad.
     Target,
 }
 
+/// A prefix operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnaryOp {
     Minus,
@@ -24,6 +27,7 @@
     BitNot,
 }
 
+/// A binary operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BinaryOp {
     Or,
@@ -50,7 +54,7 @@
 }
 
 impl BinaryOp {
-    /// How tightly it binds; all of them lean to the left.
+    /// The precedence; higher binds more tightly. All binary operators are left-associative.
     pub(crate) fn precedence(self) -> u8 {
         match self {
             BinaryOp::Or => 2,
@@ -66,6 +70,7 @@
         }
     }
 
+    /// The operator as it is written.
     pub fn symbol(self) -> &'static str {
         match self {
             BinaryOp::Or => "||",
@@ -93,45 +98,49 @@
     }
 }
 
-/// The attributes of a record, in the order written.
+/// The attributes of a record, in source order.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Record(pub Vec<(Name, Expr)>);
 
 impl Record {
     pub(crate) fn find(&self, key: &str) -> Option<&Expr> {
-        // The last of a name counts, as if it had been set again.
+        // A later definition overrides an earlier one of the same name.
         let found = self.0.iter().rev().find(|(name, _)| name.key() == key);
         found.map(|(_, expr)| expr)
     }
 }
 
+/// The kinds of expression nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Kind {
     Literal(Value),
     Attribute(Scope, Name),
+    /// `a.name`
     Select(Box<Expr>, Name),
+    /// `a[b]`
     Index(Box<(Expr, Expr)>),
     Unary(UnaryOp, Box<Expr>),
     Binary(BinaryOp, Box<(Expr, Expr)>),
     /// `a ? b : c`
     Conditional(Box<(Expr, Expr, Expr)>),
-    /// `a ?: b`: the second where the first is UNDEFINED.
+    /// `a ?: b`: `b` if `a` is UNDEFINED, else `a`.
     IfUndefined(Box<(Expr, Expr)>),
     Call(&'static Function, Vec<Expr>),
     List(Vec<Expr>),
     Record(Arc<Record>),
 }
 
-/// An expression, and where it begins in its text.
+/// An expression with its position in the source text.
 #[derive(Debug, Clone)]
 pub struct Expr {
     pub kind: Kind,
-    /// Byte at which it begins.
+    /// Byte offset at which the expression begins.
     pub at: usize,
+    /// Height of the tree, at most [`MAX_DEPTH`].
     depth: u16,
 }
 
-/// Wherever they stand, the same expressions are equal.
+/// Equality ignores source positions.
 impl PartialEq for Expr {
     fn eq(&self, other: &Expr) -> bool {
         self.kind == other.kind
@@ -139,6 +148,7 @@
 }
 
 impl Expr {
+    /// A literal without a source position.
     pub fn literal(value: Value) -> Expr {
         Expr {
             kind: Kind::Literal(value),
@@ -147,7 +157,8 @@
         }
     }
 
-    /// `None` if it would be nested too deeply: whoever walks it does so by recursion.
+    /// Creates a node; `None` if the tree would exceed [`MAX_DEPTH`], because expression trees
+    /// are traversed recursively.
     pub(crate) fn new(kind: Kind, at: usize) -> Option<Expr> {
         let mut expr = Expr { kind, at, depth: 0 };
         let child_depth = expr.children().map(|child| child.depth).max().unwrap_or(0);
@@ -155,7 +166,7 @@
         (expr.depth <= MAX_DEPTH).then_some(expr)
     }
 
-    /// The expressions of which it is made.
+    /// The direct subexpressions.
     pub fn children(&self) -> impl Iterator<Item = &Expr> {
         let fixed: [Option<&Expr>; 3] = match &self.kind {
             Kind::Select(operand, _) | Kind::Unary(_, operand) => [Some(operand), None, None],
@@ -180,8 +191,8 @@
             .chain(attributes.iter().map(|(_, expr)| expr))
     }
 
-    /// Every attribute that it names, whether or not an evaluation would come to it: those
-    /// of its own records are left out.
+    /// All attribute references, including those in branches that an evaluation might skip.
+    /// References to attributes of records within the expression are left out.
     pub fn references(&self) -> Vec<Reference<'_>> {
         let mut found = Vec::new();
         self.collect(&mut Vec::new(), &mut found);
@@ -216,7 +227,7 @@
         }
     }
 
-    /// The functions that it calls, and where.
+    /// The functions that the expression calls, with the byte offset of each call, in source order.
     pub fn calls(&self) -> Vec<(&'static Function, usize)> {
         let mut found = Vec::new();
         self.collect_calls(&mut found);
@@ -235,7 +246,7 @@
         }
     }
 
-    /// Equal expressions have the same; others hardly ever do.
+    /// A hash of the expression: equal for equal expressions, and rarely equal for others.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = FxHasher::default();
         self.hash_into(&mut hasher);
@@ -259,7 +270,7 @@
         }
     }
 
-    /// The parts that all must hold: those between its outermost `&&`.
+    /// The operands of the outermost chain of `&&`, all of which must be true.
     pub fn terms(&self) -> Vec<&Expr> {
         let mut terms = Vec::new();
         let mut pending = vec![self];
@@ -278,7 +289,7 @@
     match value {
         Value::Bool(value) => value.hash(hasher),
         Value::Int(value) => value.hash(hasher),
-        // As equality sees it, where the two zeros are the same.
+        // Adding 0.0 maps -0.0 to 0.0, because the two compare equal.
         Value::Real(value) => (*value + 0.0).to_bits().hash(hasher),
         Value::Str(text) => text.hash(hasher),
         Value::List(entries) => entries.iter().for_each(|entry| hash_value(entry, hasher)),
@@ -286,11 +297,11 @@
     }
 }
 
-/// A name in an expression.
+/// An attribute reference in an expression.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reference<'e> {
     pub scope: Scope,
     pub name: &'e Name,
-    /// Byte at which it stands.
+    /// Byte offset of the reference.
     pub at: usize,
 }
--- a/crates/classad/src/parser.rs
+++ b/crates/classad/src/parser.rs
@@ -1,5 +1,5 @@
-//! From tokens to a tree: by binding powers, so that nesting costs one level of recursion a
-//! level, and every error knows its place.
+//! Precedence-climbing parser from tokens to expression trees. Each nesting level costs one
+//! level of recursion, and every error has a position.
 
 use crate::constants::{MAX_DEPTH, MAX_EXPRESSION_BYTES};
 use crate::expr::{BinaryOp, Expr, Kind, Record, Scope, UnaryOp};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A place in a text, counted from 1; columns are characters.
+/// A position in a text. Lines and columns count from 1; columns count characters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     pub line: usize,
@@ -19,7 +19,7 @@
 }
 
 impl Position {
-    /// Where a byte of a text stands.
+    /// The position of a byte offset in a text.
     pub fn of(text: &str, byte: usize) -> Position {
         let mut byte = byte.min(text.len());
         while !text.is_char_boundary(byte) {
@@ -40,21 +40,21 @@
     }
 }
 
-/// A text that is no expression.
+/// Why a text is not a valid expression, and where.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{position}: {problem}")]
 pub struct ParseError {
     pub position: Position,
-    /// Byte of the text at which it stands.
+    /// Byte offset of the error.
     pub at: usize,
     pub problem: String,
 }
 
 impl Expr {
-    /// Reads an expression.
+    /// Parses an expression.
     ///
     /// # Errors
-    /// The first place where the text is none, or is longer or deeper than it may be.
+    /// The first syntax error, or the place where the text exceeds the limits on length or nesting.
     pub fn parse(text: &str) -> Result<Expr, ParseError> {
         Parser::new(text)
             .and_then(Parser::parse_all)
@@ -66,8 +66,10 @@
     }
 }
 
+/// The byte offset and the message of a parse error.
 type Problem = (usize, String);
 
+/// A token with its text and byte offset.
 struct Lexeme<'t> {
     token: Token,
     text: &'t str,
@@ -76,14 +78,17 @@
 
 struct Parser<'t> {
     lexemes: Vec<Lexeme<'t>>,
+    /// Index of the next lexeme.
     next: usize,
+    /// Length of the text in bytes.
     end: usize,
+    /// Current nesting of `parse_expression`.
     depth: u16,
 }
 
-/// What binds less than every operator: `?:`, which leans to the right.
+/// Precedence of `? :` and `?:`, lower than that of any binary operator; right-associative.
 const CONDITIONAL_PRECEDENCE: u8 = 1;
-/// Prefix operators bind more tightly than all others.
+/// Precedence of prefix operators, higher than that of any binary operator.
 const PREFIX_PRECEDENCE: u8 = 12;
 
 fn binary_operator(token: Token, text: &str) -> Option<BinaryOp> {
@@ -171,6 +176,7 @@
         self.peek().map_or(self.end, |lexeme| lexeme.at)
     }
 
+    /// Consumes the next token if it is the given one.
     fn accept(&mut self, token: Token) -> bool {
         let found = self.peek().is_some_and(|lexeme| lexeme.token == token);
         self.next += usize::from(found);
@@ -184,7 +190,7 @@
         Err((self.offset(), format!("{what} is missing{}", self.found())))
     }
 
-    /// What stands where something else should.
+    /// Describes the next token, or the end of the text, for an error message.
     fn found(&self) -> String {
         self.peek().map_or_else(
             || " at the end".to_owned(),
@@ -196,6 +202,7 @@
         Expr::new(kind, at).ok_or_else(|| too_deep(at))
     }
 
+    /// Parses an expression whose operators have at least the given precedence.
     fn parse_expression(&mut self, min_precedence: u8) -> Result<Expr, Problem> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
@@ -350,7 +357,7 @@
         self.node(Kind::Call(function, arguments), at)
     }
 
-    /// Expressions with commas between, up to the end.
+    /// Parses comma-separated expressions up to the closing token.
     fn parse_sequence(&mut self, close: Token, end: &str) -> Result<Vec<Expr>, Problem> {
         let mut entries = Vec::new();
         if self.accept(close) {
@@ -365,7 +372,7 @@
         }
     }
 
-    /// `name = expression` with semicolons between, up to the end.
+    /// Parses semicolon-separated `name = expression` entries up to the closing bracket.
     fn parse_record(&mut self) -> Result<Record, Problem> {
         let mut record = Record::default();
         while !self.accept(Token::CloseBracket) {
@@ -387,7 +394,7 @@
     (at, format!("the expression is nested more than {MAX_DEPTH} deep"))
 }
 
-/// A text without its quotes.
+/// Removes the surrounding quotes.
 fn strip_quotes(text: &str) -> &str {
     text.get(1..text.len().saturating_sub(1)).unwrap_or_default()
 }
@@ -396,7 +403,7 @@
     Name::new(&unescape(strip_quotes(text)))
 }
 
-/// A number with its unit: K, M, G and T count in steps of 1024.
+/// Parses a number with an optional unit; K, M, G and T are powers of 1024.
 fn parse_number(text: &str) -> Option<Value> {
     if let Some(digits) = text.strip_prefix("0x").or_else(|| text.strip_prefix("0X")) {
         return i64::from_str_radix(digits, 16).ok().map(Value::Int);
--- a/crates/classad/src/print.rs
+++ b/crates/classad/src/print.rs
@@ -1,11 +1,11 @@
-//! From a tree to text that reads back as the same tree.
+//! Formats expressions and values as text that parses back to the same tree.
 
 use crate::expr::{Expr, Kind, Scope, UnaryOp};
 use crate::lexer::escape;
 use crate::{Name, Value};
 use std::fmt;
 
-/// Names that `.` may follow are quoted where they would read as something else.
+/// Writes a name, quoted if it is a keyword or not an identifier.
 fn write_name(name: &Name, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     if name.is_plain() {
         f.write_str(name.text())
@@ -14,7 +14,7 @@
     }
 }
 
-/// How tightly an expression binds; operands bind more tightly than any operator.
+/// The precedence of an expression; operands without an operator have the highest.
 fn precedence(expr: &Expr) -> u8 {
     match &expr.kind {
         Kind::Conditional(_) | Kind::IfUndefined(_) => 1,
@@ -26,6 +26,7 @@
     }
 }
 
+/// Writes an operand, in parentheses if its precedence is below the minimum.
 fn write_operand(expr: &Expr, min_precedence: u8, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     if precedence(expr) < min_precedence {
         write!(f, "({expr})")
@@ -56,7 +57,7 @@
             }
             Kind::Select(base, attribute) => {
                 write_operand(base, 13, f)?;
-                // "1.a" would be a number.
+                // Without the space, "1.a" would be tokenized as the number "1.".
                 let number = matches!(base.kind, Kind::Literal(Value::Int(_) | Value::Real(_)));
                 f.write_str(if number { " ." } else { "." })?;
                 write_name(attribute, f)
