--- a/crates/classad/src/eval.rs
+++ b/crates/classad/src/eval.rs
@@ -1,4 +1,4 @@
-//! What an expression comes to, for two ads that look at each other.
+//! Evaluates an expression in the context of two ads that may refer to each other.
 
 use crate::constants::{
     MAX_RECURSION_DEPTH, MAX_REFERENCE_DEPTH, MAX_REGEX_BYTES, MAX_RESULT_SIZE, MAX_STEPS,
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why an evaluation came to ERROR: the first thing that went wrong.
+/// Why an evaluation resulted in ERROR: the first fault that occurred.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Fault {
     #[error("{0} refers to itself")]
@@ -38,7 +38,7 @@
     ErrorLiteral,
 }
 
-/// Whose turn it is: the ad that an expression belongs to.
+/// Which of the two ads an expression belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
     Own,
@@ -54,35 +54,37 @@
     }
 }
 
-/// Records around an expression, from the inside out.
+/// The records that enclose an expression, innermost first.
 #[derive(Clone, Copy)]
 struct Frame<'e> {
     record: &'e Record,
     outer: Option<&'e Frame<'e>>,
 }
 
-/// Where an expression stands.
+/// The context of an expression: the ad that it belongs to and the records that enclose it.
 #[derive(Clone, Copy)]
 pub(crate) struct Context<'e> {
     side: Side,
     frame: Option<&'e Frame<'e>>,
 }
 
-/// Evaluates expressions. Keep one for many evaluations: it remembers compiled patterns.
+/// Evaluates expressions. Reuse one evaluator for many evaluations: it caches compiled regular
+/// expressions.
 #[derive(Default)]
 pub struct Evaluator {
     now_s: i64,
     steps: u32,
-    /// Steps of all evaluations before this one.
+    /// Steps of all evaluations before the current one.
     previous_steps: u64,
     recursion: u32,
-    /// Attributes that are being evaluated: where their expression lies, and their name.
+    /// Addresses of the attribute expressions being evaluated, for detecting cycles.
     active_attributes: Vec<usize>,
     fault: Option<Fault>,
-    /// Compiled patterns by options and text, and where their key is put together.
+    /// Cache of compiled regular expressions by options and pattern; `None` if invalid.
     patterns: FxHashMap<String, Option<Rc<Regex>>>,
+    /// Buffer in which the cache keys are built.
     pattern_key: String,
-    /// The pattern that was last asked for: most expressions have one.
+    /// Pattern, options and compiled form of the last lookup; most expressions have only one.
     last_pattern: Option<(Arc<str>, Arc<str>, Rc<Regex>)>,
 }
 
@@ -103,7 +105,7 @@
 }
 
 impl Evaluator {
-    /// `now_s`: what `time()` says, in s since 1970.
+    /// `now_s` is the value of `time()`, in seconds since 1970.
     pub fn new(now_s: i64) -> Evaluator {
         Evaluator {
             now_s,
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The value of an expression of `my`, which looks at `target`.
+    /// Evaluates an expression of the ad `my` against the ad `target`.
     pub fn evaluate(&mut self, expr: &Expr, my: &Ad, target: Option<&Ad>) -> Value {
         self.previous_steps += u64::from(self.steps);
         self.steps = 0;
@@ -129,17 +131,17 @@
         self.evaluate_expr(expr, ads, context)
     }
 
-    /// Steps of all evaluations so far, for whoever has to bound many of them.
+    /// Steps of all evaluations so far, for callers that limit the cost of many evaluations.
     pub fn total_steps(&self) -> u64 {
         self.previous_steps + u64::from(self.steps)
     }
 
-    /// What went wrong first in the last evaluation, if it came to ERROR.
+    /// The first fault of the last evaluation, if it resulted in ERROR.
     pub fn fault(&self) -> Option<&Fault> {
         self.fault.as_ref()
     }
 
-    /// Forgets what went wrong since then.
+    /// Restores an earlier fault state, discarding faults recorded since.
     pub(crate) fn restore_fault(&mut self, fault: Option<Fault>) {
         self.fault = fault;
     }
@@ -148,13 +150,13 @@
         self.now_s
     }
 
-    /// ERROR, and why.
+    /// Records the fault, unless there already is one, and returns ERROR.
     pub(crate) fn fail(&mut self, fault: Fault) -> Value {
         self.fault.get_or_insert(fault);
         Value::Error
     }
 
-    /// Accounts for work that is not a step of a walk.
+    /// Adds steps for work other than visiting nodes; false if the step limit is exceeded.
     pub(crate) fn charge_steps(&mut self, steps: usize) -> bool {
         self.steps = self
             .steps
@@ -162,7 +164,7 @@
         self.steps <= MAX_STEPS
     }
 
-    /// A string, unless it is longer than any may be.
+    /// Returns a string as a value, or fails if it exceeds the size limit or the step limit.
     pub(crate) fn string_result(&mut self, text: String) -> Value {
         if text.len() > MAX_RESULT_SIZE || !self.charge_steps(text.len() / 64) {
             return self.fail(Fault::SizeLimit);
@@ -267,7 +269,7 @@
                     .find(|(other, _)| other == name)
                     .map_or(Value::Undefined, |(_, value)| value.clone()),
                 Value::List(entries) => {
-                    // Of a list of records, the attribute of each.
+                    // Selecting from a list of records selects the attribute of each record.
                     let values = entries.iter().map(|entry| match entry {
                         Value::Record(attributes) => attributes
                             .iter()
@@ -309,6 +311,7 @@
         }
     }
 
+    /// Resolves an attribute in the enclosing records, then in the ads; UNDEFINED if not found.
     fn attribute(&mut self, scope: Scope, name: &Name, ads: Ads<'_>, context: Context<'_>) -> Value {
         if scope == Scope::Any {
             let mut frame = context.frame;
@@ -336,14 +339,14 @@
         Value::Undefined
     }
 
-    /// The value of an attribute, which must not need itself.
+    /// Evaluates an attribute; fails if it depends on itself.
     fn attribute_value(&mut self, name: &Name, expr: &Expr, ads: Ads<'_>, context: Context<'_>) -> Value {
         match &expr.kind {
             Kind::Literal(Value::Error) => return self.fail(Fault::ErrorLiteral),
             Kind::Literal(value) => return value.clone(),
             _ => (),
         }
-        // Where it lies tells it from its namesakes in other records and ads.
+        // The address tells it apart from attributes of the same name in other records and ads.
         let expr_address = std::ptr::from_ref(expr).addr();
         if self.active_attributes.contains(&expr_address) {
             return self.fail(Fault::Cycle(name.clone()));
@@ -385,8 +388,8 @@
         }
     }
 
-    /// `&&` and `||`: what the first operand settles, the second cannot change; else an
-    /// ERROR counts for more than what is UNDEFINED.
+    /// Evaluates `&&` and `||`. If the first operand decides the result, the second is not
+    /// evaluated; otherwise ERROR takes precedence over UNDEFINED.
     fn logical(
         &mut self,
         operator: BinaryOp,
@@ -489,7 +492,7 @@
         })))
     }
 
-    /// A compiled pattern, as below, of texts that are shared.
+    /// Like [`Self::pattern`], with a fast path if the pattern is the same allocation as last time.
     pub(crate) fn shared_pattern(&mut self, pattern: &Arc<str>, options: &Arc<str>) -> Option<Rc<Regex>> {
         if let Some((cached, with, compiled)) = &self.last_pattern
             && Arc::ptr_eq(cached, pattern)
@@ -503,8 +506,8 @@
         Some(compiled)
     }
 
-    /// A compiled pattern; `None` if it is none, or too large. `options` are those of the
-    /// `regexp` functions: `i`, `m`, `s`, `x`, and `f` for a match of the whole text.
+    /// Returns the compiled regular expression; `None` if it is invalid or too large. `options`
+    /// are those of the `regexp` functions: `i`, `m`, `s`, `x`, and `f` for a full match.
     pub(crate) fn pattern(&mut self, pattern: &str, options: &str) -> Option<Rc<Regex>> {
         self.pattern_key.clear();
         self.pattern_key.push_str(options);
@@ -532,8 +535,8 @@
     }
 }
 
-/// The value of a literal, or of an attribute that is one: what most comparisons compare,
-/// and what takes neither steps nor copies.
+/// The value of a literal, or of an attribute whose expression is a literal. Most comparisons
+/// have such operands; this path needs neither evaluation steps nor copies.
 fn literal_value<'e>(expr: &'e Expr, ads: Ads<'e>, context: Context<'_>) -> Option<&'e Value> {
     let found = match &expr.kind {
         Kind::Literal(_) => expr,
@@ -554,8 +557,8 @@
     }
 }
 
-/// Strings without case, numbers by value, truth as 1 and 0. `None` if the two cannot be
-/// compared, `Some(None)` if neither is the greater (NaN).
+/// Compares strings without regard to case and numbers by value, with booleans as 1 and 0.
+/// `None` if the types are not comparable, `Some(None)` if the values are unordered (NaN).
 fn compare(left: &Value, right: &Value) -> Option<Option<Ordering>> {
     match (left, right) {
         (Value::Str(left), Value::Str(right)) => {
@@ -584,7 +587,7 @@
         }));
     }
     let (left, right) = (left.as_int()?, right.as_int()?);
-    // Shifts count modulo the width, as processors do.
+    // Shift counts are taken modulo the width of 64 bits, as in hardware.
     let shift = (right & 63) as u32;
     Some(Value::Int(match operator {
         BinaryOp::BitOr => left | right,
@@ -596,7 +599,7 @@
     }))
 }
 
-/// A call under way: its arguments are evaluated as the function asks for them.
+/// A function call in progress; arguments are evaluated on demand.
 #[derive(Clone, Copy)]
 pub struct Call<'e> {
     pub(crate) name: &'static str,
@@ -606,7 +609,7 @@
 }
 
 impl Call<'_> {
-    /// The value of an argument; UNDEFINED if it is not given.
+    /// Evaluates an argument; UNDEFINED if it is absent.
     pub(crate) fn argument(&self, index: usize, evaluator: &mut Evaluator) -> Value {
         match self.arguments.get(index) {
             Some(argument) => evaluator.evaluate_expr(argument, self.ads, self.context),
@@ -614,13 +617,14 @@
         }
     }
 
+    /// Evaluates all arguments.
     pub(crate) fn arguments(&self, evaluator: &mut Evaluator) -> Vec<Value> {
         (0..self.arguments.len())
             .map(|index| self.argument(index, evaluator))
             .collect()
     }
 
-    /// The value of a text that is an expression, evaluated where the call stands.
+    /// Parses a text as an expression and evaluates it in the context of the call.
     pub(crate) fn evaluate_text(&self, text: &str, evaluator: &mut Evaluator) -> Value {
         if !evaluator.charge_steps(text.len()) {
             return evaluator.fail(Fault::StepLimit);
--- a/crates/classad/src/functions.rs
+++ b/crates/classad/src/functions.rs
@@ -1,7 +1,7 @@
-//! The function library, as HTCondor's manual lists it ("Predefined Functions").
+//! The function library, as listed in the HTCondor manual under "Predefined Functions".
 //!
-//! Unless a function is there to tell them apart, an ERROR among its arguments makes it
-//! ERROR and an UNDEFINED one makes it UNDEFINED.
+//! Except for functions that test for them, an ERROR argument makes the result ERROR and an
+//! UNDEFINED argument makes it UNDEFINED.
 
 use crate::Value;
 use crate::constants::MAX_RESULT_SIZE;
@@ -12,15 +12,15 @@
 use std::fmt::Write;
 use std::sync::{Arc, LazyLock};
 
-/// A function of the language.
+/// A built-in function.
 pub struct Function {
-    /// As the manual writes it; found without case.
+    /// The name as in the manual; lookups ignore case.
     pub name: &'static str,
-    /// Fewest arguments.
+    /// Minimum number of arguments.
     pub min_arguments: usize,
-    /// Most arguments, if there is a most.
+    /// Maximum number of arguments; `None` if unlimited.
     pub max_arguments: Option<usize>,
-    /// Its value follows from its arguments alone, not from when it is asked.
+    /// Whether the result depends on the arguments alone, not on the time of evaluation.
     pub deterministic: bool,
     pub(crate) call: fn(&mut Evaluator, Call<'_>) -> Value,
 }
@@ -79,12 +79,14 @@
     }
 }
 
+/// Finds a function by name; case is ignored.
 pub fn find(name: &str) -> Option<&'static Function> {
     FUNCTIONS
         .iter()
         .find(|function| function.name.eq_ignore_ascii_case(name))
 }
 
+/// The names of all functions.
 pub fn names() -> impl Iterator<Item = &'static str> {
     FUNCTIONS.iter().map(|function| function.name)
 }
@@ -121,7 +123,7 @@
     exactly("string", 1, |e, c| {
         with_arguments(e, c, |e, values| e.string_result(display_text(&values[0])))
     }),
-    // Choices.
+    // Conditionals and evaluation.
     exactly("ifThenElse", 3, if_then_else),
     exactly("eval", 1, evaluate),
     exactly("unparse", 1, |e, c| {
@@ -184,7 +186,7 @@
     exactly("strlen", 1, |e, c| {
         with_strings(e, c, |_, s| Value::Int(s[0].chars().count() as i64))
     }),
-    // Patterns.
+    // Regular expressions.
     between("regexp", 2, 3, |e, c| {
         with_pattern(e, c, 2, |e, r, s| e.text_matches(r, &s[1]))
     }),
@@ -262,7 +264,7 @@
             Value::Bool(compare_versions(&s[1], &s[0]).is_le() && compare_versions(&s[0], &s[2]).is_le())
         })
     }),
-    // Time, in s since 1970.
+    // Time, in seconds since 1970.
     time_dependent("time", 0, 0, |e, _| Value::Int(e.now_s())),
     time_dependent("formatTime", 0, 2, format_time),
     exactly("interval", 1, interval),
@@ -270,7 +272,7 @@
     exactly("isRelTime", 1, |_, _| Value::Bool(false)),
 ];
 
-/// All arguments, unless one of them is ERROR or UNDEFINED.
+/// Calls `with` with the values of all arguments, unless one of them is ERROR or UNDEFINED.
 fn with_arguments(
     evaluator: &mut Evaluator,
     call: Call<'_>,
@@ -286,7 +288,7 @@
     with(evaluator, &values)
 }
 
-/// All arguments, which have to be strings.
+/// Calls `with` with the values of all arguments, which must be strings.
 fn with_strings(
     evaluator: &mut Evaluator,
     call: Call<'_>,
@@ -307,7 +309,7 @@
     })
 }
 
-/// A value as `string()` shows it.
+/// The text of a value as `string()` returns it.
 fn display_text(value: &Value) -> String {
     match value {
         Value::Str(text) => text.to_string(),
@@ -319,6 +321,7 @@
     Value::Int(order as i64)
 }
 
+/// The trimmed non-empty entries of a string list.
 fn split_entries<'a>(text: &'a str, separators: &'a str) -> impl Iterator<Item = &'a str> {
     text.split(move |next| separators.contains(next))
         .map(str::trim)
@@ -336,7 +339,7 @@
     })
 }
 
-/// The number in a value or a string.
+/// Converts a value, or the text of a string, to a number.
 fn numeric(value: &Value) -> Option<Value> {
     match value {
         Value::Int(_) | Value::Real(_) => Some(value.clone()),
@@ -364,7 +367,7 @@
         Some(Value::Int(value)) => Value::Int(value),
         Some(Value::Real(value)) => {
             let value = round(value);
-            // What lies beyond has no integer.
+            // Values beyond this do not fit into an i64.
             if value.is_finite() && value.abs() < 9.2e18 {
                 Value::Int(value as i64)
             } else {
@@ -385,7 +388,7 @@
     }
 }
 
-/// A string is read as an expression; anything else is what it is.
+/// Evaluates a string as an expression; returns any other value unchanged.
 fn evaluate(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
     match call.argument(0, evaluator) {
         Value::Str(text) => call.evaluate_text(&text, evaluator),
@@ -420,8 +423,8 @@
     })
 }
 
-/// The least multiple of the second that is no less than the first; of a list, its first
-/// entry that is no less, or the least multiple of its last.
+/// Rounds the first argument up to a multiple of the second. If the second is a list, returns
+/// its first entry that is not less, or else rounds up to a multiple of its last entry.
 fn quantize(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
     with_arguments(evaluator, call, |evaluator, values| {
         let Some(wanted) = values[0].as_number() else {
@@ -464,7 +467,7 @@
     })
 }
 
-/// A list of numbers; entries that are UNDEFINED are passed over.
+/// Calls `with` with the numbers of a list; UNDEFINED entries are skipped.
 fn with_number_list(
     evaluator: &mut Evaluator,
     call: Call<'_>,
@@ -523,7 +526,7 @@
     })
 }
 
-/// Positions count characters; what is negative counts from the end.
+/// Positions count characters; negative ones count from the end.
 fn substr(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
     with_arguments(evaluator, call, |evaluator, values| {
         let (Value::Str(text), Value::Int(start)) = (&values[0], &values[1]) else {
@@ -542,7 +545,8 @@
     })
 }
 
-/// The part of a text that `substr` means.
+/// The substring that `substr` returns. A negative start counts from the end; a negative length
+/// is the number of characters to leave out at the end.
 pub fn substring(text: &str, start: i64, length: Option<i64>) -> String {
     let count = text.chars().count() as i64;
     let start = if start < 0 {
@@ -572,8 +576,8 @@
     })
 }
 
-/// What stands before and after the `@`; without one, all of it is the first for a user,
-/// the second for a slot.
+/// Splits a text at the first `@`. Without an `@`, the whole text is the first part of a user
+/// name, or the second part of a slot name.
 fn split_at_sign(text: &str, user: bool) -> Value {
     let (first, second) = match text.split_once('@') {
         Some(halves) => halves,
@@ -589,7 +593,8 @@
     }
 }
 
-/// A pattern, its options as the argument at `options`, and all arguments.
+/// Calls `with` with the compiled pattern (the first argument) and all arguments; `options` is
+/// the index of the argument that contains the pattern options.
 fn with_pattern(
     evaluator: &mut Evaluator,
     call: Call<'_>,
@@ -609,12 +614,14 @@
     })
 }
 
-/// What of the text comes back.
+/// What a replacement returns.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Replacement {
-    /// What stands for the first match, alone.
+    /// Only the text that replaces the first match.
     Match,
+    /// The whole text with the first match replaced.
     First,
+    /// The whole text with all matches replaced.
     All,
 }
 
@@ -644,7 +651,7 @@
     evaluator.string_result(out)
 }
 
-/// `\0` to `\9` stand for what the groups of the pattern matched.
+/// Expands a template, in which `\0` to `\9` stand for the capture groups.
 fn substitute(template: &str, found: &regex::Captures<'_>, out: &mut String) {
     let mut rest = template.chars();
     while let Some(next) = rest.next() {
@@ -708,7 +715,7 @@
     if !evaluator.charge_steps(list.len()) {
         return evaluator.fail(Fault::StepLimit);
     }
-    // Entries of another type are no error here: they are not it.
+    // Entries of another type do not match and are not an error, so their faults are discarded.
     let known = evaluator.fault().cloned();
     let found = list
         .iter()
@@ -752,7 +759,8 @@
     })
 }
 
-/// The entries of the list in the string before the separators, which stand at `separators`.
+/// Calls `with` with all arguments and the entries of a string list. `separators` is the index of
+/// the optional argument with the separators; the list is the argument before it.
 fn with_string_list(
     evaluator: &mut Evaluator,
     call: Call<'_>,
@@ -769,6 +777,7 @@
     })
 }
 
+/// Calls `with` with the entries of a string list, which must all be numbers.
 fn with_numeric_strings(
     evaluator: &mut Evaluator,
     call: Call<'_>,
@@ -798,7 +807,7 @@
     })
 }
 
-/// Runs of digits by their number, all else letter by letter.
+/// Compares versions: runs of digits by numeric value, everything else character by character.
 pub fn compare_versions(left: &str, right: &str) -> Ordering {
     let (mut left, mut right) = (left, right);
     loop {
@@ -822,7 +831,7 @@
     }
 }
 
-/// A time of day in UTC, by a format such as `%Y-%m-%d`.
+/// Formats a time in UTC with a format such as `%Y-%m-%d`.
 fn format_time(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
     let at = match call.arguments.first() {
         None => Value::Int(evaluator.now_s()),
@@ -840,7 +849,7 @@
                 .as_number()
                 .and_then(|at| DateTime::from_timestamp(at as i64, 0));
             let mut out = String::new();
-            // Formats that mean nothing fail when they are written.
+            // chrono reports an invalid format only when the result is written.
             match time.map(|time| write!(out, "{}", time.format(&format))) {
                 Some(Ok(())) => evaluator.string_result(out),
                 _ => evaluator.fail(Fault::FunctionCall(
@@ -853,7 +862,7 @@
     }
 }
 
-/// Seconds as days, hours, minutes and seconds.
+/// Formats seconds as days, hours, minutes and seconds.
 fn interval(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
     with_arguments(evaluator, call, |evaluator, values| {
         let Some(seconds) = values[0].as_number() else {
--- a/crates/classad/tests/published.rs
+++ b/crates/classad/tests/published.rs
@@ -1,4 +1,4 @@
-//! The language against its published tables, and against whatever text there is.
+//! Checks the language against the tables of the HTCondor manual and against generated text.
 
 use indigopath_classad::constants::{MAX_DEPTH, MAX_STEPS};
 use indigopath_classad::{Ad, Evaluator, Expr, Fault, Name, Scope, Value};
@@ -18,7 +18,7 @@
         (0, "odd name", "5"),
         (1, "Cpus", "16"),
         (1, "Both", "\"machine\""),
-        // Seen from the machine, TARGET is the job.
+        // In expressions of the machine ad, TARGET is the job ad.
         (1, "Sees", "TARGET.RequestCpus"),
         (1, "Wants", "MY.Cpus >= TARGET.RequestCpus && Both == \"machine\""),
         (1, "Pong", "TARGET.Ping"),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn expressions_come_to_what_is_published() {
+fn expressions_evaluate_to_published_values() {
     let (job, machine) = ads();
     let mut evaluator = Evaluator::new(NOW_S);
     let mut checked = 0;
@@ -46,7 +46,7 @@
         if value.to_string() != expected {
             wrong.push(format!("{text} => {value}, not {expected}"));
         }
-        // What is ERROR says why.
+        // Every ERROR has a fault that explains it.
         assert!(value != Value::Error || evaluator.fault().is_some(), "{text}");
         assert_eq!(
             Expr::parse(&expr.to_string()).as_ref(),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn errors_tell_the_place() {
+fn parse_errors_have_positions() {
     for (text, place, words) in [
         ("Cpus >=", "1:8", "missing at the end"),
         ("Cpus > 4 &&\n  (Gpus", "2:8", "\")\" is missing"),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn nothing_runs_away() {
+fn limits_bound_parsing_and_evaluation() {
     let (job, machine) = ads();
     let mut evaluator = Evaluator::new(NOW_S);
     for (open, close) in [
@@ -100,7 +100,7 @@
     }
     let chain = vec!["1"; usize::from(MAX_DEPTH) + 1].join("||");
     assert!(Expr::parse(&chain).unwrap_err().to_string().contains("deep"));
-    // As deep as it may be, in every direction, on the small stack of a test's thread.
+    // The maximum depth, left- and right-nested, must fit on the small stack of a test thread.
     let most = usize::from(MAX_DEPTH) - 1;
     let down = format!("{}1{}", "-(".repeat(most / 2), ")".repeat(most / 2));
     for text in [vec!["1"; most].join("+"), down] {
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn every_name_is_found_even_where_no_evaluation_comes() {
+fn references_include_branches_that_are_not_evaluated() {
     let expr = Expr::parse("true || MY.a =?= undefined ? TARGET.b : [c = 1; d = c + e].d > f({g})");
     assert!(expr.is_err(), "f is no function");
     let expr =
@@ -161,7 +161,7 @@
     assert_eq!(terms, ["a", "b", "c", "d || e"]);
 }
 
-/// Texts made of what expressions are made of.
+/// Random concatenations of fragments of expressions.
 fn text() -> impl Strategy<Value = String> {
     let piece = prop_oneof![
         Just("Cpus"),
@@ -211,7 +211,7 @@
     prop::collection::vec(piece, 0..40).prop_map(|pieces| pieces.concat())
 }
 
-/// Trees of every kind, as text with every part in brackets.
+/// Expressions of every kind, as fully parenthesized text.
 fn tree() -> impl Strategy<Value = String> {
     let leaf = prop_oneof![
         Just("Cpus".to_owned()),
@@ -249,7 +249,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn no_text_panics_or_runs_away(text in text()) {
+    fn fragments_do_not_panic_or_exceed_limits(text in text()) {
         let (job, machine) = ads();
         if let Ok(expr) = Expr::parse(&text) {
             let _ = Evaluator::new(NOW_S).evaluate(&expr, &job, Some(&machine));
@@ -258,23 +258,23 @@
     }
 
     #[test]
-    fn no_bytes_panic(text in ".{0,60}") {
+    fn arbitrary_text_does_not_panic(text in ".{0,60}") {
         if let Ok(expr) = Expr::parse(&text) {
             let _ = Evaluator::new(NOW_S).evaluate(&expr, &Ad::default(), None);
         }
     }
 
     #[test]
-    fn what_is_printed_reads_as_the_same(text in tree()) {
+    fn printed_expressions_parse_back_to_the_same_tree(text in tree()) {
         let expr = Expr::parse(&text).unwrap();
         let printed = expr.to_string();
         let again = Expr::parse(&printed);
         prop_assert_eq!(again.as_ref(), Ok(&expr), "{} as {}", text, printed);
-        // And it means the same.
+        // The parsed expression must also evaluate to the same value.
         let (job, machine) = ads();
         let mut evaluator = Evaluator::new(NOW_S);
         let value = evaluator.evaluate(&expr, &job, Some(&machine));
-        // NaN, wherever it hides, is unlike itself.
+        // Values that contain NaN are not equal to themselves.
         let same = evaluator.evaluate(&again.unwrap(), &job, Some(&machine));
         prop_assert!(value.is(&same) || !value.is(&value.clone()));
     }
