--- a/crates/classad/src/expr.rs
+++ b/crates/classad/src/expr.rs
@@ -1,4 +1,4 @@
-//! Expressions as trees.
+//! Expression trees.
 
 use crate::constants::MAX_DEPTH;
 use crate::functions::Function;
@@ -7,25 +7,29 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Whose attribute is meant.
+/// Which ad an attribute reference is resolved in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Scope {
-    /// The enclosing records', else the own ad's, else the other's.
+    /// No prefix: the enclosing records first, then the own ad, then the other ad.
     Any,
+    /// `MY.`: the own ad.
     My,
+    /// `TARGET.`: the other ad.
     Target,
 }
 
+/// A prefix operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unary {
+pub enum UnaryOp {
     Minus,
     Plus,
     Not,
     BitNot,
 }
 
+/// A binary operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Binary {
+pub enum BinaryOp {
     Or,
     And,
     BitOr,
@@ -36,9 +40,9 @@
     Is,
     Isnt,
     Less,
-    AtMost,
-    More,
-    AtLeast,
+    LessOrEqual,
+    Greater,
+    GreaterOrEqual,
     ShiftLeft,
     ShiftRight,
     ShiftRightZero,
@@ -49,89 +53,94 @@
     Modulo,
 }
 
-impl Binary {
-    /// How tightly it binds; all of them lean to the left.
-    pub(crate) fn binding(self) -> u8 {
+impl BinaryOp {
+    /// The precedence; higher binds more tightly. All binary operators are left-associative.
+    pub(crate) fn precedence(self) -> u8 {
         match self {
-            Binary::Or => 2,
-            Binary::And => 3,
-            Binary::BitOr => 4,
-            Binary::BitXor => 5,
-            Binary::BitAnd => 6,
-            Binary::Equal | Binary::NotEqual | Binary::Is | Binary::Isnt => 7,
-            Binary::Less | Binary::AtMost | Binary::More | Binary::AtLeast => 8,
-            Binary::ShiftLeft | Binary::ShiftRight | Binary::ShiftRightZero => 9,
-            Binary::Plus | Binary::Minus => 10,
-            Binary::Times | Binary::Divide | Binary::Modulo => 11,
+            BinaryOp::Or => 2,
+            BinaryOp::And => 3,
+            BinaryOp::BitOr => 4,
+            BinaryOp::BitXor => 5,
+            BinaryOp::BitAnd => 6,
+            BinaryOp::Equal | BinaryOp::NotEqual | BinaryOp::Is | BinaryOp::Isnt => 7,
+            BinaryOp::Less | BinaryOp::LessOrEqual | BinaryOp::Greater | BinaryOp::GreaterOrEqual => 8,
+            BinaryOp::ShiftLeft | BinaryOp::ShiftRight | BinaryOp::ShiftRightZero => 9,
+            BinaryOp::Plus | BinaryOp::Minus => 10,
+            BinaryOp::Times | BinaryOp::Divide | BinaryOp::Modulo => 11,
         }
     }
 
-    pub fn text(self) -> &'static str {
+    /// The operator as it is written.
+    pub fn symbol(self) -> &'static str {
         match self {
-            Binary::Or => "||",
-            Binary::And => "&&",
-            Binary::BitOr => "|",
-            Binary::BitXor => "^",
-            Binary::BitAnd => "&",
-            Binary::Equal => "==",
-            Binary::NotEqual => "!=",
-            Binary::Is => "=?=",
-            Binary::Isnt => "=!=",
-            Binary::Less => "<",
-            Binary::AtMost => "<=",
-            Binary::More => ">",
-            Binary::AtLeast => ">=",
-            Binary::ShiftLeft => "<<",
-            Binary::ShiftRight => ">>",
-            Binary::ShiftRightZero => ">>>",
-            Binary::Plus => "+",
-            Binary::Minus => "-",
-            Binary::Times => "*",
-            Binary::Divide => "/",
-            Binary::Modulo => "%",
+            BinaryOp::Or => "||",
+            BinaryOp::And => "&&",
+            BinaryOp::BitOr => "|",
+            BinaryOp::BitXor => "^",
+            BinaryOp::BitAnd => "&",
+            BinaryOp::Equal => "==",
+            BinaryOp::NotEqual => "!=",
+            BinaryOp::Is => "=?=",
+            BinaryOp::Isnt => "=!=",
+            BinaryOp::Less => "<",
+            BinaryOp::LessOrEqual => "<=",
+            BinaryOp::Greater => ">",
+            BinaryOp::GreaterOrEqual => ">=",
+            BinaryOp::ShiftLeft => "<<",
+            BinaryOp::ShiftRight => ">>",
+            BinaryOp::ShiftRightZero => ">>>",
+            BinaryOp::Plus => "+",
+            BinaryOp::Minus => "-",
+            BinaryOp::Times => "*",
+            BinaryOp::Divide => "/",
+            BinaryOp::Modulo => "%",
         }
     }
 }
 
-/// The attributes of a record, in the order written.
+/// The attributes of a record, in source order.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Record(pub Vec<(Name, Expr)>);
 
 impl Record {
     pub(crate) fn find(&self, key: &str) -> Option<&Expr> {
-        // The last of a name counts, as if it had been set again.
+        // A later definition overrides an earlier one of the same name.
         let found = self.0.iter().rev().find(|(name, _)| name.key() == key);
         found.map(|(_, expr)| expr)
     }
 }
 
+/// The kinds of expression nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Kind {
     Literal(Value),
     Attribute(Scope, Name),
+    /// `a.name`
     Select(Box<Expr>, Name),
+    /// `a[b]`
     Index(Box<(Expr, Expr)>),
-    Unary(Unary, Box<Expr>),
-    Binary(Binary, Box<(Expr, Expr)>),
+    Unary(UnaryOp, Box<Expr>),
+    Binary(BinaryOp, Box<(Expr, Expr)>),
     /// `a ? b : c`
-    Choose(Box<(Expr, Expr, Expr)>),
-    /// `a ?: b`: the second where the first is UNDEFINED.
-    Otherwise(Box<(Expr, Expr)>),
+    Conditional(Box<(Expr, Expr, Expr)>),
+    /// `a ?: b`: `b` if `a` is UNDEFINED, else `a`.
+    IfUndefined(Box<(Expr, Expr)>),
     Call(&'static Function, Vec<Expr>),
     List(Vec<Expr>),
     Record(Arc<Record>),
 }
 
-/// An expression, and where it begins in its text.
+/// An expression with its position in the source text.
 #[derive(Debug, Clone)]
 pub struct Expr {
     pub kind: Kind,
-    /// Byte at which it begins.
+    /// Byte offset at which the expression begins.
     pub at: usize,
+    /// Height of the tree, at most [`MAX_DEPTH`].
     depth: u16,
 }
 
-/// Wherever they stand, the same expressions are equal.
+/// Equality ignores source positions.
 impl PartialEq for Expr {
     fn eq(&self, other: &Expr) -> bool {
         self.kind == other.kind
@@ -139,6 +148,7 @@
 }
 
 impl Expr {
+    /// A literal without a source position.
     pub fn literal(value: Value) -> Expr {
         Expr {
             kind: Kind::Literal(value),
@@ -147,40 +157,42 @@
         }
     }
 
-    /// `None` if it would be nested too deeply: whoever walks it does so by recursion.
+    /// Creates a node; `None` if the tree would exceed [`MAX_DEPTH`], because expression trees
+    /// are traversed recursively.
     pub(crate) fn new(kind: Kind, at: usize) -> Option<Expr> {
         let mut expr = Expr { kind, at, depth: 0 };
-        let below = expr.children().map(|child| child.depth).max().unwrap_or(0);
-        expr.depth = below + 1;
+        let child_depth = expr.children().map(|child| child.depth).max().unwrap_or(0);
+        expr.depth = child_depth + 1;
         (expr.depth <= MAX_DEPTH).then_some(expr)
     }
 
-    /// The expressions of which it is made.
+    /// The direct subexpressions.
     pub fn children(&self) -> impl Iterator<Item = &Expr> {
-        let few: [Option<&Expr>; 3] = match &self.kind {
-            Kind::Select(one, _) | Kind::Unary(_, one) => [Some(one), None, None],
-            Kind::Index(two) | Kind::Binary(_, two) | Kind::Otherwise(two) => {
-                [Some(&two.0), Some(&two.1), None]
+        let fixed: [Option<&Expr>; 3] = match &self.kind {
+            Kind::Select(operand, _) | Kind::Unary(_, operand) => [Some(operand), None, None],
+            Kind::Index(operands) | Kind::Binary(_, operands) | Kind::IfUndefined(operands) => {
+                [Some(&operands.0), Some(&operands.1), None]
             }
-            Kind::Choose(three) => [Some(&three.0), Some(&three.1), Some(&three.2)],
+            Kind::Conditional(operands) => [Some(&operands.0), Some(&operands.1), Some(&operands.2)],
             _ => [None; 3],
         };
-        let many: &[Expr] = match &self.kind {
+        let sequence: &[Expr] = match &self.kind {
             Kind::Call(_, entries) | Kind::List(entries) => entries,
             _ => &[],
         };
-        let named: &[(Name, Expr)] = match &self.kind {
+        let attributes: &[(Name, Expr)] = match &self.kind {
             Kind::Record(record) => &record.0,
             _ => &[],
         };
-        few.into_iter()
+        fixed
+            .into_iter()
             .flatten()
-            .chain(many)
-            .chain(named.iter().map(|(_, expr)| expr))
+            .chain(sequence)
+            .chain(attributes.iter().map(|(_, expr)| expr))
     }
 
-    /// Every attribute that it names, whether or not an evaluation would come to it: those
-    /// of its own records are left out.
+    /// All attribute references, including those in branches that an evaluation might skip.
+    /// References to attributes of records within the expression are left out.
     pub fn references(&self) -> Vec<Reference<'_>> {
         let mut found = Vec::new();
         self.collect(&mut Vec::new(), &mut found);
@@ -215,7 +227,7 @@
         }
     }
 
-    /// The functions that it calls, and where.
+    /// The functions that the expression calls, with the byte offset of each call, in source order.
     pub fn calls(&self) -> Vec<(&'static Function, usize)> {
         let mut found = Vec::new();
         self.collect_calls(&mut found);
@@ -234,37 +246,37 @@
         }
     }
 
-    /// Equal expressions have the same; others hardly ever do.
+    /// A hash of the expression: equal for equal expressions, and rarely equal for others.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = FxHasher::default();
-        self.feed(&mut hasher);
+        self.hash_into(&mut hasher);
         hasher.finish()
     }
 
-    fn feed(&self, hasher: &mut FxHasher) {
+    fn hash_into(&self, hasher: &mut FxHasher) {
         std::mem::discriminant(&self.kind).hash(hasher);
         match &self.kind {
-            Kind::Literal(value) => feed_value(value, hasher),
+            Kind::Literal(value) => hash_value(value, hasher),
             Kind::Attribute(scope, name) => (scope, name).hash(hasher),
             Kind::Select(_, name) => name.hash(hasher),
             Kind::Unary(operator, _) => std::mem::discriminant(operator).hash(hasher),
             Kind::Binary(operator, _) => std::mem::discriminant(operator).hash(hasher),
             Kind::Call(function, _) => function.name.hash(hasher),
             Kind::Record(record) => record.0.iter().for_each(|(name, _)| name.hash(hasher)),
-            Kind::Index(_) | Kind::Choose(_) | Kind::Otherwise(_) | Kind::List(_) => (),
+            Kind::Index(_) | Kind::Conditional(_) | Kind::IfUndefined(_) | Kind::List(_) => (),
         }
         for child in self.children() {
-            child.feed(hasher);
+            child.hash_into(hasher);
         }
     }
 
-    /// The parts that all must hold: those between its outermost `&&`.
+    /// The operands of the outermost chain of `&&`, all of which must be true.
     pub fn terms(&self) -> Vec<&Expr> {
         let mut terms = Vec::new();
-        let mut open = vec![self];
-        while let Some(expr) = open.pop() {
+        let mut pending = vec![self];
+        while let Some(expr) = pending.pop() {
             match &expr.kind {
-                Kind::Binary(Binary::And, two) => open.extend([&two.1, &two.0]),
+                Kind::Binary(BinaryOp::And, operands) => pending.extend([&operands.1, &operands.0]),
                 _ => terms.push(expr),
             }
         }
@@ -272,24 +284,24 @@
     }
 }
 
-fn feed_value(value: &Value, hasher: &mut FxHasher) {
+fn hash_value(value: &Value, hasher: &mut FxHasher) {
     std::mem::discriminant(value).hash(hasher);
     match value {
         Value::Bool(value) => value.hash(hasher),
         Value::Int(value) => value.hash(hasher),
-        // As equality sees it, where the two zeros are the same.
+        // Adding 0.0 maps -0.0 to 0.0, because the two compare equal.
         Value::Real(value) => (*value + 0.0).to_bits().hash(hasher),
         Value::Str(text) => text.hash(hasher),
-        Value::List(entries) => entries.iter().for_each(|entry| feed_value(entry, hasher)),
+        Value::List(entries) => entries.iter().for_each(|entry| hash_value(entry, hasher)),
         Value::Undefined | Value::Error | Value::Record(_) => (),
     }
 }
 
-/// A name in an expression.
+/// An attribute reference in an expression.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reference<'e> {
     pub scope: Scope,
     pub name: &'e Name,
-    /// Byte at which it stands.
+    /// Byte offset of the reference.
     pub at: usize,
 }
--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -1,10 +1,10 @@
-//! `indigopath condor`: HTCondor submit files, by the commands that their users know.
+//! `indigopath condor`: HTCondor submit files, with subcommands that correspond to those of HTCondor.
 
 use crate::client::{ClientError, Format, Nodes, table};
-use crate::{BAD_SETTINGS, Files, load};
+use crate::{INVALID_SETTINGS_STATUS, SettingsFiles, load_settings};
 use clap::{Args, Subcommand};
 use indigopath_condor::{
-    Bundle, CondorSettings, Judged, Matching, Recorder, Site, Submission, SubmitError, Verdict,
+    Bundle, CondorSettings, MatchResults, PathKind, Recorder, Site, Submission, SubmitError, Verdict,
 };
 use indigopath_controller::condor::{
     AcceptedCluster, ChangeSummary, History, QueueList, QueueRow, RowState, SubmitRejection, parse_target,
@@ -22,131 +22,131 @@
 #[derive(Args)]
 pub struct CondorArgs {
     #[command(subcommand)]
-    what: What,
+    command: CondorCommand,
     #[command(flatten)]
     nodes: Nodes,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum CondorCommand {
     /// Submit a file as a cluster, as a whole or not at all
-    Submit(Submit),
-    /// Show what is queued, runs or is held
-    Q(Queue),
-    /// Keep clusters from running; what runs is stopped
-    Hold(Ids),
-    /// Let held clusters run
-    Release(Ids),
-    /// Remove clusters
-    Rm(Ids),
-    /// Show accepted clusters, or what became of one
+    Submit(SubmitArgs),
+    /// Show idle, running and held jobs
+    Q(QueueArgs),
+    /// Hold clusters or procs; running jobs are stopped
+    Hold(IdArgs),
+    /// Release held clusters or procs
+    Release(IdArgs),
+    /// Remove clusters or procs
+    Rm(IdArgs),
+    /// Show accepted clusters, or the jobs of one
     History {
-        /// Only this one, job by job
+        /// Show only this cluster, job by job
         cluster: Option<u64>,
     },
-    /// Say, without submitting, what would become of each proc of a file
-    Explain(Explain),
+    /// Show, without submitting, how each proc of a file would be handled
+    Explain(ExplainArgs),
 }
 
 #[derive(Args)]
-struct Submit {
+struct SubmitArgs {
     /// The submit file
     file: PathBuf,
-    /// Who submits
+    /// Owner of the submission
     #[arg(long, env = "USER", default_value = "nobody")]
     owner: String,
-    /// Tells the submission from others: the same file with the same key is the same cluster
+    /// Key that identifies the submission: the same file with the same key is the same cluster
     #[arg(long)]
     key: Option<String>,
-    /// Longest time to try for, in s
+    /// How long to retry, in s
     #[arg(long, value_name = "SECONDS", default_value_t = 120)]
     wait: u64,
 }
 
 #[derive(Args)]
-struct Queue {
-    /// Only these clusters
+struct QueueArgs {
+    /// Show only these clusters
     clusters: Vec<u64>,
-    /// A line for each array of procs that ask for the same
+    /// Show a line for each array of procs with the same request
     #[arg(long)]
     nobatch: bool,
-    /// Only what is held, and why
+    /// Show only held jobs, and why they are held
     #[arg(long)]
     hold: bool,
 }
 
 #[derive(Args)]
-struct Ids {
+struct IdArgs {
     /// Clusters, as in 7, or procs, as in 7.3
     #[arg(required = true)]
     ids: Vec<String>,
 }
 
 #[derive(Args)]
-struct Explain {
+struct ExplainArgs {
     /// The submit file
     file: PathBuf,
-    /// Machine types, as the cloud's GET /flavors answers (JSON)
+    /// Machine types, as returned by the cloud's GET /flavors (JSON)
     #[arg(long, value_name = "FLAVORS.json")]
     machines: PathBuf,
     #[command(flatten)]
-    settings: Files,
+    settings: SettingsFiles,
 }
 
 #[derive(Debug, Error)]
 enum CondorError {
     #[error("{0}")]
-    Settings(#[from] crate::FileError),
-    #[error("{}: {why}", path.display())]
-    File { path: PathBuf, why: String },
-    /// The text is at fault: nothing precedes the place.
+    Settings(#[from] crate::SettingsFileError),
+    #[error("{}: {reason}", path.display())]
+    File { path: PathBuf, reason: String },
+    /// An error in the submit file. Its message starts with the location and gets no prefix.
     #[error("{0}")]
     Submit(#[from] SubmitError),
-    #[error("what was found cannot be written: {0}")]
+    #[error("cannot write the output: {0}")]
     Write(#[from] std::io::Error),
-    #[error("{0:?} is neither a cluster nor a proc: one is 7 or 7.3")]
-    NoId(String),
+    #[error("invalid id {0:?}: expected a cluster, such as 7, or a proc, such as 7.3")]
+    InvalidId(String),
     #[error("{0}")]
     Bundle(String),
     #[error(transparent)]
     Client(#[from] ClientError),
 }
 
-/// What a proc's line says.
+/// The JSON output for one proc.
 #[derive(Serialize)]
-struct Line<'a> {
+struct ProcLine<'a> {
     proc: usize,
     verdict: Verdict,
     kinds: &'a [String],
     reason: Option<&'a str>,
 }
 
-/// Carries a command out, and says how it went.
+/// Runs the command and returns its exit status.
 pub fn run(args: &CondorArgs) -> ExitCode {
     let nodes = &args.nodes;
-    let done = match &args.what {
-        What::Submit(submit) => submit.run(nodes),
-        What::Q(queue) => queue.run(nodes),
-        What::Hold(ids) => change(nodes, ids, "hold", "held"),
-        What::Release(ids) => change(nodes, ids, "release", "released"),
-        What::Rm(ids) => change(nodes, ids, "remove", "marked for removal"),
-        What::History { cluster } => history(nodes, *cluster),
-        What::Explain(explain) => explain.run(nodes.format),
+    let result = match &args.command {
+        CondorCommand::Submit(submit) => submit.run(nodes),
+        CondorCommand::Q(queue) => queue.run(nodes),
+        CondorCommand::Hold(ids) => change_clusters(nodes, ids, "hold", "held"),
+        CondorCommand::Release(ids) => change_clusters(nodes, ids, "release", "released"),
+        CondorCommand::Rm(ids) => change_clusters(nodes, ids, "remove", "marked for removal"),
+        CondorCommand::History { cluster } => show_history(nodes, *cluster),
+        CondorCommand::Explain(explain) => explain.run(nodes.format),
     };
-    match done {
+    match result {
         Ok(code) => code,
         Err(CondorError::Submit(error)) => {
             eprintln!("{error}");
             ExitCode::FAILURE
         }
-        // Whoever reads has read enough.
+        // The reader of the output closed the pipe.
         Err(CondorError::Write(error)) if error.kind() == std::io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("indigopath: {error}");
             match error {
-                CondorError::Client(ClientError::NoNode) => ExitCode::from(BAD_SETTINGS),
+                CondorError::Client(ClientError::NoNodes) => ExitCode::from(INVALID_SETTINGS_STATUS),
                 CondorError::Client(_) => ExitCode::FAILURE,
-                _ => ExitCode::from(BAD_SETTINGS),
+                _ => ExitCode::from(INVALID_SETTINGS_STATUS),
             }
         }
     }
@@ -156,14 +156,14 @@
     Ok(writeln!(std::io::stdout().lock(), "{text}")?)
 }
 
-impl Submit {
+impl SubmitArgs {
     fn run(&self, nodes: &Nodes) -> Result<ExitCode, CondorError> {
         let text = read(&self.file)?;
         let file = self.file.display().to_string();
         let at_s = now_s();
-        // Read here first: what cannot be read need not be sent, and this tells what else
-        // has to go along.
-        let recorder = Recorder::new(&Here);
+        // Parses the file locally first: an invalid file is not sent, and this records which other files
+        // and values must be sent with it.
+        let recorder = Recorder::new(&LocalEnvironment);
         indigopath_condor::read(&text, &file, 0, at_s, &recorder)?;
         let key = self
             .key
@@ -182,28 +182,28 @@
         if body.len() > MAX_SUBMIT_BODY_BYTES {
             let size = body.len();
             return Err(CondorError::Bundle(format!(
-                "the file and what goes along are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are taken: split it"
+                "the submit file and the files it reads are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are accepted: split it"
             )));
         }
-        let until = Instant::now() + Duration::from_secs(self.wait);
-        let mut told = String::new();
+        let deadline = Instant::now() + Duration::from_secs(self.wait);
+        let mut last_problem = String::new();
         loop {
             match nodes.post::<AcceptedCluster>(paths::CLUSTERS, &body) {
-                Ok(accepted) => return self.accepted(&accepted, nodes),
-                // The same again, under the same key, is never a second cluster.
-                Err(ClientError::NoAnswer(problem)) if Instant::now() < until => {
-                    if problem != told {
-                        eprintln!("indigopath: {problem}; trying again");
-                        told = problem;
+                Ok(accepted) => return self.print_accepted(&accepted, nodes),
+                // Resending with the same key never creates a second cluster.
+                Err(ClientError::NoResponse(problem)) if Instant::now() < deadline => {
+                    if problem != last_problem {
+                        eprintln!("indigopath: {problem}; retrying");
+                        last_problem = problem;
                     }
-                    std::thread::sleep(Duration::from_millis(RETRY_MS));
+                    std::thread::sleep(Duration::from_millis(RETRY_DELAY_MS));
                 }
                 Err(ClientError::Refused(status, body)) => {
-                    let refused: Result<SubmitRejection, _> = serde_json::from_str(&body);
-                    match refused {
-                        Ok(refused) if !refused.refused.is_empty() => {
-                            for told in &refused.refused {
-                                eprintln!("procs {}: {}: {}", told.procs, told.verdict, told.reason);
+                    let rejection: Result<SubmitRejection, _> = serde_json::from_str(&body);
+                    match rejection {
+                        Ok(rejection) if !rejection.refused.is_empty() => {
+                            for group in &rejection.refused {
+                                eprintln!("procs {}: {}: {}", group.procs, group.verdict, group.reason);
                             }
                             eprintln!("indigopath: nothing was submitted");
                         }
@@ -212,8 +212,11 @@
                     return Ok(ExitCode::FAILURE);
                 }
                 Err(error) => {
-                    if matches!(error, ClientError::NoAnswer(_)) {
-                        eprintln!("indigopath: to go on with it later: --key {}", bundle.key);
+                    if matches!(error, ClientError::NoResponse(_)) {
+                        eprintln!(
+                            "indigopath: to retry this submission later, use --key {}",
+                            bundle.key
+                        );
                     }
                     return Err(error.into());
                 }
@@ -221,14 +224,14 @@
         }
     }
 
-    fn accepted(&self, accepted: &AcceptedCluster, nodes: &Nodes) -> Result<ExitCode, CondorError> {
+    fn print_accepted(&self, accepted: &AcceptedCluster, nodes: &Nodes) -> Result<ExitCode, CondorError> {
         for note in &accepted.notes {
             eprintln!("{note}");
         }
-        for told in &accepted.held {
-            eprintln!("procs {} are held: {}", told.procs, told.reason);
+        for group in &accepted.held {
+            eprintln!("procs {} are held: {}", group.procs, group.reason);
         }
-        let text = nodes.show(accepted, |accepted| {
+        let text = nodes.format_output(accepted, |accepted| {
             format!(
                 "{} job(s) submitted to cluster {}.",
                 accepted.procs, accepted.cluster
@@ -239,10 +242,10 @@
     }
 }
 
-/// Wait, in ms, before a submission is sent again.
-const RETRY_MS: u64 = 1_000;
+/// Delay before a submission is retried, in ms.
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// A cluster at a glance.
+/// Totals of a cluster.
 struct Batch<'a> {
     first: &'a QueueRow,
     procs: Vec<&'a str>,
@@ -252,14 +255,14 @@
     held: u32,
 }
 
-impl Queue {
+impl QueueArgs {
     fn run(&self, nodes: &Nodes) -> Result<ExitCode, CondorError> {
         let mut list: QueueList = nodes.get(&format!("{}queue", paths::CONDOR))?;
         list.jobs.retain(|row| {
-            let named = self.clusters.is_empty() || self.clusters.contains(&row.cluster);
-            named && (!self.hold || row.state == RowState::Held)
+            let is_selected = self.clusters.is_empty() || self.clusters.contains(&row.cluster);
+            is_selected && (!self.hold || row.state == RowState::Held)
         });
-        let text = nodes.show(&list, |list| {
+        let text = nodes.format_output(&list, |list| {
             let rows = if self.hold {
                 hold_table(list)
             } else if self.nobatch {
@@ -274,13 +277,13 @@
     }
 }
 
-fn when(ms: u64) -> String {
-    let at = chrono::DateTime::from_timestamp_millis(ms as i64).unwrap_or_default();
-    at.format("%m/%d %H:%M").to_string()
+fn format_time(ms: u64) -> String {
+    let time = chrono::DateTime::from_timestamp_millis(ms as i64).unwrap_or_default();
+    time.format("%m/%d %H:%M").to_string()
 }
 
-/// Done, running, idle and held procs of an array. A gang is one proc.
-fn shares(row: &QueueRow) -> [u32; 4] {
+/// Returns the numbers of done, running, idle and held procs of an array. A gang counts as one proc.
+fn count_by_state(row: &QueueRow) -> [u32; 4] {
     if row.gang {
         return match row.state {
             RowState::Running => [0, 1, 0, 0],
@@ -298,7 +301,7 @@
 fn batch_table(list: &QueueList) -> String {
     let mut batches: BTreeMap<u64, Batch<'_>> = BTreeMap::new();
     for row in &list.jobs {
-        let [done, running, idle, held] = shares(row);
+        let [done, running, idle, held] = count_by_state(row);
         let batch = batches.entry(row.cluster).or_insert_with(|| Batch {
             first: row,
             procs: Vec::new(),
@@ -325,7 +328,7 @@
         vec![
             batch.first.owner.clone(),
             format!("ID: {cluster}"),
-            when(batch.first.submitted_ms),
+            format_time(batch.first.submitted_ms),
             count(batch.done),
             count(batch.running),
             count(batch.idle),
@@ -334,7 +337,7 @@
             format!("{cluster}.{}", batch.procs.join(",")),
         ]
     });
-    let head = [
+    let header = [
         "OWNER",
         "BATCH_NAME",
         "SUBMITTED",
@@ -345,7 +348,7 @@
         "TOTAL",
         "JOB_IDS",
     ];
-    table(&head, &[3, 4, 5, 6, 7], rows)
+    table(&header, &[3, 4, 5, 6, 7], rows)
 }
 
 fn array_table(list: &QueueList) -> String {
@@ -359,7 +362,7 @@
             format!("{}.{}", row.cluster, row.procs),
             row.owner.clone(),
             row.team.clone(),
-            when(row.submitted_ms),
+            format_time(row.submitted_ms),
             state.to_owned(),
             format!("{}/{}/{}", row.done, row.running, row.tasks),
             format!("{:.1}", row.memory_gb),
@@ -367,7 +370,7 @@
             row.cmd.clone(),
         ]
     });
-    let head = [
+    let header = [
         "ID",
         "OWNER",
         "TEAM",
@@ -378,7 +381,7 @@
         "JOB",
         "CMD",
     ];
-    table(&head, &[6], rows)
+    table(&header, &[6], rows)
 }
 
 fn hold_table(list: &QueueList) -> String {
@@ -386,7 +389,7 @@
         vec![
             format!("{}.{}", row.cluster, row.procs),
             row.owner.clone(),
-            when(row.submitted_ms),
+            format_time(row.submitted_ms),
             if row.releasable { "its user" } else { "the limit" }.to_owned(),
             row.hold.clone().unwrap_or_default(),
         ]
@@ -401,7 +404,7 @@
 fn totals(list: &QueueList) -> String {
     let mut sums = [0u32; 4];
     for row in &list.jobs {
-        for (sum, part) in sums.iter_mut().zip(shares(row)) {
+        for (sum, part) in sums.iter_mut().zip(count_by_state(row)) {
             *sum += part;
         }
     }
@@ -412,47 +415,52 @@
     )
 }
 
-fn change(nodes: &Nodes, ids: &Ids, act: &str, told: &str) -> Result<ExitCode, CondorError> {
+fn change_clusters(
+    nodes: &Nodes,
+    ids: &IdArgs,
+    action: &str,
+    participle: &str,
+) -> Result<ExitCode, CondorError> {
     for id in &ids.ids {
         if parse_target(id).is_none() {
-            return Err(CondorError::NoId(id.clone()));
+            return Err(CondorError::InvalidId(id.clone()));
         }
     }
     let mut code = ExitCode::SUCCESS;
     for id in &ids.ids {
-        let changed: ChangeSummary = nodes.post(&format!("{}/{id}/{act}", paths::CLUSTERS), "")?;
-        for not in &changed.not {
+        let changed: ChangeSummary = nodes.post(&format!("{}/{id}/{action}", paths::CLUSTERS), "")?;
+        for group in &changed.not {
             eprintln!(
                 "{}.{} {}: {}",
-                changed.cluster, not.procs, not.verdict, not.reason
+                changed.cluster, group.procs, group.verdict, group.reason
             );
             code = ExitCode::FAILURE;
         }
-        let text = nodes.show(&changed, |changed| match (changed.procs, id.contains('.')) {
-            (0, _) => format!("nothing of {id} is {told}"),
-            (_, true) => format!("Job {id} {told}"),
+        let text = nodes.format_output(&changed, |changed| match (changed.procs, id.contains('.')) {
+            (0, _) => format!("no jobs of {id} have been {participle}"),
+            (_, true) => format!("Job {id} {participle}"),
             (_, false) if changed.not.is_empty() => {
-                format!("All jobs in cluster {id} have been {told}")
+                format!("All jobs in cluster {id} have been {participle}")
             }
-            (procs, false) => format!("{procs} jobs in cluster {id} have been {told}"),
+            (procs, false) => format!("{procs} jobs in cluster {id} have been {participle}"),
         })?;
         print(&text)?;
     }
     Ok(code)
 }
 
-fn history(nodes: &Nodes, cluster: Option<u64>) -> Result<ExitCode, CondorError> {
+fn show_history(nodes: &Nodes, cluster: Option<u64>) -> Result<ExitCode, CondorError> {
     let path = format!("{}history", paths::CONDOR);
-    let found: History = match cluster {
+    let history: History = match cluster {
         Some(cluster) => nodes.get(&format!("{path}/{cluster}"))?,
         None => nodes.get(&path)?,
     };
-    let text = nodes.show(&found, |found| {
-        let rows = found.clusters.iter().map(|record| {
+    let text = nodes.format_output(&history, |history| {
+        let rows = history.clusters.iter().map(|record| {
             vec![
                 record.cluster.to_string(),
                 record.owner.clone(),
-                when(record.at_ms),
+                format_time(record.at_ms),
                 record.procs.to_string(),
                 record.jobs.to_string(),
                 record.file.clone(),
@@ -464,7 +472,7 @@
             rows,
         );
         if cluster.is_some() {
-            let jobs = found
+            let jobs = history
                 .jobs
                 .iter()
                 .map(|job| vec![job.job.clone(), job.tasks.to_string(), job.state.clone()]);
@@ -477,13 +485,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-impl Explain {
+impl ExplainArgs {
     fn run(&self, format: Format) -> Result<ExitCode, CondorError> {
-        let settings = load(&self.settings)?;
-        let flavors: MachineTypeList =
+        let settings = load_settings(&self.settings)?;
+        let machine_types: MachineTypeList =
             serde_json::from_str(&read(&self.machines)?).map_err(|error| CondorError::File {
                 path: self.machines.clone(),
-                why: error.to_string(),
+                reason: error.to_string(),
             })?;
         let text = read(&self.file)?;
         let condor = settings.operator.condor.clone().unwrap_or_else(|| {
@@ -501,16 +509,22 @@
         });
         let site = indigopath_controller::condor::site(
             &settings.deployment,
-            &flavors.types,
+            &machine_types.types,
             &settings.operator.counted_resources,
             &condor,
         );
-        let submission = indigopath_condor::read(&text, &self.file.display().to_string(), 1, now_s(), &Here)?;
-        for (place, note) in indigopath_condor::notes(&submission) {
-            eprintln!("{place}: note: {note}");
+        let submission = indigopath_condor::read(
+            &text,
+            &self.file.display().to_string(),
+            1,
+            now_s(),
+            &LocalEnvironment,
+        )?;
+        for (location, note) in indigopath_condor::notes(&submission) {
+            eprintln!("{location}: note: {note}");
         }
         for machine in condor.machines.keys() {
-            if flavors
+            if machine_types
                 .types
                 .iter()
                 .all(|machine_type| machine_type.name != *machine)
@@ -518,11 +532,14 @@
                 eprintln!("condor.machine.{machine}: note: the cloud has no such machine type");
             }
         }
-        let judged = indigopath_condor::judge(&submission, 1, now_s(), &site);
-        show(format, &submission, &judged, &site)?;
-        let bad = |verdict| matches!(verdict, Verdict::Refused | Verdict::Never);
-        let any_bad = judged.outcomes.iter().any(|outcome| bad(outcome.verdict));
-        Ok(if any_bad {
+        let results = indigopath_condor::match_submission(&submission, 1, now_s(), &site);
+        print_results(format, &submission, &results, &site)?;
+        let is_rejected = |verdict| matches!(verdict, Verdict::Refused | Verdict::Never);
+        let any_rejected = results
+            .outcomes
+            .iter()
+            .any(|outcome| is_rejected(outcome.verdict));
+        Ok(if any_rejected {
             ExitCode::FAILURE
         } else {
             ExitCode::SUCCESS
@@ -530,22 +547,27 @@
     }
 }
 
-fn show(format: Format, submission: &Submission, judged: &Judged, site: &Site) -> Result<(), CondorError> {
-    let kinds: Vec<Vec<String>> = judged
+fn print_results(
+    format: Format,
+    submission: &Submission,
+    results: &MatchResults,
+    site: &Site,
+) -> Result<(), CondorError> {
+    let kinds: Vec<Vec<String>> = results
         .outcomes
         .iter()
-        .map(|outcome| site.kinds.names(&outcome.kinds))
+        .map(|outcome| site.kinds.names_in_set(&outcome.kinds))
         .collect();
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     match format {
         Format::Json => {
-            for (proc, at) in judged.of.iter().enumerate() {
-                let at = *at as usize;
-                let line = Line {
+            for (proc, outcome_index) in results.outcome_of_proc.iter().enumerate() {
+                let outcome_index = *outcome_index as usize;
+                let line = ProcLine {
                     proc,
-                    verdict: judged.outcomes[at].verdict,
-                    kinds: &kinds[at],
-                    reason: judged.outcomes[at].reason.as_deref(),
+                    verdict: results.outcomes[outcome_index].verdict,
+                    kinds: &kinds[outcome_index],
+                    reason: results.outcomes[outcome_index].reason.as_deref(),
                 };
                 serde_json::to_writer(&mut out, &line).map_err(std::io::Error::from)?;
                 out.write_all(b"\n")?;
@@ -553,27 +575,35 @@
         }
         Format::Table => {
             let mut rows = Vec::new();
-            // Procs that share their outcome share a row.
-            let mut from = 0;
-            while let Some(at) = judged.of.get(from).copied() {
-                let same = judged.of[from..].iter().take_while(|other| **other == at).count();
-                let outcome = &judged.outcomes[at as usize];
-                let procs = match same {
-                    1 => from.to_string(),
-                    _ => format!("{from}-{}", from + same - 1),
+            // Consecutive procs with the same outcome share a row.
+            let mut first = 0;
+            while let Some(outcome_index) = results.outcome_of_proc.get(first).copied() {
+                let count = results.outcome_of_proc[first..]
+                    .iter()
+                    .take_while(|other| **other == outcome_index)
+                    .count();
+                let outcome = &results.outcomes[outcome_index as usize];
+                let procs = match count {
+                    1 => first.to_string(),
+                    _ => format!("{first}-{}", first + count - 1),
                 };
                 let verdict = format!("{:?}", outcome.verdict).to_lowercase();
                 let reason = outcome.reason.clone().unwrap_or_default();
-                rows.push(vec![procs, verdict, kinds[at as usize].join(", "), reason]);
-                from += same;
+                rows.push(vec![
+                    procs,
+                    verdict,
+                    kinds[outcome_index as usize].join(", "),
+                    reason,
+                ]);
+                first += count;
             }
-            let head = ["PROCS", "VERDICT", "MACHINES", "REASON"];
-            writeln!(out, "{}", table(&head, &[], rows.into_iter()))?;
+            let header = ["PROCS", "VERDICT", "MACHINES", "REASON"];
+            writeln!(out, "{}", table(&header, &[], rows.into_iter()))?;
             writeln!(
                 out,
                 "{} procs, {} different requests",
                 submission.procs(),
-                judged.outcomes.len()
+                results.outcomes.len()
             )?;
         }
     }
@@ -583,7 +613,7 @@
 fn read(path: &Path) -> Result<String, CondorError> {
     std::fs::read_to_string(path).map_err(|error| CondorError::File {
         path: path.to_owned(),
-        why: error.to_string(),
+        reason: error.to_string(),
     })
 }
 
@@ -592,32 +622,32 @@
     now.map_or(0, |now| now.as_secs() as i64)
 }
 
-/// Files of the place from which this is called.
-struct Here;
+/// The files and environment variables of the calling process.
+struct LocalEnvironment;
 
-impl indigopath_condor::Files for Here {
-    fn read(&self, path: &str) -> Result<String, String> {
+impl indigopath_condor::SubmitEnvironment for LocalEnvironment {
+    fn read_file(&self, path: &str) -> Result<String, String> {
         std::fs::read_to_string(path).map_err(|error| error.to_string())
     }
 
-    fn matching(&self, pattern: &str, what: Matching) -> Result<Vec<String>, String> {
+    fn matching_paths(&self, pattern: &str, kind: PathKind) -> Result<Vec<String>, String> {
         let paths = glob::glob(pattern).map_err(|error| error.to_string())?;
         let mut found = Vec::new();
         for path in paths {
             let path = path.map_err(|error| error.to_string())?;
-            let wanted = match what {
-                Matching::Files => path.is_file(),
-                Matching::Folders => path.is_dir(),
-                Matching::Any => true,
+            let is_match = match kind {
+                PathKind::Files => path.is_file(),
+                PathKind::Folders => path.is_dir(),
+                PathKind::Any => true,
             };
-            if wanted {
+            if is_match {
                 found.push(path.display().to_string());
             }
         }
         Ok(found)
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         std::env::var(name).ok()
     }
 }
