--- a/crates/simulator/src/admission_checks.rs
+++ b/crates/simulator/src/admission_checks.rs
@@ -214,7 +214,7 @@
         keyed: &BTreeMap<&str, &str>,
     ) -> Result<(), String> {
         let [_, id, status] = plain else {
-            return Err("an offer has an id and a status".to_owned());
+            return Err("`offer` needs an id and a status".to_owned());
         };
         let (mut body, _) = body(id, keyed)?;
         if let (Some(field), Some(fields)) = (keyed.get("without"), body.as_object_mut()) {
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -136,7 +136,7 @@
                 }
                 (200, json!({}))
             }
-            other => panic!("the cloud is asked {other:?}"),
+            other => panic!("unknown request to the cloud: {other:?}"),
         }
     }
 
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -69,12 +69,12 @@
         operator: &str,
     ) -> Controllers {
         let folder = std::env::temp_dir().join(format!("indigopath-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("failed to create the directory");
         for node in 0..nodes.len() {
             let text = node_settings(node, &nodes, services, teams).to_string();
-            std::fs::write(folder.join(format!("n{node}.json")), text).expect("settings");
+            std::fs::write(folder.join(format!("n{node}.json")), text).expect("failed to write the settings");
         }
-        std::fs::write(folder.join("operator.hcl"), operator).expect("settings");
+        std::fs::write(folder.join("operator.hcl"), operator).expect("failed to write the settings");
         Controllers {
             program,
             directory: folder,
@@ -101,7 +101,7 @@
                     .create(true)
                     .append(true)
                     .open(self.directory.join(format!("n{node}.log")))
-                    .expect("a log");
+                    .expect("failed to open the log");
                 let child = Command::new(&self.program)
                     .args(["--config", &format!("n{node}.json"), "--operator", "operator.hcl"])
                     .current_dir(&self.directory)
@@ -109,7 +109,7 @@
                     .stdout(Stdio::null())
                     .stderr(log)
                     .spawn();
-                self.processes[node] = Some(child.expect("a controller starts"));
+                self.processes[node] = Some(child.expect("failed to start a controller"));
             }
         }
     }
@@ -205,7 +205,7 @@
         "Label": "small", "Cpus": 32, "Gpus": 4, "MemGb": 128, "CacheGb": 40, "FetchGbPerS": 1.0,
         "Rate": 8.0, "LowPrice": 2.5, "StartupS": 0.6, "Yards": ["east", "west"]
     }] });
-    let flavors: MachineTypeList = serde_json::from_value(types).expect("machine types");
+    let flavors: MachineTypeList = serde_json::from_value(types).expect("invalid machine types");
     let mut cloud = Cloud::default();
     cloud.types = flavors.types;
     cloud.list_lag_ms = Some(300);
--- a/crates/simulator/src/fault_combinations.rs
+++ b/crates/simulator/src/fault_combinations.rs
@@ -133,7 +133,7 @@
     pub(crate) fn cancel_long_running(&mut self, count: usize, hang_ms: u64) -> Result<(), String> {
         let chosen = self.long_running(count);
         if chosen.is_empty() {
-            return Err("nothing runs that has long to go".to_owned());
+            return Err("no running job has a long remaining run time".to_owned());
         }
         for (at, (after_ms, job, machine)) in chosen.into_iter().enumerate() {
             if let Some(worker) = self.workers.get_mut(&machine).filter(|_| at < MAX_HUNG_MACHINES) {
--- a/crates/simulator/src/job_stream.rs
+++ b/crates/simulator/src/job_stream.rs
@@ -46,7 +46,7 @@
     ) -> Result<JobStream, String> {
         let get = |key: &str| -> Result<f64, String> {
             let text = keyed.get(key).ok_or(format!("no {key}"))?;
-            text.parse().map_err(|_| format!("{text} is no number"))
+            text.parse().map_err(|_| format!("{text} is not a number"))
         };
         let next_id = first.strip_prefix("wk-").and_then(|own| own.parse().ok());
         Ok(JobStream {
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -209,10 +209,10 @@
 fn listen(
     handle: impl Fn(&str, &str, &[u8]) -> HttpResponse + Send + Sync + 'static,
 ) -> (Arc<Server>, SocketAddrV4) {
-    let server = Arc::new(Server::http("127.0.0.1:0").expect("a port on loopback"));
+    let server = Arc::new(Server::http("127.0.0.1:0").expect("failed to bind a loopback port"));
     let addr = match server.server_addr().to_ip() {
         Some(SocketAddr::V4(addr)) => addr,
-        other => panic!("no IPv4 port: {other:?}"),
+        other => panic!("not an IPv4 address: {other:?}"),
     };
     let handle = Arc::new(handle);
     let serving = server.clone();
--- a/crates/simulator/src/response_checks.rs
+++ b/crates/simulator/src/response_checks.rs
@@ -162,14 +162,15 @@
     cancel_share: f64,
     for_ms: Option<u64>,
 ) -> Result<(), String> {
-    let arg = |at: usize| plain.get(at).copied().ok_or("too few words".to_owned());
+    let arg = |at: usize| plain.get(at).copied().ok_or("missing argument".to_owned());
     match arg(0)? {
         "close-looks" => {
-            simulation.response_checks.rapid_queries_until = simulation.now + for_ms.ok_or("for how long")?;
+            simulation.response_checks.rapid_queries_until =
+                simulation.now + for_ms.ok_or("missing duration")?;
             simulation.response_checks.cancel_share = cancel_share;
         }
         "withhold" => {
-            let by_s: f64 = arg(2)?.parse().map_err(|_| "for how long")?;
+            let by_s: f64 = arg(2)?.parse().map_err(|_| "invalid delay")?;
             let (path, words) = arg(3)?.split_once(':').unwrap_or((arg(3)?, ""));
             for node in nodes {
                 simulation
--- a/crates/simulator/src/scenario/actions/controllers.rs
+++ b/crates/simulator/src/scenario/actions/controllers.rs
@@ -72,7 +72,7 @@
     let off_ms = (number(action.arg(2)?)? * 1000.0) as i64;
     let nodes = match action.arg(1)? {
         "others" => {
-            let leader = simulation.leader().ok_or("nobody leads")?;
+            let leader = simulation.leader().ok_or("there is no leader")?;
             (0..NODES).filter(|node| *node != leader).collect()
         }
         name => nodes_named(simulation, name)?,
--- a/crates/simulator/src/scenario/actions/machines.rs
+++ b/crates/simulator/src/scenario/actions/machines.rs
@@ -86,7 +86,7 @@
 /// Kills a task's process; its machine stays healthy.
 fn kill(simulation: &mut Simulation, task: &str) -> Result<(), String> {
     let task = task.trim_start_matches("of:").trim_end_matches('?');
-    let id = simulation.machine_of(task).ok_or("it is nowhere")?;
+    let id = simulation.machine_of(task).ok_or("the task is on no machine")?;
     let worker = simulation.workers.get_mut(&id).ok_or("no machine")?;
     let tasks = worker.tasks.iter_mut();
     let killed = tasks.filter(|other| other.name() == task && other.is_on_machine());
--- a/crates/simulator/src/scenario/actions/mod.rs
+++ b/crates/simulator/src/scenario/actions/mod.rs
@@ -39,7 +39,7 @@
 
     /// The plain word at this position; the verb is the first.
     fn arg(&self, at: usize) -> Result<&'a str, String> {
-        self.plain.get(at).copied().ok_or("too few words".to_owned())
+        self.plain.get(at).copied().ok_or("missing argument".to_owned())
     }
 
     fn has(&self, word: &str) -> bool {
@@ -58,7 +58,7 @@
 
     /// Duration in ms; an error if it is missing.
     fn duration_ms(&self) -> Result<u64, String> {
-        self.for_ms.ok_or("for how long".to_owned())
+        self.for_ms.ok_or("missing duration".to_owned())
     }
 
     /// Everything after the verb.
@@ -110,9 +110,9 @@
         "leader" => simulation
             .leader()
             .map(|leader| vec![leader])
-            .ok_or("nobody leads".to_owned()),
+            .ok_or("there is no leader".to_owned()),
         "follower" => {
-            let leader = simulation.leader().ok_or("nobody leads")?;
+            let leader = simulation.leader().ok_or("there is no leader")?;
             Ok(vec![(leader + 1) % NODES])
         }
         other => other
@@ -136,7 +136,9 @@
 fn machine_named(simulation: &Simulation, name: &str) -> Result<String, String> {
     let name = name.strip_suffix('?').unwrap_or(name);
     if let Some(task) = name.strip_prefix("of:") {
-        return simulation.machine_of(task).ok_or(format!("{task} is nowhere"));
+        return simulation
+            .machine_of(task)
+            .ok_or(format!("{task} is on no machine"));
     }
     simulation
         .workers
--- a/crates/simulator/src/scenario/actions/network.rs
+++ b/crates/simulator/src/scenario/actions/network.rs
@@ -36,7 +36,7 @@
         }
         // Messages delivered and answered from now on are delivered a second time.
         "copies" => {
-            let later = action.keyed.get("later").ok_or("how much later")?;
+            let later = action.keyed.get("later").ok_or("missing `later=`")?;
             simulation.duplicate_deliveries.push(DuplicateDelivery {
                 kind: action.arg(1)?.to_owned(),
                 delay_ms: (number(later)? * 1000.0) as u64,
@@ -78,7 +78,7 @@
         "late-reports" => Fault::LateHeartbeats { share },
         "slow-state" => Fault::SlowState {
             share,
-            times: number(action.keyed.get("times").ok_or("how many times")?)?,
+            times: number(action.keyed.get("times").ok_or("missing `times=`")?)?,
         },
         one_way => {
             let named = action.plain.get(1);
--- a/crates/simulator/src/scenario/actions/users.rs
+++ b/crates/simulator/src/scenario/actions/users.rs
@@ -180,7 +180,7 @@
 }
 
 fn cancel_now(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
-    let count = number(action.keyed.get("count").ok_or("how many")?)? as usize;
+    let count = number(action.keyed.get("count").ok_or("missing `count=`")?)? as usize;
     let cancelled = simulation.cancel_long_running(count.max(1), action.millis_or("hang", 0.0)?);
     // With `?`, it is no error if no running job has a long remaining run time.
     if action.has("?") {
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -167,7 +167,7 @@
             .state
             .value("leader")
             .map(|_| ())
-            .ok_or("there is none".to_owned()),
+            .ok_or("no node holds the leader's key".to_owned()),
         _ => return Ok(false),
     };
     outcome.map(|()| true)
@@ -284,7 +284,7 @@
         // The served share of what a class or team requested: `served class=batch >= 0.6`.
         ["served", owner, sign, want] => {
             let shares = simulation.served_shares();
-            let (served, requested) = shares.get(*owner).ok_or("nothing was asked for")?;
+            let (served, requested) = shares.get(*owner).ok_or("nothing was requested")?;
             compare(served / requested, sign, want)
         }
         ["started-cancelled", sign, want] => compare(
@@ -341,7 +341,7 @@
             .count()
         {
             0 => Ok(()),
-            left => Err(format!("{left} are not")),
+            left => Err(format!("{left} jobs are not done")),
         },
         // Jobs of a class whose users were told within this many seconds that they are done.
         ["in-time", class, within, sign, want] => {
@@ -364,7 +364,7 @@
         }
         [id, "done", "by", want] => match job(simulation, id)?.completion_reported_at {
             Some(at) => compare(at as f64 / 1000.0, "<=", want),
-            None => Err("its user was never told so".to_owned()),
+            None => Err("its user was never told that it is done".to_owned()),
         },
         [id, "starts", sign, want] => compare(f64::from(job(simulation, id)?.task_starts), sign, want),
         [id, "saved", sign, want] => compare(job(simulation, id)?.checkpointed_s, sign, want),
--- a/crates/simulator/src/scenario/script.rs
+++ b/crates/simulator/src/scenario/script.rs
@@ -247,7 +247,7 @@
 
 /// Parses a number; the error contains the text.
 pub(crate) fn number(text: &str) -> Result<f64, String> {
-    text.parse().map_err(|_| format!("{text} is no number"))
+    text.parse().map_err(|_| format!("{text} is not a number"))
 }
 
 /// Builds a submission and the initial observation of its job.
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -25,7 +25,7 @@
 ) -> SeedResults {
     let from_environment = |what: &str, default_count: u64| {
         let text = std::env::var(format!("{name}_{what}"));
-        text.map_or(default_count, |text| text.parse().expect("a number of seeds"))
+        text.map_or(default_count, |text| text.parse().expect("not a number"))
     };
     let from = from_environment("FROM", 0);
     let range = from..from + from_environment("SEEDS", default_count);
