--- a/crates/simulator/src/accounting_checks.rs
+++ b/crates/simulator/src/accounting_checks.rs
@@ -12,6 +12,7 @@
 /// Largest value that the scenarios' settings allow, in bytes.
 const VALUE_BYTES: usize = 14_745;
 
+/// The owners of jobs, and a crash that is due at a write.
 #[derive(Debug, Default)]
 pub(crate) struct AccountingCheck {
     /// The team of each job, from the record with which it was accepted.
--- a/crates/simulator/src/accounting_checks/tests.rs
+++ b/crates/simulator/src/accounting_checks/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_answer_that_names_anothers_job_is_found() {
+fn a_response_naming_another_teams_job_is_flagged() {
     let mut check = AccountingCheck::default();
     let body = r#"{"If":[],"Then":[{"Put":"j/wk-1","V":{"team":"red"}}]}"#;
     check.record_owners(body.as_bytes()).unwrap();
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -9,6 +9,7 @@
 /// Default lag of the machine list, in ms.
 const DEFAULT_LIST_LAG_MS: u64 = 3_000;
 
+/// A launched machine.
 pub struct CloudMachine {
     pub machine_type: String,
     pub zone: String,
@@ -20,6 +21,7 @@
     pub addr: Option<String>,
 }
 
+/// The cloud's machines, machine types and capacity.
 #[derive(Default)]
 pub struct Cloud {
     pub types: Vec<MachineType>,
@@ -40,6 +42,7 @@
 }
 
 impl Cloud {
+    /// Launches a machine; returns its id.
     pub fn launch(&mut self, machine_type: &str, zone: &str, spot: bool, now: u64) -> String {
         let boot_s = self
             .types
@@ -73,6 +76,7 @@
         id
     }
 
+    /// Removes a machine that was released or reclaimed.
     pub fn remove(&mut self, id: &str, now: u64) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.removed_at.get_or_insert(now);
@@ -89,6 +93,7 @@
         std::mem::take(&mut self.released)
     }
 
+    /// Executes a request.
     pub fn handle(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> (u16, Value) {
         if self.outage {
             return (503, json!({ "error": "trouble" }));
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -114,6 +114,7 @@
         }
     }
 
+    /// Kills a controller, which [`Controllers::restart_stopped`] restarts after a delay.
     pub fn kill(&mut self, node: usize) {
         if let Some(mut child) = self.processes[node].take() {
             let _ = child.kill();
--- a/crates/simulator/src/fault_combinations.rs
+++ b/crates/simulator/src/fault_combinations.rs
@@ -20,6 +20,7 @@
 /// A cancellation near a job's completion comes up to this many ms before or after it.
 const AROUND_COMPLETION_MS: f64 = 60.0;
 
+/// What the checks of fault combinations remember.
 #[derive(Default)]
 pub(crate) struct FaultCombinations {
     /// Heartbeats kept for the next leader, and their delay after it starts, in ms.
--- a/crates/simulator/src/invariants/tests.rs
+++ b/crates/simulator/src/invariants/tests.rs
@@ -6,7 +6,7 @@
     unserved class=batch\nunserved team=blue\nexpect wk-1 starts = 0\n";
 
 #[test]
-fn a_large_job_that_waits_needs_its_lines() {
+fn a_late_large_job_fails_without_an_exception() {
     let lines = "largest late sweep/batch because there are no machines\n\
         largest unserved sweep/batch because there are no machines\n";
     assert_eq!(run(&format!("{NO_MACHINES}{lines}")), Ok(()));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_exception_that_is_none_fails() {
+fn an_exception_that_does_not_apply_fails() {
     let text = "at 1 submit wk-1\nuntil 60\nexpect all done\n";
     assert_eq!(run(text), Ok(()));
     let problem = run(&format!("{text}largest late sweep/batch because of nothing\n")).unwrap_err();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_job_without_an_answer_is_forgotten_once_troubles_are_over() {
+fn an_unanswered_job_is_flagged_once_faults_are_over() {
     let mut simulation = Simulation::new(None, OperatorSettings::default());
     let observed = ObservedJob {
         accepted: true,
@@ -46,7 +46,7 @@
     while simulation.now < MAX_UNANSWERED_MS + 5_000 {
         simulation.step();
     }
-    assert_eq!(simulation.violations, [""; 0], "in trouble still");
+    assert_eq!(simulation.violations, [""; 0], "a fault is still active");
     simulation.run_until_settled();
     let expected = "forgotten at 156.00 s: wk-1 is asked about in vain";
     assert_eq!(simulation.violations, [expected]);
--- a/crates/simulator/src/job_stream.rs
+++ b/crates/simulator/src/job_stream.rs
@@ -18,6 +18,7 @@
 /// job.
 const LATE_FOLLOW_UP_RUNS: f64 = 2.0;
 
+/// What the user of a streamed job does later.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum FollowUp {
     Cancel,
--- a/crates/simulator/src/licence_server.rs
+++ b/crates/simulator/src/licence_server.rs
@@ -22,6 +22,7 @@
     available_at: u64,
 }
 
+/// A licensed feature and the clients that hold its units.
 #[derive(Debug, Clone, Default)]
 pub struct Feature {
     pub total: u32,
@@ -59,6 +60,7 @@
     }
 }
 
+/// A licence server's features, by name.
 #[derive(Debug, Default)]
 pub struct LicenceServer {
     pub features: BTreeMap<String, Feature>,
--- a/crates/simulator/src/response_checks.rs
+++ b/crates/simulator/src/response_checks.rs
@@ -46,6 +46,7 @@
     delay_ms: u64,
 }
 
+/// The reported states, and faults of responses.
 #[derive(Debug, Default)]
 pub(crate) struct ResponseChecks {
     /// The newest reported state of each job, when it was first reported, and by which node.
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -124,6 +124,7 @@
     pub(crate) is_duplicate: bool,
 }
 
+/// An event in the queue, delivered at its time.
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
     Call(Call),
@@ -178,6 +179,7 @@
     }
 }
 
+/// A user's request.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum UserRequest {
     Submit,
@@ -221,6 +223,7 @@
     },
 }
 
+/// A controller process and its queues.
 pub(crate) struct Controller {
     pub(crate) node: Option<Node>,
     pub(crate) incarnation: u32,
@@ -234,6 +237,7 @@
     pub(crate) inbox: Vec<Command>,
 }
 
+/// A watch that waits for changes.
 pub(crate) struct PendingWatch {
     pub(crate) node: usize,
     pub(crate) incarnation: u32,
@@ -243,6 +247,7 @@
     pub(crate) until: u64,
 }
 
+/// What happens to messages across a cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NetworkCut {
     /// Messages are lost.
@@ -379,6 +384,7 @@
 /// How long the state service refuses the sender, in ms.
 const DEVIATION_REFUSAL_MS: u64 = 8_000;
 
+/// The simulated site and the observations of the checks.
 pub(crate) struct Simulation {
     pub(crate) now: u64,
     pub(crate) queue: BTreeMap<(u64, u64), Event>,
@@ -629,6 +635,7 @@
             .saturating_add_signed(self.window_checks.clock_offsets_ms[index])
     }
 
+    /// The node with the newest leader token, if any.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..NODES)
             .filter(|index| {
@@ -640,6 +647,7 @@
             .max_by_key(|index| self.nodes[*index].node.as_ref().and_then(Node::token))
     }
 
+    /// Records a violation of a rule; only the first five are kept.
     pub(crate) fn violation(&mut self, rule: &str, what: impl std::fmt::Display) {
         let line = format!("{rule} at {:.2} s: {what}", self.now as f64 / 1000.0);
         if !self.violations.contains(&line) && self.violations.len() < 5 {
@@ -772,6 +780,7 @@
         }
     }
 
+    /// Ends all cuts and delivers the messages that they held back.
     pub(crate) fn heal_cuts(&mut self) {
         self.cuts.clear();
         for event in std::mem::take(&mut self.held_events) {
@@ -781,6 +790,7 @@
 
     // ---- one step ------------------------------------------------------------
 
+    /// Advances the simulation by one step.
     pub(crate) fn step(&mut self) {
         self.now += STEP_MS;
         self.state.expire_leases(self.now);
@@ -934,6 +944,7 @@
         }
     }
 
+    /// Delivers an event to its recipient.
     fn deliver(&mut self, event: Event) {
         match event {
             Event::Call(call) => self.handle_call(call),
@@ -1106,6 +1117,7 @@
         request
     }
 
+    /// Executes a controller's call, subject to the active faults.
     fn handle_call(&mut self, controller_call: Call) {
         let Call {
             node,
@@ -1852,6 +1864,7 @@
         })
     }
 
+    /// Checks a task that arrived on a machine against the job's constraints.
     fn check_start(&mut self, machine: &str, job: &str, index: u32) {
         let observed = self.jobs.get_mut(job).unwrap();
         observed.task_starts += 1;
@@ -1924,6 +1937,7 @@
         }
     }
 
+    /// Checks team limits and the time limit of cancellations.
     fn check_invariants(&mut self) {
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
         let mut overdue = Vec::new();
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -9,6 +9,7 @@
 /// Number of changes that the service retains for watches.
 const WATCH_HISTORY_SIZE: usize = 10_000;
 
+/// Keys with versions and leases, and the history of changes that watches read.
 #[derive(Default)]
 pub struct StateService {
     pub revision: u64,
@@ -37,11 +38,13 @@
 }
 
 impl StateService {
+    /// Starts an outage, in which no lease expires.
     pub fn start_outage(&mut self, now: u64) {
         self.outage = true;
         self.outage_started_at = Some(now);
     }
 
+    /// Ends an outage.
     pub fn end_outage(&mut self, now: u64) {
         self.outage = false;
         // Every lease starts its full time again.
@@ -51,6 +54,7 @@
         self.outage_started_at = None;
     }
 
+    /// Revokes the expired leases.
     pub fn expire_leases(&mut self, now: u64) {
         if self.outage {
             return;
@@ -66,6 +70,7 @@
         }
     }
 
+    /// Deletes a lease and its keys; returns whether it existed.
     fn revoke_lease(&mut self, lease: u64) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
@@ -104,6 +109,7 @@
         self.handle("POST", "/multi", body.to_string().as_bytes(), 0);
     }
 
+    /// The value of a key.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.keys.get(key).map(|(value, _, _)| value)
     }
@@ -114,6 +120,7 @@
         keys.map(|(_, (value, _, _))| value)
     }
 
+    /// The number of keys with this prefix.
     pub fn count(&self, prefix: &str) -> usize {
         self.keys.keys().filter(|key| key.starts_with(prefix)).count()
     }
@@ -193,6 +200,7 @@
         self.compacted_revision = self.revision;
     }
 
+    /// Executes a request.
     pub fn handle(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> Reply {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let query: BTreeMap<&str, &str> = query.split('&').filter_map(|pair| pair.split_once('=')).collect();
@@ -293,6 +301,7 @@
         )
     }
 
+    /// Executes a transaction if all its conditions hold.
     fn transaction(&mut self, body: &[u8]) -> Reply {
         assert!(body.len() <= 64 * 1024, "a transaction of {} bytes", body.len());
         let transaction: Transaction = serde_json::from_slice(body).unwrap();
--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -22,6 +22,7 @@
 /// the next start, which takes a heartbeat and a write, it is not idle.
 const IDLE_SAMPLES: usize = 4;
 
+/// The jobs that wait beside free capacity.
 #[derive(Default)]
 pub(crate) struct WaitingChecks {
     /// Jobs that are expected to wait.
--- a/crates/simulator/src/window_checks.rs
+++ b/crates/simulator/src/window_checks.rs
@@ -11,6 +11,7 @@
 /// scheduling pass, a write and a command take.
 const MIN_WAIT_MS: u64 = 3_000;
 
+/// The timetable of protection windows and how it was kept.
 #[derive(Debug, Default)]
 pub(crate) struct WindowChecks {
     /// Bound on clock skew, in ms, overriding the settings.
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -9,6 +9,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// Time after which the members of a gang notice a lost member and exit, in ms.
 pub const GANG_PEER_MS: u64 = 5_000;
 
 /// Time limits of workers from the platform's settings, in ms.
@@ -35,6 +36,7 @@
     }
 }
 
+/// A task on a worker.
 #[derive(Debug, Clone)]
 pub struct Task {
     pub job: String,
@@ -47,6 +49,7 @@
     pub base_progress_s: f64,
     /// When its checkpoint will be saved.
     pub save_complete_at: Option<u64>,
+    /// When it exits because its gang lost a member.
     pub gang_exit_at: Option<u64>,
 }
 
@@ -57,11 +60,13 @@
         !matches!(self.state, TaskState::Exited | TaskState::Fetching)
     }
 
+    /// The task's name, `JOB/INDEX`.
     pub fn name(&self) -> String {
         format!("{}/{}", self.job, self.index)
     }
 }
 
+/// A worker on a machine, with its tasks and image cache.
 pub struct Worker {
     pub id: String,
     /// Address for direct commands.
@@ -137,6 +142,7 @@
         }
     }
 
+    /// Builds the body of a heartbeat.
     pub fn heartbeat(&mut self, now: u64) -> Vec<u8> {
         self.seq += 1;
         let report = Heartbeat {
@@ -176,6 +182,7 @@
         Some((self.heartbeats_sent, self.heartbeat(now)))
     }
 
+    /// Brings the next heartbeat forward after a change.
     fn advance_heartbeat(&mut self, now: u64) {
         self.next_heartbeat_at = self
             .next_heartbeat_at
@@ -196,6 +203,7 @@
         }
     }
 
+    /// Handles the response to a heartbeat, or its absence; stale responses are ignored.
     pub fn handle_heartbeat_response(
         &mut self,
         number: u64,
@@ -237,6 +245,7 @@
         }
     }
 
+    /// Sends the next heartbeat to the next node.
     fn try_next_node(&mut self, nodes: usize, now: u64) {
         self.node = (self.node + 1) % nodes;
         self.next_heartbeat_at = now + self.timings.retry_ms;
@@ -451,6 +460,7 @@
         }
     }
 
+    /// Announces that the cloud will reclaim the machine.
     pub fn give_reclaim_notice(&mut self, taken_at: u64, now: u64) {
         self.reclaim_at = Some(taken_at);
         self.advance_heartbeat(now);
@@ -468,6 +478,7 @@
 }
 
 impl Task {
+    /// Ends the task.
     pub fn exit(&mut self, why: TaskEndCause) {
         self.state = TaskState::Exited;
         self.end_cause = Some(why);
