--- a/crates/classad/src/ad.rs
+++ b/crates/classad/src/ad.rs
@@ -28,8 +28,8 @@
     /// Sets an attribute to an expression, replacing any previous one.
     pub fn insert(&mut self, name: Name, expr: Expr) {
         match self.position(name.key()) {
-            Ok(at) => self.attributes[at] = (name, expr),
-            Err(at) => self.attributes.insert(at, (name, expr)),
+            Ok(index) => self.attributes[index] = (name, expr),
+            Err(index) => self.attributes.insert(index, (name, expr)),
         }
     }
 
@@ -52,8 +52,8 @@
 
     /// Looks up an attribute by the lower-case form of its name.
     pub(crate) fn find(&self, key: &str) -> Option<&Expr> {
-        let at = self.position(key).ok()?;
-        self.attributes.get(at).map(|(_, expr)| expr)
+        let index = self.position(key).ok()?;
+        self.attributes.get(index).map(|(_, expr)| expr)
     }
 
     pub fn contains(&self, name: &Name) -> bool {
--- a/crates/classad/src/functions.rs
+++ b/crates/classad/src/functions.rs
@@ -833,7 +833,7 @@
 
 /// Formats a time in UTC with a format such as `%Y-%m-%d`.
 fn format_time(evaluator: &mut Evaluator, call: Call<'_>) -> Value {
-    let at = match call.arguments.first() {
+    let timestamp = match call.arguments.first() {
         None => Value::Int(evaluator.now_s()),
         Some(_) => call.argument(0, evaluator),
     };
@@ -841,13 +841,13 @@
         None => Value::from("%c"),
         Some(_) => call.argument(1, evaluator),
     };
-    match (at, format) {
+    match (timestamp, format) {
         (Value::Error, _) | (_, Value::Error) => Value::Error,
         (Value::Undefined, _) | (_, Value::Undefined) => Value::Undefined,
-        (at, Value::Str(format)) if at.as_number().is_some() => {
-            let time = at
+        (timestamp, Value::Str(format)) if timestamp.as_number().is_some() => {
+            let time = timestamp
                 .as_number()
-                .and_then(|at| DateTime::from_timestamp(at as i64, 0));
+                .and_then(|timestamp| DateTime::from_timestamp(timestamp as i64, 0));
             let mut out = String::new();
             // chrono reports an invalid format only when the result is written.
             match time.map(|time| write!(out, "{}", time.format(&format))) {
@@ -858,7 +858,11 @@
                 )),
             }
         }
-        (at, format) => evaluator.fail(Fault::Operands("formatTime", at.type_name(), format.type_name())),
+        (timestamp, format) => evaluator.fail(Fault::Operands(
+            "formatTime",
+            timestamp.type_name(),
+            format.type_name(),
+        )),
     }
 }
 
--- a/crates/classad/src/print.rs
+++ b/crates/classad/src/print.rs
@@ -36,8 +36,8 @@
 }
 
 fn write_list(entries: &[Expr], f: &mut fmt::Formatter<'_>) -> fmt::Result {
-    for (at, entry) in entries.iter().enumerate() {
-        let comma = if at == 0 { "" } else { ", " };
+    for (index, entry) in entries.iter().enumerate() {
+        let comma = if index == 0 { "" } else { ", " };
         write!(f, "{comma}{entry}")?;
     }
     Ok(())
@@ -100,8 +100,8 @@
             }
             Kind::Record(record) => {
                 f.write_str("[")?;
-                for (at, (attribute, expr)) in record.0.iter().enumerate() {
-                    f.write_str(if at == 0 { "" } else { "; " })?;
+                for (index, (attribute, expr)) in record.0.iter().enumerate() {
+                    f.write_str(if index == 0 { "" } else { "; " })?;
                     write_name(attribute, f)?;
                     write!(f, " = {expr}")?;
                 }
@@ -127,16 +127,16 @@
             Value::Str(text) => escape(text, '"', f),
             Value::List(entries) => {
                 f.write_str("{")?;
-                for (at, entry) in entries.iter().enumerate() {
-                    let comma = if at == 0 { "" } else { ", " };
+                for (index, entry) in entries.iter().enumerate() {
+                    let comma = if index == 0 { "" } else { ", " };
                     write!(f, "{comma}{entry}")?;
                 }
                 f.write_str("}")
             }
             Value::Record(attributes) => {
                 f.write_str("[")?;
-                for (at, (attribute, value)) in attributes.iter().enumerate() {
-                    f.write_str(if at == 0 { "" } else { "; " })?;
+                for (index, (attribute, value)) in attributes.iter().enumerate() {
+                    f.write_str(if index == 0 { "" } else { "; " })?;
                     write_name(attribute, f)?;
                     write!(f, " = {value}")?;
                 }
--- a/crates/classad/tests/published.rs
+++ b/crates/classad/tests/published.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn parse_errors_have_positions() {
-    for (text, place, words) in [
+    for (text, position, words) in [
         ("Cpus >=", "1:8", "missing at the end"),
         ("Cpus > 4 &&\n  (Gpus", "2:8", "\")\" is missing"),
         ("a = 1", "1:3", "\"==\" compares"),
@@ -77,7 +77,7 @@
         ("é + ", "1:1", "means nothing"),
     ] {
         let error = Expr::parse(text).unwrap_err();
-        assert_eq!(error.position.to_string(), place, "{text}: {error}");
+        assert_eq!(error.position.to_string(), position, "{text}: {error}");
         assert!(error.to_string().contains(words), "{text}: {error}");
     }
 }
@@ -114,9 +114,9 @@
     }
     let mut costly = Ad::default();
     costly.set("a0", Value::Int(1));
-    for at in 1..20 {
-        let sum = vec![format!("a{}", at - 1); 10].join("+");
-        costly.insert(Name::new(&format!("a{at}")), Expr::parse(&sum).unwrap());
+    for index in 1..20 {
+        let sum = vec![format!("a{}", index - 1); 10].join("+");
+        costly.insert(Name::new(&format!("a{index}")), Expr::parse(&sum).unwrap());
     }
     let expr = Expr::parse("a19").unwrap();
     assert_eq!(evaluator.evaluate(&expr, &costly, Some(&machine)), Value::Error);
