--- a/crates/indigopath/src/condor.rs
+++ b/crates/indigopath/src/condor.rs
@@ -31,20 +31,20 @@
 enum CondorCommand {
     /// Submit a file as a cluster, as a whole or not at all
     Submit(SubmitArgs),
-    /// Show what is queued, runs or is held
+    /// Show idle, running and held jobs
     Q(QueueArgs),
-    /// Keep clusters from running; what runs is stopped
+    /// Hold clusters or procs; running jobs are stopped
     Hold(IdArgs),
-    /// Let held clusters run
+    /// Release held clusters or procs
     Release(IdArgs),
-    /// Remove clusters
+    /// Remove clusters or procs
     Rm(IdArgs),
-    /// Show accepted clusters, or what became of one
+    /// Show accepted clusters, or the jobs of one
     History {
-        /// Only this one, job by job
+        /// Show only this cluster, job by job
         cluster: Option<u64>,
     },
-    /// Say, without submitting, what would become of each proc of a file
+    /// Show, without submitting, how each proc of a file would be handled
     Explain(ExplainArgs),
 }
 
@@ -52,25 +52,25 @@
 struct SubmitArgs {
     /// The submit file
     file: PathBuf,
-    /// Who submits
+    /// Owner of the submission
     #[arg(long, env = "USER", default_value = "nobody")]
     owner: String,
-    /// Tells the submission from others: the same file with the same key is the same cluster
+    /// Key that identifies the submission: the same file with the same key is the same cluster
     #[arg(long)]
     key: Option<String>,
-    /// Longest time to try for, in s
+    /// How long to retry, in s
     #[arg(long, value_name = "SECONDS", default_value_t = 120)]
     wait: u64,
 }
 
 #[derive(Args)]
 struct QueueArgs {
-    /// Only these clusters
+    /// Show only these clusters
     clusters: Vec<u64>,
-    /// A line for each array of procs that ask for the same
+    /// Show a line for each array of procs with the same request
     #[arg(long)]
     nobatch: bool,
-    /// Only what is held, and why
+    /// Show only held jobs, and why they are held
     #[arg(long)]
     hold: bool,
 }
@@ -86,7 +86,7 @@
 struct ExplainArgs {
     /// The submit file
     file: PathBuf,
-    /// Machine types, as the cloud's GET /flavors answers (JSON)
+    /// Machine types, as returned by the cloud's GET /flavors (JSON)
     #[arg(long, value_name = "FLAVORS.json")]
     machines: PathBuf,
     #[command(flatten)]
@@ -102,9 +102,9 @@
     /// An error in the submit file. Its message starts with the location and gets no prefix.
     #[error("{0}")]
     Submit(#[from] SubmitError),
-    #[error("what was found cannot be written: {0}")]
+    #[error("cannot write the output: {0}")]
     Write(#[from] std::io::Error),
-    #[error("{0:?} is neither a cluster nor a proc: one is 7 or 7.3")]
+    #[error("invalid id {0:?}: expected a cluster, such as 7, or a proc, such as 7.3")]
     InvalidId(String),
     #[error("{0}")]
     Bundle(String),
@@ -182,7 +182,7 @@
         if body.len() > MAX_SUBMIT_BODY_BYTES {
             let size = body.len();
             return Err(CondorError::Bundle(format!(
-                "the file and what goes along are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are taken: split it"
+                "the submit file and the files it reads are {size} bytes; at most {MAX_SUBMIT_BODY_BYTES} are accepted: split it"
             )));
         }
         let deadline = Instant::now() + Duration::from_secs(self.wait);
@@ -193,7 +193,7 @@
                 // Resending with the same key never creates a second cluster.
                 Err(ClientError::NoResponse(problem)) if Instant::now() < deadline => {
                     if problem != last_problem {
-                        eprintln!("indigopath: {problem}; trying again");
+                        eprintln!("indigopath: {problem}; retrying");
                         last_problem = problem;
                     }
                     std::thread::sleep(Duration::from_millis(RETRY_DELAY_MS));
@@ -213,7 +213,10 @@
                 }
                 Err(error) => {
                     if matches!(error, ClientError::NoResponse(_)) {
-                        eprintln!("indigopath: to go on with it later: --key {}", bundle.key);
+                        eprintln!(
+                            "indigopath: to retry this submission later, use --key {}",
+                            bundle.key
+                        );
                     }
                     return Err(error.into());
                 }
@@ -275,8 +278,8 @@
 }
 
 fn format_time(ms: u64) -> String {
-    let at = chrono::DateTime::from_timestamp_millis(ms as i64).unwrap_or_default();
-    at.format("%m/%d %H:%M").to_string()
+    let time = chrono::DateTime::from_timestamp_millis(ms as i64).unwrap_or_default();
+    time.format("%m/%d %H:%M").to_string()
 }
 
 /// Returns the numbers of done, running, idle and held procs of an array. A gang counts as one proc.
@@ -434,7 +437,7 @@
             code = ExitCode::FAILURE;
         }
         let text = nodes.format_output(&changed, |changed| match (changed.procs, id.contains('.')) {
-            (0, _) => format!("nothing of {id} is {participle}"),
+            (0, _) => format!("no jobs of {id} have been {participle}"),
             (_, true) => format!("Job {id} {participle}"),
             (_, false) if changed.not.is_empty() => {
                 format!("All jobs in cluster {id} have been {participle}")
@@ -448,12 +451,12 @@
 
 fn show_history(nodes: &Nodes, cluster: Option<u64>) -> Result<ExitCode, CondorError> {
     let path = format!("{}history", paths::CONDOR);
-    let found: History = match cluster {
+    let history: History = match cluster {
         Some(cluster) => nodes.get(&format!("{path}/{cluster}"))?,
         None => nodes.get(&path)?,
     };
-    let text = nodes.format_output(&found, |found| {
-        let rows = found.clusters.iter().map(|record| {
+    let text = nodes.format_output(&history, |history| {
+        let rows = history.clusters.iter().map(|record| {
             vec![
                 record.cluster.to_string(),
                 record.owner.clone(),
@@ -469,7 +472,7 @@
             rows,
         );
         if cluster.is_some() {
-            let jobs = found
+            let jobs = history
                 .jobs
                 .iter()
                 .map(|job| vec![job.job.clone(), job.tasks.to_string(), job.state.clone()]);
@@ -558,13 +561,13 @@
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     match format {
         Format::Json => {
-            for (proc, at) in results.outcome_of_proc.iter().enumerate() {
-                let at = *at as usize;
+            for (proc, outcome_index) in results.outcome_of_proc.iter().enumerate() {
+                let outcome_index = *outcome_index as usize;
                 let line = ProcLine {
                     proc,
-                    verdict: results.outcomes[at].verdict,
-                    kinds: &kinds[at],
-                    reason: results.outcomes[at].reason.as_deref(),
+                    verdict: results.outcomes[outcome_index].verdict,
+                    kinds: &kinds[outcome_index],
+                    reason: results.outcomes[outcome_index].reason.as_deref(),
                 };
                 serde_json::to_writer(&mut out, &line).map_err(std::io::Error::from)?;
                 out.write_all(b"\n")?;
@@ -574,19 +577,24 @@
             let mut rows = Vec::new();
             // Consecutive procs with the same outcome share a row.
             let mut first = 0;
-            while let Some(at) = results.outcome_of_proc.get(first).copied() {
+            while let Some(outcome_index) = results.outcome_of_proc.get(first).copied() {
                 let count = results.outcome_of_proc[first..]
                     .iter()
-                    .take_while(|other| **other == at)
+                    .take_while(|other| **other == outcome_index)
                     .count();
-                let outcome = &results.outcomes[at as usize];
+                let outcome = &results.outcomes[outcome_index as usize];
                 let procs = match count {
                     1 => first.to_string(),
                     _ => format!("{first}-{}", first + count - 1),
                 };
                 let verdict = format!("{:?}", outcome.verdict).to_lowercase();
                 let reason = outcome.reason.clone().unwrap_or_default();
-                rows.push(vec![procs, verdict, kinds[at as usize].join(", "), reason]);
+                rows.push(vec![
+                    procs,
+                    verdict,
+                    kinds[outcome_index as usize].join(", "),
+                    reason,
+                ]);
                 first += count;
             }
             let header = ["PROCS", "VERDICT", "MACHINES", "REASON"];
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -1,12 +1,12 @@
-//! The same stand-ins in real time, on loopback, round real controller processes.
+//! The models in real time, served on loopback for real controller processes.
 //!
-//! All models share one clock that goes in even steps and catches up with real time
-//! before anything is asked of them, so a busy machine makes them late, never wrong: a
-//! worker whose lease is over has ended its tasks by the time that anybody hears of it.
+//! All models share one clock that advances in equal steps and catches up with real time before each
+//! request. A busy machine therefore delays the models but does not make them wrong: a worker whose
+//! lease has expired has ended its tasks before any other process can observe it.
 
 use crate::cloud::Cloud;
 use crate::licence_server::{ClientState, LicenceServer};
-use crate::simulation::{ObservedJob, learn_jobs};
+use crate::simulation::{ObservedJob, record_condor_jobs};
 use crate::state::{Reply, StateService};
 use crate::worker::{Worker, WorkerTimings};
 use indigopath_controller::protocol::{TaskEndCause, TaskState};
@@ -20,16 +20,16 @@
 use std::time::{Duration, Instant};
 use tiny_http::{Method, Request, Response, Server};
 
-/// Grain of the models' clock, in ms.
+/// Resolution of the models' clock, in ms.
 const STEP_MS: u64 = 10;
 
-/// How long tasks of submit files run, in s.
+/// Run time of tasks of submit files, in s.
 const CONDOR_TASK_RUN_S: f64 = 0.4;
 
-/// Longest wait for a controller's answer, in ms.
+/// Timeout of a heartbeat, in ms.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 
-/// Everything that the stand-ins know.
+/// The state of all models.
 pub struct Models {
     pub now: u64,
     pub state: StateService,
@@ -37,22 +37,22 @@
     pub licences: LicenceServer,
     pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, ObservedJob>,
-    /// Starts with seats that the licence server refused.
+    /// Task starts for which the licence server refused units.
     pub refused_checkouts: Vec<String>,
-    /// Tasks that came to be on a machine.
+    /// Tasks that arrived on a machine.
     pub task_starts: u32,
     started: Instant,
     timings: WorkerTimings,
 }
 
 impl Models {
-    /// Lets time pass up to now, step by step.
+    /// Advances the models to the present, step by step.
     fn catch_up(&mut self) {
         let real = self.started.elapsed().as_millis() as u64;
         while self.now + STEP_MS <= real {
             self.now += STEP_MS;
             self.state.expire_leases(self.now);
-            // Whoever ends does so before anybody else begins.
+            // Tasks that end release their units before others start.
             self.update_licences();
             let ids: Vec<String> = self.workers.keys().cloned().collect();
             let mut arrived = Vec::new();
@@ -67,10 +67,10 @@
             self.update_licences();
             for (host, task) in arrived {
                 self.task_starts += 1;
-                let Some(facts) = self.jobs.get(&task.job) else {
+                let Some(observed) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                let refused = self.licences.check_out_all(&facts.counted_units, &host, &task);
+                let refused = self.licences.check_out_all(&observed.counted_units, &host, &task);
                 let lines = refused
                     .iter()
                     .map(|count| format!("{} on {host}: {count} at {} ms", task.name(), self.now));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The licence server sees who has ended.
+    /// Updates the licence server with the tasks that have ended.
     fn update_licences(&mut self) {
         let workers = &self.workers;
         self.licences.step(self.now, |client| {
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Tasks that run now: machine and name.
+    /// The running tasks: machine and name.
     pub fn running(&self) -> Vec<(String, String)> {
         let tasks = self.workers.values().flat_map(|worker| {
             let running = worker
@@ -100,7 +100,7 @@
         tasks.collect()
     }
 
-    /// A task's process dies, and its seat stays with the licence server for a while.
+    /// Kills a task's process; the licence server keeps its units for a while.
     pub fn kill_task(&mut self, host: &str, name: &str) {
         if let Some(worker) = self.workers.get_mut(host) {
             for task in worker.tasks.iter_mut().filter(|task| task.name() == name) {
@@ -110,14 +110,14 @@
         self.update_licences();
     }
 
-    /// A machine stops with all that is on it.
+    /// Kills a machine with everything on it.
     pub fn kill_machine(&mut self, host: &str) {
         self.workers.remove(host);
         self.update_licences();
     }
 }
 
-/// The stand-ins, running until this is dropped.
+/// The running services, which stop when this is dropped.
 pub struct LoopbackServices {
     models: Arc<Mutex<Models>>,
     shutdown: Arc<AtomicBool>,
@@ -141,7 +141,7 @@
 /// Status and body.
 type HttpResponse = (u16, Vec<u8>);
 
-/// How a stand-in answers: method, path, body.
+/// Handles a request: method, path, body.
 type Handler = dyn Fn(&str, &str, &[u8]) -> HttpResponse + Send + Sync;
 
 fn lock(models: &SharedModels) -> MutexGuard<'_, Models> {
@@ -151,11 +151,11 @@
 }
 
 impl LoopbackServices {
-    /// Starts them. Workers report to `nodes`, which are named n0, n1, …
+    /// Starts the services. Workers send heartbeats to `nodes`, which are named n0, n1, …
     pub fn start(
         cloud: Cloud,
         licences: LicenceServer,
-        times: WorkerTimings,
+        worker_timings: WorkerTimings,
         nodes: Vec<SocketAddrV4>,
     ) -> LoopbackServices {
         let models = Arc::new(Mutex::new(Models {
@@ -168,13 +168,14 @@
             refused_checkouts: Vec::new(),
             task_starts: 0,
             started: Instant::now(),
-            timings: times,
+            timings: worker_timings,
         }));
-        let over = Arc::new(AtomicBool::new(false));
+        let shutdown_flag = Arc::new(AtomicBool::new(false));
         let mut servers = Vec::new();
         let mut serve = |handle: fn(&SharedModels, &AtomicBool, &str, &str, &[u8]) -> HttpResponse| {
-            let (models, over) = (models.clone(), over.clone());
-            let (server, addr) = listen(move |method, path, body| handle(&models, &over, method, path, body));
+            let (models, shutdown_flag) = (models.clone(), shutdown_flag.clone());
+            let (server, addr) =
+                listen(move |method, path, body| handle(&models, &shutdown_flag, method, path, body));
             servers.push(server);
             addr
         };
@@ -185,12 +186,12 @@
             _ => (404, Vec::new()),
         });
         thread::spawn({
-            let (models, over) = (models.clone(), over.clone());
-            move || boot_machines(&models, &over, &nodes)
+            let (models, shutdown_flag) = (models.clone(), shutdown_flag.clone());
+            move || boot_machines(&models, &shutdown_flag, &nodes)
         });
         LoopbackServices {
             models,
-            shutdown: over,
+            shutdown: shutdown_flag,
             state,
             cloud,
             licences,
@@ -198,20 +199,20 @@
         }
     }
 
-    /// Looks at, or changes, what the stand-ins know, at the present time.
+    /// Reads or changes the models' state at the present time.
     pub fn with<T>(&self, act: impl FnOnce(&mut Models) -> T) -> T {
         act(&mut lock(&self.models))
     }
 }
 
-/// Serves HTTP on a port of its own, a thread a request: watches wait.
+/// Serves HTTP on a port of its own with one thread per request, as watches block.
 fn listen(
     handle: impl Fn(&str, &str, &[u8]) -> HttpResponse + Send + Sync + 'static,
 ) -> (Arc<Server>, SocketAddrV4) {
-    let server = Arc::new(Server::http("127.0.0.1:0").expect("a port on loopback"));
+    let server = Arc::new(Server::http("127.0.0.1:0").expect("failed to bind a loopback port"));
     let addr = match server.server_addr().to_ip() {
         Some(SocketAddr::V4(addr)) => addr,
-        other => panic!("no IPv4 port: {other:?}"),
+        other => panic!("not an IPv4 address: {other:?}"),
     };
     let handle = Arc::new(handle);
     let serving = server.clone();
@@ -238,13 +239,13 @@
     let (status, bytes) = handle(method, &path, &body);
     let length = bytes.len();
     let response = Response::new(status.into(), Vec::new(), Cursor::new(bytes), Some(length), None);
-    // Whoever asked may be gone.
+    // The client may have disconnected.
     let _ = request.respond(response.with_chunked_threshold(usize::MAX));
 }
 
 fn serve_state(
     models: &SharedModels,
-    over: &AtomicBool,
+    shutdown: &AtomicBool,
     method: &str,
     path: &str,
     body: &[u8],
@@ -255,7 +256,7 @@
         let (now, changes) = (models.now, models.state.applied_changes);
         let reply = models.state.handle(method, path, body, now);
         if models.state.applied_changes > changes {
-            learn_jobs(&mut models.jobs, body, CONDOR_TASK_RUN_S);
+            record_condor_jobs(&mut models.jobs, body, CONDOR_TASK_RUN_S);
         }
         reply
     };
@@ -264,10 +265,10 @@
         Reply::LongPoll { prefix, after, until } => loop {
             thread::sleep(Duration::from_millis(STEP_MS));
             let models = lock(models);
-            if let Some(news) = models.state.watch_response(&prefix, after) {
-                return (200, text(news));
+            if let Some(watch_response) = models.state.watch_response(&prefix, after) {
+                return (200, text(watch_response));
             }
-            if models.now >= until || over.load(Ordering::Relaxed) {
+            if models.now >= until || shutdown.load(Ordering::Relaxed) {
                 return (200, text(models.state.empty_watch_response()));
             }
         },
@@ -285,16 +286,16 @@
     (status, value.to_string().into_bytes())
 }
 
-/// Starts a worker for every machine that is up.
-fn boot_machines(models: &SharedModels, over: &Arc<AtomicBool>, nodes: &[SocketAddrV4]) {
+/// Starts a worker for each machine that has booted.
+fn boot_machines(models: &SharedModels, shutdown: &Arc<AtomicBool>, nodes: &[SocketAddrV4]) {
     let mut seen = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !shutdown.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(STEP_MS));
         let mut due = Vec::new();
         {
             let mut models = lock(models);
             let (now, timings) = (models.now, models.timings);
-            // Machines come up in the order of their names here.
+            // All machines boot in the order of their names here.
             let up: Vec<String> = models
                 .cloud
                 .machines
@@ -316,14 +317,14 @@
             }
         }
         for id in due {
-            let (models, over, nodes) = (models.clone(), over.clone(), nodes.to_vec());
-            thread::spawn(move || run_worker(&models, &over, &id, &nodes));
+            let (models, shutdown, nodes) = (models.clone(), shutdown.clone(), nodes.to_vec());
+            thread::spawn(move || run_worker(&models, &shutdown, &id, &nodes));
         }
     }
 }
 
-/// A worker's life: its address, and its reports.
-fn run_worker(models: &SharedModels, over: &AtomicBool, id: &str, nodes: &[SocketAddrV4]) {
+/// Runs a worker: serves its address and sends its heartbeats.
+fn run_worker(models: &SharedModels, shutdown: &AtomicBool, id: &str, nodes: &[SocketAddrV4]) {
     let (server, addr) = listen({
         let (models, id) = (models.clone(), id.to_owned());
         move |_, path, body| {
@@ -351,7 +352,7 @@
         }
     }
     let client = HttpClient::new(HEARTBEAT_TIMEOUT_MS);
-    while !over.load(Ordering::Relaxed) {
+    while !shutdown.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(STEP_MS));
         let due = {
             let mut models = lock(models);
@@ -379,7 +380,7 @@
     server.unblock();
 }
 
-/// A client of HTTP that waits for its answer, for users and workers.
+/// A blocking HTTP client for users and workers.
 pub struct HttpClient(ureq::Agent);
 
 impl HttpClient {
@@ -391,7 +392,7 @@
         HttpClient(config.into())
     }
 
-    /// Status and body, or nothing if no answer came.
+    /// Returns status and body, or `None` if no response came.
     pub fn call(&self, method: &str, to: SocketAddrV4, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let url = format!("http://{to}{path}");
         let answer = match method {
--- a/crates/simulator/src/scenario/actions/users.rs
+++ b/crates/simulator/src/scenario/actions/users.rs
@@ -1,14 +1,14 @@
-//! What users do: they submit, ask, cancel, repeat themselves, and send what can never run.
+//! Actions of users: submissions, polls, cancellations, repeated and invalid requests.
 
 use super::super::script::{body, number};
 use super::{Action, nodes_named};
-use crate::job_stream::Stream;
+use crate::job_stream::JobStream;
 use crate::response_checks;
-use crate::simulation::{NODES, Simulation, SubmittedFile, UserKind};
+use crate::simulation::{NODES, Simulation, SubmittedFile, UserRequest};
 use indigopath_condor::Bundle;
 use std::collections::BTreeMap;
 
-/// False where the verb is none of a user's.
+/// Returns false if the verb is no action of a user.
 pub(super) fn act(
     simulation: &mut Simulation,
     files: &BTreeMap<String, String>,
@@ -17,38 +17,43 @@
     match action.verb()? {
         "submit" => submit(simulation, action)?,
         "condor" => send_file(simulation, files, action)?,
-        // Its submitter never comes back.
+        // Its submitter never retries.
         "abandon" => {
-            let sent = simulation.sent.get_mut(action.arg(1)?);
+            let sent = simulation.submitted_files.get_mut(action.arg(1)?);
             sent.ok_or("no such file")?.next_attempt_at = u64::MAX;
         }
-        "withdraw" => withdraw(simulation, action)?,
+        "withdraw" => cancel_job(simulation, action)?,
         "ask" => {
             let nodes = action.keyed.get("node").copied().unwrap_or("all");
-            ask(simulation, action.arg(1)?, nodes, &UserKind::Poll)?;
+            send_to_nodes(simulation, action.arg(1)?, nodes, &UserRequest::Poll)?;
         }
-        "close-looks" | "withhold" | "repeat" => look_closely(simulation, action)?,
+        "close-looks" | "withhold" | "repeat" => query_rapidly(simulation, action)?,
         "stream" => {
-            let stream = Stream::new(action.arg(1)?, &action.keyed, action.lasts_ms()?, simulation.now)?;
+            let stream = JobStream::new(
+                action.arg(1)?,
+                &action.keyed,
+                action.duration_ms()?,
+                simulation.now,
+            )?;
             simulation.streams.push(stream);
         }
         "flood" => flood(simulation, action)?,
-        // The same id for another team, at a node of its own, whichever comes first.
+        // The same id for another team at a certain node, whichever submission comes first.
         "rival" => {
             let (body, _) = body(action.arg(1)?, &action.keyed)?;
-            let node = action.number("node", 0.0)? as usize % NODES;
-            simulation.user_asks(node, "", UserKind::submission(&body, 0));
+            let node = action.number_or("node", 0.0)? as usize % NODES;
+            simulation.send_user_request(node, "", UserRequest::submission(&body, 0));
         }
-        // A submission again, with another body: its job's state, never a refusal.
+        // A repeated submission with another body: answered with the job's state, never rejected.
         "resubmit" => {
             let (body, _) = body(action.arg(1)?, &action.keyed)?;
-            ask(simulation, "", "all", &UserKind::submission(&body, 200))?;
+            send_to_nodes(simulation, "", "all", &UserRequest::submission(&body, 200))?;
         }
         "probe" => probe(simulation, action)?,
-        "offer" => simulation.offer(&action.plain, &action.keyed)?,
-        "odd-requests" => simulation.begin_odd(action.lasts_ms()?),
+        "offer" => simulation.submit_expecting_status(&action.plain, &action.keyed)?,
+        "odd-requests" => simulation.begin_unusual_requests(action.duration_ms()?),
         "cancel-now" => cancel_now(simulation, action)?,
-        // What was wrong with the job is mended.
+        // The job's error is fixed.
         "fix" => {
             let job = simulation.jobs.get_mut(action.arg(1)?);
             job.ok_or("no such job")?.always_fails = false;
@@ -58,27 +63,27 @@
     Ok(true)
 }
 
-/// With `count=`, that many alike, numbered from the name's own number, ten a second or one `every=` so
-/// many seconds.
+/// Submits a job; with `count=` that many equal ones, numbered upwards from the given id, ten per
+/// second or one every `every=` seconds.
 fn submit(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let id = action.arg(1)?;
-    let every_ms = action.millis("every", 0.1)?;
-    let count = action.number("count", 1.0)? as u64;
-    for more in 0..count {
+    let every_ms = action.millis_or("every", 0.1)?;
+    let count = action.number_or("count", 1.0)? as u64;
+    for offset in 0..count {
         let id = match id.strip_prefix("wk-").and_then(|own| own.parse::<u64>().ok()) {
-            Some(own) => format!("wk-{}", own + more),
+            Some(own) => format!("wk-{}", own + offset),
             None => id.to_owned(),
         };
-        let (_, mut facts) = body(&id, &action.keyed)?;
-        let asked_at = simulation.now + more * every_ms;
-        facts.submitted_at = Some(asked_at);
-        simulation.jobs.insert(id.clone(), facts);
-        simulation.user_at.insert(id, asked_at);
+        let (_, mut observed) = body(&id, &action.keyed)?;
+        let asked_at = simulation.now + offset * every_ms;
+        observed.submitted_at = Some(asked_at);
+        simulation.jobs.insert(id.clone(), observed);
+        simulation.next_user_request_at.insert(id, asked_at);
     }
     Ok(())
 }
 
-/// A submit file, under a key of its own or another's.
+/// Sends a submit file, under its own submission key or that of another file.
 fn send_file(
     simulation: &mut Simulation,
     files: &BTreeMap<String, String>,
@@ -88,7 +93,7 @@
     let text = files.get(name).ok_or("no such file")?;
     let sent = action.keyed.get("as").copied().unwrap_or(name);
     let key = action.keyed.get("key").copied().unwrap_or(sent);
-    let first = action.number("node", 0.0)? as usize;
+    let first = action.number_or("node", 0.0)? as usize;
     let bundle = Bundle {
         key: format!("scenario-{key}"),
         owner: "awa".to_owned(),
@@ -98,7 +103,7 @@
         ..Bundle::default()
     };
     let mut nodes: Vec<usize> = (0..NODES).collect();
-    // The first turn moves on by one.
+    // The first attempt rotates the nodes by one.
     nodes.rotate_left((first + NODES - 1) % NODES);
     let sending = SubmittedFile {
         body: serde_json::to_vec(&bundle).map_err(|error| error.to_string())?,
@@ -106,76 +111,81 @@
         nodes,
         response: None,
     };
-    simulation.sent.insert(sent.to_owned(), sending);
+    simulation.submitted_files.insert(sent.to_owned(), sending);
     Ok(())
 }
 
-fn withdraw(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
+fn cancel_job(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let now = simulation.now;
     let job = action.arg(1)?;
-    let facts = simulation.jobs.get_mut(job).ok_or("no such job")?;
-    facts.request_cancel(now);
+    let observed = simulation.jobs.get_mut(job).ok_or("no such job")?;
+    observed.request_cancel(now);
     match action.keyed.get("node") {
-        Some(nodes) => ask(simulation, job, nodes, &UserKind::Cancel),
+        Some(nodes) => send_to_nodes(simulation, job, nodes, &UserRequest::Cancel),
         None => Ok(()),
     }
 }
 
-/// A request at each of these nodes, at once.
-fn ask(simulation: &mut Simulation, job: &str, nodes: &str, kind: &UserKind) -> Result<(), String> {
+/// Sends a request to each of these nodes at once.
+fn send_to_nodes(
+    simulation: &mut Simulation,
+    job: &str,
+    nodes: &str,
+    kind: &UserRequest,
+) -> Result<(), String> {
     for node in nodes_named(simulation, nodes)? {
-        simulation.user_asks(node, job, kind.clone());
+        simulation.send_user_request(node, job, kind.clone());
     }
     Ok(())
 }
 
-fn look_closely(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
+fn query_rapidly(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let plain = &action.plain;
     let node = action
         .keyed
         .get("node")
         .or(plain.get(1).filter(|_| plain.len() > 2));
     let nodes = node.map_or(Ok(Vec::new()), |node| nodes_named(simulation, node))?;
-    let cancels = action.number("cancels", 0.0)?;
+    let cancels = action.number_or("cancels", 0.0)?;
     response_checks::act(simulation, plain, &nodes, cancels, action.for_ms)
 }
 
-/// Submissions of one team, so many a second, whose users neither come again nor ask.
+/// Submits jobs of one team at a fixed rate; their users neither retry nor poll.
 fn flood(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
-    let rate = action.number("rate", 500.0)?;
+    let rate = action.number_or("rate", 500.0)?;
     let first = action.arg(1)?.trim_start_matches("wk-");
     let first: u64 = first.parse().map_err(|_| "no id")?;
-    let count = (rate * action.lasts_ms()? as f64 / 1000.0) as u64;
-    for more in 0..count {
-        let id = format!("wk-{}", first + more);
-        let (_, facts) = body(&id, &action.keyed)?;
-        simulation.jobs.insert(id.clone(), facts);
-        let node = more as usize % NODES;
-        let after = (more as f64 * 1000.0 / rate) as u64;
-        simulation.flood(after, node, id);
+    let count = (rate * action.duration_ms()? as f64 / 1000.0) as u64;
+    for offset in 0..count {
+        let id = format!("wk-{}", first + offset);
+        let (_, observed) = body(&id, &action.keyed)?;
+        simulation.jobs.insert(id.clone(), observed);
+        let node = offset as usize % NODES;
+        let after = (offset as f64 * 1000.0 / rate) as u64;
+        simulation.submit_once(after, node, id);
     }
     Ok(())
 }
 
-/// A request at every node whose answer's status must be this.
+/// Sends a request to every node whose response must have this status.
 fn probe(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
     let body = action.keyed.get("body").copied().unwrap_or("");
-    let kind = UserKind::Probe {
+    let kind = UserRequest::Probe {
         method: if action.arg(1)? == "GET" { "GET" } else { "POST" },
         path: action.arg(2)?.to_owned(),
         body: body.as_bytes().to_vec(),
         status: number(action.arg(3)?)? as u16,
     };
-    ask(simulation, "", "all", &kind)
+    send_to_nodes(simulation, "", "all", &kind)
 }
 
 fn cancel_now(simulation: &mut Simulation, action: &Action) -> Result<(), String> {
-    let count = number(action.keyed.get("count").ok_or("how many")?)? as usize;
-    let called_off = simulation.cancel_now(count.max(1), action.millis("hang", 0.0)?);
-    // With `?`, nothing happens while nothing has long to go.
+    let count = number(action.keyed.get("count").ok_or("missing `count=`")?)? as usize;
+    let cancelled = simulation.cancel_long_running(count.max(1), action.millis_or("hang", 0.0)?);
+    // With `?`, it is no error if no running job has a long remaining run time.
     if action.has("?") {
         Ok(())
     } else {
-        called_off.map(|_| ())
+        cancelled.map(|_| ())
     }
 }
--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -1,11 +1,11 @@
-//! That no work waits in vain: once no fault is left, no job has a task waiting for 90 s while a
-//! machine that fits has room and its team is under its limit. Judged, each second, from what is really on
-//! the machines, never from what a controller thinks.
+//! Checks that no job waits beside free capacity: once no fault is left, no job may have a task
+//! waiting for 90 s while a suitable machine has room and its team is below its limit. This is
+//! checked each second against the actual machines, never against a controller's view.
 //!
-//! Of an array or a service, one task that is nowhere must find room for the wait to count; of a gang none of
-//! which runs, all that are nowhere, beside those that are somewhere, or all of it in another zone. It need
-//! not be the same machine all the time. A scenario in which the wait is meant says `waits JOB because …`,
-//! which must then be so.
+//! For an array or a service, the wait counts if one unplaced task would fit; for a gang none of
+//! which runs, if all unplaced tasks would fit beside those that are placed, or the whole gang would
+//! fit in another zone. The machine need not be the same all the time. A scenario in which the wait
+//! is intended declares `waits JOB because …`, and the job must then wait.
 
 use crate::simulation::{ObservedJob, Simulation};
 use indigopath_controller::model::Resources;
@@ -14,50 +14,51 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long a job may wait beside room, in ms: the platform's own bound.
-const WAITED_MS: u64 = 90_000;
-/// Interval between looks, in ms.
-const LOOK_MS: u64 = 1_000;
-/// Room that was there at so many looks in a row is idle. Between a task's end and the next one's start,
-/// which takes a report and a record, it is not.
-const LOOKS: usize = 4;
+/// Longest wait beside free capacity, in ms: the bound that the platform states.
+const MAX_WAIT_MS: u64 = 90_000;
+/// Interval of the check, in ms.
+const CHECK_INTERVAL_MS: u64 = 1_000;
+/// Capacity that is free in this many successive samples counts as idle. Between a task's end and
+/// the next start, which takes a heartbeat and a write, it is not idle.
+const IDLE_SAMPLES: usize = 4;
 
+/// The jobs that wait beside free capacity.
 #[derive(Default)]
-pub(crate) struct Waiting {
-    /// Jobs whose wait is meant.
-    pub(crate) meant: BTreeSet<String>,
-    /// Of these, those that did wait.
-    pub(crate) found: BTreeSet<String>,
+pub(crate) struct WaitingChecks {
+    /// Jobs that are expected to wait.
+    pub(crate) expected: BTreeSet<String>,
+    /// Jobs that waited too long, expected or not.
+    pub(crate) overdue: BTreeSet<String>,
     /// When the last fault ended.
-    calm_from: u64,
-    /// Since when each job waits beside room.
-    since: BTreeMap<String, u64>,
-    asks: BTreeMap<String, Ask>,
-    /// What was free of each machine at the last looks.
-    rooms: BTreeMap<String, VecDeque<Resources>>,
+    last_fault_at: u64,
+    /// Since when each job waits beside free capacity.
+    waiting_since: BTreeMap<String, u64>,
+    placement_requests: BTreeMap<String, PlacementRequest>,
+    /// Free resources of each machine in the last samples.
+    free_samples: BTreeMap<String, VecDeque<Resources>>,
     teams: Vec<Team>,
 }
 
-/// What a job asks of a machine.
-struct Ask {
+/// What a job requires of a machine.
+struct PlacementRequest {
     needs: Resources,
     types: Option<Vec<String>>,
-    /// Of a submit file: which kinds of machines do.
+    /// For a job of a submit file: the kinds of machines that are allowed.
     kinds: Option<Value>,
     zone: Option<String>,
     one_zone: bool,
-    /// Most tasks in one zone.
-    zone_cap: usize,
+    /// Largest number of tasks in one zone.
+    max_tasks_per_zone: usize,
     spot: bool,
 }
 
-impl Ask {
-    fn of(facts: &ObservedJob) -> Ask {
+impl PlacementRequest {
+    fn of(observed: &ObservedJob) -> PlacementRequest {
         let amount = |value: &Value| value.as_f64().unwrap_or(0.0);
-        let (body, tasks) = (&facts.body, facts.tasks as usize);
-        if let Some(spec) = &facts.spec {
+        let (body, tasks) = (&observed.body, observed.tasks as usize);
+        if let Some(spec) = &observed.spec {
             let needs = &spec["needs"];
-            return Ask {
+            return PlacementRequest {
                 needs: Resources {
                     cpus: amount(&needs["cpus"]),
                     gpus: amount(&needs["gpus"]),
@@ -67,7 +68,7 @@
                 kinds: spec.get("kinds").cloned(),
                 zone: None,
                 one_zone: false,
-                zone_cap: tasks,
+                max_tasks_per_zone: tasks,
                 spot: spec["spot"] == true,
             };
         }
@@ -76,7 +77,7 @@
                 .filter_map(|name| Some(name.as_str()?.into()))
                 .collect()
         };
-        Ask {
+        PlacementRequest {
             needs: Resources {
                 cpus: amount(&body["Cpus"]),
                 gpus: amount(&body["Gpus"]),
@@ -86,7 +87,7 @@
             kinds: None,
             zone: body["Yard"].as_str().map(str::to_owned),
             one_zone: body["OneZone"] == true,
-            zone_cap: if body["Apart"] == true {
+            max_tasks_per_zone: if body["Apart"] == true {
                 tasks.div_ceil(2)
             } else {
                 tasks
@@ -95,18 +96,19 @@
         }
     }
 
-    fn allows(&self, room: &Room<'_>) -> bool {
-        let kind = |kinds: &Value| kinds[room.machine_type][room.zone][usize::from(room.spot)].is_u64();
+    fn allows(&self, machine: &IdleMachine<'_>) -> bool {
+        let kind =
+            |kinds: &Value| kinds[machine.machine_type][machine.zone][usize::from(machine.spot)].is_u64();
         let types = self.types.as_ref();
-        types.is_none_or(|types| types.iter().any(|name| name == room.machine_type))
-            && self.zone.as_ref().is_none_or(|only| only == room.zone)
-            && (self.spot || !room.spot)
+        types.is_none_or(|types| types.iter().any(|name| name == machine.machine_type))
+            && self.zone.as_ref().is_none_or(|only| only == machine.zone)
+            && (self.spot || !machine.spot)
             && self.kinds.as_ref().is_none_or(kind)
     }
 }
 
-/// A sound machine with what is idle of it.
-struct Room<'a> {
+/// A healthy machine and its idle resources.
+struct IdleMachine<'a> {
     id: &'a str,
     machine_type: &'a str,
     zone: &'a str,
@@ -114,19 +116,19 @@
     free: Resources,
 }
 
-/// Where a job's tasks are, fetching ones included.
+/// Where a job's tasks are placed, including those that fetch their image.
 #[derive(Default)]
-struct There<'a> {
+struct PlacedTasks<'a> {
     indexes: BTreeSet<u32>,
     zones: BTreeMap<&'a str, usize>,
-    runs: bool,
+    is_running: bool,
 }
 
 impl Simulation {
-    /// Whether anything is wrong that passes: with controllers, users or the state service, or with
-    /// machines and what reaches them.
-    fn any_trouble(&self) -> bool {
-        self.in_trouble()
+    /// Whether any temporary fault is active: of controllers, users or the state service, or of
+    /// machines and the messages to and from them.
+    fn has_any_fault(&self) -> bool {
+        self.has_control_plane_fault()
             || self.cloud.outage
             || self.licences.outage
             || !self.cuts.is_empty()
@@ -137,56 +139,67 @@
                 .any(|worker| self.now < worker.hung_until.max(worker.refuses_starts_until))
     }
 
-    /// Whether somebody waits beside room, so that more is to be seen.
-    pub(crate) fn waits_beside_room(&self) -> bool {
-        let since = self.waiting.since.iter();
-        since.filter(|(id, _)| !self.waiting.found.contains(*id)).count() > 0
+    /// Whether a job waits beside free capacity, so that the simulation must continue.
+    pub(crate) fn has_wait_beside_capacity(&self) -> bool {
+        let since = self.waiting_checks.waiting_since.iter();
+        since
+            .filter(|(id, _)| !self.waiting_checks.overdue.contains(*id))
+            .count()
+            > 0
     }
 
-    /// Flags jobs that have waited in vain.
+    /// Flags jobs that waited too long beside free capacity.
     pub(crate) fn check_waiting(&mut self) {
-        if self.any_trouble() {
-            self.waiting.calm_from = self.now;
-            self.waiting.since.clear();
+        if self.has_any_fault() {
+            self.waiting_checks.last_fault_at = self.now;
+            self.waiting_checks.waiting_since.clear();
         }
-        if !self.now.is_multiple_of(LOOK_MS) {
+        if !self.now.is_multiple_of(CHECK_INTERVAL_MS) {
             return;
         }
-        let mut waiting = std::mem::take(&mut self.waiting);
-        for (id, facts) in &self.jobs {
-            if facts.accepted && !waiting.asks.contains_key(id) {
-                waiting.asks.insert(id.clone(), Ask::of(facts));
+        let mut waiting = std::mem::take(&mut self.waiting_checks);
+        for (id, observed) in &self.jobs {
+            if observed.accepted && !waiting.placement_requests.contains_key(id) {
+                waiting
+                    .placement_requests
+                    .insert(id.clone(), PlacementRequest::of(observed));
             }
         }
         if waiting.teams.is_empty() {
             waiting.teams = self.teams();
         }
-        self.look_at_rooms(&mut waiting);
-        let calm = self.now > waiting.calm_from;
-        let beside = if calm {
-            self.beside_room(&waiting)
+        self.sample_free_resources(&mut waiting);
+        let is_calm = self.now > waiting.last_fault_at;
+        let waits = if is_calm {
+            self.waits_beside_capacity(&waiting)
         } else {
             BTreeMap::new()
         };
-        let (now, mut vain) = (self.now, Vec::new());
-        waiting.since.retain(|id, _| beside.contains_key(id));
-        for (id, machine) in beside {
-            let since = *waiting.since.entry(id.clone()).or_insert(now);
-            if now < since + WAITED_MS || !waiting.found.insert(id.clone()) || waiting.meant.contains(&id) {
+        let (now, mut overdue_lines) = (self.now, Vec::new());
+        waiting.waiting_since.retain(|id, _| waits.contains_key(id));
+        for (id, machine) in waits {
+            let since = *waiting.waiting_since.entry(id.clone()).or_insert(now);
+            if now < since + MAX_WAIT_MS
+                || !waiting.overdue.insert(id.clone())
+                || waiting.expected.contains(&id)
+            {
                 continue;
             }
-            vain.push(format!("{id}, since {} s, as {machine} has room", since / 1_000));
+            overdue_lines.push(format!("{id}, since {} s, as {machine} has room", since / 1_000));
         }
-        self.waiting = waiting;
-        for line in vain {
+        self.waiting_checks = waiting;
+        for line in overdue_lines {
             self.violation("waits", line);
         }
     }
 
-    /// Exceptions that are none.
-    pub(crate) fn waits_after_all(&self) -> impl Iterator<Item = String> {
-        let none = self.waiting.meant.difference(&self.waiting.found);
-        none.map(|id| format!("waits {id}: it is not so"))
+    /// Declared exceptions that did not occur.
+    pub(crate) fn unmet_wait_exceptions(&self) -> impl Iterator<Item = String> {
+        let unmet = self
+            .waiting_checks
+            .expected
+            .difference(&self.waiting_checks.overdue);
+        unmet.map(|id| format!("waits {id}: it is not so"))
     }
 
     fn teams(&self) -> Vec<Team> {
@@ -198,105 +211,124 @@
         teams
     }
 
-    fn look_at_rooms(&self, waiting: &mut Waiting) {
-        waiting.rooms.retain(|id, _| self.workers.contains_key(id));
+    fn sample_free_resources(&self, waiting: &mut WaitingChecks) {
+        waiting.free_samples.retain(|id, _| self.workers.contains_key(id));
         for (id, worker) in &self.workers {
             let mut types = self.cloud.types.iter();
             let known = types.find(|known| known.name == worker.machine_type);
             let mut free = known.map(|known| known.resources()).unwrap_or_default();
             for task in worker.tasks.iter().filter(|task| task.state != TaskState::Exited) {
-                if let Some(ask) = waiting.asks.get(&task.job) {
-                    free -= ask.needs;
+                if let Some(request) = waiting.placement_requests.get(&task.job) {
+                    free -= request.needs;
                 }
             }
-            let looks = waiting.rooms.entry(id.clone()).or_default();
-            looks.push_back(free);
-            if looks.len() > LOOKS {
-                looks.pop_front();
+            let samples = waiting.free_samples.entry(id.clone()).or_default();
+            samples.push_back(free);
+            if samples.len() > IDLE_SAMPLES {
+                samples.pop_front();
             }
         }
     }
 
-    /// Sound machines with the room that lasted.
-    fn idle_rooms<'a>(&'a self, waiting: &'a Waiting) -> Vec<Room<'a>> {
-        let sound = self.workers.values().filter(|worker| {
-            let seen = waiting.rooms.get(&worker.id).map_or(0, VecDeque::len);
-            worker.reclaim_at.is_none() && !worker.faulty && seen == LOOKS
+    /// Healthy machines with the resources that stayed free in all samples.
+    fn idle_machines<'a>(&'a self, waiting: &'a WaitingChecks) -> Vec<IdleMachine<'a>> {
+        let healthy = self.workers.values().filter(|worker| {
+            let sample_count = waiting.free_samples.get(&worker.id).map_or(0, VecDeque::len);
+            worker.reclaim_at.is_none() && !worker.faulty && sample_count == IDLE_SAMPLES
         });
-        let rooms = sound.map(|worker| {
-            let least = |a: Resources, b: &Resources| Resources {
+        let idle = healthy.map(|worker| {
+            let minimum = |a: Resources, b: &Resources| Resources {
                 cpus: a.cpus.min(b.cpus),
                 gpus: a.gpus.min(b.gpus),
                 memory_gb: a.memory_gb.min(b.memory_gb),
             };
-            let looks = &waiting.rooms[&worker.id];
-            Room {
+            let samples = &waiting.free_samples[&worker.id];
+            IdleMachine {
                 id: &worker.id,
                 machine_type: &worker.machine_type,
                 zone: &worker.zone,
                 spot: worker.spot,
-                free: looks.iter().skip(1).fold(looks[0], least),
+                free: samples.iter().skip(1).fold(samples[0], minimum),
             }
         });
-        rooms.collect()
+        idle.collect()
     }
 
-    /// Jobs that wait beside room now, with a machine that has it.
-    fn beside_room(&self, waiting: &Waiting) -> BTreeMap<String, String> {
-        let rooms = self.idle_rooms(waiting);
+    /// Jobs that wait beside free capacity now, each with a machine that has it.
+    fn waits_beside_capacity(&self, waiting: &WaitingChecks) -> BTreeMap<String, String> {
+        let idle_machines = self.idle_machines(waiting);
         let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut held: BTreeMap<&str, u32> = BTreeMap::new();
-        let mut there: BTreeMap<&str, There<'_>> = BTreeMap::new();
+        let mut placement: BTreeMap<&str, PlacedTasks<'_>> = BTreeMap::new();
         for (worker, task) in self.workers.values().flat_map(|worker| {
             let tasks = worker.tasks.iter().filter(|task| task.state != TaskState::Exited);
             tasks.map(move |task| (worker, task))
         }) {
-            let (Some(facts), Some(ask)) = (self.jobs.get(&task.job), waiting.asks.get(&task.job)) else {
+            let (Some(observed), Some(request)) = (
+                self.jobs.get(&task.job),
+                waiting.placement_requests.get(&task.job),
+            ) else {
                 continue;
             };
-            *used.entry(&facts.team).or_default() += ask.needs;
-            for (count, units) in &facts.counted_units {
+            *used.entry(&observed.team).or_default() += request.needs;
+            for (count, units) in &observed.counted_units {
                 *held.entry(count).or_default() += units;
             }
-            let there = there.entry(&task.job).or_default();
-            there.indexes.insert(task.index);
-            *there.zones.entry(&worker.zone).or_default() += 1;
-            there.runs |= matches!(task.state, TaskState::Running | TaskState::Saving);
+            let placement = placement.entry(&task.job).or_default();
+            placement.indexes.insert(task.index);
+            *placement.zones.entry(&worker.zone).or_default() += 1;
+            placement.is_running |= matches!(task.state, TaskState::Running | TaskState::Saving);
         }
-        let none = There::default();
-        let mut beside = BTreeMap::new();
-        for (id, facts) in &self.jobs {
-            let over = facts.cancel_requested_at.is_some() || facts.rejected || facts.always_fails;
-            let there = there.get(id.as_str()).unwrap_or(&none);
-            let placed = facts.completed_tasks.union(&there.indexes).count() as u32;
-            let Some(ask) = waiting.asks.get(id).filter(|_| !over && placed < facts.tasks) else {
+        let none = PlacedTasks::default();
+        let mut waits = BTreeMap::new();
+        for (id, observed) in &self.jobs {
+            let over = observed.cancel_requested_at.is_some() || observed.rejected || observed.always_fails;
+            let placement = placement.get(id.as_str()).unwrap_or(&none);
+            let placed = observed.completed_tasks.union(&placement.indexes).count() as u32;
+            let Some(request) = waiting
+                .placement_requests
+                .get(id)
+                .filter(|_| !over && placed < observed.tasks)
+            else {
                 continue;
             };
-            let gang = facts.shape == "gang";
-            let tasks = if gang { (facts.tasks - placed) as usize } else { 1 };
-            // Nobody else tells of a submit file's job that it was removed, or is held.
-            let parked = facts.cluster.is_some_and(|of| {
-                self.state.value(&format!("j/{id}")).is_none() || self.may_run(id, of).is_err()
+            let gang = observed.shape == "gang";
+            let tasks = if gang {
+                (observed.tasks - placed) as usize
+            } else {
+                1
+            };
+            // Only the records tell that a submit file's job was removed or is held.
+            let held_back = observed.cluster.is_some_and(|of| {
+                self.state.value(&format!("j/{id}")).is_none() || self.check_runnable(id, of).is_err()
             });
-            if gang && there.runs || parked {
+            if gang && placement.is_running || held_back {
                 continue;
             }
-            let mut usage = used.get(facts.team.as_str()).copied().unwrap_or_default();
-            usage += ask.needs.scaled_by(tasks as f64);
-            let within = |team: &Team| team.name == facts.team && team.allows(&usage);
-            if !waiting.teams.iter().any(within) || !self.has_units(facts, tasks as u32, &held) {
+            let mut usage = used.get(observed.team.as_str()).copied().unwrap_or_default();
+            usage += request.needs.scaled_by(tasks as f64);
+            let within = |team: &Team| team.name == observed.team && team.allows(&usage);
+            if !waiting.teams.iter().any(within) || !self.has_units(observed, tasks as u32, &held) {
                 continue;
             }
-            if let Some(machine) = find(ask, gang, tasks, facts.tasks as usize, there, &rooms) {
-                beside.insert(id.clone(), machine.to_owned());
+            if let Some(machine) = find_machine(
+                request,
+                gang,
+                tasks,
+                observed.tasks as usize,
+                placement,
+                &idle_machines,
+            ) {
+                waits.insert(id.clone(), machine.to_owned());
             }
         }
-        beside
+        waits
     }
 
-    /// Whether there are seats for so many more tasks. Shares of teams are not judged.
-    fn has_units(&self, facts: &ObservedJob, tasks: u32, held: &BTreeMap<&str, u32>) -> bool {
-        facts.counted_units.iter().all(|(name, units)| {
+    /// Whether there are units for this many more tasks. Resources with shares for teams are not
+    /// checked.
+    fn has_units(&self, observed: &ObservedJob, tasks: u32, held: &BTreeMap<&str, u32>) -> bool {
+        observed.counted_units.iter().all(|(name, units)| {
             let Some(definition) = self.operator.counted_resources.get(name.as_str()) else {
                 return false;
             };
@@ -309,34 +341,36 @@
     }
 }
 
-/// A machine that could take one of so many tasks of a job, if there is room for all of them.
-fn find<'a>(
-    ask: &Ask,
+/// Returns a machine that could take one of the missing tasks, if there is room for all of them.
+fn find_machine<'a>(
+    request: &PlacementRequest,
     gang: bool,
     missing: usize,
     all: usize,
-    there: &There<'_>,
-    rooms: &[Room<'a>],
+    placement: &PlacedTasks<'_>,
+    idle_machines: &[IdleMachine<'a>],
 ) -> Option<&'a str> {
     let mut by_zone: BTreeMap<&str, (usize, &'a str)> = BTreeMap::new();
-    for room in rooms
+    for machine in idle_machines
         .iter()
-        .filter(|room| ask.needs.fits_in(&room.free) && ask.allows(room))
+        .filter(|machine| request.needs.fits_in(&machine.free) && request.allows(machine))
     {
-        let (places, _) = by_zone.entry(room.zone).or_insert((0, room.id));
-        *places += ask.needs.instances_in(&room.free).min(all as f64) as usize;
+        let (places, _) = by_zone.entry(machine.zone).or_insert((0, machine.id));
+        *places += request.needs.instances_in(&machine.free).min(all as f64) as usize;
     }
-    let taken = |zone: &str| there.zones.get(zone).copied().unwrap_or(0);
-    if ask.one_zone {
-        // Where the others are; a gang that does not run may go elsewhere whole.
+    let taken = |zone: &str| placement.zones.get(zone).copied().unwrap_or(0);
+    if request.one_zone {
+        // In the zone of the placed tasks; a gang that does not run may move to another zone as a
+        // whole.
         return by_zone.into_iter().find_map(|(zone, (places, id))| {
-            let alone = there.zones.keys().all(|other| *other == zone);
+            let alone = placement.zones.keys().all(|other| *other == zone);
             let needed = if alone { missing } else { all };
-            ((alone || gang) && places >= needed && taken(zone) + needed <= ask.zone_cap).then_some(id)
+            ((alone || gang) && places >= needed && taken(zone) + needed <= request.max_tasks_per_zone)
+                .then_some(id)
         });
     }
     let places = |(zone, (places, _)): (&&str, &(usize, &str))| {
-        (*places).min(ask.zone_cap.saturating_sub(taken(zone)))
+        (*places).min(request.max_tasks_per_zone.saturating_sub(taken(zone)))
     };
     if by_zone.iter().map(places).sum::<usize>() < missing {
         return None;
