--- a/crates/connection_limits/src/limiter/tests.rs
+++ b/crates/connection_limits/src/limiter/tests.rs
@@ -87,7 +87,9 @@
                     self.connections[client].1 = Some(slot);
                     requesting.push(client);
                 }
-                Err(full) if !self.sockets.may_wait(self.now) => self.sockets.refuse(full, self.now),
+                Err(no_capacity) if !self.sockets.may_wait(self.now) => {
+                    self.sockets.refuse(no_capacity, self.now)
+                }
                 Err(_) => break,
             }
             self.longest_wait = self.longest_wait.max(self.now - since);
@@ -195,7 +197,7 @@
                 sockets.identify(&mut slot, ConnectionClass::Worker);
                 slots.push(slot);
             }
-            Err(full) => sockets.refuse(full, now),
+            Err(no_capacity) => sockets.refuse(no_capacity, now),
         }
         events.extend(sockets.next_event(now));
     }
@@ -207,7 +209,7 @@
         ]
     );
     assert_eq!(sockets.next_event(100 + SHORTAGE_QUIET_MS), None);
-    let Some(ShortageEvent::Over {
+    let Some(ShortageEvent::Ended {
         lasted_ms: duration_ms,
         counts: totals,
     }) = sockets.next_event(199 + SHORTAGE_QUIET_MS)
--- a/crates/connection_limits/src/shortage.rs
+++ b/crates/connection_limits/src/shortage.rs
@@ -40,7 +40,7 @@
     /// Connections are being refused, the first of them of this class.
     Refusing(ConnectionClass),
     /// The shortage has ended.
-    Over {
+    Ended {
         /// How long it lasted, in ms.
         lasted_ms: Timestamp,
         /// Connections refused and closed in that time.
@@ -129,11 +129,11 @@
         if now < episode.last_short_at + SHORTAGE_QUIET_MS {
             return None;
         }
-        let over = ShortageEvent::Over {
+        let ended = ShortageEvent::Ended {
             lasted_ms: episode.last_short_at - episode.since,
             counts: self.counts.since(&episode.counts_before),
         };
         self.episode = None;
-        Some(over)
+        Some(ended)
     }
 }
--- a/crates/image_locality/src/image_replicas.rs
+++ b/crates/image_locality/src/image_replicas.rs
@@ -8,7 +8,7 @@
 /// How widely the image of a model is cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Spread {
-    /// On no known machine.
+    /// On no machine, as far as is known.
     Nowhere,
     /// On one machine.
     OneMachine,
--- a/crates/indigopath/src/event_loop.rs
+++ b/crates/indigopath/src/event_loop.rs
@@ -375,7 +375,7 @@
         let class = connection_class(to);
         let slot = match self.limiter.open(class, now) {
             Ok(slot) => slot,
-            Err(full) => self.reclaim_slot(full, now)?,
+            Err(no_capacity) => self.reclaim_slot(no_capacity, now)?,
         };
         let stream = match TcpStream::connect(SocketAddr::V4(addr)) {
             Ok(stream) => stream,
@@ -397,7 +397,7 @@
 
     /// Opens a slot for a call that found none free, after closing an idle connection to a worker if there
     /// is one.
-    fn reclaim_slot(&mut self, full: NoCapacity, now: u64) -> io::Result<ConnectionSlot> {
+    fn reclaim_slot(&mut self, no_capacity: NoCapacity, now: u64) -> io::Result<ConnectionSlot> {
         let idle = self
             .idle_pool
             .iter()
@@ -406,9 +406,9 @@
         if let Some(key) = idle {
             self.close(key);
         }
-        self.limiter.open(full.0, now).map_err(|full| {
-            self.limiter.refuse(full, now);
-            io::Error::other(full)
+        self.limiter.open(no_capacity.0, now).map_err(|no_capacity| {
+            self.limiter.refuse(no_capacity, now);
+            io::Error::other(no_capacity)
         })
     }
 
@@ -452,8 +452,8 @@
             self.peers[index].retry_at = now + PEER_RECONNECT_MS;
             let slot = match self.limiter.open(ConnectionClass::Peer, now) {
                 Ok(slot) => slot,
-                Err(full) => {
-                    self.limiter.refuse(full, now);
+                Err(no_capacity) => {
+                    self.limiter.refuse(no_capacity, now);
                     continue;
                 }
             };
@@ -518,8 +518,8 @@
             };
             let slot = match slot {
                 Ok(slot) => slot,
-                Err(full) => {
-                    self.limiter.refuse(full, now);
+                Err(no_capacity) => {
+                    self.limiter.refuse(no_capacity, now);
                     continue;
                 }
             };
@@ -964,7 +964,7 @@
             class.name(),
             format_counts(open)
         ),
-        ShortageEvent::Over { lasted_ms, counts } => log::info!(
+        ShortageEvent::Ended { lasted_ms, counts } => log::info!(
             "socket shortage over after {:.1} s; closed with a response: {}; closed while idle: {}; refused: {}",
             lasted_ms as f64 / 1_000.0,
             format_counts(counts.closed_by_response),
