--- a/crates/simulator/src/response_checks.rs
+++ b/crates/simulator/src/response_checks.rs
@@ -1,151 +1,161 @@
-//! What users were told of each job, by which node and when. Once any node told of a job that it is
-//! accepted, done or cancelled, an answer given later, by whichever node and on whichever route, must
-//! not be older. A 404 is judged only where its user asked after that telling: one that asked before
-//! may have been read before the job was accepted.
+//! Checks the order of responses about a job. Once any node has reported a job as accepted, done or
+//! cancelled, no later response of any node on any route may report an older state. A 404 is checked
+//! only if its user asked after that report: the request may otherwise have been handled before the
+//! job was accepted.
 
-use crate::simulation::{Event, NODES, ObservedJob, Simulation, UserKind};
+use crate::simulation::{Event, NODES, ObservedJob, Simulation, UserRequest};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// When users look closely, in ms after they were told something.
-const LOOKS_MS: [u64; 3] = [1, 21, 61];
+/// Delays of the additional queries after a new state was reported, in ms.
+const QUERY_DELAYS_MS: [u64; 3] = [1, 21, 61];
 
-/// The state of a job, from the oldest word to the newest.
+/// The state of a job as a response reports it, from the oldest to the newest.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Word {
+enum ReportedState {
     Unknown,
     LoopbackServices,
     Over(String),
 }
 
-impl Word {
-    fn of(status: u16, answer: &Value) -> Option<Word> {
+impl ReportedState {
+    fn of(status: u16, answer: &Value) -> Option<ReportedState> {
         match (status, answer["Status"].as_str()) {
-            (404, _) => Some(Word::Unknown),
-            (200, Some(end @ ("done" | "cancelled"))) => Some(Word::Over(end.to_owned())),
-            (200 | 201, Some(_)) => Some(Word::LoopbackServices),
+            (404, _) => Some(ReportedState::Unknown),
+            (200, Some(end @ ("done" | "cancelled"))) => Some(ReportedState::Over(end.to_owned())),
+            (200 | 201, Some(_)) => Some(ReportedState::LoopbackServices),
             _ => None,
         }
     }
 
     fn rank(&self) -> u8 {
         match self {
-            Word::Unknown => 0,
-            Word::LoopbackServices => 1,
-            Word::Over(_) => 2,
+            ReportedState::Unknown => 0,
+            ReportedState::LoopbackServices => 1,
+            ReportedState::Over(_) => 2,
         }
     }
 }
 
-/// The next answer of the state service to such a call of a node comes so many ms late.
+/// The next response of the state service to such a call of a node is delayed.
 #[derive(Debug)]
-struct Withheld {
+struct DelayedResponse {
     node: usize,
     path: String,
-    words: String,
-    by_ms: u64,
+    body_text: String,
+    delay_ms: u64,
 }
 
+/// The reported states, and faults of responses.
 #[derive(Debug, Default)]
-pub(crate) struct Answers {
-    /// The newest word of each job, when it was first given, and by which node.
-    newest: BTreeMap<String, (Word, u64, usize)>,
-    /// Until when users look closely, and the share of jobs that they take back at once.
-    close_until: u64,
+pub(crate) struct ResponseChecks {
+    /// The newest reported state of each job, when it was first reported, and by which node.
+    latest_states: BTreeMap<String, (ReportedState, u64, usize)>,
+    /// Until when new states trigger queries at all nodes, and the share of jobs that are then
+    /// cancelled at once.
+    rapid_queries_until: u64,
     cancel_share: f64,
-    withheld: Vec<Withheld>,
-    /// How long users waited for "cancelled" of a withdrawal, and "done" of a poll, in ms.
-    waits: BTreeMap<&'static str, Vec<u64>>,
+    delayed_responses: Vec<DelayedResponse>,
+    /// How long users waited for "cancelled" after a cancellation and for "done" after a poll, in
+    /// ms.
+    response_times_ms: BTreeMap<&'static str, Vec<u64>>,
 }
 
 impl Simulation {
-    /// A node answers a user about a job.
-    pub(crate) fn judge_answer(
+    /// Checks a node's response to a user about a job.
+    pub(crate) fn check_response_order(
         &mut self,
         node: usize,
         job: &str,
-        kind: &UserKind,
+        kind: &UserRequest,
         asked_at: u64,
         status: u16,
         body: &[u8],
     ) {
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
         let job = match kind {
-            UserKind::Cluster => return,
-            UserKind::Probe { .. } => answer["Id"].as_str().unwrap_or_default(),
+            UserRequest::SubmitFile => return,
+            UserRequest::Probe { .. } => answer["Id"].as_str().unwrap_or_default(),
             _ => job,
         };
-        let Some(word) = Word::of(status, &answer).filter(|_| self.jobs.contains_key(job)) else {
+        let Some(state) = ReportedState::of(status, &answer).filter(|_| self.jobs.contains_key(job)) else {
             return;
         };
         let now = self.now;
-        let wait = match (kind, &word) {
-            (UserKind::Cancel, Word::Over(_)) => Some("cancelled"),
-            (UserKind::Poll, Word::Over(end)) if end == "done" => Some("done"),
+        let wait = match (kind, &state) {
+            (UserRequest::Cancel, ReportedState::Over(_)) => Some("cancelled"),
+            (UserRequest::Poll, ReportedState::Over(end)) if end == "done" => Some("done"),
             _ => None,
         };
         if let Some(what) = wait {
-            self.answers.waits.entry(what).or_default().push(now - asked_at);
+            self.response_checks
+                .response_times_ms
+                .entry(what)
+                .or_default()
+                .push(now - asked_at);
         }
-        match self.answers.newest.get(job) {
-            Some((newest, at, by)) if word.rank() <= newest.rank() => {
-                let older = match word {
-                    Word::Unknown => newest.rank() > 0 && asked_at >= *at,
-                    _ => word != *newest,
+        match self.response_checks.latest_states.get(job) {
+            Some((latest, at, by)) if state.rank() <= latest.rank() => {
+                let older = match state {
+                    ReportedState::Unknown => latest.rank() > 0 && asked_at >= *at,
+                    _ => state != *latest,
                 };
                 if older {
-                    let since = format!("n{by} told {newest:?} at {:.2} s", *at as f64 / 1000.0);
-                    self.violation("older_answer", format!("{job}: n{node} tells {word:?}, {since}"));
+                    let since = format!("n{by} told {latest:?} at {:.2} s", *at as f64 / 1000.0);
+                    self.violation("older_answer", format!("{job}: n{node} tells {state:?}, {since}"));
                 }
             }
             _ => {
-                self.answers.newest.insert(job.to_owned(), (word, now, node));
-                self.look_closely(job);
+                self.response_checks
+                    .latest_states
+                    .insert(job.to_owned(), (state, now, node));
+                self.query_all_nodes(job);
             }
         }
     }
 
-    /// Somebody has just been told something new of a job: users ask every node about it, and submit
-    /// it again, within milliseconds; some take it back at once.
-    fn look_closely(&mut self, job: &str) {
-        if self.now >= self.answers.close_until {
+    /// Reacts to a newly reported state: users query every node about the job and submit it again
+    /// within milliseconds; some cancel it at once.
+    fn query_all_nodes(&mut self, job: &str) {
+        if self.now >= self.response_checks.rapid_queries_until {
             return;
         }
         let job = job.to_owned();
-        let accepted = self.answers.newest[&job].0 == Word::LoopbackServices;
-        let cancel = accepted && self.draw() < self.answers.cancel_share;
+        let accepted = self.response_checks.latest_states[&job].0 == ReportedState::LoopbackServices;
+        let cancel = accepted && self.draw() < self.response_checks.cancel_share;
         if cancel {
             let (now, node) = (self.now, (self.draw() * NODES as f64) as usize);
-            let facts: &mut ObservedJob = self.jobs.get_mut(&job).unwrap();
-            facts.request_cancel(now);
-            self.user_asks(node, &job, UserKind::Cancel);
+            let observed: &mut ObservedJob = self.jobs.get_mut(&job).unwrap();
+            observed.request_cancel(now);
+            self.send_user_request(node, &job, UserRequest::Cancel);
         }
         for node in 0..NODES {
-            for after_ms in LOOKS_MS {
-                for kind in [UserKind::Poll, UserKind::Submit] {
+            for after_ms in QUERY_DELAYS_MS {
+                for kind in [UserRequest::Poll, UserRequest::Submit] {
                     let job = job.clone();
-                    self.post(after_ms, Event::User { node, job, kind });
+                    self.schedule(after_ms, Event::User { node, job, kind });
                 }
             }
         }
     }
 
-    /// By how much the answer to this call of a node is withheld, in ms.
-    pub(crate) fn withheld(&mut self, node: usize, path: &str, body: &[u8]) -> u64 {
+    /// Delay of the response to this call of a node, in ms.
+    pub(crate) fn response_delay_ms(&mut self, node: usize, path: &str, body: &[u8]) -> u64 {
         let body = String::from_utf8_lossy(body);
-        let withheld = &mut self.answers.withheld;
-        let of = |held: &Withheld| held.node == node && held.path == path && body.contains(&held.words);
-        let at = withheld.iter().position(of);
-        at.map_or(0, |at| withheld.remove(at).by_ms)
+        let delayed = &mut self.response_checks.delayed_responses;
+        let matches =
+            |held: &DelayedResponse| held.node == node && held.path == path && body.contains(&held.body_text);
+        let at = delayed.iter().position(matches);
+        at.map_or(0, |at| delayed.remove(at).delay_ms)
     }
 }
 
-/// - `close-looks for=60 cancels=0.2`: whenever a user was told something new of a job, all nodes are
-///   asked about it, and it is submitted again, within milliseconds; of that share of the accepted
-///   jobs the end is asked for at once.
-/// - `withhold NODE 1.2 /multi:j/wk-1`: the next such call of that node is carried out at once and
-///   answered so many seconds later.
-/// - `repeat JOB node=n1`: that node gets the job's submission once more.
+/// - `close-looks for=60 cancels=0.2`: whenever a new state of a job is reported, all nodes are
+///   asked about it, and it is submitted again, within milliseconds; this share of the accepted jobs
+///   is cancelled at once.
+/// - `withhold NODE 1.2 /multi:j/wk-1`: the next such call of that node is executed at once and
+///   answered this many seconds later.
+/// - `repeat JOB node=n1`: that node receives the job's submission once more.
 pub(crate) fn act(
     simulation: &mut Simulation,
     plain: &[&str],
@@ -153,46 +163,50 @@
     cancel_share: f64,
     for_ms: Option<u64>,
 ) -> Result<(), String> {
-    let arg = |at: usize| plain.get(at).copied().ok_or("too few words".to_owned());
+    let arg = |at: usize| plain.get(at).copied().ok_or("missing argument".to_owned());
     match arg(0)? {
         "close-looks" => {
-            simulation.answers.close_until = simulation.now + for_ms.ok_or("for how long")?;
-            simulation.answers.cancel_share = cancel_share;
+            simulation.response_checks.rapid_queries_until =
+                simulation.now + for_ms.ok_or("missing duration")?;
+            simulation.response_checks.cancel_share = cancel_share;
         }
         "withhold" => {
-            let by_s: f64 = arg(2)?.parse().map_err(|_| "for how long")?;
+            let by_s: f64 = arg(2)?.parse().map_err(|_| "invalid delay")?;
             let (path, words) = arg(3)?.split_once(':').unwrap_or((arg(3)?, ""));
             for node in nodes {
-                simulation.answers.withheld.push(Withheld {
-                    node: *node,
-                    path: path.to_owned(),
-                    words: words.to_owned(),
-                    by_ms: (by_s * 1000.0) as u64,
-                });
+                simulation
+                    .response_checks
+                    .delayed_responses
+                    .push(DelayedResponse {
+                        node: *node,
+                        path: path.to_owned(),
+                        body_text: words.to_owned(),
+                        delay_ms: (by_s * 1000.0) as u64,
+                    });
             }
         }
         _ => {
             for node in nodes {
-                simulation.user_asks(*node, arg(1)?, UserKind::Submit);
+                simulation.send_user_request(*node, arg(1)?, UserRequest::Submit);
             }
         }
     }
     Ok(())
 }
 
-/// `expect waited cancelled|done most|mean <= 0.05`: how long users waited for that answer, in s.
-/// `expect withheld = 0`: how many answers are still to be withheld.
+/// `expect waited cancelled|done most|mean <= 0.05`: how long users waited for that response, in s.
+/// `expect withheld = 0`: how many responses are still to be delayed.
 pub(crate) fn measure(simulation: &Simulation, words: &[&str]) -> Option<f64> {
     match words {
         ["waited", what, how] => {
-            let waits = simulation.answers.waits.get(what)?;
+            let waits = simulation.response_checks.response_times_ms.get(what)?;
             let ms = match *how {
                 "most" => *waits.iter().max()? as f64,
                 _ => waits.iter().sum::<u64>() as f64 / waits.len() as f64,
             };
             Some(ms / 1000.0)
         }
-        ["withheld"] => Some(simulation.answers.withheld.len() as f64),
+        ["withheld"] => Some(simulation.response_checks.delayed_responses.len() as f64),
         _ => None,
     }
 }
--- a/crates/simulator/src/window_checks.rs
+++ b/crates/simulator/src/window_checks.rs
@@ -1,128 +1,141 @@
-//! What scenarios ask of shifts, by the true time of day: no window is opened or closed twice, no
-//! protected replica is stopped for economy or started on a spot machine, and none of a lower rank gets a
-//! place that one of a higher rank has waited for.
+//! Checks of protection windows by the true time of day: no window opens or closes twice, no
+//! protected replica is stopped for economy or started on a spot machine, and no job of a lower rank
+//! gets a place for which one of a higher rank has waited.
 
 use crate::simulation::{NODES, ObservedJob, Simulation};
 use indigopath_controller::protocol::TaskState;
 use indigopath_protection_windows::Timetable;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long a replica must have waited, in ms, before a place that another gets was its own: a pass,
-/// a write and a command take less.
-const WAITED_MS: u64 = 3_000;
+/// Wait, in ms, from which on a replica has a claim to a place that another one gets: longer than a
+/// scheduling pass, a write and a command take.
+const MIN_WAIT_MS: u64 = 3_000;
 
+/// The timetable of protection windows and how it was kept.
 #[derive(Debug, Default)]
 pub(crate) struct WindowChecks {
-    /// Bound on clocks in place of the settings', in ms.
-    pub(crate) skew_ms: Option<f64>,
-    /// By how much each node's clock is off, in ms.
-    pub(crate) clocks: [i64; NODES],
+    /// Bound on clock skew, in ms, overriding the settings.
+    pub(crate) max_clock_skew_ms: Option<f64>,
+    /// Offset of each node's clock, in ms.
+    pub(crate) clock_offsets_ms: [i64; NODES],
     pub(crate) timetable: Timetable,
-    /// Windows that stand as open on record, and those that did.
+    /// Windows that are recorded as open, and those that were open before.
     open: BTreeSet<String>,
-    over: BTreeSet<String>,
-    edges: u32,
-    /// Since when a job's replicas are fewer than it has.
-    lacking: BTreeMap<String, u64>,
-    up_ms: u64,
-    due_ms: u64,
+    closed: BTreeSet<String>,
+    transitions: u32,
+    /// Since when each service has fewer replicas than it wants.
+    replicas_missing_since: BTreeMap<String, u64>,
+    protected_up_ms: u64,
+    protected_wanted_ms: u64,
 }
 
 impl WindowChecks {
     pub(crate) fn new(skew_ms: Option<f64>) -> WindowChecks {
         WindowChecks {
-            skew_ms,
+            max_clock_skew_ms: skew_ms,
             ..WindowChecks::default()
         }
     }
 
-    pub(crate) fn part_up(&self) -> f64 {
-        self.up_ms as f64 / self.due_ms.max(1) as f64
+    pub(crate) fn protected_availability(&self) -> f64 {
+        self.protected_up_ms as f64 / self.protected_wanted_ms.max(1) as f64
     }
 
-    pub(crate) fn edges(&self) -> f64 {
-        f64::from(self.edges)
+    pub(crate) fn transition_count(&self) -> f64 {
+        f64::from(self.transitions)
     }
 }
 
-fn priority(facts: &ObservedJob) -> usize {
+fn priority(observed: &ObservedJob) -> usize {
     let order = ["critical", "urgent", "standard", "low"];
-    let own = facts.body["Urgency"].as_str().unwrap_or_default();
+    let own = observed.body["Urgency"].as_str().unwrap_or_default();
     order
         .iter()
         .position(|other| *other == own)
         .unwrap_or(order.len())
 }
 
-fn amount(facts: &ObservedJob, field: &str) -> f64 {
-    facts.body[field].as_f64().unwrap_or(0.0)
+fn amount(observed: &ObservedJob, field: &str) -> f64 {
+    observed.body[field].as_f64().unwrap_or(0.0)
 }
 
 impl Simulation {
-    /// The best rank that protects the job now, by the true time of day.
-    fn rank_now(&self, facts: &ObservedJob) -> Option<u16> {
-        if facts.shape != "daemon" || !facts.accepted || facts.cancel_requested_at.is_some() {
+    /// The best rank that protects the job at the true time of day.
+    fn protection_rank(&self, observed: &ObservedJob) -> Option<u16> {
+        if observed.shape != "daemon" || !observed.accepted || observed.cancel_requested_at.is_some() {
             return None;
         }
-        let shifts = self.guarded.timetable.iter().filter(|(_, shift)| {
-            shift.covers(&facts.class, &facts.team) && shift.window_at(self.wall()).is_some()
-        });
-        shifts.map(|(_, shift)| shift.rank()).min()
+        let covering_windows = self
+            .window_checks
+            .timetable
+            .iter()
+            .filter(|(_, protection_window)| {
+                protection_window.covers(&observed.class, &observed.team)
+                    && protection_window.window_at(self.wall_clock()).is_some()
+            });
+        covering_windows
+            .map(|(_, protection_window)| protection_window.rank())
+            .min()
     }
 
-    /// Time of protected replicas that were up, and that were wanted.
-    pub(crate) fn count_protected(&mut self, step_ms: u64) {
-        if self.guarded.timetable.is_empty() {
+    /// Records the time that protected replicas were up, and the time that they were wanted.
+    pub(crate) fn record_protected_uptime(&mut self, step_ms: u64) {
+        if self.window_checks.timetable.is_empty() {
             return;
         }
-        self.check_windows();
+        self.check_window_transitions();
         let mut up: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut there: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut placed: BTreeMap<&str, u64> = BTreeMap::new();
         for task in self.workers.values().flat_map(|worker| &worker.tasks) {
             *up.entry(&task.job).or_default() += u64::from(task.state == TaskState::Running);
-            *there.entry(&task.job).or_default() += u64::from(task.state != TaskState::Exited);
+            *placed.entry(&task.job).or_default() += u64::from(task.state != TaskState::Exited);
         }
-        let mut lacking = BTreeMap::new();
+        let mut missing_since = BTreeMap::new();
         let (mut up_ms, mut due_ms) = (0, 0);
-        for (id, facts) in &self.jobs {
-            let wanted = u64::from(facts.tasks);
-            let of = |counts: &BTreeMap<&str, u64>| counts.get(id.as_str()).copied().unwrap_or(0);
-            if self.rank_now(facts).is_some() {
+        for (id, observed) in &self.jobs {
+            let wanted = u64::from(observed.tasks);
+            let count_of = |counts: &BTreeMap<&str, u64>| counts.get(id.as_str()).copied().unwrap_or(0);
+            if self.protection_rank(observed).is_some() {
                 due_ms += wanted * step_ms;
-                up_ms += of(&up).min(wanted) * step_ms;
+                up_ms += count_of(&up).min(wanted) * step_ms;
             }
-            if facts.shape == "daemon" && facts.accepted && of(&there) < wanted {
-                let since = self.guarded.lacking.get(id).copied().unwrap_or(self.now);
-                lacking.insert(id.clone(), since);
+            if observed.shape == "daemon" && observed.accepted && count_of(&placed) < wanted {
+                let since = self
+                    .window_checks
+                    .replicas_missing_since
+                    .get(id)
+                    .copied()
+                    .unwrap_or(self.now);
+                missing_since.insert(id.clone(), since);
             }
         }
-        self.guarded.up_ms += up_ms;
-        self.guarded.due_ms += due_ms;
-        self.guarded.lacking = lacking;
+        self.window_checks.protected_up_ms += up_ms;
+        self.window_checks.protected_wanted_ms += due_ms;
+        self.window_checks.replicas_missing_since = missing_since;
     }
 
-    fn check_windows(&mut self) {
+    fn check_window_transitions(&mut self) {
         let mut open = BTreeSet::new();
         let entries = self.state.value("t/0").and_then(|value| value["open"].as_array());
         for entry in entries.into_iter().flatten() {
             open.insert(format!("{} {}", entry["s"], entry["d"]));
         }
-        let before = std::mem::replace(&mut self.guarded.open, open.clone());
+        let before = std::mem::replace(&mut self.window_checks.open, open.clone());
         for window in open.difference(&before) {
-            self.guarded.edges += 1;
-            if self.guarded.over.contains(window) {
+            self.window_checks.transitions += 1;
+            if self.window_checks.closed.contains(window) {
                 self.violation("opened_twice", window);
             }
         }
         for window in before.difference(&open) {
-            self.guarded.edges += 1;
-            self.guarded.over.insert(window.clone());
+            self.window_checks.transitions += 1;
+            self.window_checks.closed.insert(window.clone());
         }
     }
 
-    /// Replicas that were told to stop while they are protected, with nothing that may ask for it.
-    pub(crate) fn check_stops(&mut self) {
-        if self.guarded.timetable.is_empty() {
+    /// Flags protected replicas that were stopped although nothing justifies it.
+    pub(crate) fn check_protected_stops(&mut self) {
+        if self.window_checks.timetable.is_empty() {
             return;
         }
         let mut stops: Vec<(String, String)> = Vec::new();
@@ -133,33 +146,35 @@
             }
         }
         for (machine, job) in stops {
-            let facts = &self.jobs[&job];
-            if self.rank_now(facts).is_none() || facts.cancel_requested {
+            let observed = &self.jobs[&job];
+            if self.protection_rank(observed).is_none() || observed.cancel_requested {
                 continue;
             }
-            let asked = self
+            let justified = self
                 .jobs
                 .values()
-                .any(|other| other.accepted && priority(other) < priority(facts));
-            if !asked {
+                .any(|other| other.accepted && priority(other) < priority(observed));
+            if !justified {
                 self.violation("economy", format!("{job} on {machine} is stopped"));
             }
         }
     }
 
     pub(crate) fn check_protected_start(&mut self, machine: &str, job: &str) {
-        if self.guarded.timetable.is_empty() {
+        if self.window_checks.timetable.is_empty() {
             return;
         }
-        let facts = &self.jobs[job];
-        let Some(rank) = self.rank_now(facts) else { return };
+        let observed = &self.jobs[job];
+        let Some(rank) = self.protection_rank(observed) else {
+            return;
+        };
         let worker = &self.workers[machine];
         if worker.spot {
             let what = format!("{job} on {machine}");
             return self.violation("protected_on_spot", what);
         }
         let fits = |other: &ObservedJob| {
-            let least = |field| amount(other, field) <= amount(facts, field);
+            let least = |field| amount(other, field) <= amount(observed, field);
             least("Cpus") && least("Gpus") && least("MemGb")
         };
         let allows = |other: &ObservedJob| {
@@ -170,17 +185,17 @@
             type_ok && zone_ok && other.body["Apart"] != true
         };
         let waited = |id: &String| {
-            let since = self.guarded.lacking.get(id);
-            since.is_some_and(|since| self.now >= since + WAITED_MS)
+            let since = self.window_checks.replicas_missing_since.get(id);
+            since.is_some_and(|since| self.now >= since + MIN_WAIT_MS)
         };
-        let before = self.jobs.iter().find(|(id, other)| {
+        let passed_over = self.jobs.iter().find(|(id, other)| {
             waited(id)
-                && self.rank_now(other).is_some_and(|better| better < rank)
-                && priority(other) == priority(facts)
+                && self.protection_rank(other).is_some_and(|better| better < rank)
+                && priority(other) == priority(observed)
                 && fits(other)
                 && allows(other)
         });
-        if let Some((id, _)) = before {
+        if let Some((id, _)) = passed_over {
             let what = format!("{job} of rank {rank} starts on {machine}, and {id} waits");
             self.violation("rank", what);
         }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker, by its published protocol: agent epochs, leases, tokens,
-//! images, gangs.
+//! A model of a worker that follows its published protocol: agent epochs, leases, tokens, image
+//! fetches and gangs.
 
 use crate::simulation::ObservedJob;
 use indigopath_controller::protocol::{
@@ -9,17 +9,18 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// Time after which the members of a gang notice a lost member and exit, in ms.
 pub const GANG_PEER_MS: u64 = 5_000;
 
-/// What the platform's settings say of workers, in ms.
+/// Time limits of workers from the platform's settings, in ms.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTimings {
     pub heartbeat_interval_ms: u64,
     pub lease_ms: u64,
     pub gang_wait_ms: u64,
-    /// Shortest time between two reports.
+    /// Shortest time between two heartbeats.
     pub min_heartbeat_gap_ms: u64,
-    /// Wait before the next node is tried.
+    /// Delay before the next node is tried.
     pub retry_ms: u64,
 }
 
@@ -35,6 +36,7 @@
     }
 }
 
+/// A task on a worker.
 #[derive(Debug, Clone)]
 pub struct Task {
     pub job: String,
@@ -45,25 +47,29 @@
     pub checkpoint_saved: bool,
     pub state_since: u64,
     pub base_progress_s: f64,
-    /// When it will have saved, and when its gang was told to stop.
+    /// When its checkpoint will be saved.
     pub save_complete_at: Option<u64>,
+    /// When it exits because its gang lost a member.
     pub gang_exit_at: Option<u64>,
 }
 
 impl Task {
-    /// On its machine by the rules' reckoning: from having its image until it exits.
+    /// Whether the task counts as being on its machine: from the end of its image fetch until it
+    /// exits.
     pub fn is_on_machine(&self) -> bool {
         !matches!(self.state, TaskState::Exited | TaskState::Fetching)
     }
 
+    /// The task's name, `JOB/INDEX`.
     pub fn name(&self) -> String {
         format!("{}/{}", self.job, self.index)
     }
 }
 
+/// A worker on a machine, with its tasks and image cache.
 pub struct Worker {
     pub id: String,
-    /// Where direct commands reach it.
+    /// Address for direct commands.
     pub addr: String,
     pub timings: WorkerTimings,
     pub machine_type: String,
@@ -73,31 +79,31 @@
     pub seq: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
-    /// Images that it holds, with their size in GB, the latest used last.
+    /// Cached images with their size in GB, the most recently used last.
     cached_images: Vec<(String, f64)>,
-    /// How much of them it holds at most, in GB.
+    /// Capacity of the image cache, in GB.
     pub cache_gb: f64,
-    /// Images on their way, with what is left of each, in ms of a fetch alone.
+    /// Images being fetched, with the remaining time of each at full bandwidth, in ms.
     fetch_remaining_ms: BTreeMap<String, f64>,
-    /// Fetches at one time share the machine's rate.
+    /// Concurrent fetches share the machine's bandwidth.
     pub fetches_share_rate: bool,
-    /// Fetches begun since somebody last counted.
+    /// Fetches started since the counter was last reset.
     pub fetches_started: u32,
     last_step_at: u64,
     pub node: usize,
     pub heartbeat_in_flight: Option<(u64, u64)>,
-    /// When a higher token last counted as a change.
+    /// When a higher token last triggered a heartbeat.
     token_reported_at: Option<u64>,
     pub next_heartbeat_at: u64,
     pub last_heartbeat_at: u64,
-    /// Sending time of the last answered report, or the agent epoch's beginning.
+    /// When the last answered heartbeat was sent, or the agent epoch began.
     pub lease_renewed_at: u64,
     pub hung_until: u64,
     pub reclaim_at: Option<u64>,
     pub faulty: bool,
-    /// Until then it refuses whatever is to start, as if it were full.
+    /// Until then it refuses every start, as if it were full.
     pub refuses_starts_until: u64,
-    /// Replicas that ran and were told to stop, by job, since this was last emptied.
+    /// Jobs of running replicas that were told to stop, since this was last cleared.
     pub stopped_replicas: Vec<String>,
     heartbeats_sent: u64,
 }
@@ -136,6 +142,7 @@
         }
     }
 
+    /// Builds the body of a heartbeat.
     pub fn heartbeat(&mut self, now: u64) -> Vec<u8> {
         self.seq += 1;
         let report = Heartbeat {
@@ -163,7 +170,7 @@
         serde_json::to_vec(&report).unwrap()
     }
 
-    /// The next report, if one is due: its number and body.
+    /// The next heartbeat, if one is due: its number and body.
     pub fn due_heartbeat(&mut self, now: u64) -> Option<(u64, Vec<u8>)> {
         if self.heartbeat_in_flight.is_some() || now < self.next_heartbeat_at || now < self.hung_until {
             return None;
@@ -175,13 +182,14 @@
         Some((self.heartbeats_sent, self.heartbeat(now)))
     }
 
+    /// Brings the next heartbeat forward after a change.
     fn advance_heartbeat(&mut self, now: u64) {
         self.next_heartbeat_at = self
             .next_heartbeat_at
             .min((self.last_heartbeat_at + self.timings.min_heartbeat_gap_ms).max(now));
     }
 
-    /// Within half a lease a higher token counts as a change at most once.
+    /// Takes over a higher token; it triggers a heartbeat at most once in half a lease.
     fn observe_token(&mut self, token: u64, now: u64) {
         if token > self.token {
             self.token = token;
@@ -195,6 +203,7 @@
         }
     }
 
+    /// Handles the response to a heartbeat, or its absence; stale responses are ignored.
     pub fn handle_heartbeat_response(
         &mut self,
         number: u64,
@@ -236,47 +245,48 @@
         }
     }
 
+    /// Sends the next heartbeat to the next node.
     fn try_next_node(&mut self, nodes: usize, now: u64) {
         self.node = (self.node + 1) % nodes;
         self.next_heartbeat_at = now + self.timings.retry_ms;
     }
 
-    /// A direct command.
+    /// Handles a request with direct commands.
     pub fn handle_direct_commands(
         &mut self,
         body: &[u8],
         jobs: &BTreeMap<String, ObservedJob>,
         now: u64,
     ) -> (u16, Vec<u8>) {
-        let orders: DirectCommands = serde_json::from_slice(body).unwrap();
-        if orders.token < self.token || orders.agent_epoch != self.agent_epoch {
+        let request: DirectCommands = serde_json::from_slice(body).unwrap();
+        if request.token < self.token || request.agent_epoch != self.agent_epoch {
             return (409, self.heartbeat(now));
         }
-        self.observe_token(orders.token, now);
-        self.execute(&orders.commands, jobs, now);
+        self.observe_token(request.token, now);
+        self.execute(&request.commands, jobs, now);
         (200, self.heartbeat(now))
     }
 
-    fn execute(&mut self, orders: &[WorkerCommand], jobs: &BTreeMap<String, ObservedJob>, now: u64) {
-        for order in orders {
-            let (job, index) = order.task.rsplit_once('/').unwrap();
+    fn execute(&mut self, commands: &[WorkerCommand], jobs: &BTreeMap<String, ObservedJob>, now: u64) {
+        for command in commands {
+            let (job, index) = command.task.rsplit_once('/').unwrap();
             let index: u32 = index.parse().unwrap();
             let known = self
                 .tasks
                 .iter()
-                .position(|task| task.job == job && task.index == index && task.attempt == order.attempt);
-            match (order.kind, known) {
-                (CommandKind::Start, None) => self.start(job, index, order.attempt, jobs, now),
+                .position(|task| task.job == job && task.index == index && task.attempt == command.attempt);
+            match (command.kind, known) {
+                (CommandKind::Start, None) => self.start(job, index, command.attempt, jobs, now),
                 (CommandKind::Stop, Some(at)) => {
-                    let grace_ms = (order.grace_s.unwrap_or(0.0) * 1000.0) as u64;
+                    let grace_ms = (command.grace_s.unwrap_or(0.0) * 1000.0) as u64;
                     let task = &mut self.tasks[at];
-                    let facts = &jobs[job];
-                    let save_ms = (facts.checkpoint_save_s * 1000.0) as u64;
-                    if task.state == TaskState::Running && facts.shape == "daemon" {
+                    let observed = &jobs[job];
+                    let save_ms = (observed.checkpoint_save_s * 1000.0) as u64;
+                    if task.state == TaskState::Running && observed.shape == "daemon" {
                         self.stopped_replicas.push(job.to_owned());
                     }
                     match task.state {
-                        TaskState::Running if facts.checkpoint_interval_s > 0.0 && grace_ms >= save_ms => {
+                        TaskState::Running if observed.checkpoint_interval_s > 0.0 && grace_ms >= save_ms => {
                             task.state = TaskState::Saving;
                             task.base_progress_s += (now - task.state_since) as f64 / 1000.0;
                             task.save_complete_at = Some(now + save_ms);
@@ -292,7 +302,7 @@
                 _ => (),
             }
         }
-        if !orders.is_empty() {
+        if !commands.is_empty() {
             self.advance_heartbeat(now);
         }
     }
@@ -324,7 +334,7 @@
         self.tasks.push(task);
     }
 
-    /// Lets time pass on the machine. Returns tasks that came to be on it.
+    /// Advances the machine to this time. Returns the tasks whose images have arrived.
     pub fn step(&mut self, jobs: &mut BTreeMap<String, ObservedJob>, now: u64) -> Vec<Task> {
         if now < self.hung_until {
             return Vec::new();
@@ -346,33 +356,33 @@
         let mut arrived = Vec::new();
         let mut changed = false;
         for task in &mut self.tasks {
-            let facts = jobs.get_mut(&task.job);
-            let Some(facts) = facts else { continue };
+            let observed = jobs.get_mut(&task.job);
+            let Some(observed) = observed else { continue };
             let before = task.state;
             match task.state {
                 TaskState::Fetching => {
-                    let ready = self.cached_images.iter().any(|(name, _)| *name == facts.image)
+                    let ready = self.cached_images.iter().any(|(name, _)| *name == observed.image)
                         || self
                             .fetch_remaining_ms
-                            .get(&facts.image)
+                            .get(&observed.image)
                             .is_some_and(|left| *left <= 0.0);
                     if ready {
-                        self.fetch_remaining_ms.remove(&facts.image);
+                        self.fetch_remaining_ms.remove(&observed.image);
                         cache_image(
                             &mut self.cached_images,
-                            &facts.image,
-                            facts.image_gb,
+                            &observed.image,
+                            observed.image_gb,
                             self.cache_gb,
                         );
                         arrived.push(task.clone());
-                        if facts.completed_tasks.contains(&task.index) {
+                        if observed.completed_tasks.contains(&task.index) {
                             task.exit(TaskEndCause::Done);
-                        } else if self.faulty || facts.always_fails {
+                        } else if self.faulty || observed.always_fails {
                             task.exit(TaskEndCause::Error);
                         } else {
                             task.state_since = now;
-                            task.base_progress_s = facts.checkpointed_s;
-                            task.state = if facts.shape == "gang" {
+                            task.base_progress_s = observed.checkpointed_s;
+                            task.state = if observed.shape == "gang" {
                                 TaskState::Waiting
                             } else {
                                 TaskState::Running
@@ -383,24 +393,25 @@
                 TaskState::Waiting if now >= task.state_since + gang_wait_ms => {
                     task.exit(TaskEndCause::Alone)
                 }
-                TaskState::Running if facts.shape != "daemon" => {
+                TaskState::Running if observed.shape != "daemon" => {
                     let progress_s = task.base_progress_s + (now - task.state_since) as f64 / 1000.0;
                     if task.gang_exit_at.is_some_and(|at| now >= at) {
                         task.exit(TaskEndCause::Peers);
-                    } else if progress_s >= facts.run_s {
-                        facts.completed_tasks.insert(task.index);
-                        if facts.shape == "gang" {
-                            facts.completed_tasks.extend(0..facts.tasks);
+                    } else if progress_s >= observed.run_s {
+                        observed.completed_tasks.insert(task.index);
+                        if observed.shape == "gang" {
+                            observed.completed_tasks.extend(0..observed.tasks);
                         }
                         task.exit(TaskEndCause::Done);
-                    } else if facts.checkpoint_interval_s > 0.0 {
-                        facts.checkpointed_s = facts.checkpointed_s.max(
-                            (progress_s / facts.checkpoint_interval_s).floor() * facts.checkpoint_interval_s,
+                    } else if observed.checkpoint_interval_s > 0.0 {
+                        observed.checkpointed_s = observed.checkpointed_s.max(
+                            (progress_s / observed.checkpoint_interval_s).floor()
+                                * observed.checkpoint_interval_s,
                         );
                     }
                 }
                 TaskState::Saving if task.save_complete_at.is_some_and(|at| now >= at) => {
-                    facts.checkpointed_s = facts.checkpointed_s.max(task.base_progress_s);
+                    observed.checkpointed_s = observed.checkpointed_s.max(task.base_progress_s);
                     task.checkpoint_saved = true;
                     task.exit(TaskEndCause::Stopped);
                 }
@@ -414,18 +425,18 @@
         arrived
     }
 
-    /// Images come nearer, once for all tasks that wait for them; a fetch that nobody waits for
-    /// any more is given up.
+    /// Advances image fetches, each shared by all tasks that wait for the image; a fetch that no
+    /// task waits for any more is abandoned.
     fn advance_fetches(&mut self, jobs: &BTreeMap<String, ObservedJob>, now: u64) {
         let mut wanted: BTreeMap<&str, (f64, u64)> = BTreeMap::new();
         for task in self.tasks.iter().filter(|task| task.state == TaskState::Fetching) {
-            let Some(facts) = jobs.get(&task.job) else {
+            let Some(observed) = jobs.get(&task.job) else {
                 continue;
             };
-            if self.cached_images.iter().all(|(name, _)| *name != facts.image) {
+            if self.cached_images.iter().all(|(name, _)| *name != observed.image) {
                 let (_, since) = wanted
-                    .entry(&facts.image)
-                    .or_insert((facts.image_gb, task.state_since));
+                    .entry(&observed.image)
+                    .or_insert((observed.image_gb, task.state_since));
                 *since = task.state_since.min(*since);
             }
         }
@@ -449,13 +460,15 @@
         }
     }
 
+    /// Announces that the cloud will reclaim the machine.
     pub fn give_reclaim_notice(&mut self, taken_at: u64, now: u64) {
         self.reclaim_at = Some(taken_at);
         self.advance_heartbeat(now);
     }
 }
 
-/// Notes an image as the latest used, and forgets the oldest beyond the cache.
+/// Marks an image as most recently used and evicts the least recently used ones beyond the cache's
+/// capacity.
 fn cache_image(images: &mut Vec<(String, f64)>, image: &str, gb: f64, cache_gb: f64) {
     images.retain(|(name, _)| name != image);
     images.push((image.to_owned(), gb));
@@ -465,6 +478,7 @@
 }
 
 impl Task {
+    /// Ends the task.
     pub fn exit(&mut self, why: TaskEndCause) {
         self.state = TaskState::Exited;
         self.end_cause = Some(why);
