--- a/crates/condor/src/lib.rs
+++ b/crates/condor/src/lib.rs
@@ -27,9 +27,9 @@
 //! };
 //! let text = "request_gpus = 2\nrequirements = TARGET.Memory > 500 * 1024\nqueue 3\n";
 //! let submission = indigopath_condor::read(text, "scan.sub", 1, 0, &Nothing)?;
-//! let judged = indigopath_condor::match_submission(&submission, 1, 0, &site);
-//! assert_eq!(judged.outcome_of_proc.len(), 3);
-//! assert_eq!(judged.outcomes[0].verdict, Verdict::Match);
+//! let results = indigopath_condor::match_submission(&submission, 1, 0, &site);
+//! assert_eq!(results.outcome_of_proc.len(), 3);
+//! assert_eq!(results.outcomes[0].verdict, Verdict::Match);
 //! # Ok::<(), indigopath_condor::SubmitError>(())
 //! ```
 #![forbid(unsafe_code)]
