--- a/crates/simulator/src/waiting_checks.rs
+++ b/crates/simulator/src/waiting_checks.rs
@@ -169,8 +169,8 @@
             waiting.teams = self.teams();
         }
         self.sample_free_resources(&mut waiting);
-        let is_calm = self.now > waiting.last_fault_at;
-        let waits = if is_calm {
+        let is_fault_free = self.now > waiting.last_fault_at;
+        let waits = if is_fault_free {
             self.waits_beside_capacity(&waiting)
         } else {
             BTreeMap::new()
