--- a/crates/classad/src/lexer.rs
+++ b/crates/classad/src/lexer.rs
@@ -1,7 +1,8 @@
-//! From text to tokens.
+//! Tokenizer, and escape sequences of strings and quoted names.
 
 use logos::Logos;
 
+/// A token; whitespace and comments are skipped.
 #[derive(Logos, Debug, Clone, Copy, PartialEq, Eq)]
 #[logos(skip r"[ \t\r\n\f]+")]
 #[logos(skip(r"//[^\n]*", allow_greedy = true))]
@@ -16,9 +17,9 @@
     #[regex(r#""([^"\\]|\\[\s\S])*""#)]
     Str,
     #[regex(r"'([^'\\]|\\[\s\S])+'")]
-    Quoted,
+    QuotedName,
     #[regex(r"[A-Za-z_][A-Za-z0-9_]*")]
-    Word,
+    Identifier,
     #[token("||")]
     Or,
     #[token("&&")]
@@ -38,19 +39,19 @@
     #[token("!=")]
     NotEqual,
     #[token("<=")]
-    AtMost,
+    LessOrEqual,
     #[token("<")]
     Less,
     #[token(">=")]
-    AtLeast,
+    GreaterOrEqual,
     #[token(">")]
-    More,
+    Greater,
     #[token("<<")]
-    Left,
+    ShiftLeft,
     #[token(">>")]
-    Right,
+    ShiftRight,
     #[token(">>>")]
-    RightZero,
+    ShiftRightZero,
     #[token("+")]
     Plus,
     #[token("-")]
@@ -78,21 +79,21 @@
     #[token("=")]
     Assign,
     #[token("(")]
-    Open,
+    OpenParen,
     #[token(")")]
-    Close,
+    CloseParen,
     #[token("[")]
-    OpenRecord,
+    OpenBracket,
     #[token("]")]
-    CloseRecord,
+    CloseBracket,
     #[token("{")]
-    OpenList,
+    OpenBrace,
     #[token("}")]
-    CloseList,
+    CloseBrace,
 }
 
-/// What an escape in a string stands for. A backslash before any other character is one,
-/// so that the patterns which people write (`\.`, `\d`) stay what they are.
+/// Replaces the escape sequences of a string. A backslash before a character that forms no
+/// escape sequence stays, so that regular expressions such as `\.` and `\d` keep their meaning.
 pub fn unescape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     let mut rest = text.chars();
@@ -107,7 +108,7 @@
             .take(3)
             .take_while(|digit| ('0'..='7').contains(digit))
             .collect();
-        // Three digits: "\\1" is a group of a pattern.
+        // Octal escapes have exactly three digits: `\1` refers to a group of a regular expression.
         if octal.len() == 3
             && let Ok(code @ 1..=127) = u8::from_str_radix(&octal, 8)
         {
@@ -127,7 +128,7 @@
     out
 }
 
-/// A string or a quoted name as it would be written.
+/// Writes a string or a quoted name in its quotes, with escape sequences.
 pub fn escape(text: &str, quote: char, out: &mut impl std::fmt::Write) -> std::fmt::Result {
     out.write_char(quote)?;
     for next in text.chars() {
--- a/crates/simulator/src/controllers.rs
+++ b/crates/simulator/src/controllers.rs
@@ -1,5 +1,4 @@
-//! Real controllers round the stand-ins, for tests in real time: their settings, their
-//! processes, and what they said when something went wrong.
+//! Real controller processes for tests in real time: their settings, their lifecycle and their logs.
 
 use crate::cloud::Cloud;
 use crate::loopback::LoopbackServices;
@@ -10,23 +9,23 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Controllers of a site.
+/// Number of controllers of a site.
 pub const NODES: usize = 3;
 
-/// How long a controller that was killed stays away, in ms.
-const AWAY_MS: u64 = 400;
+/// Time until a killed controller is restarted, in ms.
+const RESTART_DELAY_MS: u64 = 400;
 
 /// Lines of each log that are shown when a test fails.
-const LOG_SHOWN: usize = 20;
+const LOG_EXCERPT_LINES: usize = 20;
 
-/// Of a log line that says that more units of a count are taken than there are.
-const OVERSUBSCRIBED: &str = "counted resource oversubscribed";
+/// The log event for a counted resource with more units in use than exist.
+const OVERSUBSCRIBED_EVENT: &str = "counted resource oversubscribed";
 
-/// Lines that are shown before such a line: what led to it.
-const LINES_BEFORE: usize = 12;
+/// Lines of context that are shown before such a line.
+const CONTEXT_LINES: usize = 12;
 
-/// The controllers' processes, and the folder in which their settings and logs lie. Both end
-/// with this.
+/// The controllers' processes and the directory of their settings and logs. Dropping this kills the
+/// processes and deletes the directory.
 pub struct Controllers {
     pub program: PathBuf,
     pub directory: PathBuf,
@@ -48,7 +47,7 @@
     }
 }
 
-/// An address for each controller that no other run on this machine uses.
+/// Returns an address for each controller that no other run on this machine uses.
 pub fn addresses(port: u16) -> Vec<SocketAddrV4> {
     let process = std::process::id();
     let node = |node: u8| {
@@ -59,23 +58,23 @@
 }
 
 impl Controllers {
-    /// Writes the settings of controllers that serve `teams`, with the operators' own in HCL.
-    /// They start with [`Controllers::keep_up`].
+    /// Writes the settings of controllers that serve `teams`, with the operators' settings in HCL.
+    /// [`Controllers::restart_stopped`] starts them.
     pub fn new(
         program: PathBuf,
         name: &str,
         nodes: Vec<SocketAddrV4>,
-        live: &LoopbackServices,
+        services: &LoopbackServices,
         teams: &Value,
         operator: &str,
     ) -> Controllers {
         let folder = std::env::temp_dir().join(format!("indigopath-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("failed to create the directory");
         for node in 0..nodes.len() {
-            let text = node_settings(node, &nodes, live, teams).to_string();
-            std::fs::write(folder.join(format!("n{node}.json")), text).expect("settings");
+            let text = node_settings(node, &nodes, services, teams).to_string();
+            std::fs::write(folder.join(format!("n{node}.json")), text).expect("failed to write the settings");
         }
-        std::fs::write(folder.join("operator.hcl"), operator).expect("settings");
+        std::fs::write(folder.join("operator.hcl"), operator).expect("failed to write the settings");
         Controllers {
             program,
             directory: folder,
@@ -85,7 +84,8 @@
         }
     }
 
-    /// Starts whoever is away. Whoever has ended by itself fails the test.
+    /// Starts the controllers that are not running. A controller that exited by itself fails the
+    /// test.
     pub fn restart_stopped(&mut self) {
         for node in 0..self.nodes.len() {
             if let Some(child) = &mut self.processes[node]
@@ -101,7 +101,7 @@
                     .create(true)
                     .append(true)
                     .open(self.directory.join(format!("n{node}.log")))
-                    .expect("a log");
+                    .expect("failed to open the log");
                 let child = Command::new(&self.program)
                     .args(["--config", &format!("n{node}.json"), "--operator", "operator.hcl"])
                     .current_dir(&self.directory)
@@ -109,16 +109,17 @@
                     .stdout(Stdio::null())
                     .stderr(log)
                     .spawn();
-                self.processes[node] = Some(child.expect("a controller starts"));
+                self.processes[node] = Some(child.expect("failed to start a controller"));
             }
         }
     }
 
+    /// Kills a controller, which [`Controllers::restart_stopped`] restarts after a delay.
     pub fn kill(&mut self, node: usize) {
         if let Some(mut child) = self.processes[node].take() {
             let _ = child.kill();
             let _ = child.wait();
-            self.restart_at[node] = Instant::now() + Duration::from_millis(AWAY_MS);
+            self.restart_at[node] = Instant::now() + Duration::from_millis(RESTART_DELAY_MS);
         }
     }
 
@@ -126,16 +127,17 @@
         std::fs::read_to_string(self.directory.join(format!("n{node}.log"))).unwrap_or_default()
     }
 
-    /// Each time that a leader counted more units as taken than there are, with what it said before.
+    /// The log lines in which a leader found a counted resource oversubscribed, with the lines
+    /// before.
     pub fn oversubscription_log(&self) -> String {
         let mut text = String::new();
         for node in 0..self.nodes.len() {
             let log = self.log(node);
             let lines: Vec<&str> = log.lines().collect();
-            let found = (0..lines.len()).filter(|at| lines[*at].contains(OVERSUBSCRIBED));
+            let found = (0..lines.len()).filter(|at| lines[*at].contains(OVERSUBSCRIBED_EVENT));
             for at in found {
                 text.push_str(&format!("n{node}:\n"));
-                for line in &lines[at.saturating_sub(LINES_BEFORE)..=at] {
+                for line in &lines[at.saturating_sub(CONTEXT_LINES)..=at] {
                     text.push_str(&format!("  {line}\n"));
                 }
             }
@@ -143,18 +145,18 @@
         text
     }
 
-    /// The last that the controllers said, errors first.
+    /// The errors and the last lines of the controllers' logs.
     pub fn log_excerpt(&self) -> String {
         let mut text = String::new();
         for node in 0..self.nodes.len() {
             let log = self.log(node);
             let bad = |line: &&str| line.contains(" error ") || line.contains("panicked");
             let lines: Vec<&str> = log.lines().collect();
-            let last = &lines[lines.len().saturating_sub(LOG_SHOWN)..];
+            let last = &lines[lines.len().saturating_sub(LOG_EXCERPT_LINES)..];
             for line in log
                 .lines()
                 .filter(bad)
-                .take(LOG_SHOWN)
+                .take(LOG_EXCERPT_LINES)
                 .chain(last.iter().copied())
             {
                 text.push_str(line);
@@ -165,7 +167,7 @@
     }
 }
 
-fn node_settings(node: usize, nodes: &[SocketAddrV4], live: &LoopbackServices, teams: &Value) -> Value {
+fn node_settings(node: usize, nodes: &[SocketAddrV4], services: &LoopbackServices, teams: &Value) -> Value {
     let peer = |at: usize| SocketAddrV4::new(*nodes[at].ip(), nodes[at].port() + 1).to_string();
     let peers: Vec<Value> = (0..nodes.len())
         .filter(|at| *at != node)
@@ -174,7 +176,7 @@
     json!({
         "member": format!("n{node}"), "area": "east",
         "bind": nodes[node].to_string(), "cluster_listen": peer(node), "siblings": peers,
-        "services": { "cloud": live.cloud.to_string(), "state": live.state.to_string() },
+        "services": { "cloud": services.cloud.to_string(), "state": services.state.to_string() },
         "deployment": {
             "zones": ["east", "west"],
             "teams": teams,
@@ -187,7 +189,7 @@
     })
 }
 
-/// The times that go with these settings, for [`Live::start`].
+/// The workers' timings that match these settings, for [`LoopbackServices::start`].
 pub fn worker_timings() -> crate::worker::WorkerTimings {
     crate::worker::WorkerTimings {
         heartbeat_interval_ms: 400,
@@ -198,13 +200,13 @@
     }
 }
 
-/// A cloud with one small type of machine, which boots at once.
+/// A cloud with one small machine type that boots quickly.
 pub fn small_cloud() -> Cloud {
     let types = json!({ "Rigs": [{
         "Label": "small", "Cpus": 32, "Gpus": 4, "MemGb": 128, "CacheGb": 40, "FetchGbPerS": 1.0,
         "Rate": 8.0, "LowPrice": 2.5, "StartupS": 0.6, "Yards": ["east", "west"]
     }] });
-    let flavors: MachineTypeList = serde_json::from_value(types).expect("machine types");
+    let flavors: MachineTypeList = serde_json::from_value(types).expect("invalid machine types");
     let mut cloud = Cloud::default();
     cloud.types = flavors.types;
     cloud.list_lag_ms = Some(300);
--- a/crates/simulator/src/scenario/actions/mod.rs
+++ b/crates/simulator/src/scenario/actions/mod.rs
@@ -1,4 +1,4 @@
-//! What happens in a scenario, verb by verb.
+//! The actions of a scenario, by verb.
 
 mod controllers;
 mod machines;
@@ -13,11 +13,11 @@
 
 /// One action: a verb with plain words and `key=value` ones.
 pub(super) struct Action<'a> {
-    /// All of it, as written.
+    /// The whole text.
     text: &'a str,
     plain: Vec<&'a str>,
     keyed: BTreeMap<&'a str, &'a str>,
-    /// For how long, in ms, where it says so.
+    /// Duration in ms, if given.
     for_ms: Option<u64>,
 }
 
@@ -39,45 +39,46 @@
 
     /// The plain word at this position; the verb is the first.
     fn arg(&self, at: usize) -> Result<&'a str, String> {
-        self.plain.get(at).copied().ok_or("too few words".to_owned())
+        self.plain.get(at).copied().ok_or("missing argument".to_owned())
     }
 
     fn has(&self, word: &str) -> bool {
         self.plain.contains(&word)
     }
 
-    /// The number of a key, or another one where it is not given.
-    fn number(&self, key: &str, otherwise: f64) -> Result<f64, String> {
+    /// The number of a key, or a default.
+    fn number_or(&self, key: &str, otherwise: f64) -> Result<f64, String> {
         self.keyed.get(key).map_or(Ok(otherwise), |value| number(value))
     }
 
-    /// Seconds of a key in ms.
-    fn millis(&self, key: &str, otherwise_s: f64) -> Result<u64, String> {
-        Ok((self.number(key, otherwise_s)? * 1000.0) as u64)
+    /// The value of a key in seconds, or a default, converted to ms.
+    fn millis_or(&self, key: &str, otherwise_s: f64) -> Result<u64, String> {
+        Ok((self.number_or(key, otherwise_s)? * 1000.0) as u64)
     }
 
-    /// For how long, in ms: whoever needs it fails without.
-    fn lasts_ms(&self) -> Result<u64, String> {
-        self.for_ms.ok_or("for how long".to_owned())
+    /// Duration in ms; an error if it is missing.
+    fn duration_ms(&self) -> Result<u64, String> {
+        self.for_ms.ok_or("missing duration".to_owned())
     }
 
-    /// Everything behind the verb.
+    /// Everything after the verb.
     fn rest(&self) -> &'a str {
         self.text.split_once(' ').map_or("", |(_, rest)| rest)
     }
 
-    /// It names the machine of a task that may be nowhere (`of:wk-1/0?`), and it is.
-    fn is_about_nothing(&self, simulation: &Simulation) -> bool {
+    /// Whether the action names the machine of a task that may have none (`of:wk-1/0?`), and it has
+    /// none.
+    fn targets_missing_task(&self, simulation: &Simulation) -> bool {
         let optional = |name: &&&str| name.ends_with('?') && name.starts_with("of:");
         let machine = self.plain.iter().find(optional);
         machine.is_some_and(|name| machine_named(simulation, name).is_err())
     }
 }
 
-/// Carries an action out.
+/// Executes an action.
 ///
 /// # Errors
-/// The action cannot be read, or there is nothing that it could be done to.
+/// The action cannot be parsed, or its target does not exist.
 pub(super) fn act(
     simulation: &mut Simulation,
     agenda: &mut Agenda,
@@ -85,7 +86,7 @@
     text: &str,
 ) -> Result<(), String> {
     let action = Action::parse(text)?;
-    if action.is_about_nothing(simulation) {
+    if action.targets_missing_task(simulation) {
         return Ok(());
     }
     let known = users::act(simulation, files, &action)?
@@ -100,18 +101,18 @@
     }
 }
 
-/// Positions of the controllers that a word names.
+/// Indexes of the controllers that a word names.
 fn nodes_named(simulation: &Simulation, name: &str) -> Result<Vec<usize>, String> {
     match name {
         "all" => Ok((0..NODES).collect()),
-        // Nobody, while nobody leads.
+        // Empty while there is no leader.
         "leader?" => Ok(simulation.leader().into_iter().collect()),
         "leader" => simulation
             .leader()
             .map(|leader| vec![leader])
-            .ok_or("nobody leads".to_owned()),
+            .ok_or("there is no leader".to_owned()),
         "follower" => {
-            let leader = simulation.leader().ok_or("nobody leads")?;
+            let leader = simulation.leader().ok_or("there is no leader")?;
             Ok(vec![(leader + 1) % NODES])
         }
         other => other
@@ -123,10 +124,10 @@
     }
 }
 
-/// The end of a connection that a word names: a controller, a machine, a zone or a system.
+/// The endpoint that a word names: a controller, a machine, a zone or a system.
 fn host_named(simulation: &Simulation, name: &str) -> Result<String, String> {
     match name {
-        "area:leader" | "area:leader?" => Ok(zones::of_node(simulation.leader())),
+        "area:leader" | "area:leader?" => Ok(zones::area_of_node(simulation.leader())),
         "leader" | "follower" => Ok(format!("n{}", nodes_named(simulation, name)?[0])),
         other => machine_named(simulation, other).or_else(|_| Ok(other.to_owned())),
     }
@@ -135,7 +136,9 @@
 fn machine_named(simulation: &Simulation, name: &str) -> Result<String, String> {
     let name = name.strip_suffix('?').unwrap_or(name);
     if let Some(task) = name.strip_prefix("of:") {
-        return simulation.machine_of(task).ok_or(format!("{task} is nowhere"));
+        return simulation
+            .machine_of(task)
+            .ok_or(format!("{task} is on no machine"));
     }
     simulation
         .workers
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -1,25 +1,27 @@
-//! Judges a scenario that was played to its end.
+//! Evaluates the expectations of a scenario that has run to its end.
 
-use super::script::{Judged, number};
+use super::script::{Expectations, number};
 use crate::response_checks;
 use crate::simulation::{ObservedJob, Simulation};
 use indigopath_controller::protocol::TaskState;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Part of what a class or a team asks for under which a day fails.
-const LEAST_SERVED: f64 = 0.5;
+/// Minimum share of its requested tasks that a class or a team must be served.
+const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// Whether a scenario that was played to its end went as it must.
-pub(super) fn judge(simulation: &mut Simulation, judged: Judged) -> Result<(), String> {
-    let Judged {
-        expects,
+/// Checks whether a scenario that has run to its end met its expectations.
+pub(super) fn evaluate(simulation: &mut Simulation, judged: Expectations) -> Result<(), String> {
+    let Expectations {
+        conditions: expects,
         unserved,
         largest,
     } = judged;
-    let mut problems = std::mem::take(&mut simulation.broken);
-    if (simulation.end_at.is_some() || !simulation.end_on.is_empty()) && problems.is_empty() {
-        // The call that was to be the last was never made.
+    let mut problems = std::mem::take(&mut simulation.violations);
+    if (simulation.crash_at_cluster_call.is_some() || !simulation.crashes_on_call.is_empty())
+        && problems.is_empty()
+    {
+        // The call that was to crash its sender was never made.
         return Err("no end".to_owned());
     }
     if !simulation.jobs.is_empty()
@@ -28,18 +30,18 @@
     {
         problems.push("nothing_ran".to_owned());
     }
-    let served = simulation.served();
-    for (whose, (served, asked)) in &served {
-        if served / asked < LEAST_SERVED && !unserved.contains(whose) {
-            problems.push(format!("unserved: {whose} has {served:.1} of {asked}"));
+    let served = simulation.served_shares();
+    for (owner, (served, requested)) in &served {
+        if served / requested < MIN_SERVED_SHARE && !unserved.contains(owner) {
+            problems.push(format!("unserved: {owner} has {served:.1} of {requested}"));
         }
     }
-    for whose in unserved {
+    for owner in unserved {
         if served
-            .get(&whose)
-            .is_none_or(|(served, asked)| served / asked >= LEAST_SERVED)
+            .get(&owner)
+            .is_none_or(|(served, requested)| served / requested >= MIN_SERVED_SHARE)
         {
-            problems.push(format!("{whose} is served after all"));
+            problems.push(format!("{owner} is served after all"));
         }
     }
     problems.extend(check_largest(simulation, &largest));
@@ -49,9 +51,9 @@
         }
     }
     if problems.is_empty() {
-        simulation.run_on();
-        problems.append(&mut simulation.broken);
-        problems.extend(simulation.waits_after_all());
+        simulation.run_until_settled();
+        problems.append(&mut simulation.violations);
+        problems.extend(simulation.unmet_wait_exceptions());
     }
     if problems.is_empty() {
         Ok(())
@@ -60,18 +62,19 @@
     }
 }
 
-/// What is wrong with the largest jobs, but for these exceptions; and exceptions that are none.
+/// Returns the problems of the largest jobs without an exception, and the exceptions that do not
+/// apply.
 fn check_largest(simulation: &Simulation, exceptions: &[String]) -> Vec<String> {
     let mut found: BTreeMap<String, String> = BTreeMap::new();
-    for (class, jobs) in simulation.largest() {
-        if jobs.served < LEAST_SERVED * jobs.asked {
+    for (class, jobs) in simulation.largest_jobs() {
+        if jobs.served < MIN_SERVED_SHARE * jobs.requested {
             found.insert(
                 format!("unserved {class}"),
-                format!("{:.1} of {}", jobs.served, jobs.asked),
+                format!("{:.1} of {}", jobs.served, jobs.requested),
             );
         }
-        if !jobs.late.is_empty() {
-            found.insert(format!("late {class}"), format!("{:?}", jobs.late));
+        if !jobs.late_starts.is_empty() {
+            found.insert(format!("late {class}"), format!("{:?}", jobs.late_starts));
         }
     }
     let mut problems = Vec::new();
@@ -95,7 +98,7 @@
         return Err("unknown expectation".to_owned());
     };
     let have = simulation
-        .of_streams(what)
+        .measure_streams(what)
         .or_else(|| response_checks::measure(simulation, what));
     compare(have.ok_or("unknown expectation")?, sign, want)
 }
@@ -119,33 +122,37 @@
     }
 }
 
-/// Calls, messages and fetches. False where these words are of something else.
+/// Checks calls, messages and fetches. Returns false if the words concern something else.
 fn check_calls(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
-        // Calls to the cloud that were dropped as their permits had run out.
-        ["late", "permits", sign, want] => compare(f64::from(simulation.late_permits), sign, want),
-        // Messages that were delivered once more.
-        ["copies", sign, want] => compare(f64::from(simulation.copied), sign, want),
-        // Messages that faults befell.
-        ["troubled", sign, want] => compare(f64::from(simulation.troubled), sign, want),
-        // Acts of replaced leaders at the cloud of which no record told.
-        ["unknown", "acts", sign, want] => compare(f64::from(simulation.unknown_acts), sign, want),
-        // Fetches that machines began.
-        ["fetches", "begun", sign, want] => compare(f64::from(simulation.begun), sign, want),
-        // Tasks that waited for their image.
-        ["fetches", sign, want] => compare(f64::from(simulation.fetches), sign, want),
+        // Calls to the cloud that were dropped because their permits had expired.
+        ["late", "permits", sign, want] => compare(f64::from(simulation.expired_permits), sign, want),
+        // Messages that were delivered twice.
+        ["copies", sign, want] => compare(f64::from(simulation.duplicates_delivered), sign, want),
+        // Messages that faults affected.
+        ["troubled", sign, want] => compare(f64::from(simulation.affected_messages), sign, want),
+        // Cloud operations of replaced leaders that no record mentions.
+        ["unknown", "acts", sign, want] => compare(f64::from(simulation.unrecorded_operations), sign, want),
+        // Image fetches that machines started.
+        ["fetches", "begun", sign, want] => compare(f64::from(simulation.fetches_started), sign, want),
+        // Tasks that waited for an image fetch.
+        ["fetches", sign, want] => compare(f64::from(simulation.tasks_awaiting_fetch), sign, want),
         // The most calls of a kind (changes, requests, cloud, workers) in any second.
-        ["most", kind, sign, want] => compare(simulation.calls.most(kind) as f64, sign, want),
+        ["most", kind, sign, want] => compare(
+            simulation.call_statistics.peak_per_second(kind) as f64,
+            sign,
+            want,
+        ),
         ["total", kind, sign, want] => {
-            let total = simulation.calls.total.get(*kind).copied().unwrap_or(0);
+            let total = simulation.call_statistics.total.get(*kind).copied().unwrap_or(0);
             compare(total as f64, sign, want)
         }
-        // How often somebody began to lead.
+        // Number of leader terms that began.
         ["terms", sign, want] => compare(f64::from(simulation.fault_combinations.terms), sign, want),
         ["machines", sign, want] => compare(simulation.workers.len() as f64, sign, want),
         ["rented", sign, want] => compare(f64::from(simulation.cloud.launched_total), sign, want),
         ["fenced", sign, want] => compare(f64::from(simulation.state.fenced_transactions), sign, want),
-        ["refused", sign, want] => compare(f64::from(simulation.most_refused), sign, want),
+        ["refused", sign, want] => compare(f64::from(simulation.refused_responses), sign, want),
         ["leaders", sign, want] => {
             let leaders = simulation
                 .nodes
@@ -154,34 +161,37 @@
                 .count();
             compare(leaders as f64, sign, want)
         }
-        // The longest time, in s, in which nobody led.
-        ["leaderless", sign, want] => compare(simulation.most_leaderless as f64 / 1000.0, sign, want),
+        // The longest time without a leader, in s.
+        ["leaderless", sign, want] => compare(simulation.longest_leaderless_ms as f64 / 1000.0, sign, want),
         ["leader", "key"] => simulation
             .state
             .value("leader")
             .map(|_| ())
-            .ok_or("there is none".to_owned()),
+            .ok_or("no node holds the leader's key".to_owned()),
         _ => return Ok(false),
     };
     outcome.map(|()| true)
 }
 
-/// Submit files and submissions. False where these words are of something else.
+/// Checks submit files and submissions. Returns false if the words concern something else.
 fn check_submissions(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
-        // Answers to submissions with this status.
+        // Responses to submissions with this status.
         ["submissions", status, sign, want] => {
-            let told = simulation.intake.told.get(&(number(status)? as u16));
-            compare(told.copied().unwrap_or(0).into(), sign, want)
+            let responses = simulation
+                .admission_checks
+                .responses_by_status
+                .get(&(number(status)? as u16));
+            compare(responses.copied().unwrap_or(0).into(), sign, want)
         }
-        // The status of a submit file's answer.
+        // The status of the response to a submit file.
         ["sent", name, sign, want] => {
-            let sent = simulation.sent.get(*name).ok_or("no such file")?;
+            let sent = simulation.submitted_files.get(*name).ok_or("no such file")?;
             let status = sent.response.as_ref().map_or(0, |(status, _)| *status);
             compare(f64::from(status), sign, want)
         }
         ["answer", name, "says", words @ ..] => {
-            let sent = simulation.sent.get(*name).ok_or("no such file")?;
+            let sent = simulation.submitted_files.get(*name).ok_or("no such file")?;
             let answer = sent
                 .response
                 .as_ref()
@@ -195,7 +205,7 @@
         }
         ["clusters", sign, want] => compare(simulation.state.count("c/") as f64, sign, want),
         ["open", "clusters", sign, want] => compare(simulation.state.count("j/~") as f64, sign, want),
-        // Of a cluster: its live jobs, its tasks that are done, run now, or were started.
+        // Of a cluster: its live jobs, or its tasks that are done, running, or were started.
         ["cluster", cluster, what, sign, want] => {
             let cluster = number(cluster)? as u64;
             let jobs = simulation
@@ -210,7 +220,7 @@
                 "running" => {
                     let names: Vec<&String> = jobs.map(|(id, _)| id).collect();
                     let running = simulation
-                        .on_machines()
+                        .tasks_on_machines()
                         .filter(|(_, task)| names.contains(&&task.job) && task.state == TaskState::Running);
                     running.count()
                 }
@@ -218,24 +228,24 @@
             };
             compare(have as f64, sign, want)
         }
-        // Of a team's submissions, those that were accepted within so many seconds.
+        // The share of a team's submissions that were accepted within this many seconds.
         ["prompt", team, within, sign, want] => {
             let within_ms = (number(within)? * 1000.0) as u64;
-            let asked = simulation
+            let submitted = simulation
                 .jobs
                 .values()
                 .filter_map(|job| Some((job, job.submitted_at?)));
-            let asked: Vec<_> = asked.filter(|(job, _)| job.team == *team).collect();
-            let prompt = asked
+            let submitted: Vec<_> = submitted.filter(|(job, _)| job.team == *team).collect();
+            let prompt = submitted
                 .iter()
-                .filter(|(job, asked)| job.accepted_at.is_some_and(|at| at <= asked + within_ms));
-            compare(prompt.count() as f64 / asked.len().max(1) as f64, sign, want)
+                .filter(|(job, submitted)| job.accepted_at.is_some_and(|at| at <= submitted + within_ms));
+            compare(prompt.count() as f64 / submitted.len().max(1) as f64, sign, want)
         }
         ["answered", path, sign, want] => compare(
             simulation
-                .probes
+                .probe_responses
                 .iter()
-                .filter(|(asked, status)| asked == path && *status != 503)
+                .filter(|(submitted, status)| submitted == path && *status != 503)
                 .count() as f64,
             sign,
             want,
@@ -245,10 +255,11 @@
     outcome.map(|()| true)
 }
 
-/// Counted resources, accounting, windows, shares and warnings. False where these words are of something else.
+/// Checks counted resources, accounting, protection windows, served shares and warnings. Returns
+/// false if the words concern something else.
 fn check_service(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
-        // Seats that tasks have, or had at most, dead ones included.
+        // Units that tasks hold now, or held at most, including dead tasks.
         ["seats", count, sign, want] | ["most-seats", count, sign, want] => {
             let feature = simulation.licences.features.get(*count).ok_or("no such count")?;
             let seats = if words[0] == "seats" {
@@ -258,46 +269,52 @@
             };
             compare(f64::from(seats), sign, want)
         }
-        // Jobs in a team's book, as its records say; ends of which no record says the owner; and
-        // the books' keys.
-        ["book", "unowned", sign, want] => {
-            compare(simulation.books.totals(&simulation.state)?.1 as f64, sign, want)
-        }
+        // Ended jobs in a team's accounting according to its records; ended jobs without an owner in
+        // any record; and the accounting's keys.
+        ["book", "unowned", sign, want] => compare(
+            simulation.accounting_check.totals(&simulation.state)?.1 as f64,
+            sign,
+            want,
+        ),
         ["book", "keys", sign, want] => compare(simulation.state.count("b/") as f64, sign, want),
         ["book", team, sign, want] => {
-            let (totals, _) = simulation.books.totals(&simulation.state)?;
+            let (totals, _) = simulation.accounting_check.totals(&simulation.state)?;
             compare(totals.get(*team).copied().unwrap_or(0) as f64, sign, want)
         }
-        // Of what a class or team asked for, what it had: `served class=batch >= 0.6`.
-        ["served", whose, sign, want] => {
-            let shares = simulation.served();
-            let (served, asked) = shares.get(*whose).ok_or("nothing was asked for")?;
-            compare(served / asked, sign, want)
-        }
-        ["started-cancelled", sign, want] => {
-            compare(f64::from(simulation.fault_combinations.started), sign, want)
-        }
-        ["commanded-cancelled", sign, want] => {
-            compare(f64::from(simulation.fault_combinations.commanded), sign, want)
+        // The served share of what a class or team requested: `served class=batch >= 0.6`.
+        ["served", owner, sign, want] => {
+            let shares = simulation.served_shares();
+            let (served, requested) = shares.get(*owner).ok_or("nothing was requested")?;
+            compare(served / requested, sign, want)
         }
+        ["started-cancelled", sign, want] => compare(
+            f64::from(simulation.fault_combinations.starts_after_cancel),
+            sign,
+            want,
+        ),
+        ["commanded-cancelled", sign, want] => compare(
+            f64::from(simulation.fault_combinations.commands_after_cancel),
+            sign,
+            want,
+        ),
         ["commanded-after", sign, want] => compare(
-            simulation.fault_combinations.latest_ms as f64 / 1000.0,
+            simulation.fault_combinations.latest_command_ms as f64 / 1000.0,
             sign,
             want,
         ),
-        // Warnings to operators that speak of something, such as `class=batch`.
+        // Warnings to operators that contain a text, such as `class=batch`.
         ["warnings", of, sign, want] => {
-            let told: Vec<&String> = simulation
+            let matching: Vec<&String> = simulation
                 .warnings
                 .iter()
                 .filter(|text| text.contains(of))
                 .collect();
-            compare(told.len() as f64, sign, want).map_err(|problem| format!("{problem}: {told:#?}"))
+            compare(matching.len() as f64, sign, want).map_err(|problem| format!("{problem}: {matching:#?}"))
         }
-        // Of the time in which protected replicas were wanted, the part in which they were up.
-        ["protected", sign, want] => compare(simulation.guarded.part_up(), sign, want),
-        // How often windows were opened or closed, as the log of all leaders has it.
-        ["edges", sign, want] => compare(simulation.guarded.edges(), sign, want),
+        // The share of the time in which protected replicas were wanted that they were up.
+        ["protected", sign, want] => compare(simulation.window_checks.protected_availability(), sign, want),
+        // How often windows were opened or closed according to the records.
+        ["edges", sign, want] => compare(simulation.window_checks.transition_count(), sign, want),
         ["value", key, "says", words @ ..] => {
             let text = simulation
                 .state
@@ -314,7 +331,7 @@
     outcome.map(|()| true)
 }
 
-/// Jobs. False where these words are of something else.
+/// Checks jobs. Returns false if the words concern something else.
 fn check_jobs(simulation: &Simulation, words: &[&str]) -> Result<bool, String> {
     let outcome = match words {
         ["all", "done"] => match simulation
@@ -324,9 +341,9 @@
             .count()
         {
             0 => Ok(()),
-            left => Err(format!("{left} are not")),
+            left => Err(format!("{left} jobs are not done")),
         },
-        // Jobs of a class whose users were told within so many seconds that they are done.
+        // Jobs of a class whose users were told within this many seconds that they are done.
         ["in-time", class, within, sign, want] => {
             let within_ms = (number(within)? * 1000.0) as u64;
             let done = simulation.jobs.values().filter(|job| job.class == *class);
@@ -338,35 +355,35 @@
         }
         ["live", "jobs", sign, want] => compare(simulation.state.count("j/") as f64, sign, want),
         [id, "told", want] => {
-            let told = job(simulation, id)?.reported_status.clone().unwrap_or_default();
-            if told == *want {
+            let reported = job(simulation, id)?.reported_status.clone().unwrap_or_default();
+            if reported == *want {
                 Ok(())
             } else {
-                Err(format!("its user was told {told:?}"))
+                Err(format!("its user was told {reported:?}"))
             }
         }
         [id, "done", "by", want] => match job(simulation, id)?.completion_reported_at {
             Some(at) => compare(at as f64 / 1000.0, "<=", want),
-            None => Err("its user was never told so".to_owned()),
+            None => Err("its user was never told that it is done".to_owned()),
         },
         [id, "starts", sign, want] => compare(f64::from(job(simulation, id)?.task_starts), sign, want),
         [id, "saved", sign, want] => compare(job(simulation, id)?.checkpointed_s, sign, want),
         [id, "running", sign, want] => {
             let running = simulation
-                .on_machines()
+                .tasks_on_machines()
                 .filter(|(_, task)| task.job == *id && task.state == TaskState::Running)
                 .count();
             compare(running as f64, sign, want)
         }
         [id, "on", "spot", sign, want] => {
             let on = simulation
-                .on_machines()
+                .tasks_on_machines()
                 .filter(|(worker, task)| worker.spot && task.job == *id);
             compare(on.count() as f64, sign, want)
         }
         [id, "zones", sign, want] => {
             let zones: BTreeSet<&str> = simulation
-                .on_machines()
+                .tasks_on_machines()
                 .filter(|(_, task)| task.job == *id)
                 .map(|(worker, _)| worker.zone.as_str())
                 .collect();
